--- /dev/null
+++ b/src/lab/production_version.h
@@ -0,0 +1,45 @@
+/* The interface of version.h in the names of the version that deploy/service.toml names as `production`.
+ * Built only against that version's sources. The structs that cross by pointer have the same layout in both
+ * versions, which FkProductionLayout lets a test check; records and settings cross as JSON. Goes when
+ * `production` moves on. */
+#pragma once
+#include "core/controller.h"
+#include "wire/json.h"
+
+typedef struct {
+  const char *name;
+  FkSettings *(*settings)(const char *platform, const char *operator_wishes); /* JSON; NULL: refused */
+  void (*settings_free)(FkSettings *s);
+  cJSON *(*record_to_json)(const FkRecord *r);
+  FkEvent *(*event)(const char *path, const char *value, guint64 stamp); /* `value` NULL: deleted */
+  void (*event_free)(FkEvent *e);
+  void (*out_free)(FkOut *o);
+  FkController *(*start)(const FkSettings *s, const char *life, guint32 seed, FkTime now);
+  void (*free)(FkController *c);
+  FkOut *(*next)(FkController *c);
+  void (*tick)(FkController *c, FkTime now, gint64 wall_us);
+  void (*submit)(FkController *c, FkTime now, FkRequest r, FkSpec *spec);
+  void (*get)(FkController *c, FkTime now, FkRequest r, const char *id);
+  void (*cancel)(FkController *c, FkTime now, FkRequest r, const char *id);
+  void (*report)(FkController *c, FkTime now, FkRequest r, FkReport *report);
+  void (*listed)(FkController *c, FkTime now, FkOutcome o, GPtrArray *events, gboolean more, FkRev epoch);
+  void (*watched)(FkController *c, FkTime now, FkOutcome o, GPtrArray *events, FkRev epoch, FkTime sent);
+  void (*held)(FkController *c, FkTime now, FkOutcome o, FkRev hold, FkTime sent);
+  void (*renewed)(FkController *c, FkTime now, FkOutcome o, FkTime sent);
+  void (*committed)(FkController *c, FkTime now, guint64 call, FkOutcome o, FkRev epoch, GPtrArray *failed);
+  void (*sent)(FkController *c, FkTime now, guint64 call);
+  void (*got)(FkController *c, FkTime now, guint64 call, FkOutcome o, FkEvent *e);
+  void (*commanded)(FkController *c, FkTime now, guint64 call, FkOutcome o, FkReport *report);
+  const char *(*seen)(FkController *c, FkTime now, FkRev *seen, FkRev *applied, double *store_age_s);
+  void (*peer)(FkController *c, FkTime now, const char *peer, const char *life, FkRev seen, FkRev applied,
+               double store_age_s, FkTime sent);
+  void (*types)(FkController *c, FkTime now, FkOutcome o, GPtrArray *types);
+  void (*machines)(FkController *c, FkTime now, FkOutcome o, GPtrArray *listed, gboolean more);
+  void (*rented)(FkController *c, FkTime now, guint64 call, FkOutcome o, GPtrArray *names);
+  void (*returned)(FkController *c, FkTime now, guint64 call, FkOutcome o);
+} FkVersion;
+
+extern const FkVersion fk_version_production;
+/* Sizes and offsets of what crosses by pointer, in the order of fk_version_layout(). */
+extern const gsize fk_production_layout[];
+extern const guint fk_production_layout_length;
--- a/src/lab/version.h
+++ b/src/lab/version.h
@@ -1,7 +1,8 @@
-/* A version of the controller, as the world plays it: its core and its codec. `version.c` is built once with
- * the present sources and, for the schedules in which two versions serve side by side, once with those of the
- * version that deploy/service.toml names as being in production. What both have in common is what
- * controller.h declares; records and settings pass as JSON, since their structs may differ. */
+/* A version of the controller, as the simulation plays it: its core and its codec. version.c binds the
+ * present sources. production_version.c binds the version that deploy/service.toml names as `production`, in
+ * that version's own names, for the schedules in which two versions serve side by side. What crosses by
+ * pointer is declared by controller.h and has the same layout in both (fk_version_layout); records and
+ * settings cross as JSON, since their structs may differ. */
 #pragma once
 #include "core/controller.h"
 #include "wire/json.h"
@@ -40,6 +41,10 @@
 } FkVersion;
 
 extern const FkVersion fk_version_present;
+/* Sizes, offsets and values of enums of what crosses between versions by pointer. The array is static. */
+const gsize *fk_version_layout(guint *length);
 #ifdef FK_PRODUCTION
 extern const FkVersion fk_version_production;
+extern const gsize fk_production_layout[];
+extern const guint fk_production_layout_length;
 #endif
--- a/test/test_meetings.c
+++ b/test/test_meetings.c
@@ -935,6 +935,15 @@
   }
 }
 
+/* What crosses between the versions by pointer has the same sizes, offsets and values in both. */
+static void test_layout(void) {
+  guint length;
+  const gsize *layout = fk_version_layout(&length);
+  g_assert_cmpuint(length, ==, fk_production_layout_length);
+  for (guint i = 0; i < length; i++)
+    g_assert_cmpuint(layout[i], ==, fk_production_layout[i]);
+}
+
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   g_log_set_default_handler(quiet, NULL);
@@ -944,6 +953,7 @@
     g_test_add_data_func(path, &meetings[i], run_meeting);
   }
   g_test_add_func("/versions/forms", test_forms);
+  g_test_add_func("/versions/layout", test_layout);
   for (guint i = 0; i < SIM_KINDS; i++) {
     g_autofree char *path = g_strdup_printf("/pairs/%u", i);
     g_test_add_data_func(path, GUINT_TO_POINTER(i), run_pairs);
