--- a/src/core/rooms.c
+++ b/src/core/rooms.c
@@ -3,7 +3,6 @@
 #include "core/batch.h"
 #include "queue/capacity.h"
 
-#define OPEN_MOST 2000 /* machines with room in one look */
 #define SOME_ROOM 0.25 /* CPUs: with less a machine counts as full */
 
 struct FkRooms {
@@ -78,11 +77,14 @@
   return fk_has_room(w->c, machine, w->cpus, w->mem_gb) && fk_machine_usable(w->c, machine);
 }
 
+/* No look leaves out a machine with room: as many as there are may be taken. */
+static guint as_many(const FkCapacity *rooms) { return fk_capacity_items(rooms)->len; }
+
 GPtrArray *fk_rooms_open(FkController *c, gboolean ours, double cpus, double mem_gb) {
   GPtrArray *open = g_ptr_array_new();
   Wanted w = {c, cpus, mem_gb};
-  c->rooms->looked_at +=
-      fk_capacity_at_least(ours ? c->rooms->ours : c->rooms->all, cpus, OPEN_MOST, has_room, &w, open);
+  const FkCapacity *rooms = ours ? c->rooms->ours : c->rooms->all;
+  c->rooms->looked_at += fk_capacity_at_least(rooms, cpus, as_many(rooms), has_room, &w, open);
   return open;
 }
 
@@ -95,7 +97,8 @@
 
 double fk_rooms_spot(FkController *c, double needed) {
   g_autoptr(GPtrArray) spot = g_ptr_array_new();
-  c->rooms->looked_at += fk_capacity_at_least(c->rooms->all, SOME_ROOM, OPEN_MOST, is_spot, NULL, spot);
+  c->rooms->looked_at +=
+      fk_capacity_at_least(c->rooms->all, SOME_ROOM, as_many(c->rooms->all), is_spot, NULL, spot);
   double room = 0;
   for (guint i = 0; i < spot->len && room < needed; i++) {
     const FkMachine *m = spot->pdata[i];
--- a/test/test_looks.c
+++ b/test/test_looks.c
@@ -158,6 +158,31 @@
   g_assert_cmpfloat(c.jobs, >=, 100);
 }
 
+/* A look sees every machine with room, however many there are, and none without. */
+static void test_all_that_have_room(void) {
+  static const struct {
+    guint machines, with_room;
+  } cases[] = {{100, 100}, {2000, 1900}, {2500, 2001}, {4500, 4500}};
+  for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
+    Rig *r = rig_new(TRUE);
+    g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
+    add_machines(lines, cases[i].machines);
+    fill_machines(lines, cases[i].machines - cases[i].with_room);
+    g_ptr_array_add(lines, NULL);
+    watched(r, (const char *const *)lines->pdata);
+    hear_all(r, cases[i].machines);
+    fk_rooms_refresh(r->c);
+    for (guint ours = 0; ours < 2; ours++) {
+      gint64 began_us = g_get_monotonic_time();
+      g_autoptr(GPtrArray) open = fk_rooms_open(r->c, ours, 2, 2);
+      g_test_message("%u of %u machines with room: found in %.2f ms", open->len, cases[i].machines,
+                     (double)(g_get_monotonic_time() - began_us) / 1e3);
+      g_assert_cmpuint(open->len, ==, cases[i].with_room);
+    }
+    rig_free(r);
+  }
+}
+
 #define URGENT                                                                                               \
   "{\"class\":\"u\",\"team\":\"red\",\"shape\":0,\"rank\":1,\"tasks\":1,\"cpus\":2,\"gpus\":0,\"mem\":2,"    \
   "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
@@ -279,6 +304,7 @@
   g_test_add_func("/looks/wait_queue", test_wait_queue);
   g_test_add_func("/looks/capacity", test_capacity);
   g_test_add_func("/looks/few", test_few_are_all_looked_at);
+  g_test_add_func("/looks/all_that_have_room", test_all_that_have_room);
   g_test_add_func("/looks/flat_in_jobs", test_flat_in_jobs);
   g_test_add_func("/looks/flat_in_machines", test_flat_in_machines);
   g_test_add_func("/looks/urgent_before_its_time", test_urgent_before_its_time);
