--- a/src/core/fleet_plan.c
+++ b/src/core/fleet_plan.c
@@ -6,7 +6,7 @@
 
 #include "teams/limits.h"
 
-#define PLAN_JOBS 2000 /* looked at; more wait their turn */
+#define PLAN_JOBS 2000 /* looked at, or as many as there are machines; more wait their turn */
 
 guint fk_bin_hash(gconstpointer k) {
   const guint8 *p = k;
@@ -340,6 +340,12 @@
   }
 }
 
+/* As many jobs are planned for as there are machines, up or on their way: each may want one of its own, and a
+ * machine that nothing is planned for counts as idle. */
+static guint jobs_planned(FkController *c) {
+  return MAX(PLAN_JOBS, g_hash_table_size(c->view->machines) + g_hash_table_size(c->fleet->booting));
+}
+
 void fk_fleet_demand(FkController *c, Bins *bins) {
   GHashTableIter it;
   gpointer p;
@@ -354,7 +360,8 @@
   plan_headroom(c, bins);
   g_autoptr(GHashTable) planned =
       g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free); /* team -> cpus */
-  for (guint i = 0; i < jobs->len && i < PLAN_JOBS; i++) {
+  guint most = jobs_planned(c);
+  for (guint i = 0; i < jobs->len && i < most; i++) {
     FkJob *j = jobs->pdata[i];
     double *used = g_hash_table_lookup(planned, j->spec->team);
     if (!used) {
--- a/test/test_looks.c
+++ b/test/test_looks.c
@@ -3,6 +3,7 @@
 #include <string.h>
 
 #include "core/batch.h"
+#include "core/fleet_internal.h"
 #include "core/rooms.h"
 #include "core/turn.h"
 #include "queue/capacity.h"
@@ -183,6 +184,48 @@
   }
 }
 
+#define WHOLE                                                                                                \
+  "{\"class\":\"c\",\"team\":\"red\",\"shape\":0,\"rank\":2,\"tasks\":1,\"cpus\":8,\"gpus\":0,\"mem\":2,"    \
+  "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
+  "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16}"
+
+/* Jobs that each want a whole machine: the plan leaves no machine idle that one of them waits for. Besides,
+ * it looks at 2,000 jobs. */
+static void test_all_that_are_wanted(void) {
+  static const struct {
+    guint machines, jobs, idle;
+  } cases[] = {{100, 3000, 0}, {2500, 999, 1500}, {2500, 2399, 100}, {4500, 4499, 0}};
+  for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
+    Rig *r = rig_new(TRUE);
+    for (guint k = 0; k < r->s->teams->len; k++)
+      ((FkTeam *)r->s->teams->pdata[k])->cpus_max = AMPLE;
+    g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
+    add_machines(lines, cases[i].machines);
+    for (guint k = 0; k < cases[i].jobs; k++)
+      add_line(lines, g_strdup_printf("fk/l/j/run-%u", 100000 + k), g_strdup(WHOLE));
+    g_ptr_array_add(lines, NULL);
+    watched(r, (const char *const *)lines->pdata);
+    Bins bins = {g_array_new(FALSE, TRUE, sizeof(Bin)),
+                 g_hash_table_new_full(fk_bin_hash, fk_bin_equal, g_free, NULL),
+                 g_array_new(FALSE, TRUE, sizeof(Bin))};
+    gint64 began_us = g_get_monotonic_time();
+    fk_fleet_demand(r->c, &bins);
+    double took_ms = (double)(g_get_monotonic_time() - began_us) / 1e3;
+    guint idle = 0;
+    for (guint k = 0; k < bins.list->len; k++) {
+      const Bin *b = &g_array_index(bins.list, Bin, k);
+      idle += b->key.kind == BIN_IDLE ? b->count : 0;
+    }
+    g_test_message("%u machines, %u jobs: %u idle, planned in %.1f ms", cases[i].machines, cases[i].jobs,
+                   idle, took_ms);
+    g_assert_cmpuint(idle, ==, cases[i].idle);
+    g_array_unref(bins.list);
+    g_array_unref(bins.hire);
+    g_hash_table_unref(bins.index);
+    rig_free(r);
+  }
+}
+
 #define URGENT                                                                                               \
   "{\"class\":\"u\",\"team\":\"red\",\"shape\":0,\"rank\":1,\"tasks\":1,\"cpus\":2,\"gpus\":0,\"mem\":2,"    \
   "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
@@ -305,6 +348,7 @@
   g_test_add_func("/looks/capacity", test_capacity);
   g_test_add_func("/looks/few", test_few_are_all_looked_at);
   g_test_add_func("/looks/all_that_have_room", test_all_that_have_room);
+  g_test_add_func("/looks/all_that_are_wanted", test_all_that_are_wanted);
   g_test_add_func("/looks/flat_in_jobs", test_flat_in_jobs);
   g_test_add_func("/looks/flat_in_machines", test_flat_in_machines);
   g_test_add_func("/looks/urgent_before_its_time", test_urgent_before_its_time);
