--- a/src/door/limits.c
+++ b/src/door/limits.c
@@ -8,6 +8,10 @@
 #define CONNECTION_BYTES (10 * KIB)
 #define CONNECTIONS_PART 0.25
 #define HELD_PART 0.125
+/* Workers' connections: so many where the sockets allow it, and more where the memory does. A fleet may have
+ * a single controller to report to for a while, and who is closed for another has to connect anew. */
+#define WORKERS_LEAST 4000
+#define WORKERS_PART 0.5
 #define REQUEST_BYTES (16 * KIB) /* a request under way: its message, its body, what the core keeps */
 
 static guint part(double of, double share, guint least, guint most) {
@@ -27,7 +31,8 @@
   double inwards = m->sockets - OWN_SOCKETS - l.store_calls - l.cloud_calls - l.peer_calls - l.worker_calls -
                    l.guests[FK_GUEST_PEER];
   l.guests[FK_GUEST_CHECKER] = part(inwards, 0.02, 2, 32);
-  l.guests[FK_GUEST_REPORTER] = part(inwards, 0.4, 2, 4000);
+  guint workers = (guint)MAX(WORKERS_LEAST, WORKERS_PART * ram / CONNECTION_BYTES);
+  l.guests[FK_GUEST_REPORTER] = part(inwards, 0.4, 2, workers);
   l.endings = part(inwards, 0.05, 2, 128);
   double outsiders = inwards - l.guests[FK_GUEST_CHECKER] - l.guests[FK_GUEST_REPORTER] - l.endings;
   double affordable = CONNECTIONS_PART * ram / CONNECTION_BYTES;
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -49,6 +49,30 @@
   g_assert_cmpuint(l.held, ==, 1048576);
 }
 
+/* Sockets, and memory beyond 4,000, bound the workers' connections: 4,500 fit where there is room for them,
+ * and what all connections together may take of the memory stays below nine tenths. Up to 4,000 it is the
+ * sockets alone. */
+static void test_workers(void) {
+  static const struct {
+    double sockets, ram_mb;
+    guint workers;
+  } cases[] = {
+      {3132, 98, 1068},   {8000, 98, 3016},    {10100, 98, 3856}, /* two fifths of the sockets */
+      {12500, 98, 4816},                                          /* here too, over 4,000 */
+      {20000, 75, 4000},  {20000, 98, 5017},                      /* the memory's bound */
+      {20000, 264, 7816}, {50000, 264, 13516},
+  };
+  for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
+    FkDoorMeans means = {cases[i].sockets, cases[i].ram_mb, 2};
+    FkDoorLimits l = fk_door_limits(&means, &(FkDoorWishes){0});
+    g_test_message("%g sockets, %g MB: %u workers, %u others", means.sockets, means.ram_mb,
+                   l.guests[FK_GUEST_REPORTER], l.guests[FK_GUEST_OUTSIDER]);
+    g_assert_cmpuint(l.guests[FK_GUEST_REPORTER], ==, cases[i].workers);
+    double bytes = 10240.0 * (l.guests[FK_GUEST_REPORTER] + l.guests[FK_GUEST_OUTSIDER]) + (double)l.held;
+    g_assert_cmpfloat(bytes, <=, 0.9 * means.ram_mb * 1048576);
+  }
+}
+
 /* ------------------------------------------------------------------ the gate */
 
 static FkDoorLimits small(void) {
@@ -550,6 +574,7 @@
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   g_test_add_func("/door/limits", test_limits);
+  g_test_add_func("/door/workers", test_workers);
   g_test_add_func("/door/times", test_times);
   g_test_add_func("/door/crowd", test_crowd);
   g_test_add_func("/door/shares", test_shares);
