--- a/test/test_chains.c
+++ b/test/test_chains.c
@@ -326,6 +326,93 @@
   }
 }
 
+#define ZONE 4500      /* machines */
+#define TXN_MOST 65536 /* bytes that the store takes in one transaction */
+#define LONG_ADDR "[2001:db8:1234:5678::1234]:9000"
+
+/* The store has carried out all transactions that came out, and the watch tells of them. The bytes of the
+ * largest. */
+static gsize carried_out(Rig *r, guint value_most) {
+  g_autoptr(GPtrArray) outs = g_steal_pointer(&r->outs), none = g_ptr_array_new();
+  gsize largest = 0;
+  r->outs = g_ptr_array_new_with_free_func((GDestroyNotify)fk_out_free);
+  for (guint i = 0; i < outs->len; i++) {
+    const FkOut *t = outs->pdata[i];
+    if (t->kind != FK_OUT_COMMIT)
+      continue;
+    g_autofree char *body = fk_store_print_commit(t);
+    largest = MAX(largest, strlen(body));
+    g_autoptr(GPtrArray) events = g_ptr_array_new_with_free_func((GDestroyNotify)fk_event_free);
+    r->epoch++;
+    for (guint k = 0; k < t->writes->len; k++) {
+      const FkWrite *w = &g_array_index(t->writes, FkWrite, k);
+      g_autoptr(cJSON) j = w->record ? fk_store_record_to_json(w->record) : NULL;
+      g_autofree char *text = j ? fk_json_print(j) : g_strdup("");
+      g_assert_cmpuint(strlen(text), <=, value_most);
+      FkEvent *e = g_new0(FkEvent, 1);
+      *e = (FkEvent){g_strdup(w->path), j ? fk_store_record_from_json(w->path, j) : NULL, {r->epoch}};
+      g_ptr_array_add(events, e);
+    }
+    fk_controller_committed(r->c, r->now, t->call, FK_OK, (FkRev){r->epoch}, none);
+    fk_controller_watched(r->c, r->now, FK_OK, events, (FkRev){r->epoch}, r->now);
+    pump(r);
+  }
+  return largest;
+}
+
+static guint described(Rig *r) {
+  GHashTableIter it;
+  gpointer p;
+  guint n = 0;
+  g_hash_table_iter_init(&it, fk_controller_view(r->c)->machines);
+  while (g_hash_table_iter_next(&it, NULL, &p))
+    n += ((FkMachine *)p)->rec != NULL;
+  return n;
+}
+
+/* 4,500 machines in one zone, with long names, all come at once: each is described, under the smallest limit
+ * of a value as well, and no transaction is over what the store takes. */
+static void test_large_zone(void) {
+  static const guint value_kb[] = {8, 64};
+  for (guint i = 0; i < G_N_ELEMENTS(value_kb); i++) {
+    Rig *r = rig_new(TRUE);
+    r->s->value_kb = r->s->now_value_kb = value_kb[i];
+    r->s->state_write_rps = 6000;
+    g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
+    for (guint k = 0; k < 3; k++) {
+      g_ptr_array_add(lines, g_strdup_printf("fk/l/f/c-%u", k));
+      g_ptr_array_add(lines, g_strdup("{\"chains\":true}"));
+    }
+    for (guint k = 0; k < 32; k++) {
+      g_ptr_array_add(lines, g_strdup_printf("fk/l/g/north.%u", k));
+      g_ptr_array_add(lines, g_strdup("{\"node\":\"c-0\",\"life\":\"now\"}"));
+    }
+    g_ptr_array_add(lines, NULL);
+    watched(r, (const char *const *)lines->pdata);
+    for (guint k = 0; k < ZONE - 1; k++) { /* the rig has one */
+      g_autofree char *id = g_strdup_printf("i-%017u", k);
+      FkReport *report = says(r, id, "north", 1, ++r->tally);
+      g_free(report->addr);
+      report->addr = g_strdup(LONG_ADDR);
+      fk_controller_report(r->c, r->now, (FkRequest){r->tally}, report);
+    }
+    pump(r);
+    gsize largest = 0;
+    for (guint k = 0; k < 60 && described(r) < ZONE; k++) {
+      fk_controller_room(r->c, 1000);
+      tick(r, 0.1);
+      gsize bytes = carried_out(r, value_kb[i] * 1024);
+      largest = MAX(largest, bytes);
+    }
+    g_test_message("values of %u KiB: %u machines described, %" G_GSIZE_FORMAT
+                   " bytes the largest transaction",
+                   value_kb[i], described(r), largest);
+    g_assert_cmpuint(described(r), ==, ZONE);
+    g_assert_cmpuint(largest, <=, TXN_MOST);
+    rig_free(r);
+  }
+}
+
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   g_test_add_func("/chains/settles", test_settles);
@@ -336,6 +423,7 @@
   g_test_add_func("/chains/accepting", test_accepting);
   g_test_add_func("/chains/pulled", test_pulled);
   g_test_add_func("/chains/divided", test_divided);
+  g_test_add_func("/chains/large_zone", test_large_zone);
   g_test_add_func("/chains/needed_finals_first", test_needed_finals_first);
   return g_test_run();
 }
