--- a/src/core/ends.c
+++ b/src/core/ends.c
@@ -161,20 +161,33 @@
   return b && b->attempt.n == e->attempt.n && b->machine == e->machine ? j : NULL;
 }
 
+/* What a transaction says of one job: how many of its bookings have ended, and how many tasks are done so. */
+typedef struct {
+  guint ended, done;
+} Count;
+
+static Count *count_of(GHashTable *jobs, FkJob *j) {
+  Count *n = g_hash_table_lookup(jobs, j);
+  if (!n)
+    g_hash_table_insert(jobs, j, n = g_new0(Count, 1));
+  return n;
+}
+
 /* The last ends of a job end it in the same transaction. */
 static void finalize_complete(FkController *c, FkOut *t, GHashTable *jobs) {
   GHashTableIter it;
-  gpointer job, n;
+  gpointer job, count;
   g_hash_table_iter_init(&it, jobs);
-  while (g_hash_table_iter_next(&it, &job, &n)) {
+  while (g_hash_table_iter_next(&it, &job, &count)) {
     FkJob *j = job;
-    guint ended = GPOINTER_TO_UINT(n) & 0xfffff, done = GPOINTER_TO_UINT(n) >> 20;
+    const Count *n = count;
     /* a large transaction finds no room in a busy store's budget; the sweep takes what is left here. But
      * nothing that needs the job starts before its final is there */
     gboolean needed = fk_deps_needed(c->view->deps, j->spec->id);
     guint max = needed ? c->settings->txn_ops : (guint)CLAMP(c->write_room, 1, c->settings->txn_ops);
     guint left = max > t->writes->len ? max - t->writes->len : 0;
-    if (j->booked == ended && (j->cancelled ? !fk_services_first(c) : j->done + done == j->spec->tasks) &&
+    if (j->booked == n->ended &&
+        (j->cancelled ? !fk_services_first(c) : j->done + n->done == j->spec->tasks) &&
         left >= 2 + j->n_chunks && t->guards->len + 1 < 4 * c->settings->txn_ops)
       fk_txn_finalize(c, t, j, left);
   }
@@ -186,7 +199,7 @@
     return;
   gsize size = 0, limit = (gsize)(900 * c->settings->value_kb);
   g_autoptr(GPtrArray) page = NULL;
-  g_autoptr(GHashTable) jobs = g_hash_table_new(g_direct_hash, g_direct_equal);
+  g_autoptr(GHashTable) jobs = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
   FkOut *t = NULL;
   GHashTableIter it;
   gpointer p;
@@ -218,8 +231,9 @@
     }
     if (e->group)
       fk_txn_guard(t, fk_key(FK_KEY_GROUP, e->group), e->rev);
-    guint n = GPOINTER_TO_UINT(g_hash_table_lookup(jobs, j));
-    g_hash_table_insert(jobs, j, GUINT_TO_POINTER(n + 1 + (e->how == FK_END_DONE ? 1 << 20 : 0)));
+    Count *n = count_of(jobs, j);
+    n->ended++;
+    n->done += e->how == FK_END_DONE;
   }
   if (!t)
     return;
--- a/test/test_chains.c
+++ b/test/test_chains.c
@@ -413,6 +413,51 @@
   }
 }
 
+/* A job whose tasks all end at once is ended by the same transaction, however many they are. */
+static void test_all_end_at_once(void) {
+  static const guint tasks[] = {1, 4000, 4095, 4096, 4500};
+  for (guint i = 0; i < G_N_ELEMENTS(tasks); i++) {
+    Rig *r = rig_new(TRUE);
+    r->s->value_kb = r->s->now_value_kb = 8;
+    r->s->txn_ops = 64;
+    g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
+    g_ptr_array_add(lines, g_strdup("fk/l/j/run-2"));
+    g_ptr_array_add(lines,
+                    g_strdup_printf("{\"class\":\"c\",\"team\":\"red\",\"shape\":0,\"rank\":2,\"tasks\":%u,"
+                                    "\"cpus\":0.001,\"gpus\":0,\"mem\":0,\"image\":\"i\",\"image_gb\":1,"
+                                    "\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"
+                                    "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\","
+                                    "\"chunk\":128}",
+                                    tasks[i]));
+    FkReport *ended = says(r, "i-1", "north", 1, 1);
+    for (guint first = 0; first < tasks[i]; first += 128) {
+      g_autoptr(FkRecord) chunk = fk_record_new(FK_KEY_CHUNK);
+      chunk->chunk = fk_chunk_new(first, MIN(128, tasks[i] - first));
+      for (guint k = first; k < first + chunk->chunk->count; k++) {
+        fk_chunk_book(chunk->chunk, k, "i-1", "c-0");
+        FkTaskReport *t = g_new0(FkTaskReport, 1);
+        *t = (FkTaskReport){g_strdup("run-2"), k, fk_chunk_find(chunk->chunk, k)->attempt, FK_TASK_EXITED,
+                            FK_WHY_DONE};
+        g_ptr_array_add(ended->tasks, t);
+      }
+      g_autoptr(cJSON) value = fk_store_record_to_json(chunk);
+      g_ptr_array_add(lines, fk_key_chunk("run-2", first / 128));
+      g_ptr_array_add(lines, fk_json_print(value));
+    }
+    g_ptr_array_add(lines, NULL);
+    watched(r, (const char *const *)lines->pdata);
+    forget_outs(r);
+    fk_controller_room(r->c, 1000);
+    fk_controller_report(r->c, r->now, (FkRequest){1}, ended);
+    tick(r, 0.3);
+    FkOut *t = find(r, FK_OUT_COMMIT, "fk/l/r/");
+    g_assert_nonnull(t);
+    g_test_message("%u tasks: %u writes", tasks[i], t->writes->len);
+    g_assert_true(t == find(r, FK_OUT_COMMIT, "fk/d/run-2"));
+    rig_free(r);
+  }
+}
+
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   g_test_add_func("/chains/settles", test_settles);
@@ -424,6 +469,7 @@
   g_test_add_func("/chains/pulled", test_pulled);
   g_test_add_func("/chains/divided", test_divided);
   g_test_add_func("/chains/large_zone", test_large_zone);
+  g_test_add_func("/chains/all_end_at_once", test_all_end_at_once);
   g_test_add_func("/chains/needed_finals_first", test_needed_finals_first);
   return g_test_run();
 }
