--- a/src/lab/scale/processes.c
+++ b/src/lab/scale/processes.c
@@ -1,6 +1,7 @@
 #include "lab/scale/processes.h"
 
 #include <fcntl.h>
+#include <glib/gstdio.h>
 #include <signal.h>
 #include <string.h>
 #include <sys/wait.h>
@@ -88,8 +89,11 @@
   return self && spawn(p, x, argv, NULL, error);
 }
 
+/* Its log is empty: one of an earlier run in the same folder isn't counted. */
 static Process *add(FkProcesses *ps, char *name /* taken */, guint region) {
   Process *x = g_new0(Process, 1);
+  g_autofree char *log = path_in(ps->plan, name, ".log");
+  g_unlink(log);
   x->name = name;
   x->region = region;
   g_ptr_array_add(ps->all, x);
--- a/src/lab/scale/scale.c
+++ b/src/lab/scale/scale.c
@@ -80,6 +80,7 @@
               {"accept_p99_s", "accept, p99, s"},
               {"urgent_start_p99_s", "urgent work's first start, p99, s"},
               {"bulk_start_p50_s", "other work's first start, p50, s"},
+              {"malformed_reports", "malformed reports that controllers logged"},
               {"fleet_core_share", "stand-in of the workers, share of a core"},
               {"state_core_share", "stand-in of the state service, share of a core"}};
   printf("region %u\n", number);
--- a/src/lab/scale/summary.c
+++ b/src/lab/scale/summary.c
@@ -7,10 +7,11 @@
 #include "lab/scale/check_rules.h"
 
 #define URGENT_WITHIN_S 1.8
-#define FULL 0.85       /* of the tasks that are to run: less, and a region hasn't filled */
-#define STARTED 0.85    /* of the tasks that were submitted a second */
-#define SETTLE_S 5.0    /* jobs submitted in the last seconds aren't judged */
-#define BUSY_WINDOW 10U /* seconds over which a process's share of a core is looked at */
+#define FULL 0.85                        /* of the tasks that are to run: less, and a region hasn't filled */
+#define STARTED 0.85                     /* of the tasks that were submitted a second */
+#define SETTLE_S 5.0                     /* jobs submitted in the last seconds aren't judged */
+#define MALFORMED "a malformed report: " /* as src/io/shell.c logs it */
+#define BUSY_WINDOW 10U                  /* seconds over which a process's share of a core is looked at */
 
 /* ------------------------------------------------------------------ a process's lines */
 
@@ -144,6 +145,30 @@
   return TRUE;
 }
 
+gboolean fk_summary_malformed_reports(const FkScalePlan *p, guint region, guint *count, GError **error) {
+  *count = 0;
+  for (guint i = 0; i < fk_scale_region_controllers(p, region); i++) {
+    g_autofree char *base = g_strdup_printf("control-%u-%u.log", region, i),
+                    *path = g_build_filename(p->dir, base, NULL), *text = NULL;
+    if (!g_file_get_contents(path, &text, NULL, error))
+      return FALSE;
+    for (const char *at = text; (at = strstr(at, MALFORMED)); at += strlen(MALFORMED))
+      ++*count;
+  }
+  return TRUE;
+}
+
+static gboolean add_malformed(Region *r, GError **error) {
+  guint n;
+  if (!fk_summary_malformed_reports(r->plan, r->region, &n, error))
+    return FALSE;
+  cJSON_AddNumberToObject(r->out, "malformed_reports", n);
+  if (n)
+    note(r->summary,
+         g_strdup_printf("region %u: %u malformed reports reached its controllers", r->region, n));
+  return TRUE;
+}
+
 static gboolean add_controllers(Region *r, GError **error) {
   double share = 0, most = 0, memory = 0;
   guint n = fk_scale_region_controllers(r->plan, r->region);
@@ -270,8 +295,8 @@
 static gboolean add_region(FkSummary *s, const FkScalePlan *p, guint region, cJSON *regions, GError **error) {
   Region r = {p, region, p->ramp_s, p->seconds - 1, cJSON_CreateObject(), s};
   cJSON_AddItemToArray(regions, r.out);
-  return add_state(&r, error) && add_fleet(&r, error) && add_controllers(&r, error) && add_users(&r, error) &&
-         add_events(&r, error);
+  return add_state(&r, error) && add_fleet(&r, error) && add_controllers(&r, error) &&
+         add_malformed(&r, error) && add_users(&r, error) && add_events(&r, error);
 }
 
 FkSummary *fk_summary_of(const FkScalePlan *p, GError **error) {
--- a/src/lab/scale/summary.h
+++ b/src/lab/scale/summary.h
@@ -10,4 +10,7 @@
 } FkSummary;
 
 FkSummary *fk_summary_of(const FkScalePlan *p, GError **error);
+/* How many reports the region's controllers logged as malformed: the hollow workers send none, so each is a
+ * fault of a stand-in or of a client's. FALSE: a log can't be read. */
+gboolean fk_summary_malformed_reports(const FkScalePlan *p, guint region, guint *count, GError **error);
 void fk_summary_free(FkSummary *s);
--- a/test/test_scale.c
+++ b/test/test_scale.c
@@ -1,5 +1,6 @@
 /* The stand-ins of scale runs: models, codecs of the other side, load balancer, jobs and the checker of
  * rules. */
+#include <glib/gstdio.h>
 #include <string.h>
 
 #include "io/http.h"
@@ -7,6 +8,7 @@
 #include "lab/scale/check_rules.h"
 #include "lab/scale/listen.h"
 #include "lab/scale/plan.h"
+#include "lab/scale/summary.h"
 #include "lab/store_model.h"
 #include "lab/worker_model.h"
 #include "wire/cloud.h"
@@ -358,6 +360,30 @@
   }
 }
 
+static void test_malformed_reports(void) {
+  g_autoptr(FkScalePlan) p = small_plan();
+  g_autoptr(GError) error = NULL;
+  guint n = 99;
+  p->controllers = 2;
+  p->dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
+  g_autofree char *first = g_build_filename(p->dir, "control-0-0.log", NULL),
+                  *second = g_build_filename(p->dir, "control-0-1.log", NULL);
+  g_assert_true(g_file_set_contents(first, "up\n", -1, &error));
+  g_assert_false(fk_summary_malformed_reports(p, 0, &n, &error)); /* a log that isn't there isn't a zero */
+  g_clear_error(&error);
+  g_assert_true(g_file_set_contents(second, "up\n", -1, &error));
+  g_assert_true(fk_summary_malformed_reports(p, 0, &n, &error));
+  g_assert_cmpuint(n, ==, 0);
+  g_assert_true(
+      g_file_set_contents(first, "warning a malformed report: \nup\na malformed report: {}\n", -1, &error));
+  g_assert_true(g_file_set_contents(second, "a malformed report: []", -1, &error));
+  g_assert_true(fk_summary_malformed_reports(p, 0, &n, &error));
+  g_assert_cmpuint(n, ==, 3);
+  g_unlink(first);
+  g_unlink(second);
+  g_rmdir(p->dir);
+}
+
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   g_test_add_func("/scale/store_model", test_store_model);
@@ -371,5 +397,6 @@
   g_test_add_func("/scale/rules", test_rules);
   g_test_add_func("/scale/quota_rule", test_quota_rule);
   g_test_add_func("/scale/redirects", test_redirects);
+  g_test_add_func("/scale/malformed_reports", test_malformed_reports);
   return g_test_run();
 }
