--- a/src/lab/scale/events.c
+++ b/src/lab/scale/events.c
@@ -31,7 +31,12 @@
 }
 
 void fk_event_log_add(FkEventLog *l, FkEventKind kind, const char *job, guint32 task, const char *machine) {
-  fprintf(l->file, "%" G_GINT64_FORMAT " %d %s %u %s\n", g_get_monotonic_time(), (int)kind, job, task,
+  fk_event_log_add_at(l, g_get_monotonic_time(), kind, job, task, machine);
+}
+
+void fk_event_log_add_at(FkEventLog *l, gint64 at_us, FkEventKind kind, const char *job, guint32 task,
+                         const char *machine) {
+  fprintf(l->file, "%" G_GINT64_FORMAT " %d %s %u %s\n", at_us, (int)kind, job, task,
           machine ? machine : "-");
 }
 
--- a/src/lab/scale/events.h
+++ b/src/lab/scale/events.h
@@ -29,7 +29,11 @@
 typedef struct FkEventLog FkEventLog;
 FkEventLog *fk_event_log_new(const char *dir, const char *name, GError **error);
 void fk_event_log_free(FkEventLog *l);
+/* It happened now. */
 void fk_event_log_add(FkEventLog *l, FkEventKind kind, const char *job, guint32 task, const char *machine);
+/* It happened then. */
+void fk_event_log_add_at(FkEventLog *l, gint64 at_us, FkEventKind kind, const char *job, guint32 task,
+                         const char *machine);
 
 /* Appends what a log holds; FALSE: it can't be read. */
 gboolean fk_event_log_read(const char *dir, const char *name, GArray *events /* FkRunEvent */,
--- a/src/lab/scale/fleet.c
+++ b/src/lab/scale/fleet.c
@@ -22,6 +22,56 @@
   return s;
 }
 
+/* ------------------------------------------------------------------ leases */
+
+static gint64 lease_us(const Fleet *f) { return (gint64)(f->plan->lease_s * 1e6); }
+
+gboolean fk_fleet_expire(Fleet *f, Machine *m, gint64 now) {
+  if (!m->up)
+    return FALSE;
+  f->left_us = m->model.lease_base + lease_us(f);
+  gboolean ended = fk_worker_model_expire(&m->model, &f->hooks, now, f->plan->lease_s);
+  f->left_us = 0;
+  fk_series_add(f->series, "leases_ended", ended);
+  return ended;
+}
+
+/* As above; a report tells of the next session soon. */
+static void look_at_lease(Fleet *f, Machine *m, gint64 now) {
+  if (fk_fleet_expire(f, m, now))
+    fk_fleet_changed(f, m);
+}
+
+/* What is planned for one life of a machine. */
+typedef struct {
+  Machine *machine;
+  guint life;
+} Life;
+
+static void plan_life(Fleet *f, Machine *m, gint64 at, FkAgendaFn fn) {
+  Life *l = g_new0(Life, 1);
+  *l = (Life){m, m->life};
+  fk_agenda_add(f->agenda, at, fn, l);
+}
+
+static void lease_is_due(gpointer fleet, gpointer data);
+
+/* The lease stands until its end, and is over right after. */
+static void watch_lease(Fleet *f, Machine *m) {
+  plan_life(f, m, m->model.lease_base + lease_us(f) + 1, lease_is_due);
+}
+
+/* Where it was renewed meanwhile, its new end is waited for. */
+static void lease_is_due(gpointer fleet, gpointer data) {
+  Fleet *f = fleet;
+  g_autofree Life *l = data;
+  Machine *m = l->machine;
+  if (m->gone || m->life != l->life)
+    return;
+  look_at_lease(f, m, g_get_monotonic_time());
+  watch_lease(f, m);
+}
+
 /* ------------------------------------------------------------------ tasks */
 
 typedef struct {
@@ -46,11 +96,13 @@
 static void task_ends(gpointer fleet, gpointer data) {
   Fleet *f = fleet;
   g_autofree Step *s = data;
+  gint64 now = g_get_monotonic_time();
+  look_at_lease(f, s->machine, now);
   FkWorkerTask *t = task_of(s);
   if (!t)
     return;
   g_hash_table_add(f->finished, task_key(t));
-  fk_event_log_add(f->events, FK_EVENT_ENDED, t->job, t->task, s->machine->model.id);
+  fk_event_log_add_at(f->events, now, FK_EVENT_ENDED, t->job, t->task, s->machine->model.id);
   fk_series_add(f->series, "ended", 1);
   t->on = FALSE; /* told already */
   t->state = FK_TASK_EXITED;
@@ -61,6 +113,8 @@
 static void task_begins(gpointer fleet, gpointer data) {
   Fleet *f = fleet;
   g_autofree Step *s = data;
+  gint64 now = g_get_monotonic_time();
+  look_at_lease(f, s->machine, now);
   FkWorkerTask *t = task_of(s);
   if (!t)
     return;
@@ -69,7 +123,7 @@
   g_hash_table_add(s->machine->images, g_strdup(spec->image));
   t->state = FK_TASK_RUNNING;
   t->on = TRUE;
-  fk_event_log_add(f->events, FK_EVENT_BEGAN, t->job, t->task, s->machine->model.id);
+  fk_event_log_add_at(f->events, now, FK_EVENT_BEGAN, t->job, t->task, s->machine->model.id);
   fk_series_add(f->series, "began", 1);
   double run_s = g_hash_table_contains(f->finished, key) ? 0 : fk_scale_task_s(f->plan, spec, t->task);
   schedule(f, s->machine, t->serial, run_s, task_ends);
@@ -90,22 +144,18 @@
 
 static void task_left(gpointer fleet, FkWorkerModel *w, FkWorkerTask *t) {
   Fleet *f = fleet;
-  fk_event_log_add(f->events, FK_EVENT_LEFT, t->job, t->task, w->id);
+  gint64 at = f->left_us ? f->left_us : g_get_monotonic_time();
+  fk_event_log_add_at(f->events, at, FK_EVENT_LEFT, t->job, t->task, w->id);
   fk_series_add(f->series, "left", 1);
 }
 
 /* ------------------------------------------------------------------ machines */
 
-typedef struct {
-  Machine *machine;
-  guint life;
-} Boot;
-
 static void boots(gpointer fleet, gpointer data) {
   Fleet *f = fleet;
-  g_autofree Boot *b = data;
-  Machine *m = b->machine;
-  if (m->gone || m->life != b->life)
+  g_autofree Life *l = data;
+  Machine *m = l->machine;
+  if (m->gone || m->life != l->life)
     return;
   g_autoptr(GError) error = NULL;
   if (m->listening < 0)
@@ -116,13 +166,12 @@
   }
   m->up = TRUE;
   m->model.lease_base = g_get_monotonic_time();
+  watch_lease(f, m);
   fk_fleet_begin_reports(f, m);
 }
 
 static void boot_in(Fleet *f, Machine *m, double seconds) {
-  Boot *b = g_new0(Boot, 1);
-  *b = (Boot){m, m->life};
-  fk_fleet_after(f, seconds, boots, b);
+  plan_life(f, m, g_get_monotonic_time() + (gint64)(seconds * 1e6), boots);
 }
 
 Machine *fk_fleet_boot(Fleet *f, const char *zone, gboolean spot, double boot_s) {
@@ -149,6 +198,7 @@
 void fk_fleet_lose(Fleet *f, Machine *m) {
   if (m->gone)
     return;
+  fk_fleet_expire(f, m, g_get_monotonic_time());
   fk_worker_model_wipe(&m->model, &f->hooks);
   m->gone = TRUE;
   m->up = FALSE;
@@ -169,6 +219,7 @@
   if (m->gone || !m->up)
     return;
   fk_series_add(f->series, "restarted", 1);
+  fk_fleet_expire(f, m, g_get_monotonic_time());
   fk_worker_model_wipe(&m->model, &f->hooks);
   m->up = FALSE;
   m->life++;
@@ -272,30 +323,44 @@
   }
 }
 
+gboolean fk_fleet_open(Fleet *f, const FkScalePlan *p, guint region, GError **error) {
+  g_autofree char *name = g_strdup_printf("fleet-%u", region);
+  *f = (Fleet){.plan = p, .region = region};
+  f->rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + region));
+  f->agenda = fk_agenda_new(f);
+  f->http = fk_http_new_many(CALLS_MOST, ANSWER_MOST);
+  f->machines = g_ptr_array_new();
+  f->by_addr = g_hash_table_new(g_str_hash, g_str_equal);
+  f->specs = g_hash_table_new(g_str_hash, g_str_equal);
+  f->finished = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  f->hires = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
+  f->hooks = (FkWorkerHooks){cpus_of, task_accepted, task_left, f, &f->serial};
+  f->series = fk_series_new(p->dir, name, p->begins_us, 0, error);
+  f->events = f->series ? fk_event_log_new(p->dir, name, error) : NULL;
+  f->addresses = f->events ? fk_many_addresses_new(fk_fleet_on_command, f, error) : NULL;
+  if (!f->addresses || !fk_fleet_open_cloud(f, error))
+    return FALSE;
+  fk_agenda_start_clock(f->agenda);
+  return TRUE;
+}
+
+void fk_fleet_close(Fleet *f) {
+  g_clear_pointer(&f->agenda, fk_agenda_free);
+  g_clear_pointer(&f->events, fk_event_log_free);
+  g_clear_pointer(&f->series, fk_series_free);
+}
+
 int fk_scale_fleet(const FkScalePlan *p, guint region) {
   g_autoptr(GError) error = NULL;
-  g_autofree char *name = g_strdup_printf("fleet-%u", region);
-  Fleet f = {.plan = p, .region = region};
-  f.rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + region));
-  f.agenda = fk_agenda_new(&f);
-  f.http = fk_http_new_many(CALLS_MOST, ANSWER_MOST);
-  f.machines = g_ptr_array_new();
-  f.by_addr = g_hash_table_new(g_str_hash, g_str_equal);
-  f.specs = g_hash_table_new(g_str_hash, g_str_equal);
-  f.finished = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  f.hires = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-  f.hooks = (FkWorkerHooks){cpus_of, task_accepted, task_left, &f, &f.serial};
-  f.series = fk_series_new(p->dir, name, p->begins_us, 0, &error);
-  f.events = f.series ? fk_event_log_new(p->dir, name, &error) : NULL;
-  f.addresses = f.events ? fk_many_addresses_new(fk_fleet_on_command, &f, &error) : NULL;
-  if (!f.addresses || !fk_fleet_open_cloud(&f, &error))
+  Fleet f;
+  if (!fk_fleet_open(&f, p, region, &error)) {
+    g_autofree char *name = g_strdup_printf("fleet-%u", region);
     return fk_scale_failed(name, error);
+  }
   boot_first(&f);
   plan_faults(&f);
-  fk_agenda_start_clock(f.agenda);
   fk_series_start(f.series, sample, &f);
   fk_scale_run_until_over(p);
-  fk_event_log_free(f.events);
-  fk_series_free(f.series);
+  fk_fleet_close(&f);
   return 0;
 }
--- a/src/lab/scale/fleet_internal.h
+++ b/src/lab/scale/fleet_internal.h
@@ -44,14 +44,22 @@
   GHashTable *hires;    /* name -> GPtrArray of names */
   FkWorkerHooks hooks;
   guint64 serial;
+  gint64 left_us;   /* while a lease is ended: its end, when the tasks left; else 0: now */
   GPtrArray *types; /* FkType */
 } Fleet;
 
 /* fleet.c */
+/* A fleet without machines, whose agenda runs by the clock; FALSE: a file or an address can't be had. */
+gboolean fk_fleet_open(Fleet *f, const FkScalePlan *p, guint region, GError **error);
+/* Its files are complete, and nothing happens there any more. */
+void fk_fleet_close(Fleet *f);
 void fk_fleet_after(Fleet *f, double seconds, FkAgendaFn fn, gpointer data);
 Machine *fk_fleet_boot(Fleet *f, const char *zone, gboolean spot, double boot_s);
 /* It is no more, and nothing that ran there. */
 void fk_fleet_lose(Fleet *f, Machine *m);
+/* Where the machine's lease has run out by now, its tasks left at the lease's end, however late this is
+ * noticed, and the next session has begun. Whether it has. */
+gboolean fk_fleet_expire(Fleet *f, Machine *m, gint64 now);
 guint fk_fleet_alive(const Fleet *f);
 const FkSpec *fk_fleet_spec(Fleet *f, const char *job);
 
--- a/src/lab/scale/reports.c
+++ b/src/lab/scale/reports.c
@@ -88,7 +88,7 @@
 static void take_answer(Fleet *f, Machine *m, const Report *r, const FkWorkerOrders *orders) {
   guint64 token = m->model.token;
   guint tasks = m->model.tasks->len;
-  fk_worker_model_expire(&m->model, &f->hooks, g_get_monotonic_time(), f->plan->lease_s);
+  fk_fleet_expire(f, m, g_get_monotonic_time());
   if (!fk_worker_model_answered(&m->model, &f->hooks, r->session, r->sent, orders->token, orders->orders))
     fk_series_add(f->series, "answers_dropped", 1);
   note_token(f, m, token);
@@ -125,8 +125,7 @@
     return;
   }
   gint64 now = g_get_monotonic_time();
-  if (fk_worker_model_expire(&m->model, &f->hooks, now, f->plan->lease_s))
-    fk_series_add(f->series, "leases_ended", 1);
+  fk_fleet_expire(f, m, now);
   m->sent = r->sent = now;
   m->changed = FALSE;
   m->under_way = TRUE;
@@ -151,7 +150,7 @@
 static void take_command(Fleet *f, SoupServerMessage *msg, Machine *m, const FkWorkerOrders *orders) {
   guint64 token = m->model.token;
   guint tasks = m->model.tasks->len;
-  fk_worker_model_expire(&m->model, &f->hooks, g_get_monotonic_time(), f->plan->lease_s);
+  fk_fleet_expire(f, m, g_get_monotonic_time());
   gboolean done =
       fk_worker_model_commanded(&m->model, &f->hooks, orders->session, orders->token, orders->orders);
   answer_report(f, msg, m, done ? 200 : 409);
--- a/test/test_scale.c
+++ b/test/test_scale.c
@@ -6,6 +6,7 @@
 #include "io/http.h"
 #include "lab/scale/balancer.h"
 #include "lab/scale/check_rules.h"
+#include "lab/scale/fleet_internal.h"
 #include "lab/scale/listen.h"
 #include "lab/scale/plan.h"
 #include "lab/scale/summary.h"
@@ -384,6 +385,69 @@
   g_rmdir(p->dir);
 }
 
+/* ------------------------------------------------------------------ leases */
+
+static guint events_of(const GArray *events, FkEventKind kind, gint64 *at_us) {
+  guint n = 0;
+  for (guint i = 0; i < events->len; i++) {
+    const FkRunEvent *e = &g_array_index(events, FkRunEvent, i);
+    if (e->kind != kind)
+      continue;
+    *at_us = e->at_us;
+    n++;
+  }
+  return n;
+}
+
+static void remove_in(const char *dir, const char *base) {
+  g_autofree char *path = g_build_filename(dir, base, NULL);
+  g_unlink(path);
+}
+
+/* One worker with a task that runs, of which no controller hears; the loop sleeps over its lease's end. */
+static void test_lease_ends(void) {
+  static Fleet f;
+  g_autoptr(FkScalePlan) p = small_plan();
+  g_autoptr(GError) error = NULL;
+  g_autoptr(GArray) events = fk_run_events_new();
+  p->base = 211;
+  p->lease_s = 2;
+  p->run_s = 3600;
+  p->begins_us = g_get_monotonic_time();
+  p->dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
+  g_assert_true(fk_fleet_open(&f, p, 0, &error));
+  g_autofree char *zone = fk_scale_zone(0, 0), *job = fk_scale_job_id(0, BULK);
+  Machine *m = fk_fleet_boot(&f, zone, FALSE, 0);
+  while (!m->up)
+    g_main_context_iteration(NULL, TRUE);
+  m->report = ++f.serial; /* it never reports: only the lease's timer can end it */
+  gint64 end = m->model.lease_base + (gint64)(p->lease_s * 1e6);
+  g_autoptr(GPtrArray) orders = g_ptr_array_new_with_free_func(order_free);
+  g_ptr_array_add(orders, order(FK_ORDER_START, job, 0, 1));
+  g_assert_true(fk_worker_model_commanded(&m->model, &f.hooks, 1, (FkToken){1}, orders));
+  const FkWorkerTask *t = m->model.tasks->pdata[0];
+  while (m->model.session == 1 && !t->on)
+    g_main_context_iteration(NULL, TRUE);
+  g_assert_cmpuint(m->model.session, ==, 1);
+  m->report = ++f.serial; /* that it runs isn't reported either */
+  g_usleep((gulong)MAX(0, end + 300000 - g_get_monotonic_time()));
+  for (gint64 until = g_get_monotonic_time() + 3000000;
+       m->model.session == 1 && g_get_monotonic_time() < until;)
+    g_main_context_iteration(NULL, FALSE);
+  g_assert_cmpuint(m->model.session, ==, 2);
+  g_assert_cmpuint(m->model.tasks->len, ==, 0);
+  fk_fleet_close(&f);
+  gint64 began = 0, left_us = 0;
+  g_assert_true(fk_event_log_read(p->dir, "fleet-0", events, &error));
+  g_assert_cmpuint(events_of(events, FK_EVENT_BEGAN, &began), ==, 1);
+  g_assert_cmpuint(events_of(events, FK_EVENT_LEFT, &left_us), ==, 1);
+  g_assert_cmpint(left_us, ==, end);
+  g_assert_cmpint(began, <, left_us);
+  remove_in(p->dir, "fleet-0.events");
+  remove_in(p->dir, "fleet-0.jsonl");
+  g_rmdir(p->dir);
+}
+
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   g_test_add_func("/scale/store_model", test_store_model);
@@ -398,5 +462,6 @@
   g_test_add_func("/scale/quota_rule", test_quota_rule);
   g_test_add_func("/scale/redirects", test_redirects);
   g_test_add_func("/scale/malformed_reports", test_malformed_reports);
+  g_test_add_func("/scale/lease_ends", test_lease_ends);
   return g_test_run();
 }
