--- a/src/lab/agenda.c
+++ b/src/lab/agenda.c
@@ -31,6 +31,14 @@
   g_free(a);
 }
 
+void fk_agenda_drop(FkAgenda *a, GDestroyNotify data_free) {
+  GSequenceIter *first;
+  while (!g_sequence_iter_is_end(first = g_sequence_get_begin_iter(a->entries))) {
+    data_free(((Entry *)g_sequence_get(first))->data);
+    g_sequence_remove(first);
+  }
+}
+
 static int by_time(gconstpointer a, gconstpointer b, gpointer unused) {
   const Entry *x = a, *y = b;
   if (x->at != y->at)
--- a/src/lab/agenda.h
+++ b/src/lab/agenda.h
@@ -11,6 +11,8 @@
 FkAgenda *fk_agenda_new(gpointer owner);
 /* What hasn't happened is dropped; its data isn't freed. */
 void fk_agenda_free(FkAgenda *a);
+/* Drops what hasn't happened; its data is freed by `data_free`. */
+void fk_agenda_drop(FkAgenda *a, GDestroyNotify data_free);
 void fk_agenda_add(FkAgenda *a, gint64 at, FkAgendaFn fn, gpointer data);
 /* When the next is due; G_MAXINT64: nothing is. */
 gint64 fk_agenda_next(const FkAgenda *a);
--- a/src/lab/scale/fleet.c
+++ b/src/lab/scale/fleet.c
@@ -345,6 +345,9 @@
 }
 
 void fk_fleet_close(Fleet *f) {
+  for (guint i = 0; i < f->machines->len; i++) /* an answer that still comes is void */
+    ((Machine *)f->machines->pdata[i])->report = ++f->serial;
+  fk_agenda_drop(f->agenda, g_free);
   g_clear_pointer(&f->agenda, fk_agenda_free);
   g_clear_pointer(&f->events, fk_event_log_free);
   g_clear_pointer(&f->series, fk_series_free);
