--- a/src/lab/scale/cloud_service.c
+++ b/src/lab/scale/cloud_service.c
@@ -62,6 +62,17 @@
   fk_scale_respond(m, 200, fk_cloud_print_names(names));
 }
 
+static void told(gpointer unused, guint status, const char *body, gsize len) {}
+
+/* The process that plays it hears of it too. */
+static void take_back(Fleet *f, Machine *x) {
+  if (x->elsewhere && !x->gone)
+    fk_http_call(f->http, "POST", x->model.addr, FK_FLEET_RETURNED, "{}", 1, told, NULL);
+  fk_fleet_lose(f, x);
+  x->returned = g_get_monotonic_time();
+  fk_series_add(f->series, "returned", 1);
+}
+
 static void on_return(Fleet *f, SoupServerMessage *m, const char *body, gsize len) {
   g_autoptr(GPtrArray) names = fk_cloud_parse_names(body, len);
   if (!names) {
@@ -73,11 +84,8 @@
     g_hash_table_add(wanted, names->pdata[i]);
   for (guint i = 0; i < f->machines->len; i++) {
     Machine *x = f->machines->pdata[i];
-    if (x->returned || !g_hash_table_contains(wanted, x->model.id))
-      continue;
-    fk_fleet_lose(f, x);
-    x->returned = g_get_monotonic_time();
-    fk_series_add(f->series, "returned", 1);
+    if (!x->returned && g_hash_table_contains(wanted, x->model.id))
+      take_back(f, x);
   }
   refuse(m, 200, "{}");
 }
--- a/src/lab/scale/fleet.c
+++ b/src/lab/scale/fleet.c
@@ -27,7 +27,7 @@
 static gint64 lease_us(const Fleet *f) { return (gint64)(f->plan->lease_s * 1e6); }
 
 gboolean fk_fleet_expire(Fleet *f, Machine *m, gint64 now) {
-  if (!m->up)
+  if (!m->up || m->elsewhere)
     return FALSE;
   f->left_us = m->model.lease_base + lease_us(f);
   gboolean ended = fk_worker_model_expire(&m->model, &f->hooks, now, f->plan->lease_s);
@@ -157,6 +157,10 @@
   Machine *m = l->machine;
   if (m->gone || m->life != l->life)
     return;
+  if (m->elsewhere) {
+    m->up = TRUE;
+    return;
+  }
   g_autoptr(GError) error = NULL;
   if (m->listening < 0)
     m->listening = fk_many_addresses_listen(f->addresses, m->model.addr, &error);
@@ -209,7 +213,7 @@
 static void die(Fleet *f, Machine *m) {
   if (m->gone)
     return;
-  fk_series_add(f->series, "died", 1);
+  fk_series_add(f->series, "died", !m->elsewhere);
   m->died = g_get_monotonic_time();
   fk_fleet_lose(f, m);
 }
@@ -218,7 +222,7 @@
 static void restart(Fleet *f, Machine *m) {
   if (m->gone || !m->up)
     return;
-  fk_series_add(f->series, "restarted", 1);
+  fk_series_add(f->series, "restarted", !m->elsewhere);
   fk_fleet_expire(f, m, g_get_monotonic_time());
   fk_worker_model_wipe(&m->model, &f->hooks);
   m->up = FALSE;
@@ -240,9 +244,15 @@
 
 /* ------------------------------------------------------------------ faults */
 
+/* Faults meet any machine; with several processes, of those that all of them know. */
+static Machine *any_machine(Fleet *f) {
+  guint n = f->plan->fleet_processes > 1 ? fk_scale_region_workers(f->plan, f->region) : f->machines->len;
+  return f->machines->pdata[g_rand_int_range(f->fault_rand, 0, (gint32)n)];
+}
+
 static void rack_dies(gpointer fleet, gpointer unused) {
   Fleet *f = fleet;
-  Machine *first = f->machines->pdata[g_rand_int_range(f->rand, 0, (gint32)f->machines->len)];
+  Machine *first = any_machine(f);
   guint left = RACK;
   for (guint i = first->number; i < f->machines->len && left; i++) {
     Machine *m = f->machines->pdata[i];
@@ -265,8 +275,8 @@
 
 static void one_fails(gpointer fleet, gpointer unused) {
   Fleet *f = fleet;
-  Machine *m = f->machines->pdata[g_rand_int_range(f->rand, 0, (gint32)f->machines->len)];
-  if (g_rand_double(f->rand) < RESTART_SHARE)
+  Machine *m = any_machine(f);
+  if (g_rand_double(f->fault_rand) < RESTART_SHARE)
     restart(f, m);
   else
     die(f, m);
@@ -275,7 +285,7 @@
 static void plan_churn(Fleet *f, const FkFault *fault) {
   guint n = (guint)(CHURN_A_DAY * f->machines->len + 0.5);
   for (guint i = 0; i < n; i++) {
-    double at_s = fault->at_s + g_rand_double(f->rand) * fault->for_s;
+    double at_s = fault->at_s + g_rand_double(f->fault_rand) * fault->for_s;
     fk_agenda_add(f->agenda, f->plan->begins_us + (gint64)(at_s * 1e6), one_fails, NULL);
   }
 }
@@ -300,7 +310,7 @@
   guint up = 0, on = 0, fetching = 0, exited = 0;
   for (guint i = 0; i < f->machines->len; i++) {
     const Machine *m = f->machines->pdata[i];
-    up += m->up;
+    up += m->up && !m->elsewhere;
     for (guint k = 0; k < m->model.tasks->len; k++) {
       const FkWorkerTask *t = m->model.tasks->pdata[k];
       on += t->on;
@@ -314,19 +324,21 @@
   fk_series_set(f->series, "exited", exited);
 }
 
-static void boot_first(Fleet *f) {
+void fk_fleet_boot_first(Fleet *f) {
   guint zones = fk_scale_region_zones(f->plan, f->region);
   for (guint i = 0; i < fk_scale_region_workers(f->plan, f->region); i++) {
     g_autofree char *zone = fk_scale_zone(f->region, i % zones);
     Machine *m = fk_fleet_boot(f, zone, FALSE, g_rand_double_range(f->rand, 0, UP_WITHIN_S));
+    m->elsewhere = i % f->plan->fleet_processes != f->part;
     m->born -= (gint64)(LISTED_BEFORE_S * 1e6);
   }
 }
 
-gboolean fk_fleet_open(Fleet *f, const FkScalePlan *p, guint region, GError **error) {
-  g_autofree char *name = g_strdup_printf("fleet-%u", region);
-  *f = (Fleet){.plan = p, .region = region};
+gboolean fk_fleet_open(Fleet *f, const FkScalePlan *p, guint region, guint part, GError **error) {
+  g_autofree char *name = fk_scale_fleet_name(region, part);
+  *f = (Fleet){.plan = p, .region = region, .part = part};
   f->rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + region));
+  f->fault_rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + region + 500));
   f->agenda = fk_agenda_new(f);
   f->http = fk_http_new_many(CALLS_MOST, ANSWER_MOST);
   f->machines = g_ptr_array_new();
@@ -338,7 +350,7 @@
   f->series = fk_series_new(p->dir, name, p->begins_us, 0, error);
   f->events = f->series ? fk_event_log_new(p->dir, name, error) : NULL;
   f->addresses = f->events ? fk_many_addresses_new(fk_fleet_on_command, f, error) : NULL;
-  if (!f->addresses || !fk_fleet_open_cloud(f, error))
+  if (!f->addresses || (part == 0 && !fk_fleet_open_cloud(f, error)))
     return FALSE;
   fk_agenda_start_clock(f->agenda);
   return TRUE;
@@ -353,14 +365,14 @@
   g_clear_pointer(&f->series, fk_series_free);
 }
 
-int fk_scale_fleet(const FkScalePlan *p, guint region) {
+int fk_scale_fleet(const FkScalePlan *p, guint region, guint part) {
   g_autoptr(GError) error = NULL;
   Fleet f;
-  if (!fk_fleet_open(&f, p, region, &error)) {
-    g_autofree char *name = g_strdup_printf("fleet-%u", region);
+  if (!fk_fleet_open(&f, p, region, part, &error)) {
+    g_autofree char *name = fk_scale_fleet_name(region, part);
     return fk_scale_failed(name, error);
   }
-  boot_first(&f);
+  fk_fleet_boot_first(&f);
   plan_faults(&f);
   fk_series_start(f.series, sample, &f);
   fk_scale_run_until_over(p);
--- a/src/lab/scale/fleet.h
+++ b/src/lab/scale/fleet.h
@@ -3,5 +3,10 @@
 #pragma once
 #include "lab/scale/plan.h"
 
-/* Plays until the run is over; an exit status. */
-int fk_scale_fleet(const FkScalePlan *p, guint region);
+/* With several processes for a region, each knows all machines that were there from the start, plays its
+ * share of them, and works out the same faults of all; part 0 has the cloud, and plays those that are rented.
+ * What has ended is known to the process alone where it did: a task that is run again on a worker of another
+ * one, as its end was never reported, takes its whole time again.
+ *
+ * Plays until the run is over; an exit status. */
+int fk_scale_fleet(const FkScalePlan *p, guint region, guint part);
--- a/src/lab/scale/fleet_internal.h
+++ b/src/lab/scale/fleet_internal.h
@@ -13,12 +13,13 @@
   FkWorkerModel model; /* its first member: hooks find the machine by it */
   guint number;
   gboolean up, gone;
-  gint64 born, died; /* `died`: by itself; 0: it hasn't */
-  gint64 returned;   /* 0: it wasn't */
-  int listening;     /* of its address */
-  guint life;        /* timers of an earlier one are void */
-  guint home;        /* the controller that it reports to */
-  guint64 report;    /* the plan for the next report, or the report under way; others are void */
+  gboolean elsewhere; /* another process plays it; here it is for the cloud's list, and for faults */
+  gint64 born, died;  /* `died`: by itself; 0: it hasn't */
+  gint64 returned;    /* 0: it wasn't */
+  int listening;      /* of its address */
+  guint life;         /* timers of an earlier one are void */
+  guint home;         /* the controller that it reports to */
+  guint64 report;     /* the plan for the next report, or the report under way; others are void */
   gboolean under_way;
   gint64 sent; /* the latest report */
   gboolean changed;
@@ -28,8 +29,9 @@
 
 typedef struct {
   const FkScalePlan *plan;
-  guint region;
+  guint region, part;
   GRand *rand;
+  GRand *fault_rand; /* the same in all processes of a region */
   FkAgenda *agenda;
   FkHttp *http;
   FkSeries *series;
@@ -50,7 +52,9 @@
 
 /* fleet.c */
 /* A fleet without machines, whose agenda runs by the clock; FALSE: a file or an address can't be had. */
-gboolean fk_fleet_open(Fleet *f, const FkScalePlan *p, guint region, GError **error);
+gboolean fk_fleet_open(Fleet *f, const FkScalePlan *p, guint region, guint part, GError **error);
+/* The machines that are there from the start. */
+void fk_fleet_boot_first(Fleet *f);
 /* Its files are complete, and nothing happens there any more. */
 void fk_fleet_close(Fleet *f);
 void fk_fleet_after(Fleet *f, double seconds, FkAgendaFn fn, gpointer data);
@@ -64,6 +68,7 @@
 const FkSpec *fk_fleet_spec(Fleet *f, const char *job);
 
 /* reports.c */
+#define FK_FLEET_RETURNED "/returned" /* from the cloud to the process that plays the worker */
 /* The first report of a life goes out within a moment. */
 void fk_fleet_begin_reports(Fleet *f, Machine *m);
 /* Something that a report would show is new. */
--- a/src/lab/scale/plan.c
+++ b/src/lab/scale/plan.c
@@ -45,6 +45,7 @@
                      .lease_s = 42,
                      .cancel_s = 67,
                      .base = 20,
+                     .fleet_processes = 1,
                      .faults = g_array_new(FALSE, FALSE, sizeof(FkFault))};
   return p;
 }
@@ -100,6 +101,7 @@
       {"--urgent: 0 to 100", p->urgent >= 0 && p->urgent <= 100},
       {"--ramp: below --seconds", p->ramp_s >= 0 && p->ramp_s < p->seconds},
       {"--seconds: 10 to 3600", p->seconds >= 10 && p->seconds <= 3600},
+      {"--fleet-processes: 1 to 16", p->fleet_processes >= 1 && p->fleet_processes <= 16},
       {"--base: 1 to 200", p->base >= 1 && p->base + p->regions <= 250}};
   for (guint i = 0; i < G_N_ELEMENTS(rules); i++)
     if (!rules[i].good) {
@@ -122,10 +124,11 @@
 #define REAL(name)                                                                                           \
   { #name, G_STRUCT_OFFSET(FkScalePlan, name), FALSE }
 static const Field fields[] = {
-    WHOLE(regions),       WHOLE(zones),   WHOLE(controllers),     WHOLE(workers),       WHOLE(teams),
-    WHOLE(tasks_per_job), WHOLE(base),    REAL(tasks_per_worker), REAL(starts),         REAL(urgent),
-    REAL(run_s),          REAL(seconds),  REAL(ramp_s),           REAL(state_requests), REAL(state_writes),
-    REAL(cloud_calls),    REAL(report_s), REAL(lease_s),          REAL(cancel_s)};
+    WHOLE(regions),         WHOLE(zones),         WHOLE(controllers),   WHOLE(workers),
+    WHOLE(teams),           WHOLE(tasks_per_job), WHOLE(base),          WHOLE(fleet_processes),
+    REAL(tasks_per_worker), REAL(starts),         REAL(urgent),         REAL(run_s),
+    REAL(seconds),          REAL(ramp_s),         REAL(state_requests), REAL(state_writes),
+    REAL(cloud_calls),      REAL(report_s),       REAL(lease_s),        REAL(cancel_s)};
 
 cJSON *fk_scale_plan_to_json(const FkScalePlan *p) {
   cJSON *o = cJSON_CreateObject(), *faults = cJSON_CreateArray();
@@ -198,6 +201,10 @@
   return (double)(guint)(p->tasks_per_worker * SPARE_CPUS * TASK_CPUS + 0.999);
 }
 
+char *fk_scale_fleet_name(guint region, guint part) {
+  return part ? g_strdup_printf("fleet-%u-%u", region, part) : g_strdup_printf("fleet-%u", region);
+}
+
 char *fk_scale_state_addr(const FkScalePlan *p, guint region) {
   return g_strdup_printf("127.%u.0.1:2379", p->base + region);
 }
--- a/src/lab/scale/plan.h
+++ b/src/lab/scale/plan.h
@@ -32,8 +32,9 @@
   guint64 seed;
   double state_requests, state_writes, cloud_calls; /* of one region */
   double report_s, lease_s, cancel_s;
-  guint base;       /* second part of the addresses: 127.BASE+region.x.y */
-  gint64 begins_us; /* when the run began */
+  guint fleet_processes; /* of one region: they play its workers in turn */
+  guint base;            /* second part of the addresses: 127.BASE+region.x.y */
+  gint64 begins_us;      /* when the run began */
   char *dir, *program;
   GArray *faults; /* FkFault */
 } FkScalePlan;
@@ -58,6 +59,9 @@
 /* CPUs that a team's tasks may use in that region. */
 double fk_scale_team_limit(const FkScalePlan *p, guint region);
 
+/* The name of a fleet process's files; part 0 has the region's cloud too. */
+char *fk_scale_fleet_name(guint region, guint part);
+
 char *fk_scale_state_addr(const FkScalePlan *p, guint region);
 char *fk_scale_cloud_addr(const FkScalePlan *p, guint region);
 char *fk_scale_user_addr(const FkScalePlan *p, guint region, guint controller);
--- a/src/lab/scale/processes.c
+++ b/src/lab/scale/processes.c
@@ -20,7 +20,7 @@
   GPid pid; /* 0: not running */
   char *name;
   gboolean controller;
-  guint region, number;
+  guint region, number; /* of the controller, or of the fleet's part */
   gboolean up, expected_to_end;
   FkSeries *series; /* controllers only: the stand-ins write their own */
 } Process;
@@ -84,8 +84,9 @@
 
 static gboolean spawn_stand_in(const FkScalePlan *p, Process *x, const char *role, GError **error) {
   g_autofree char *plan = path_in(p, "plan", ".json"), *region = g_strdup_printf("%u", x->region),
-                  *self = g_file_read_link("/proc/self/exe", error);
-  char *argv[] = {self, "scale", "--play", (char *)role, "--plan", plan, "--region", region, NULL};
+                  *part = g_strdup_printf("%u", x->number), *self = g_file_read_link("/proc/self/exe", error);
+  char *argv[] = {self,       "scale", "--play", (char *)role, "--plan", plan,
+                  "--region", region,  "--part", part,         NULL};
   return self && spawn(p, x, argv, NULL, error);
 }
 
@@ -100,8 +101,20 @@
   return x;
 }
 
+static gboolean start_fleet(FkProcesses *ps, guint region, GError **error) {
+  for (guint part = 0; part < ps->plan->fleet_processes; part++) {
+    Process *x = add(ps, fk_scale_fleet_name(region, part), region);
+    x->number = part;
+    if (!spawn_stand_in(ps->plan, x, "fleet", error))
+      return FALSE;
+  }
+  return TRUE;
+}
+
 static gboolean start_region(FkProcesses *ps, guint region, GError **error) {
-  static const char *const roles[] = {"state", "fleet", "users"};
+  static const char *const roles[] = {"state", "users"};
+  if (!start_fleet(ps, region, error))
+    return FALSE;
   for (guint i = 0; i < G_N_ELEMENTS(roles); i++) {
     Process *x = add(ps, g_strdup_printf("%s-%u", roles[i], region), region);
     if (!spawn_stand_in(ps->plan, x, roles[i], error))
--- a/src/lab/scale/reports.c
+++ b/src/lab/scale/reports.c
@@ -175,6 +175,11 @@
     fk_scale_respond(msg, 503, g_strdup("{}"));
     return;
   }
+  if (g_str_equal(path, FK_FLEET_RETURNED)) {
+    fk_fleet_lose(f, m);
+    fk_scale_respond(msg, 200, g_strdup("{}"));
+    return;
+  }
   if (g_str_equal(path, "/status")) {
     answer_report(f, msg, m, 200);
     return;
--- a/src/lab/scale/scale.c
+++ b/src/lab/scale/scale.c
@@ -16,7 +16,7 @@
 
 typedef struct {
   char *program, *dir, *play, *plan_file;
-  int regions, zones, controllers, workers, teams, tasks_per_job, region, base;
+  int regions, zones, controllers, workers, teams, tasks_per_job, region, part, base, fleet_processes;
   gint64 seed;
   gboolean quiet;
   char **faults;
@@ -37,7 +37,7 @@
   if (g_str_equal(o->play, "state"))
     return fk_scale_state_service(p, (guint)o->region);
   if (g_str_equal(o->play, "fleet"))
-    return fk_scale_fleet(p, (guint)o->region);
+    return fk_scale_fleet(p, (guint)o->region, (guint)o->part);
   return fk_scale_users(p, (guint)o->region);
 }
 
@@ -81,7 +81,8 @@
               {"urgent_start_p99_s", "urgent work's first start, p99, s"},
               {"bulk_start_p50_s", "other work's first start, p50, s"},
               {"malformed_reports", "malformed reports that controllers logged"},
-              {"fleet_core_share", "stand-in of the workers, share of a core"},
+              {"fleet_core_share", "stand-ins of the workers, shares of a core"},
+              {"fleet_busiest_core_share", "busiest of them, share of a core over 10 s"},
               {"state_core_share", "stand-in of the state service, share of a core"}};
   printf("region %u\n", number);
   for (guint i = 0; i < G_N_ELEMENTS(rows); i++)
@@ -158,6 +159,7 @@
   p->teams = (guint)MAX(0, o->teams);
   p->tasks_per_job = (guint)MAX(0, o->tasks_per_job);
   p->base = (guint)MAX(0, o->base);
+  p->fleet_processes = (guint)MAX(0, o->fleet_processes);
   p->seed = (guint64)o->seed;
   p->dir = g_strdup(o->dir ? o->dir : "scale-run");
   p->program = g_strdup(o->program);
@@ -186,7 +188,8 @@
                .teams = 20,
                .tasks_per_job = 500,
                .seed = 1,
-               .base = 20};
+               .base = 20,
+               .fleet_processes = 1};
   p->starts = -1;
   const GOptionEntry entries[] = {
       {"regions", 0, 0, G_OPTION_ARG_INT, &o.regions, "Regions (1)", "N"},
@@ -209,6 +212,8 @@
        "kill, stop, rack, zone, state, apart or churn, at a second, for so long", "KIND@S[:S]"},
       {"seed", 0, 0, G_OPTION_ARG_INT64, &o.seed, "Of jobs and machines (1)", "N"},
       {"base", 0, 0, G_OPTION_ARG_INT, &o.base, "Second part of the first region's addresses (20)", "N"},
+      {"fleet-processes", 0, 0, G_OPTION_ARG_INT, &o.fleet_processes,
+       "Processes that play a region's workers (1)", "N"},
       {"out", 0, 0, G_OPTION_ARG_FILENAME, &o.dir, "Folder of lines, logs and the summary (scale-run)",
        "DIR"},
       {"program", 0, 0, G_OPTION_ARG_FILENAME, &o.program, "The service (flaxknot beside this program)",
@@ -216,6 +221,7 @@
       {"play", 0, G_OPTION_FLAG_HIDDEN, G_OPTION_ARG_STRING, &o.play, "", ""},
       {"plan", 0, G_OPTION_FLAG_HIDDEN, G_OPTION_ARG_FILENAME, &o.plan_file, "", ""},
       {"region", 0, G_OPTION_FLAG_HIDDEN, G_OPTION_ARG_INT, &o.region, "", ""},
+      {"part", 0, G_OPTION_FLAG_HIDDEN, G_OPTION_ARG_INT, &o.part, "", ""},
       {NULL}};
   g_autoptr(GOptionContext) context = g_option_context_new(NULL);
   g_autoptr(GError) error = NULL;
--- a/src/lab/scale/summary.c
+++ b/src/lab/scale/summary.c
@@ -124,23 +124,54 @@
   return TRUE;
 }
 
-static gboolean add_fleet(Region *r, GError **error) {
+/* Of one process that plays workers; the region's figures are sums over them. */
+typedef struct {
+  double core_share, memory_mb, busiest, running, workers, starts;
+} FleetFigures;
+
+static void add_up(Region *r, const char *name, double n) {
+  cJSON *had = cJSON_GetObjectItemCaseSensitive(r->out, name);
+  if (had)
+    cJSON_SetNumberValue(had, had->valuedouble + n);
+  else
+    cJSON_AddNumberToObject(r->out, name, n);
+}
+
+static gboolean add_fleet_part(Region *r, guint part, FleetFigures *sum, GError **error) {
   static const char *const rates[] = {
       "reports", "report_bytes", "answer_bytes", "commands", "command_bytes", "command_answer_bytes", "began",
       "ended",   "left",         "leases_ended", "died",     "restarted",     "reports_unanswered",   NULL};
   g_auto(Lines) l = {0};
-  if (!add_process(r, "fleet", &l, error))
+  g_autofree char *name = fk_scale_fleet_name(r->region, part);
+  if (!read_lines(r->plan, name, &l, error))
     return FALSE;
-  add_rates(r, &l, rates);
-  double running = mean_of(&l, "running", r->from_s, r->to_s), starts = rate(&l, "began", r->from_s, r->to_s),
-         wanted = r->plan->starts / r->plan->regions * r->plan->run_s;
-  cJSON_AddNumberToObject(r->out, "running", running);
-  cJSON_AddNumberToObject(r->out, "workers", mean_of(&l, "up", r->from_s, r->to_s));
-  if (running < FULL * wanted)
+  for (const char *const *n = rates; *n; n++)
+    add_up(r, *n, rate(&l, *n, r->from_s, r->to_s));
+  sum->core_share += rate(&l, "processor_s", r->from_s, r->to_s);
+  sum->memory_mb += most_of(&l, "memory_mb");
+  sum->busiest = MAX(sum->busiest, busiest(&l));
+  sum->running += mean_of(&l, "running", r->from_s, r->to_s);
+  sum->workers += mean_of(&l, "up", r->from_s, r->to_s);
+  sum->starts += rate(&l, "began", r->from_s, r->to_s);
+  return TRUE;
+}
+
+static gboolean add_fleet(Region *r, GError **error) {
+  FleetFigures sum = {0};
+  for (guint part = 0; part < r->plan->fleet_processes; part++)
+    if (!add_fleet_part(r, part, &sum, error))
+      return FALSE;
+  double wanted = r->plan->starts / r->plan->regions * r->plan->run_s;
+  cJSON_AddNumberToObject(r->out, "fleet_core_share", sum.core_share);
+  cJSON_AddNumberToObject(r->out, "fleet_busiest_core_share", sum.busiest);
+  cJSON_AddNumberToObject(r->out, "fleet_memory_mb", sum.memory_mb);
+  cJSON_AddNumberToObject(r->out, "running", sum.running);
+  cJSON_AddNumberToObject(r->out, "workers", sum.workers);
+  if (sum.running < FULL * wanted)
     note(r->summary,
-         g_strdup_printf("region %u didn't fill: %.0f tasks run of %.0f", r->region, running, wanted));
-  if (starts < STARTED * r->plan->starts / r->plan->regions)
-    note(r->summary, g_strdup_printf("region %u started %.1f tasks a second of %.1f", r->region, starts,
+         g_strdup_printf("region %u didn't fill: %.0f tasks run of %.0f", r->region, sum.running, wanted));
+  if (sum.starts < STARTED * r->plan->starts / r->plan->regions)
+    note(r->summary, g_strdup_printf("region %u started %.1f tasks a second of %.1f", r->region, sum.starts,
                                      r->plan->starts / r->plan->regions));
   return TRUE;
 }
@@ -275,11 +306,14 @@
 }
 
 static gboolean add_events(Region *r, GError **error) {
-  g_autofree char *fleet = g_strdup_printf("fleet-%u", r->region),
-                  *users = g_strdup_printf("users-%u", r->region);
+  g_autofree char *users = g_strdup_printf("users-%u", r->region);
   g_autoptr(GArray) events = fk_run_events_new();
-  if (!fk_event_log_read(r->plan->dir, fleet, events, error) ||
-      !fk_event_log_read(r->plan->dir, users, events, error))
+  for (guint part = 0; part < r->plan->fleet_processes; part++) {
+    g_autofree char *fleet = fk_scale_fleet_name(r->region, part);
+    if (!fk_event_log_read(r->plan->dir, fleet, events, error))
+      return FALSE;
+  }
+  if (!fk_event_log_read(r->plan->dir, users, events, error))
     return FALSE;
   fk_run_events_sort(events);
   g_autoptr(GPtrArray) broken = fk_scale_check_rules(r->plan, r->region, events);
--- a/test/test_scale.c
+++ b/test/test_scale.c
@@ -415,7 +415,7 @@
   p->run_s = 3600;
   p->begins_us = g_get_monotonic_time();
   p->dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
-  g_assert_true(fk_fleet_open(&f, p, 0, &error));
+  g_assert_true(fk_fleet_open(&f, p, 0, 0, &error));
   g_autofree char *zone = fk_scale_zone(0, 0), *job = fk_scale_job_id(0, BULK);
   Machine *m = fk_fleet_boot(&f, zone, FALSE, 0);
   while (!m->up)
@@ -448,6 +448,61 @@
   g_rmdir(p->dir);
 }
 
+/* Several processes play each machine of the start once, agree on their names and faults. */
+static void test_fleet_parts(void) {
+  enum { PARTS = 3 };
+  static Fleet f[PARTS];
+  g_autoptr(FkScalePlan) p = small_plan();
+  g_autoptr(GError) error = NULL;
+  p->base = 212;
+  p->workers = 8;
+  p->fleet_processes = PARTS;
+  p->begins_us = g_get_monotonic_time();
+  p->dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
+  for (guint k = 0; k < PARTS; k++) {
+    g_assert_true(fk_fleet_open(&f[k], p, 0, k, &error));
+    g_assert_true(!f[k].cloud == (k > 0));
+    fk_fleet_boot_first(&f[k]);
+  }
+  for (guint i = 0; i < p->workers; i++) {
+    guint players = 0;
+    const Machine *first = f[0].machines->pdata[i];
+    for (guint k = 0; k < PARTS; k++) {
+      const Machine *m = f[k].machines->pdata[i];
+      g_assert_cmpstr(m->model.id, ==, first->model.id);
+      g_assert_cmpstr(m->model.addr, ==, first->model.addr);
+      players += !m->elsewhere;
+    }
+    g_assert_cmpuint(players, ==, 1);
+  }
+  for (guint i = 0; i < 10; i++)
+    g_assert_cmpuint(g_rand_int(f[0].fault_rand), ==, g_rand_int(f[PARTS - 1].fault_rand));
+  /* nothing but its player listens at a machine's address */
+  for (gint64 until = g_get_monotonic_time() + 8000000; g_get_monotonic_time() < until;) {
+    guint up = 0;
+    for (guint k = 0; k < PARTS; k++)
+      for (guint i = 0; i < p->workers; i++)
+        up += ((Machine *)f[k].machines->pdata[i])->up;
+    if (up == PARTS * p->workers)
+      break;
+    g_main_context_iteration(NULL, TRUE);
+  }
+  for (guint k = 0; k < PARTS; k++)
+    for (guint i = 0; i < p->workers; i++) {
+      const Machine *m = f[k].machines->pdata[i];
+      g_assert_true(m->up);
+      g_assert_true((m->listening < 0) == m->elsewhere);
+    }
+  for (guint k = 0; k < PARTS; k++) {
+    g_autofree char *name = fk_scale_fleet_name(0, k), *events = g_strconcat(name, ".events", NULL),
+                    *lines = g_strconcat(name, ".jsonl", NULL);
+    fk_fleet_close(&f[k]);
+    remove_in(p->dir, events);
+    remove_in(p->dir, lines);
+  }
+  g_rmdir(p->dir);
+}
+
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   g_test_add_func("/scale/store_model", test_store_model);
@@ -463,5 +518,6 @@
   g_test_add_func("/scale/redirects", test_redirects);
   g_test_add_func("/scale/malformed_reports", test_malformed_reports);
   g_test_add_func("/scale/lease_ends", test_lease_ends);
+  g_test_add_func("/scale/fleet_parts", test_fleet_parts);
   return g_test_run();
 }
