--- a/src/lab/users.c
+++ b/src/lab/users.c
@@ -63,7 +63,8 @@
     const UJob *d = j->needs->pdata[i];
     if (d->told_cancelled)
       first = MIN(first, d->cancelled_at);
-    first = MIN(first, ancestor_told(d));
+    gint64 further = ancestor_told(d); /* MIN evaluates its arguments twice */
+    first = MIN(first, further);
   }
   return first;
 }
