--- a/src/core/ends.c
+++ b/src/core/ends.c
@@ -199,7 +199,7 @@
     return;
   gsize size = 0, limit = (gsize)(900 * c->settings->value_kb);
   g_autoptr(GPtrArray) page = NULL;
-  g_autoptr(GHashTable) jobs = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
+  g_autoptr(GHashTable) jobs = g_hash_table_new_full(fk_job_hash, g_direct_equal, NULL, g_free);
   FkOut *t = NULL;
   GHashTableIter it;
   gpointer p;
--- a/src/core/overdue.c
+++ b/src/core/overdue.c
@@ -29,7 +29,7 @@
 
 FkOverdue *fk_overdue_new(void) {
   FkOverdue *o = g_new0(FkOverdue, 1);
-  o->kept = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, kept_free);
+  o->kept = g_hash_table_new_full(g_str_hash, g_direct_equal, NULL, kept_free);
   return o;
 }
 
--- a/src/core/view.c
+++ b/src/core/view.c
@@ -129,6 +129,8 @@
   return j;
 }
 
+guint fk_job_hash(gconstpointer j) { return g_str_hash(((const FkJob *)j)->spec->id); }
+
 void fk_job_unref(gpointer p) {
   FkJob *j = p;
   if (--j->refs > 0)
@@ -250,7 +252,7 @@
   v->room_touched = g_hash_table_new(g_str_hash, g_str_equal);
   v->room_dropped = g_ptr_array_new();
   v->job_list = g_ptr_array_new();
-  v->jobs_touched = g_hash_table_new_full(g_direct_hash, g_direct_equal, fk_job_unref, NULL);
+  v->jobs_touched = g_hash_table_new_full(fk_job_hash, g_direct_equal, fk_job_unref, NULL);
   return v;
 }
 
--- a/src/core/view.h
+++ b/src/core/view.h
@@ -323,6 +323,8 @@
 void fk_view_rate_services(FkView *v);
 FkJob *fk_job_ref(FkJob *j);
 void fk_job_unref(gpointer j);
+/* By its id and not by its address, so that tables of jobs have the same order in every run. */
+guint fk_job_hash(gconstpointer j);
 FkPhase fk_job_phase(const FkJob *j);
 gboolean fk_job_complete(const FkJob *j);
 /* Tasks that want a place. Of a job that seems to fail everywhere that is one, and only when none is under
--- a/src/deps/deps.c
+++ b/src/deps/deps.c
@@ -23,6 +23,9 @@
   guint64 round;
 };
 
+/* By its id and not by its address, so that tables of nodes have the same order in every run. */
+static guint node_hash(gconstpointer p) { return g_str_hash(((const Node *)p)->id); }
+
 static void node_free(gpointer p) {
   Node *n = p;
   g_free(n->id);
@@ -34,7 +37,7 @@
 FkDeps *fk_deps_new(FkDepsChanged changed, gpointer data) {
   FkDeps *g = g_new0(FkDeps, 1);
   g->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
-  g->unknown = g_hash_table_new(g_direct_hash, g_direct_equal);
+  g->unknown = g_hash_table_new(node_hash, g_direct_equal);
   g->changed = changed;
   g->data = data;
   return g;
@@ -61,7 +64,7 @@
     n = g_new0(Node, 1);
     n->id = g_strdup(id);
     n->needs = g_ptr_array_new();
-    n->needed_by = g_hash_table_new(g_direct_hash, g_direct_equal);
+    n->needed_by = g_hash_table_new(node_hash, g_direct_equal);
     g_hash_table_insert(g->nodes, n->id, n);
   }
   return n;
