--- a/src/lab/main.c
+++ b/src/lab/main.c
@@ -2,6 +2,7 @@
 #include <stdio.h>
 #include <string.h>
 
+#include "lab/digest.h"
 #include "lab/recovery.h"
 #include "lab/scale/scale.h"
 #include "lab/scale/slopes.h"
@@ -10,6 +11,7 @@
   const char *name, *what;
   int (*run)(int argc, char **argv);
 } subcommands[] = {
+    {"digest", "one checksum a schedule, over everything that its controllers send", fk_lab_digest},
     {"recovery", "how long a fleet takes to recover from the loss of many machines", fk_lab_recovery},
     {"scale", "real controllers against thousands of hollow workers, in real time", fk_lab_scale},
     {"slopes", "straight lines through the figures of several scale runs", fk_lab_slopes}};
--- a/src/lab/world.c
+++ b/src/lab/world.c
@@ -221,6 +221,8 @@
 void drain(Sim *m, int i) {
   FkOut *o;
   while (m->ctl[i].core && (o = m->ctl[i].v->next(m->ctl[i].core))) {
+    if (m->plan.sent)
+      m->plan.sent(m->plan.sent_data, m->now, i, m->ctl[i].v, o);
     Call *c = g_new0(Call, 1);
     *c = (Call){m, i, m->ctl[i].gen, o, FALSE, m->now, .v = m->ctl[i].v};
     if (o->kind == FK_OUT_WATCH)
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -98,6 +98,11 @@
   double loss_at, loss_share;
   /* Processor time so far, in ns; NULL: what the cores take isn't measured. */
   gint64 (*clock_ns)(void);
+  /* Is shown everything that a controller sends, before the world acts on it: the simulated moment in
+   * microseconds, the controller's number and version, and the output. It draws no random numbers and changes
+   * nothing. NULL: nobody looks. */
+  void (*sent)(gpointer data, gint64 now_us, int controller, const FkVersion *v, const FkOut *o);
+  gpointer sent_data;
 } SimPlan;
 
 /* What a loss of many machines cost, from the moment of the loss to the last replica's start; seconds are
