--- /dev/null
+++ b/test/test_forms.c
@@ -0,0 +1,328 @@
+/* The forms on the wire, in the settings and in the store, byte for byte: data/forms.txt has a line for each
+ * form, KIND, ARGUMENT and TEXT with a tab between them. Each text is read and written again by the codec,
+ * and must come out as it was. What is only read (settings, operators' settings, routes) is listed field by
+ * field, and the list must be the one on record. `--write`: prints the lines as the present code writes them,
+ * which is how the file is made and renewed. */
+#include <stdio.h>
+#include <string.h>
+
+#include "wire/cloud.h"
+#include "wire/route.h"
+#include "wire/settings.h"
+#include "wire/store.h"
+#include "wire/user.h"
+#include "wire/worker.h"
+
+/* ------------------------------------------------------------------ the store */
+
+/* A record under the path `argument`. */
+static char *record(const char *argument, const char *text) {
+  g_autoptr(cJSON) j = fk_json_parse(text, strlen(text));
+  g_autoptr(FkRecord) r = fk_store_record_from_json(argument, j);
+  g_autoptr(cJSON) again = r ? fk_store_record_to_json(r) : NULL;
+  return again ? fk_json_print(again) : NULL;
+}
+
+/* A transaction, as the store reads it and a controller writes it. */
+static char *transaction(const char *argument, const char *text) {
+  g_autoptr(FkStoreTransaction) t = fk_store_parse_transaction(text, strlen(text));
+  if (!t)
+    return NULL;
+  FkOut o = {.kind = FK_OUT_COMMIT,
+             .guards = g_array_new(FALSE, FALSE, sizeof(FkGuard)),
+             .writes = g_array_new(FALSE, FALSE, sizeof(FkWrite))};
+  for (guint i = 0; i < t->conditions->len; i++) {
+    const FkStoreCondition *c = &g_array_index(t->conditions, FkStoreCondition, i);
+    FkGuard g = {c->path, {c->stamp}};
+    g_array_append_val(o.guards, g);
+  }
+  for (guint i = 0; i < t->changes->len; i++) {
+    const FkStoreChangeAsked *c = &g_array_index(t->changes, FkStoreChangeAsked, i);
+    g_autoptr(cJSON) j = c->value ? fk_json_parse(c->value, strlen(c->value)) : NULL;
+    FkWrite w = {c->path, j ? fk_store_record_from_json(c->path, j) : NULL, {c->hold}};
+    g_array_append_val(o.writes, w);
+  }
+  char *again = fk_store_print_commit(&o);
+  for (guint i = 0; i < o.writes->len; i++)
+    fk_record_free(g_array_index(o.writes, FkWrite, i).record);
+  g_array_unref(o.guards);
+  g_array_unref(o.writes);
+  return again;
+}
+
+/* One page of a list; with the argument "events" what a watch answers. */
+static char *items(const char *argument, const char *text) {
+  gboolean watch = g_str_equal(argument, "events"), more = FALSE;
+  FkRev epoch = {0};
+  g_autoptr(GPtrArray) events = watch ? fk_store_parse_watch(text, strlen(text), &epoch)
+                                      : fk_store_parse_list(text, strlen(text), &more, &epoch);
+  if (!events)
+    return NULL;
+  cJSON *list = cJSON_CreateArray();
+  for (guint i = 0; i < events->len; i++) {
+    const FkEvent *e = events->pdata[i];
+    g_autoptr(cJSON) j = e->record ? fk_store_record_to_json(e->record) : NULL;
+    g_autofree char *value = j ? fk_json_print(j) : NULL;
+    cJSON_AddItemToArray(list, watch ? fk_store_event_to_json(e->path, value, e->rev.n)
+                                     : fk_store_item_to_json(e->path, value, e->rev.n, 0));
+  }
+  return watch ? fk_store_print_events(list, epoch.n) : fk_store_print_items(list, more, epoch.n);
+}
+
+/* What the store answers to a transaction: carried out ("epoch") or not ("conflict"). */
+static char *outcome(const char *argument, const char *text) {
+  g_autoptr(cJSON) j = fk_json_parse(text, strlen(text));
+  g_autoptr(GPtrArray) failed = fk_store_parse_failed(j);
+  FkRev epoch = fk_store_parse_epoch(j);
+  return g_str_equal(argument, "conflict") ? fk_store_print_conflict(failed, epoch.n)
+                                           : fk_store_print_epoch(epoch.n);
+}
+
+/* What the store answers to a new lease. */
+static char *hold(const char *argument, const char *text) {
+  g_autoptr(cJSON) j = fk_json_parse(text, strlen(text));
+  guint64 n;
+  return fk_json_u64(j, "tether", &n) ? fk_store_print_hold(n) : NULL;
+}
+
+/* ------------------------------------------------------------------ workers */
+
+/* A worker's heartbeat. */
+static char *report(const char *argument, const char *text) {
+  g_autoptr(FkReport) r = fk_worker_parse_report(text, strlen(text));
+  return r ? fk_worker_print_report(r) : NULL;
+}
+
+/* The argument is the status of an answer to a heartbeat, or "commands": direct ones. */
+static char *orders(const char *argument, const char *text) {
+  gboolean direct = g_str_equal(argument, "commands");
+  int status = direct ? 200 : (int)g_ascii_strtoull(argument, NULL, 10);
+  g_autoptr(FkWorkerOrders) x = direct ? fk_worker_parse_commands(text, strlen(text))
+                                       : fk_worker_parse_reply((guint)status, text, strlen(text));
+  if (!x)
+    return NULL;
+  const FkOut o = {.status = status,
+                   .token = x->token,
+                   .session = x->session,
+                   .orders = x->orders,
+                   .report_to = x->foreman};
+  return direct ? fk_worker_print_commands(&o) : fk_worker_print_reply(&o);
+}
+
+/* ------------------------------------------------------------------ users */
+
+/* A job that a user submits. */
+static char *submission(const char *argument, const char *text) {
+  const char *why = NULL;
+  g_autoptr(FkSpec) s = fk_user_parse_submission(text, strlen(text), &why);
+  return s ? fk_user_print_submission(s) : NULL;
+}
+
+/* What a user is answered about the job `argument`. */
+static char *state(const char *argument, const char *text) {
+  FkJobState s;
+  if (!fk_user_parse_state(text, strlen(text), &s))
+    return NULL;
+  const FkOut o = {
+      .status = 200, .job = (char *)argument, .phase = s.phase, .done = s.done, .running = s.running};
+  return fk_user_print_answer(&o);
+}
+
+/* What a user is refused with: the argument is the status. */
+static char *refusal(const char *argument, const char *text) {
+  const FkOut o = {.status = (int)g_ascii_strtoull(argument, NULL, 10)};
+  return fk_user_print_answer(&o);
+}
+
+/* What is wrong with a user's request: the reason read from the text, and written again. */
+static char *fault(const char *argument, const char *text) {
+  g_autoptr(cJSON) j = fk_json_parse(text, strlen(text));
+  return fk_json_str(j, "error") ? fk_user_print_error(fk_json_str(j, "error")) : NULL;
+}
+
+/* A submission that must be refused, in the argument; the reason is on record. */
+static char *malformed(const char *argument, const char *text) {
+  const char *why = "taken";
+  g_autoptr(FkSpec) s = fk_user_parse_submission(argument, strlen(argument), &why);
+  return g_strdup(why);
+}
+
+/* ------------------------------------------------------------------ the cloud */
+
+/* Types of machines. */
+static char *types(const char *argument, const char *text) {
+  g_autoptr(GPtrArray) list = fk_cloud_parse_types(text, strlen(text));
+  return list ? fk_cloud_print_types(list) : NULL;
+}
+
+/* The cloud's list of machines. */
+static char *machines(const char *argument, const char *text) {
+  gboolean more;
+  g_autoptr(GPtrArray) list = fk_cloud_parse_machines(text, strlen(text), &more);
+  return list ? fk_cloud_print_machines(list, more) : NULL;
+}
+
+/* Machines are rented. */
+static char *rent(const char *argument, const char *text) {
+  g_autoptr(FkRental) r = fk_cloud_parse_rental(text, strlen(text));
+  if (!r)
+    return NULL;
+  const FkOut o = {.name = r->hire, .type = r->type, .zone = r->zone, .spot = r->spot, .count = r->count};
+  return fk_cloud_print_rent(&o);
+}
+
+/* Names of machines: rented ones, or with the argument "return" those that are returned. */
+static char *names(const char *argument, const char *text) {
+  g_autoptr(GPtrArray) list = fk_cloud_parse_names(text, strlen(text));
+  const FkOut o = {.names = list};
+  return !list                             ? NULL
+         : g_str_equal(argument, "return") ? fk_cloud_print_return(&o)
+                                           : fk_cloud_print_names(list);
+}
+
+/* The cloud has no such machine now. */
+static char *no_capacity(const char *argument, const char *text) {
+  return fk_cloud_no_capacity(text, strlen(text)) ? fk_cloud_print_no_capacity() : NULL;
+}
+
+/* ------------------------------------------------------------------ settings and routes */
+
+/* The platform's settings in the argument; the list of what they are read as. */
+static char *settings(const char *argument, const char *text) {
+  g_autoptr(GError) error = NULL;
+  g_autoptr(FkSettings) s = fk_settings_parse(argument, strlen(argument), &error);
+  if (!s)
+    return g_strdup(error->message);
+  GString *l = g_string_new(NULL);
+  g_string_printf(l, "%s %s %s %s %s %s;", s->node, s->zone, s->listen, s->mesh, s->cloud, s->state);
+  for (guint i = 0; i < s->peers->len; i++) {
+    const FkPeer *p = s->peers->pdata[i];
+    g_string_append_printf(l, " peer %s %s %s;", p->name, p->zone, p->addr);
+  }
+  for (guint i = 0; i < s->zones->len; i++)
+    g_string_append_printf(l, " zone %s;", (char *)s->zones->pdata[i]);
+  for (guint i = 0; i < s->teams->len; i++) {
+    const FkTeam *t = s->teams->pdata[i];
+    g_string_append_printf(l, " team %s %g %g %g %g;", t->name, t->cpus, t->cpus_max, t->gpus, t->gpus_max);
+  }
+  for (guint i = 0; i < s->objectives->len; i++) {
+    const FkObjective *o = s->objectives->pdata[i];
+    g_string_append_printf(l, " objective %s %s %g %g;", o->kind, o->class_name, o->within_s, o->share);
+  }
+  g_string_append_printf(l, " %g %g %g; %g %g %g %g; %g %g %u; %g %g; %g %g %g; %g", s->report_s, s->lease_s,
+                         s->cancel_s, s->state_rps, s->state_write_rps, s->next_rps, s->next_write_rps,
+                         s->value_kb, s->now_value_kb, s->txn_ops, s->cloud_rps, s->list_lag_s, s->cpu,
+                         s->ram_mb, s->sockets, s->clock_off_ms);
+  return g_string_free(l, FALSE);
+}
+
+/* The operators' settings in the argument: what each field is then, with its range; or what is wrong. */
+static char *tuning(const char *argument, const char *text) {
+  g_autoptr(FkSettings) s = fk_settings_new();
+  g_autoptr(GError) error = NULL;
+  if (!fk_tuning_parse(&s->tuning, argument, strlen(argument), &error))
+    return g_strdup(error->message);
+  GString *l = g_string_new(NULL);
+  guint n;
+  const FkTuningField *f = fk_tuning_fields(&n);
+  for (guint i = 0; i < n; i++)
+    g_string_append_printf(l, "%s%s %g (%g to %g)", i ? "; " : "", f[i].name,
+                           G_STRUCT_MEMBER(double, &s->tuning, f[i].offset), f[i].min, f[i].max);
+  return g_string_free(l, FALSE);
+}
+
+/* Method and path in the argument: what they ask for, and for which job. */
+static char *route(const char *argument, const char *text) {
+  const char *job = NULL, *path = strchr(argument, ' ') + 1, *word = "?";
+  g_autofree char *method = g_strndup(argument, (gsize)(path - 1 - argument));
+  gsize len = 0;
+  switch (fk_route(method, path, &job, &len)) {
+  case FK_ROUTE_NONE:
+    word = "404";
+    break;
+  case FK_ROUTE_METHOD:
+    word = "405";
+    break;
+  case FK_ROUTE_UP:
+    word = "up";
+    break;
+  case FK_ROUTE_REPORT:
+    word = "report";
+    break;
+  case FK_ROUTE_SUBMIT:
+    word = "submit";
+    break;
+  case FK_ROUTE_POLL:
+    word = "poll";
+    break;
+  case FK_ROUTE_CANCEL:
+    word = "cancel";
+    break;
+  }
+  return g_strdup_printf("%s%s%.*s", word, job ? " " : "", (int)len, job ? job : "");
+}
+
+/* ------------------------------------------------------------------ the file */
+
+static const struct {
+  const char *kind;
+  char *(*again)(const char *argument, const char *text); /* NULL: not read */
+  guint least;                                            /* lines of this kind that must be on record */
+} kinds[] = {{"record", record, 11},
+             {"transaction", transaction, 2},
+             {"items", items, 2},
+             {"outcome", outcome, 2},
+             {"hold", hold, 1},
+             {"report", report, 2},
+             {"orders", orders, 3},
+             {"submission", submission, 4},
+             {"state", state, 4},
+             {"refusal", refusal, 4},
+             {"fault", fault, 1},
+             {"malformed", malformed, 3},
+             {"types", types, 1},
+             {"machines", machines, 1},
+             {"rent", rent, 2},
+             {"names", names, 2},
+             {"no_capacity", no_capacity, 1},
+             {"settings", settings, 3},
+             {"tuning", tuning, 3},
+             {"route", route, 10}};
+
+/* Each line of the file comes out as it went in, and each kind is there. */
+int main(int argc, char **argv) {
+  gboolean write = argc == 2 && g_str_equal(argv[1], "--write");
+  g_autofree char *file = NULL;
+  if (!g_file_get_contents(FK_SOURCE_DIR "/test/data/forms.txt", &file, NULL, NULL)) {
+    fprintf(stderr, "test/data/forms.txt can't be read\n");
+    return 1;
+  }
+  g_auto(GStrv) lines = g_strsplit(g_strchomp(file), "\n", -1);
+  guint seen[G_N_ELEMENTS(kinds)] = {0}, wrong = 0;
+  for (guint n = 0; lines[n]; n++) {
+    g_auto(GStrv) parts = g_strsplit(lines[n], "\t", 3);
+    guint k = 0;
+    while (k < G_N_ELEMENTS(kinds) && !g_str_equal(kinds[k].kind, parts[0] ? parts[0] : ""))
+      k++;
+    if (k == G_N_ELEMENTS(kinds) || g_strv_length(parts) != 3) {
+      fprintf(stderr, "line %u isn't a form\n", n + 1);
+      wrong++;
+      continue;
+    }
+    seen[k]++;
+    g_autofree char *again = kinds[k].again(parts[1], parts[2]);
+    if (write) {
+      printf("%s\t%s\t%s\n", parts[0], parts[1], again ? again : "NOT READ");
+    } else if (g_strcmp0(again, parts[2]) != 0) {
+      fprintf(stderr, "line %u, %s %s:\n  on record %s\n  written   %s\n", n + 1, parts[0], parts[1],
+              parts[2], again ? again : "not read");
+      wrong++;
+    }
+  }
+  for (guint k = 0; k < G_N_ELEMENTS(kinds); k++)
+    if (seen[k] < kinds[k].least) {
+      fprintf(stderr, "%s: %u lines, and %u are needed\n", kinds[k].kind, seen[k], kinds[k].least);
+      wrong++;
+    }
+  return wrong ? 1 : 0;
+}
