--- a/src/door/gate.c
+++ b/src/admission/admission.c
@@ -1,4 +1,4 @@
-#include "door/gate.h"
+#include "admission/admission.h"
 
 /* Requests come seldom in the usual course; past this part of the room, each address has only an equal part.
  */
--- a/src/door/gate.h
+++ b/src/admission/admission.h
@@ -2,7 +2,7 @@
  * or clocks. Every operation takes constant time, however many connections there are; times are microseconds
  * of the steady clock and never go back. */
 #pragma once
-#include "door/limits.h"
+#include "admission/limits.h"
 
 typedef struct FkGate FkGate;
 typedef struct FkParty FkParty; /* all connections of one address */
--- a/src/door/reach.c
+++ b/src/admission/dependency_health.c
@@ -1,4 +1,4 @@
-#include "door/reach.h"
+#include "admission/dependency_health.h"
 
 /* One call that fails is said nothing of, unless the system was never reached: calls are lost now and then.
  */
--- a/src/door/limits.c
+++ b/src/admission/limits.c
@@ -1,4 +1,4 @@
-#include "door/limits.h"
+#include "admission/limits.h"
 
 #define US 1e6
 #define KIB 1024
--- a/src/door/request.c
+++ b/src/admission/request_parser.c
@@ -1,4 +1,4 @@
-#include "door/request.h"
+#include "admission/request_parser.h"
 
 #include <string.h>
 
--- a/src/door/request.h
+++ b/src/admission/request_parser.h
@@ -4,7 +4,7 @@
 #pragma once
 #include <http_parser.h>
 
-#include "door/limits.h"
+#include "admission/limits.h"
 
 #define FK_PATH_KEPT 96 /* enough of a path to tell what is asked */
 
--- a/src/cas/shelf.c
+++ b/src/blob_store/blob_index.c
@@ -1,4 +1,4 @@
-#include "cas/shelf.h"
+#include "blob_store/blob_index.h"
 
 #include <string.h>
 
--- a/src/cas/shelf.h
+++ b/src/blob_store/blob_index.h
@@ -3,7 +3,7 @@
  * recently used goes first, from the team that has most, so a team with no more than its equal part loses
  * nothing to the others. What is pinned (an unfinished action refers to it, or it is being read) stays. */
 #pragma once
-#include "cas/digest.h"
+#include "blob_store/digest.h"
 
 typedef struct FkShelf FkShelf;
 typedef struct FkShelfTeam FkShelfTeam;
--- a/src/io/blobs.c
+++ b/src/blob_store/blob_store.c
@@ -1,4 +1,4 @@
-#include "io/blobs.h"
+#include "blob_store/blob_store.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/src/io/blobs.h
+++ b/src/blob_store/blob_store.h
@@ -4,7 +4,7 @@
  * never a wrong blob. All calls block on the disk: they belong in a thread of their own, not the scheduler's.
  */
 #pragma once
-#include "cas/shelf.h"
+#include "blob_store/blob_index.h"
 
 typedef struct FkBlobs FkBlobs;
 typedef struct FkUpload FkUpload;
--- a/src/cas/digest.c
+++ b/src/blob_store/digest.c
@@ -1,4 +1,4 @@
-#include "cas/digest.h"
+#include "blob_store/digest.h"
 
 #include <string.h>
 
--- a/src/core/tell.c
+++ b/src/core/api/cancellation_barrier.c
@@ -17,7 +17,7 @@
  *
  * What a controller has applied it has applied for good: an earlier life's word holds too, since the next one
  * reads a store that is no older. */
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 struct FkTell {
   GHashTable *applied; /* controller -> FkRev*: the latest revision that it is known to have applied */
--- a/src/core/users.c
+++ b/src/core/api/requests.c
@@ -2,8 +2,8 @@
 #include <string.h>
 
 #include "core/controller.h"
-#include "core/internal.h"
-#include "teams/limits.h"
+#include "core/controller_internal.h"
+#include "fair_share/quota.h"
 
 #define VERIFY_SHARE 0.15 /* the same, for checking what polls are told */
 #define READS_MAX 16      /* questions at a time that are read from the store by a controller that lists it */
--- a/src/core/fleet_tick.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -1,5 +1,5 @@
 /* The fleet, a round at a time: the list, what goes back, what is rented, what is idle. */
-#include "core/fleet_internal.h"
+#include "core/autoscaler/autoscaler_internal.h"
 
 #define TICK_S 0.5
 #define IDLE_EVERY_S 2.0 /* while services wait for the store's writes: more machines a page */
--- a/src/core/fleet_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -1,9 +1,9 @@
 /* What the files of the fleet share: what is rented and on its way, and the plan of what to rent. */
 #pragma once
-#include "core/internal.h"
-#include "core/turn.h"
-#include "rent/boot.h"
-#include "rent/hold.h"
+#include "core/controller_internal.h"
+#include "core/scheduling/scheduling_queue.h"
+#include "instance_models/boot_time.h"
+#include "instance_models/idle_retention.h"
 
 typedef struct {
   char *id, *type, *zone;
--- a/src/core/money.c
+++ b/src/core/autoscaler/cost_accounting.c
@@ -1,6 +1,6 @@
 /* Where each unit of money goes, as the leader sees it: what the machines cost is counted up by what they
  * were doing at each look, and told once a window. */
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #define LOOK_S 2.0
 
--- a/src/core/fleet.c
+++ b/src/core/autoscaler/instances.c
@@ -1,6 +1,6 @@
 /* The fleet: what to rent for what waits and for a little headroom, and what to return. */
+#include "core/autoscaler/autoscaler_internal.h"
 #include "core/controller.h"
-#include "core/fleet_internal.h"
 
 #include <string.h>
 
--- a/src/core/fleet_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -1,10 +1,10 @@
 /* The plan of renting: what waits, played through in thought over the room that there is and will be. */
-#include "core/fleet_internal.h"
+#include "core/autoscaler/autoscaler_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#include "teams/limits.h"
+#include "fair_share/quota.h"
 
 #define PLAN_JOBS 2000 /* looked at, or as many as there are machines; more wait their turn */
 
--- a/src/core/lifecycle.c
+++ b/src/core/controller.c
@@ -1,9 +1,9 @@
 /* The controller: its calls to the store, its life and its clock. */
 #include "core/controller.h"
-#include "core/internal.h"
-#include "core/overdue.h"
-#include "core/rooms.h"
-#include "core/turn.h"
+#include "core/controller_internal.h"
+#include "core/scheduling/backfill_reservation.h"
+#include "core/scheduling/capacity_index.h"
+#include "core/scheduling/scheduling_queue.h"
 
 /* ------------------------------------------------------------------ shares, and whether it serves */
 
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -1,8 +1,8 @@
 /* The core: takes inputs, and returns what to send, write and answer. It has no input or output of its own:
  * time and randomness come in as arguments, and everything to do goes into a queue that the shell drains. */
 #pragma once
+#include "core/cpu_profile.h"
 #include "core/messages.h"
-#include "core/meter.h"
 
 /* ---- life ---- */
 FkController *fk_controller_new(const FkSettings *s, const char *life, guint32 seed, FkTime now);
--- a/src/core/internal.h
+++ b/src/core/controller_internal.h
@@ -1,9 +1,9 @@
 /* Shared between the core's own files; not for the shell. */
 #pragma once
-#include "core/evidence.h"
+#include "core/cpu_profile.h"
 #include "core/messages.h"
-#include "core/meter.h"
-#include "core/sizing.h"
+#include "core/scheduling/elastic_sizing.h"
+#include "core/workers/failure_detector.h"
 
 typedef void (*FkCommitted)(FkController *c, gpointer data, FkOutcome o, FkRev epoch, GPtrArray *failed);
 typedef void (*FkGot)(FkController *c, gpointer data, FkOutcome o, FkEvent *e);
--- a/src/core/state.c
+++ b/src/core/controller_status.c
@@ -1,5 +1,5 @@
 /* What every part of the core asks of its state. */
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #define ALONE_S 2.5
 #define CUT_OFF_S 6.0 /* the others are asked from FK_PEER_AFTER_S on, once a second */
--- a/src/core/meter.c
+++ b/src/core/cpu_profile.c
@@ -1,4 +1,4 @@
-#include "core/meter.h"
+#include "core/cpu_profile.h"
 
 const char *fk_cost_name(FkCost c) {
   static const char *names[FK_COSTS] = {"loop",     "reports", "decode", "apply", "encode", "users",
--- a/src/core/leader.c
+++ b/src/core/leader/leader.c
@@ -1,9 +1,9 @@
 /* The leader: a key on a hold names it. It places long jobs, sizes the short partition, rents and returns.
  * Nothing is unsafe when two controllers think they lead: every decision is guarded by itself. */
-#include "core/batch.h"
-#include "core/overdue.h"
-#include "core/rooms.h"
-#include "core/stops.h"
+#include "core/scheduling/backfill_reservation.h"
+#include "core/scheduling/capacity_index.h"
+#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/stop_transaction.h"
 
 #include <string.h>
 
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -1,6 +1,6 @@
 /* What the core is told and what it wants done: plain data, owned as said. */
 #pragma once
-#include "core/view.h"
+#include "core/state/view.h"
 
 /* ---- what workers and the cloud say ---- */
 typedef enum { FK_TASK_FETCHING, FK_TASK_RUNNING, FK_TASK_SAVING, FK_TASK_EXITED, FK_TASK_OTHER } FkTaskState;
--- a/src/core/overdue.c
+++ b/src/core/scheduling/backfill_reservation.c
@@ -1,6 +1,6 @@
-#include "core/overdue.h"
+#include "core/scheduling/backfill_reservation.h"
 
-#include "core/batch.h"
+#include "core/scheduling/launch_batch.h"
 
 #define BEGIN_S 240.0 /* a job must have begun by then, whatever else waits (the operators' check) */
 #define AGED 0.55     /* of it: what is left is enough for a machine to run empty */
--- a/src/core/overdue.h
+++ b/src/core/scheduling/backfill_reservation.h
@@ -2,7 +2,7 @@
  * largest of a class starve under a steady stream of small ones, which are complete sooner and fill each gap
  * as it opens: an array of whole machines waited for 400 s and more (simulated machines, sim_large). */
 #pragma once
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 FkOverdue *fk_overdue_new(void);
 void fk_overdue_free(FkOverdue *o);
--- a/src/core/rooms.c
+++ b/src/core/scheduling/capacity_index.c
@@ -1,7 +1,7 @@
-#include "core/rooms.h"
+#include "core/scheduling/capacity_index.h"
 
-#include "core/batch.h"
-#include "queue/capacity.h"
+#include "core/scheduling/launch_batch.h"
+#include "scheduling_queue/capacity_buckets.h"
 
 #define SOME_ROOM 0.25 /* CPUs: with less a machine counts as full */
 
--- a/src/core/rooms.h
+++ b/src/core/scheduling/capacity_index.h
@@ -1,6 +1,6 @@
 /* Which machines have room, kept from change to change: a look at placement begins with those alone. */
 #pragma once
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 FkRooms *fk_rooms_new(void);
 void fk_rooms_free(FkRooms *r);
--- a/src/core/sizing.c
+++ b/src/core/scheduling/elastic_sizing.c
@@ -1,4 +1,4 @@
-#include "core/sizing.h"
+#include "core/scheduling/elastic_sizing.h"
 
 #include <math.h>
 
--- a/src/core/batch.c
+++ b/src/core/scheduling/launch_batch.c
@@ -1,10 +1,10 @@
 /* The launch in the making, and what there is room for. */
-#include "core/batch.h"
+#include "core/scheduling/launch_batch.h"
 
 #include <math.h>
 #include <string.h>
 
-#include "teams/limits.h"
+#include "fair_share/quota.h"
 
 #define TXN_BYTES 40000 /* of the store's 64 KiB */
 
--- a/src/core/batch.h
+++ b/src/core/scheduling/launch_batch.h
@@ -1,6 +1,6 @@
 /* What the two paths of placement share: the launch in the making, and what there is room for. */
 #pragma once
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #define FK_LAUNCH_MIN 2   /* writes that must be free for a launch ... */
 #define FK_LAUNCH_LEAST 4 /* ... which may then take so many: a little debt is soon paid */
--- a/src/core/long.c
+++ b/src/core/scheduling/long_path.c
@@ -1,9 +1,9 @@
 /* The long path: the leader places services, gangs and long arrays, each task on the best machine that isn't
  * barred; and the other controllers leave it the room that it would take. */
-#include "core/batch.h"
-#include "core/overdue.h"
-#include "core/rooms.h"
-#include "core/turn.h"
+#include "core/scheduling/backfill_reservation.h"
+#include "core/scheduling/capacity_index.h"
+#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/scheduling_queue.h"
 
 #define GANG_LAUNCH_S 8.0 /* all transactions of one gang's launch */
 
--- a/src/core/reclaim.c
+++ b/src/core/scheduling/preemption.c
@@ -1,6 +1,6 @@
-#include "core/batch.h"
-#include "core/stops.h"
-#include "core/turn.h"
+#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/scheduling_queue.h"
+#include "core/scheduling/stop_transaction.h"
 
 #define AFTER_S 15.0  /* the first has waited for so long: tasks that end mostly make room sooner */
 #define LEAST 0.02    /* of the fleet's CPUs wait: for less, what was done is worth more */
--- a/src/core/displace.c
+++ b/src/core/scheduling/preemption_cost.c
@@ -1,5 +1,5 @@
 /* Room for a task where tasks of a lower rank run: whom it would cost how much, and where the least. */
-#include "core/batch.h"
+#include "core/scheduling/launch_batch.h"
 
 #define VICTIMS_MAX 3 /* of one service */
 #define BUSY_COST                                                                                            \
--- a/src/core/quota.c
+++ b/src/core/scheduling/quota_partition.c
@@ -2,11 +2,11 @@
  * record and is guarded by it, so that launches go one after another. Split: the record gives each controller
  * a share, launches are only guarded by it, and each controller counts what it launched itself. Both ways the
  * sum of bookings stays within the limit; docs/design.md, "quota". */
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #include <string.h>
 
-#include "teams/limits.h"
+#include "fair_share/quota.h"
 
 #define SHARED_S 4.0       /* a team that has just been found short of shares stays shared for so long ... */
 #define SHARED_MAX_S 120.0 /* ... and twice as long each time that this comes soon again */
--- a/src/core/place.c
+++ b/src/core/scheduling/scheduling_cycle.c
@@ -1,8 +1,8 @@
 /* Placement, a launch at a time. The long path, the leader's, comes first,
  * then each controller's short path; what both book goes into one transaction. */
-#include "core/batch.h"
-#include "core/rooms.h"
-#include "core/turn.h"
+#include "core/scheduling/capacity_index.h"
+#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/scheduling_queue.h"
 
 #include <string.h>
 
--- a/src/core/turn.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -1,9 +1,9 @@
 /* Whose turn it is: the order of waiting jobs, who must leave room to whom, and what each team is due. */
-#include "core/turn.h"
+#include "core/scheduling/scheduling_queue.h"
 
-#include "core/batch.h"
-#include "core/overdue.h"
-#include "queue/wait_queue.h"
+#include "core/scheduling/backfill_reservation.h"
+#include "core/scheduling/launch_batch.h"
+#include "scheduling_queue/wait_queue.h"
 
 #include <string.h>
 
--- a/src/core/turn.h
+++ b/src/core/scheduling/scheduling_queue.h
@@ -1,6 +1,6 @@
 /* Whose turn it is: the order of waiting jobs, who must leave room to whom, and what each team is due. */
 #pragma once
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 FkTurn *fk_turn_new(const FkSettings *s);
 void fk_turn_free(FkTurn *o);
--- a/src/core/short.c
+++ b/src/core/scheduling/short_path.c
@@ -1,8 +1,8 @@
 /* The short path: batch sampling and late binding, by each controller on its own machines. */
-#include "core/batch.h"
-#include "core/overdue.h"
-#include "core/rooms.h"
-#include "core/turn.h"
+#include "core/scheduling/backfill_reservation.h"
+#include "core/scheduling/capacity_index.h"
+#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/scheduling_queue.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/serving.c
+++ b/src/core/scheduling/starvation.c
@@ -1,6 +1,6 @@
 /* Serve-by-half, watched: every controller looks at each class and team once a second, tells once a window,
  * and knows who must be lifted up. */
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #define LOOK_S 1.0
 static FkServedJob as_served(const FkJob *j) {
--- a/src/core/stops.c
+++ b/src/core/scheduling/stop_transaction.c
@@ -1,4 +1,4 @@
-#include "core/stops.h"
+#include "core/scheduling/stop_transaction.h"
 
 #define CHUNKS_MAX 8 /* a transaction */
 
--- a/src/core/stops.h
+++ b/src/core/scheduling/stop_transaction.h
@@ -1,6 +1,6 @@
 /* A transaction that asks booked tasks to leave; their bookings stay until they have. */
 #pragma once
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 typedef struct {
   FkOut *txn;         /* NULL: nobody is asked yet */
--- a/src/core/settings.c
+++ b/src/core/settings.c
@@ -1,6 +1,6 @@
 #include "core/settings.h"
 
-#include "teams/limits.h"
+#include "fair_share/quota.h"
 
 static void peer_free(gpointer p) {
   FkPeer *peer = p;
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -1,7 +1,7 @@
 /* What the platform and the operators tell a controller. Plain data; read by wire/settings.c. */
 #pragma once
+#include "admission/limits.h"
 #include "core/types.h"
-#include "door/limits.h"
 
 typedef struct {
   char *name, *zone, *addr;
--- a/src/core/ends.c
+++ b/src/core/shards/completions.c
@@ -1,7 +1,7 @@
 /* The ends of bookings, as this home has proof of them. They gather, and one put writes many of them down, in
  * a page of this controller's own: it alone writes there, so the ends of a hundred jobs' tasks cost one put
  * and no conflict. A page keeps an end until the chunk's own record says so, or the job is over. */
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #include <string.h>
 
--- a/src/core/roster.c
+++ b/src/core/shards/machine_registry.c
@@ -1,6 +1,6 @@
 /* The machines' descriptions, one page a group: machines join, are marked, and go. Changes gather, and
  * several pages are written by one transaction, so that a hundred machines cost a few puts. */
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #include <string.h>
 
--- a/src/core/claims.c
+++ b/src/core/shards/shard_ownership.c
@@ -1,7 +1,7 @@
 /* Claims: which controller is home to which group of machines. A group is claimed by one record; the claim's
  * revision is the token of every machine in it, so that taking over a crashed controller's machines costs a
  * few puts however many they are. A machine's group never changes, so its token only ever rises. */
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #include <string.h>
 
--- a/src/core/job.c
+++ b/src/core/state/job.c
@@ -1,4 +1,4 @@
-#include "core/job.h"
+#include "core/state/job.h"
 
 #include <string.h>
 
--- a/src/core/chains.c
+++ b/src/core/state/job_dependencies.c
@@ -1,6 +1,6 @@
 /* Job chains, as far as the store and the other controllers are needed: whether all of them know of chains,
  * the ends that the view hasn't seen, and what the queue takes over from a job's dependents. */
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #define READS_A_TICK                                                                                         \
   2 /* finals asked for: a start with thousands of waiting jobs must leave requests to users */
--- a/src/core/view.c
+++ b/src/core/state/view.c
@@ -1,4 +1,4 @@
-#include "core/view_internal.h"
+#include "core/state/view_internal.h"
 
 #include <string.h>
 
--- a/src/core/view.h
+++ b/src/core/state/view.h
@@ -1,11 +1,11 @@
 /* The store as this controller sees it: a consistent prefix of its history, applied in order. */
 #pragma once
-#include "blame/blame.h"
-#include "core/job.h"
 #include "core/settings.h"
-#include "deps/deps.h"
-#include "teams/served.h"
-#include "teams/share.h"
+#include "core/state/job.h"
+#include "dependency_graph/dependency_graph.h"
+#include "fair_share/fair_share.h"
+#include "fair_share/service_level.h"
+#include "fault_attribution/fault_attribution.h"
 
 typedef enum {
   FK_KEY_OTHER,
--- a/src/core/view_apply.c
+++ b/src/core/state/view_apply.c
@@ -1,5 +1,5 @@
 /* The view, brought up to date: one change of the store at a time. */
-#include "core/view_internal.h"
+#include "core/state/view_internal.h"
 
 #include <string.h>
 
--- a/src/core/view_internal.h
+++ b/src/core/state/view_internal.h
@@ -1,6 +1,6 @@
 /* What the files of the view share. */
 #pragma once
-#include "core/view.h"
+#include "core/state/view.h"
 
 /* view.c */
 void fk_view_join_group(FkMachine *m, FkGroup *g);
--- a/src/core/view_jobs.c
+++ b/src/core/state/view_jobs.c
@@ -1,5 +1,5 @@
 /* The view of jobs: their records, their chunks, and the ends that homes write down, applied one by one. */
-#include "core/view_internal.h"
+#include "core/state/view_internal.h"
 
 #include <string.h>
 
--- a/src/core/calls.c
+++ b/src/core/store_session/calls.c
@@ -5,7 +5,7 @@
  * launches, waiting for the deadline. That is as safe as the network's own repeats (docs/design.md, "Asked
  * again"): its guards let it be carried out once at the most. */
 #include "core/controller.h"
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #define AGAIN_TIMES 4.0    /* as late as answers usually come ... */
 #define AGAIN_LEAST_S 0.08 /* ... but not sooner than that, */
--- a/src/core/proof.c
+++ b/src/core/store_session/read_freshness.c
@@ -1,6 +1,6 @@
 /* Proof that our view is current though the store can't be reached, and what the other controllers know. */
 #include "core/controller.h"
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #define PEER_EVERY_S 1.0
 #define TELL_EVERY_S 0.15 /* while somebody waits to hear of a cancellation */
--- a/src/core/session.c
+++ b/src/core/store_session/session.c
@@ -1,8 +1,8 @@
 /* The session with the store: its hold, the list that a start reads, the watch that moves the view. */
 #include "core/controller.h"
-#include "core/internal.h"
-#include "core/rooms.h"
-#include "core/turn.h"
+#include "core/controller_internal.h"
+#include "core/scheduling/capacity_index.h"
+#include "core/scheduling/scheduling_queue.h"
 
 #define HOLD_S 6.0
 #define WATCH_S 2.0
--- a/src/core/evidence.c
+++ b/src/core/workers/failure_detector.c
@@ -1,4 +1,4 @@
-#include "core/evidence.h"
+#include "core/workers/failure_detector.h"
 
 #define DEAF_CALLS 2 /* questions in a row without an answer ... */
 #define DEAF_S 3.0   /* ... over so long ... */
--- a/src/core/home.c
+++ b/src/core/workers/heartbeats.c
@@ -1,7 +1,7 @@
 /* A home's dealings with its machines. Level-triggered: whenever a report or the view changes, the orders
  * that would bring the machine in line with the bookings are worked out anew. */
 #include "core/controller.h"
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 #define MAX_ORDERS 200 /* an answer's line stays far below 64 KiB */
 /* A worker that was sent to its home and can't reach it is back after 4 s for the answer, 1 s of pause and
--- a/src/core/recover.c
+++ b/src/core/workers/service_failover.c
@@ -1,6 +1,6 @@
 /* Recovery from the loss of many machines: how fast those with services on them are given up, and for how
  * many replicas room is wanted meanwhile. */
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 /* A service's task that nobody has cancelled. */
 static gboolean serves(const FkBookRef *b) {
--- a/src/io/shell.c
+++ b/src/daemon/daemon.c
@@ -1,13 +1,13 @@
-#include "io/shell.h"
+#include "daemon/daemon.h"
 
 #include <string.h>
 #include <sys/resource.h>
 
-#include "door/reach.h"
-#include "io/budget.h"
-#include "io/http.h"
-#include "io/soup_door.h"
-#include "io/vitals.h"
+#include "admission/dependency_health.h"
+#include "daemon/process_metrics.h"
+#include "daemon/rate_limiter.h"
+#include "net/http_client.h"
+#include "net/soup_listener.h"
 #include "wire/cloud.h"
 #include "wire/route.h"
 #include "wire/store.h"
--- a/src/io/log.c
+++ b/src/daemon/log.c
@@ -1,4 +1,4 @@
-#include "io/log.h"
+#include "daemon/log.h"
 
 #include <glib.h>
 
--- a/src/io/vitals.c
+++ b/src/daemon/process_metrics.c
@@ -1,4 +1,4 @@
-#include "io/vitals.h"
+#include "daemon/process_metrics.h"
 
 #include <gsl/gsl_histogram.h>
 #include <malloc.h>
--- a/src/io/budget.c
+++ b/src/daemon/rate_limiter.c
@@ -1,4 +1,4 @@
-#include "io/budget.h"
+#include "daemon/rate_limiter.h"
 
 typedef struct {
   gpointer item;
--- a/src/deps/deps.c
+++ b/src/dependency_graph/dependency_graph.c
@@ -1,4 +1,4 @@
-#include "deps/deps.h"
+#include "dependency_graph/dependency_graph.h"
 
 #include <string.h>
 
--- a/src/teams/share.c
+++ b/src/fair_share/fair_share.c
@@ -1,4 +1,4 @@
-#include "teams/share.h"
+#include "fair_share/fair_share.h"
 
 /* So far from what is due is no injustice yet: within it other reasons decide whose turn it is, and what runs
  * for a minute leaves nobody more exact. */
--- a/src/teams/limits.c
+++ b/src/fair_share/quota.c
@@ -1,4 +1,4 @@
-#include "teams/limits.h"
+#include "fair_share/quota.h"
 
 #include <math.h>
 
--- a/src/teams/served.c
+++ b/src/fair_share/service_level.c
@@ -1,4 +1,4 @@
-#include "teams/served.h"
+#include "fair_share/service_level.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/blame/blame.c
+++ b/src/fault_attribution/fault_attribution.c
@@ -1,4 +1,4 @@
-#include "blame/blame.h"
+#include "fault_attribution/fault_attribution.h"
 
 #define PLACES 8           /* machines remembered of a job, and jobs of a machine: the latest */
 #define DOUBT_PLACES 2     /* machines that a job must fail on, having succeeded nowhere */
--- a/src/rent/boot.c
+++ b/src/instance_models/boot_time.c
@@ -1,4 +1,4 @@
-#include "rent/boot.h"
+#include "instance_models/boot_time.h"
 
 #include <math.h>
 
--- a/src/rent/hold.c
+++ b/src/instance_models/idle_retention.c
@@ -1,4 +1,4 @@
-#include "rent/hold.h"
+#include "instance_models/idle_retention.h"
 
 #include <math.h>
 
--- a/src/main.c
+++ b/src/main.c
@@ -4,11 +4,11 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "io/log.h"
-#include "io/rexec.h"
-#include "io/shell.h"
+#include "daemon/daemon.h"
+#include "daemon/log.h"
+#include "fair_share/quota.h"
 #include "keys/keys.h"
-#include "teams/limits.h"
+#include "remote_execution/server.h"
 #include "wire/settings.h"
 
 #define OPERATOR_ENV "FLAXKNOT_OPERATOR"
--- a/src/io/h2_conn.c
+++ b/src/net/h2_connection.c
@@ -1,4 +1,4 @@
-#include "io/h2_conn.h"
+#include "net/h2_connection.h"
 
 #define READ_BYTES 32768
 #define READS_A_TURN 8    /* then others have their turn */
--- a/src/io/http.c
+++ b/src/net/http_client.c
@@ -1,4 +1,4 @@
-#include "io/http.h"
+#include "net/http_client.h"
 
 /* A session remembers each host for five minutes, by a timer of the main loop: with a thousand machines that
  * are called now and then, looking through those timers took half of a controller's processor time. So a
--- a/src/io/door.c
+++ b/src/net/server.c
@@ -1,4 +1,4 @@
-#include "io/door.h"
+#include "net/server.h"
 
 #include <errno.h>
 #include <netinet/in.h>
@@ -8,7 +8,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "io/conn.h"
+#include "net/connection.h"
 
 #define READ_BYTES 16384
 #define ANSWER_BYTES 65536  /* of an answer, kept before its handler has to wait */
--- a/src/io/door.h
+++ b/src/net/server.h
@@ -4,8 +4,8 @@
 #pragma once
 #include <gio/gio.h>
 
-#include "door/gate.h"
-#include "door/request.h"
+#include "admission/admission.h"
+#include "admission/request_parser.h"
 
 typedef struct FkDoor FkDoor;
 
--- a/src/io/soup_door.c
+++ b/src/net/soup_listener.c
@@ -1,4 +1,4 @@
-#include "io/soup_door.h"
+#include "net/soup_listener.h"
 
 static void hand_over(gpointer data, GIOStream *stream, GSocketAddress *local, GSocketAddress *remote) {
   g_autoptr(GError) error = NULL;
--- a/src/io/soup_door.h
+++ b/src/net/soup_listener.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <libsoup/soup.h>
 
-#include "io/door.h"
+#include "net/server.h"
 
 /* The server's requests come from `where`, through the door. The server must outlive the door's connections,
  * and listens nowhere itself. `ask` and `refusal`: see FkDoorKeeper. */
--- a/src/io/stream.c
+++ b/src/net/stream.c
@@ -1,6 +1,6 @@
 /* A connection as a GIOStream: non-blocking both ways, ready when the door says so. There is no file
  * descriptor in the main loop for it: a turn costs no more with a thousand idle connections. */
-#include "io/conn.h"
+#include "net/connection.h"
 
 typedef struct {
   GSource source;
--- a/src/rexec/message.c
+++ b/src/remote_execution/message.c
@@ -1,8 +1,8 @@
-#include "rexec/message.h"
+#include "remote_execution/message.h"
 
 #include <string.h>
 
-#include "rexec/names.h"
+#include "remote_execution/names.h"
 
 /* ------------------------------------------------------------------ bytes */
 
--- a/src/rexec/message.h
+++ b/src/remote_execution/message.h
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <protobuf-c/protobuf-c.h>
 
-#include "cas/digest.h"
+#include "blob_store/digest.h"
 #include "grpc/status.h"
 #include "rx.pb-c.h"
 
--- a/src/io/rexec.c
+++ b/src/remote_execution/server.c
@@ -1,16 +1,16 @@
-#include "io/rexec.h"
+#include "remote_execution/server.h"
 
 #include <glib/gstdio.h>
 #include <string.h>
 #include <zstd.h>
 
+#include "blob_store/blob_store.h"
 #include "grpc/h2.h"
-#include "io/blobs.h"
-#include "io/door.h"
-#include "io/h2_conn.h"
 #include "keys/keys.h"
-#include "rexec/message.h"
-#include "rexec/names.h"
+#include "net/h2_connection.h"
+#include "net/server.h"
+#include "remote_execution/message.h"
+#include "remote_execution/names.h"
 
 #define READ_CHUNK 65536
 #define SENT_CHUNK (512 * 1024) /* of a blob that is read, a message */
--- a/src/io/rexec.h
+++ b/src/remote_execution/server.h
@@ -4,7 +4,7 @@
 #pragma once
 #include <glib.h>
 
-#include "rexec/settings.h"
+#include "remote_execution/settings.h"
 
 typedef struct FkRexec FkRexec;
 
--- a/src/rexec/settings.c
+++ b/src/remote_execution/settings.c
@@ -1,4 +1,4 @@
-#include "rexec/settings.h"
+#include "remote_execution/settings.h"
 
 #include <gio/gio.h>
 #include <string.h>
--- a/src/queue/capacity.c
+++ b/src/scheduling_queue/capacity_buckets.c
@@ -1,4 +1,4 @@
-#include "queue/capacity.h"
+#include "scheduling_queue/capacity_buckets.h"
 
 #define STEPS_A_CPU 4
 #define STEPS 1024 /* more than so many count as so many */
--- a/src/queue/wait_queue.c
+++ b/src/scheduling_queue/wait_queue.c
@@ -1,4 +1,4 @@
-#include "queue/wait_queue.h"
+#include "scheduling_queue/wait_queue.h"
 
 typedef struct {
   gpointer item;
--- a/src/lab/check_txn.c
+++ b/src/simulation/check_transaction.c
@@ -1,6 +1,6 @@
 /* Every write of the core's is guarded as docs/design.md, "Transactions", says. A transaction may be carried
  * out late, after newer ones, and more than once: a write without its guard would undo what came after it. */
-#include "lab/check_txn.h"
+#include "simulation/check_transaction.h"
 
 static const FkGuard *guard_on(const FkOut *t, const char *path) {
   for (guint i = 0; i < t->guards->len; i++)
--- a/src/lab/check_view.c
+++ b/src/simulation/check_view.c
@@ -1,5 +1,5 @@
 /* What the view keeps by difference, computed afresh. */
-#include "lab/check_view.h"
+#include "simulation/check_view.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/lab/check_view.h
+++ b/src/simulation/check_view.h
@@ -1,5 +1,5 @@
 #pragma once
-#include "core/view.h"
+#include "core/state/view.h"
 
 /* Fails where an index or a running sum of the view isn't what a full look gives. */
 void check_view(FkView *v);
--- a/src/lab/cloud.c
+++ b/src/simulation/cloud.c
@@ -1,5 +1,5 @@
 /* The cloud, which rents machines. */
-#include "lab/sim.h"
+#include "simulation/simulation_internal.h"
 
 /* Something runs there, or is to; ended attempts may stay in its reports for long. */
 static gboolean at_work(const Worker *w) {
--- a/src/lab/digest.c
+++ b/src/simulation/digest.c
@@ -3,14 +3,14 @@
  * which it goes over the wire, with what the wire form leaves out beside it. Kinds of outputs have fixed
  * words here, so the checksum depends neither on the names nor on the numbers of C identifiers; only the
  * protocol's own words and numbers (phases, priorities of transactions) are written. */
-#include "lab/digest.h"
+#include "simulation/digest.h"
 
 #include <stdio.h>
 #include <string.h>
 
-#include "lab/recovery.h"
-#include "lab/world.h"
-#include "teams/limits.h"
+#include "fair_share/quota.h"
+#include "simulation/recovery.h"
+#include "simulation/simulation.h"
 #include "wire/cloud.h"
 #include "wire/settings.h"
 #include "wire/user.h"
@@ -509,12 +509,12 @@
   g_option_context_set_description(context, "Exit status: 0 played; 1 a rule was broken, or the file "
                                             "couldn't be written; 2 wrong use.");
   if (!g_option_context_parse(context, &argc, &argv, &error) || argc > 1) {
-    fprintf(stderr, "flaxknot-lab digest: %s\n", error ? error->message : "too many arguments");
+    fprintf(stderr, "flaxknot-sim digest: %s\n", error ? error->message : "too many arguments");
     return FK_LAB_USAGE;
   }
   FILE *lines = text ? fopen(text, "w") : NULL;
   if (text && !lines) {
-    fprintf(stderr, "flaxknot-lab digest: %s can't be written\n", text);
+    fprintf(stderr, "flaxknot-sim digest: %s can't be written\n", text);
     return FK_LAB_FAILED;
   }
   g_autoptr(GString) table = g_string_new(NULL);
@@ -532,15 +532,15 @@
     fk_digest_clear(&d);
   }
   if (lines && fclose(lines)) {
-    fprintf(stderr, "flaxknot-lab digest: %s can't be written\n", text);
+    fprintf(stderr, "flaxknot-sim digest: %s can't be written\n", text);
     whole = FALSE;
   }
   if (!table->len) {
-    fprintf(stderr, "flaxknot-lab digest: no schedule is named %s\n", only);
+    fprintf(stderr, "flaxknot-sim digest: no schedule is named %s\n", only);
     return FK_LAB_USAGE;
   }
   if (out && !g_file_set_contents(out, table->str, (gssize)table->len, &error)) {
-    fprintf(stderr, "flaxknot-lab digest: %s\n", error->message);
+    fprintf(stderr, "flaxknot-sim digest: %s\n", error->message);
     return FK_LAB_FAILED;
   }
   return whole ? FK_LAB_OK : FK_LAB_FAILED;
--- a/src/lab/digest.h
+++ b/src/simulation/digest.h
@@ -25,5 +25,5 @@
  * The caller clears the result. */
 FkDigest fk_digest_play(guint index, FILE *text);
 
-/* `flaxknot-lab digest`, with its own options. Prints the table. */
+/* `flaxknot-sim digest`, with its own options. Prints the table. */
 int fk_lab_digest(int argc, char **argv);
--- a/src/lab/agenda.c
+++ b/src/simulation/event_queue.c
@@ -1,4 +1,4 @@
-#include "lab/agenda.h"
+#include "simulation/event_queue.h"
 
 #define CLOCK_MS 5
 
--- a/src/lab/main.c
+++ b/src/simulation/main.c
@@ -1,11 +1,11 @@
-/* flaxknot-lab SUBCOMMAND: experiments in a small world of its own. */
+/* flaxknot-sim SUBCOMMAND: experiments in a small world of its own. */
 #include <stdio.h>
 #include <string.h>
 
-#include "lab/digest.h"
-#include "lab/recovery.h"
-#include "lab/scale/scale.h"
-#include "lab/scale/slopes.h"
+#include "simulation/digest.h"
+#include "simulation/recovery.h"
+#include "simulation/scale/scale.h"
+#include "simulation/scale/slopes.h"
 
 static const struct {
   const char *name, *what;
@@ -22,10 +22,10 @@
 }
 
 static void usage(FILE *to) {
-  fprintf(to, "Usage: flaxknot-lab SUBCOMMAND [OPTIONS]\n\n");
+  fprintf(to, "Usage: flaxknot-sim SUBCOMMAND [OPTIONS]\n\n");
   for (guint i = 0; i < G_N_ELEMENTS(subcommands); i++)
     fprintf(to, "  %-10s %s\n", subcommands[i].name, subcommands[i].what);
-  fprintf(to, "\nflaxknot-lab SUBCOMMAND --help says more. LOG_LEVEL set: what the controllers log.\n");
+  fprintf(to, "\nflaxknot-sim SUBCOMMAND --help says more. LOG_LEVEL set: what the controllers log.\n");
 }
 
 int main(int argc, char **argv) {
--- a/src/lab/faults.c
+++ b/src/simulation/planned_faults.c
@@ -2,7 +2,7 @@
  * comes: who leads is what the store says. */
 #include <string.h>
 
-#include "lab/sim.h"
+#include "simulation/simulation_internal.h"
 #include "wire/store.h"
 
 static int leader_of(Sim *m) {
--- a/src/lab/troubles.c
+++ b/src/simulation/random_faults.c
@@ -1,5 +1,5 @@
 /* What goes wrong in the simulated world, and when. */
-#include "lab/sim.h"
+#include "simulation/simulation_internal.h"
 
 /* Many machines at once: some die, some hang for shorter or longer than a lease. */
 static void mass_loss(Sim *m) {
--- a/src/lab/recovery.c
+++ b/src/simulation/recovery.c
@@ -1,10 +1,10 @@
-#include "lab/recovery.h"
+#include "simulation/recovery.h"
 
 #include <stdio.h>
 #include <time.h>
 
-#include "lab/world.h"
-#include "teams/limits.h"
+#include "fair_share/quota.h"
+#include "simulation/simulation.h"
 
 #define WAIT_S 600.0 /* for the last replica, at the most */
 
@@ -91,7 +91,7 @@
       context, "Exit status: 0 all came back; 1 not all did, or a rule was broken; 2 wrong use.");
   if (!g_option_context_parse(context, &argc, &argv, &error) || share < 0.01 || share > 0.5 || writes < 10 ||
       cloud < 1) {
-    fprintf(stderr, "flaxknot-lab recovery: %s\n", error ? error->message : "an option is out of its range");
+    fprintf(stderr, "flaxknot-sim recovery: %s\n", error ? error->message : "an option is out of its range");
     return FK_LAB_USAGE;
   }
   const char *usual[] = {"500", "2000", "8000", NULL};
@@ -101,7 +101,7 @@
   for (const char *const *n = sizes ? (const char *const *)sizes : usual; *n; n++) {
     guint64 machines;
     if (!g_ascii_string_to_unsigned(*n, 10, 10, 50000, &machines, &error)) {
-      fprintf(stderr, "flaxknot-lab recovery: %s\n", error->message);
+      fprintf(stderr, "flaxknot-sim recovery: %s\n", error->message);
       return FK_LAB_USAGE;
     }
     all &= play((guint)machines, share, writes, cloud, (guint64)seed);
--- a/src/lab/recovery.h
+++ b/src/simulation/recovery.h
@@ -5,5 +5,5 @@
 /* Exit statuses of the subcommands. */
 enum { FK_LAB_OK, FK_LAB_FAILED, FK_LAB_USAGE };
 
-/* `flaxknot-lab recovery`, with its own options. Prints a table to stdout. */
+/* `flaxknot-sim recovery`, with its own options. Prints a table to stdout. */
 int fk_lab_recovery(int argc, char **argv);
--- a/src/lab/scale/balancer.c
+++ b/src/simulation/scale/balancer.c
@@ -1,4 +1,4 @@
-#include "lab/scale/balancer.h"
+#include "simulation/scale/balancer.h"
 
 #define BAD_IN_A_ROW 2
 #define BAD_OF_SIX 3
--- a/src/lab/scale/check_rules.c
+++ b/src/simulation/scale/check_rules.c
@@ -1,4 +1,4 @@
-#include "lab/scale/check_rules.h"
+#include "simulation/scale/check_rules.h"
 
 #include <string.h>
 
--- a/src/lab/scale/check_rules.h
+++ b/src/simulation/scale/check_rules.h
@@ -1,7 +1,7 @@
 /* PROTOCOL's rules, held against what truly happened in a region. */
 #pragma once
-#include "lab/scale/events.h"
-#include "lab/scale/plan.h"
+#include "simulation/scale/events.h"
+#include "simulation/scale/plan.h"
 
 /* What was broken, a line each: "rule: what, when"; empty when nothing was. `events` are sorted by time and
  * complete. wrong_place isn't looked at: no job of a scale run is bound to a place. */
--- a/src/lab/scale/cloud_service.c
+++ b/src/simulation/scale/cloud_service.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "lab/scale/fleet_internal.h"
+#include "simulation/scale/fleet_internal.h"
 #include "wire/cloud.h"
 
 #define LAG_S 10.0         /* of the list */
--- a/src/lab/scale/events.c
+++ b/src/simulation/scale/events.c
@@ -1,4 +1,4 @@
-#include "lab/scale/events.h"
+#include "simulation/scale/events.h"
 
 #include <string.h>
 
--- a/src/lab/scale/fleet.c
+++ b/src/simulation/scale/fleet.c
@@ -1,6 +1,6 @@
-#include "lab/scale/fleet.h"
+#include "simulation/scale/fleet.h"
 
-#include "lab/scale/fleet_internal.h"
+#include "simulation/scale/fleet_internal.h"
 
 #define CALLS_MOST 4000
 #define ANSWER_MOST (1 << 20)
--- a/src/lab/scale/fleet.h
+++ b/src/simulation/scale/fleet.h
@@ -1,7 +1,7 @@
 /* A region's cloud and its hollow workers, in one process: each worker has an address, a session, a lease and
  * tasks that end by the clock; none of them runs anything. */
 #pragma once
-#include "lab/scale/plan.h"
+#include "simulation/scale/plan.h"
 
 /* With several processes for a region, each knows all machines that were there from the start, plays its
  * share of them, and works out the same faults of all; part 0 has the cloud, and plays those that are rented.
--- a/src/lab/scale/fleet_internal.h
+++ b/src/simulation/scale/fleet_internal.h
@@ -1,13 +1,13 @@
 /* What the files of the fleet's process share. */
 #pragma once
-#include "io/http.h"
-#include "lab/agenda.h"
-#include "lab/scale/events.h"
-#include "lab/scale/listen.h"
-#include "lab/scale/plan.h"
-#include "lab/scale/series.h"
-#include "lab/store_model.h"
-#include "lab/worker_model.h"
+#include "net/http_client.h"
+#include "simulation/event_queue.h"
+#include "simulation/scale/events.h"
+#include "simulation/scale/listen.h"
+#include "simulation/scale/plan.h"
+#include "simulation/scale/series.h"
+#include "simulation/store_model.h"
+#include "simulation/worker_model.h"
 
 typedef struct {
   FkWorkerModel model; /* its first member: hooks find the machine by it */
--- a/src/lab/scale/listen.c
+++ b/src/simulation/scale/listen.c
@@ -1,4 +1,4 @@
-#include "lab/scale/listen.h"
+#include "simulation/scale/listen.h"
 
 #include <errno.h>
 #include <glib-unix.h>
@@ -137,7 +137,7 @@
 }
 
 int fk_scale_failed(const char *who, const GError *error) {
-  fprintf(stderr, "flaxknot-lab scale: %s couldn't begin: %s\n", who,
+  fprintf(stderr, "flaxknot-sim scale: %s couldn't begin: %s\n", who,
           error ? error->message : "no reason given");
   return 1;
 }
--- a/src/lab/scale/listen.h
+++ b/src/simulation/scale/listen.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <libsoup/soup.h>
 
-#include "lab/scale/plan.h"
+#include "simulation/scale/plan.h"
 
 typedef void (*FkScaleHandler)(SoupServer *server, SoupServerMessage *m, const char *path, GHashTable *query,
                                gpointer data);
--- a/src/lab/scale/plan.c
+++ b/src/simulation/scale/plan.c
@@ -1,4 +1,4 @@
-#include "lab/scale/plan.h"
+#include "simulation/scale/plan.h"
 
 #include <string.h>
 
--- a/src/lab/scale/plan.h
+++ b/src/simulation/scale/plan.h
@@ -1,9 +1,9 @@
-/* One run of `flaxknot-lab scale`: sizes, addresses, jobs and faults, which every process of the run works
+/* One run of `flaxknot-sim scale`: sizes, addresses, jobs and faults, which every process of the run works
  * out from the same file. Rates are per second, durations in seconds, times microseconds of the steady clock.
  */
 #pragma once
-#include "core/job.h"
 #include "core/settings.h"
+#include "core/state/job.h"
 #include "wire/json.h"
 
 typedef enum {
--- a/src/lab/scale/processes.c
+++ b/src/simulation/scale/processes.c
@@ -1,4 +1,4 @@
-#include "lab/scale/processes.h"
+#include "simulation/scale/processes.h"
 
 #include <fcntl.h>
 #include <glib/gstdio.h>
@@ -7,8 +7,8 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include "io/http.h"
-#include "lab/scale/series.h"
+#include "net/http_client.h"
+#include "simulation/scale/series.h"
 
 #define MEMORY_MOST_MB 12000.0
 #define UP_WITHIN_S 30.0
--- a/src/lab/scale/processes.h
+++ b/src/simulation/scale/processes.h
@@ -1,6 +1,6 @@
 /* The processes of a run: started, measured, hit by the plan's faults, and all ended again. */
 #pragma once
-#include "lab/scale/plan.h"
+#include "simulation/scale/plan.h"
 
 typedef struct FkProcesses FkProcesses;
 
--- a/src/lab/scale/reports.c
+++ b/src/simulation/scale/reports.c
@@ -2,7 +2,7 @@
  * nodes" and "Controller nodes -> workers"). */
 #include <string.h>
 
-#include "lab/scale/fleet_internal.h"
+#include "simulation/scale/fleet_internal.h"
 #include "wire/worker.h"
 
 #define LEAST_S 0.5  /* between two reports */
--- a/src/lab/scale/scale.c
+++ b/src/simulation/scale/scale.c
@@ -1,15 +1,15 @@
-#include "lab/scale/scale.h"
+#include "simulation/scale/scale.h"
 
 #include <glib/gstdio.h>
 #include <stdio.h>
 #include <sys/resource.h>
 
-#include "lab/recovery.h"
-#include "lab/scale/fleet.h"
-#include "lab/scale/processes.h"
-#include "lab/scale/state_service.h"
-#include "lab/scale/summary.h"
-#include "lab/scale/users.h"
+#include "simulation/recovery.h"
+#include "simulation/scale/fleet.h"
+#include "simulation/scale/processes.h"
+#include "simulation/scale/state_service.h"
+#include "simulation/scale/summary.h"
+#include "simulation/scale/users.h"
 
 #define BEGIN_AFTER_S 1.0       /* the stand-ins listen by then */
 #define DESCRIPTORS_BESIDE 2000 /* a fleet's process needs these beside one for each worker */
@@ -23,7 +23,7 @@
 } Options;
 
 static int wrong_use(const GError *error) {
-  fprintf(stderr, "flaxknot-lab scale: %s\n", error->message);
+  fprintf(stderr, "flaxknot-sim scale: %s\n", error->message);
   return FK_LAB_USAGE;
 }
 
@@ -108,7 +108,7 @@
     printf("NOT CARRIED: %s\n", (char *)s->why->pdata[i]);
   printf(s->carried ? "the load was carried, and no rule was broken\n" : "the load was not carried\n");
   if (!write_summary(p, s, ps, &error)) {
-    fprintf(stderr, "flaxknot-lab scale: %s\n", error->message);
+    fprintf(stderr, "flaxknot-sim scale: %s\n", error->message);
     return FK_LAB_FAILED;
   }
   return s->carried ? FK_LAB_OK : FK_LAB_FAILED;
@@ -120,13 +120,13 @@
     return wrong_use(error);
   FkProcesses *ps = fk_processes_start(p, &error);
   if (!ps) {
-    fprintf(stderr, "flaxknot-lab scale: %s\n", error->message);
+    fprintf(stderr, "flaxknot-sim scale: %s\n", error->message);
     return FK_LAB_FAILED;
   }
   g_autofree char *wrong = fk_processes_run(ps);
   double memory_mb = fk_processes_memory_most_mb(ps);
   if (wrong) {
-    fprintf(stderr, "flaxknot-lab scale: %s (%.0f MB were held)\n", wrong, memory_mb);
+    fprintf(stderr, "flaxknot-sim scale: %s (%.0f MB were held)\n", wrong, memory_mb);
     fk_processes_free(ps);
     return FK_LAB_FAILED;
   }
@@ -134,7 +134,7 @@
   FkSummary *s = fk_summary_of(p, &error);
   int status = s ? report(p, s, ps) : FK_LAB_FAILED;
   if (!s)
-    fprintf(stderr, "flaxknot-lab scale: %s\n", error->message);
+    fprintf(stderr, "flaxknot-sim scale: %s\n", error->message);
   else
     fk_summary_free(s);
   fk_processes_free(ps);
--- a/src/lab/scale/series.c
+++ b/src/simulation/scale/series.c
@@ -1,4 +1,4 @@
-#include "lab/scale/series.h"
+#include "simulation/scale/series.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/lab/scale/slopes.c
+++ b/src/simulation/scale/slopes.c
@@ -1,11 +1,11 @@
-#include "lab/scale/slopes.h"
+#include "simulation/scale/slopes.h"
 
 #include <gsl/gsl_fit.h>
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
 
-#include "lab/recovery.h"
+#include "simulation/recovery.h"
 #include "wire/json.h"
 
 #define RUNS_LEAST 3
@@ -143,11 +143,11 @@
       context, "Fits straight lines through the figures of several scale runs (their --out folders, the\n"
                "largest last): slope and its standard error, the value at none, the worst residual.");
   if (!g_option_context_parse(context, &argc, &argv, &error)) {
-    fprintf(stderr, "flaxknot-lab slopes: %s\n", error->message);
+    fprintf(stderr, "flaxknot-sim slopes: %s\n", error->message);
     return FK_LAB_USAGE;
   }
   if (argc - 1 < RUNS_LEAST || argc - 1 > RUNS_MOST) {
-    fprintf(stderr, "flaxknot-lab slopes: %d to %d folders of scale runs are needed\n", RUNS_LEAST,
+    fprintf(stderr, "flaxknot-sim slopes: %d to %d folders of scale runs are needed\n", RUNS_LEAST,
             RUNS_MOST);
     return FK_LAB_USAGE;
   }
@@ -156,7 +156,7 @@
     GHashTable *figures = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     g_ptr_array_add(runs, figures);
     if (!read_summary(argv[i], figures, &error) || !read_costs(argv[i], figures, &error)) {
-      fprintf(stderr, "flaxknot-lab slopes: %s\n", error->message);
+      fprintf(stderr, "flaxknot-sim slopes: %s\n", error->message);
       return FK_LAB_FAILED;
     }
   }
--- a/src/lab/scale/state_service.c
+++ b/src/simulation/scale/state_service.c
@@ -1,11 +1,11 @@
-#include "lab/scale/state_service.h"
+#include "simulation/scale/state_service.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#include "lab/scale/listen.h"
-#include "lab/scale/series.h"
-#include "lab/store_model.h"
+#include "simulation/scale/listen.h"
+#include "simulation/scale/series.h"
+#include "simulation/store_model.h"
 #include "wire/store.h"
 
 #define HISTORY 10000 /* changes kept (PROTOCOL) */
--- a/src/lab/scale/state_service.h
+++ b/src/simulation/scale/state_service.h
@@ -1,6 +1,6 @@
 /* A region's state service on loopback: the model of lab/store_model.h behind PROTOCOL's HTTP interface. */
 #pragma once
-#include "lab/scale/plan.h"
+#include "simulation/scale/plan.h"
 
 /* Serves until the run is over; an exit status. */
 int fk_scale_state_service(const FkScalePlan *p, guint region);
--- a/src/lab/scale/summary.c
+++ b/src/simulation/scale/summary.c
@@ -1,10 +1,10 @@
-#include "lab/scale/summary.h"
+#include "simulation/scale/summary.h"
 
 #include <gsl/gsl_sort.h>
 #include <gsl/gsl_statistics_double.h>
 #include <string.h>
 
-#include "lab/scale/check_rules.h"
+#include "simulation/scale/check_rules.h"
 
 #define URGENT_WITHIN_S 1.8
 #define FULL 0.85                        /* of the tasks that are to run: less, and a region hasn't filled */
--- a/src/lab/scale/summary.h
+++ b/src/simulation/scale/summary.h
@@ -1,6 +1,6 @@
 /* A run's figures, worked out from its processes' lines and events when it is over. */
 #pragma once
-#include "lab/scale/plan.h"
+#include "simulation/scale/plan.h"
 
 typedef struct {
   gboolean carried; /* the load was: regions full, urgent work in time, nothing given up */
--- a/src/lab/scale/users.c
+++ b/src/simulation/scale/users.c
@@ -1,13 +1,13 @@
-#include "lab/scale/users.h"
+#include "simulation/scale/users.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
 
-#include "lab/agenda.h"
-#include "lab/scale/balancer.h"
-#include "lab/scale/events.h"
-#include "lab/scale/listen.h"
-#include "lab/scale/series.h"
+#include "simulation/event_queue.h"
+#include "simulation/scale/balancer.h"
+#include "simulation/scale/events.h"
+#include "simulation/scale/listen.h"
+#include "simulation/scale/series.h"
 #include "wire/user.h"
 
 #define PROBE_S 1.0
--- a/src/lab/scale/users.h
+++ b/src/simulation/scale/users.h
@@ -1,6 +1,6 @@
 /* A region's users, behind its load balancer: they submit jobs, ask about them, and cancel some. */
 #pragma once
-#include "lab/scale/plan.h"
+#include "simulation/scale/plan.h"
 
 /* Plays until the run is over; an exit status. */
 int fk_scale_users(const FkScalePlan *p, guint region);
--- a/src/lab/world.c
+++ b/src/simulation/simulation.c
@@ -1,9 +1,9 @@
-#include "lab/sim.h"
+#include "simulation/simulation_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#include "lab/check_view.h"
+#include "simulation/check_view.h"
 
 /* An agenda's functions know nothing of the world. */
 typedef struct {
--- a/src/lab/world.h
+++ b/src/simulation/simulation.h
@@ -2,7 +2,7 @@
  * workers and the users, all after PROTOCOL. Messages may be slow, lost or late; processes and machines may
  * die or hang. The rules are checked at every step against what truly happens on the machines. */
 #pragma once
-#include "lab/version.h"
+#include "simulation/version.h"
 typedef struct Sim Sim;
 
 /* A trouble of the plan, beside those that come by chance. Durations in simulated seconds; a crash, a death
--- a/src/lab/sim.h
+++ b/src/simulation/simulation_internal.h
@@ -1,10 +1,10 @@
 /* What the files of the simulated world share. */
 #pragma once
-#include "lab/agenda.h"
-#include "lab/store_model.h"
-#include "lab/version.h"
-#include "lab/worker_model.h"
-#include "lab/world.h"
+#include "simulation/event_queue.h"
+#include "simulation/simulation.h"
+#include "simulation/store_model.h"
+#include "simulation/version.h"
+#include "simulation/worker_model.h"
 #define N_MAX 5
 #define DEADLINE_S 2.0
 #define SILENT -1.0
--- a/src/lab/store.c
+++ b/src/simulation/store.c
@@ -1,8 +1,8 @@
 /* The state service, after PROTOCOL. */
 #include <string.h>
 
-#include "lab/check_txn.h"
-#include "lab/sim.h"
+#include "simulation/check_transaction.h"
+#include "simulation/simulation_internal.h"
 #include "wire/store.h"
 
 static GPtrArray *changes_after(Sim *m, const FkVersion *v, const FkOut *o) {
--- a/src/lab/store_model.c
+++ b/src/simulation/store_model.c
@@ -1,4 +1,4 @@
-#include "lab/store_model.h"
+#include "simulation/store_model.h"
 
 #include <string.h>
 
--- a/src/lab/users.c
+++ b/src/simulation/users.c
@@ -1,7 +1,7 @@
 /* The users: what they submit, ask and are told, held against the rules. */
 #include <string.h>
 
-#include "lab/sim.h"
+#include "simulation/simulation_internal.h"
 
 UJob *job_of(Sim *m, const char *id) { return g_hash_table_lookup(m->job_by_id, id); }
 
--- a/src/lab/worker_model.c
+++ b/src/simulation/worker_model.c
@@ -1,4 +1,4 @@
-#include "lab/worker_model.h"
+#include "simulation/worker_model.h"
 
 #define CPUS_EPSILON 1e-6
 
--- a/src/lab/workers.c
+++ b/src/simulation/workers.c
@@ -1,7 +1,7 @@
 /* The machines: what they run, what they report, what they are told. */
 #include <string.h>
 
-#include "lab/sim.h"
+#include "simulation/simulation_internal.h"
 
 #define BOX_CPUS 8.0 /* of the only type of machine */
 
--- a/src/wire/route.h
+++ b/src/wire/route.h
@@ -1,7 +1,7 @@
 /* What a request asks, by its method and path: one table for the door, which orders by it, and for the shell,
  * which serves it. */
 #pragma once
-#include "door/limits.h"
+#include "admission/limits.h"
 
 typedef enum {
   FK_ROUTE_NONE,   /* 404 */
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -3,7 +3,7 @@
 #include <gio/gio.h>
 #include <string.h>
 
-#include "teams/limits.h"
+#include "fair_share/quota.h"
 
 GQuark fk_settings_error(void) { return g_quark_from_static_string("fk-settings"); }
 
--- a/test/crowd.c
+++ b/test/crowd.c
@@ -20,7 +20,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "door/limits.h"
+#include "admission/limits.h"
 
 #define SOCKETS 20000
 #define RAM_MB 400
--- a/test/fuzz/gate.c
+++ b/test/fuzz/gate.c
@@ -2,7 +2,7 @@
  * step: which connection, what it does. */
 #include "fuzz.h"
 
-#include "door/gate.h"
+#include "admission/admission.h"
 
 #define SLOTS 24
 
--- a/test/fuzz/request.c
+++ b/test/fuzz/request.c
@@ -1,7 +1,7 @@
 /* The door's reader: within its bounds whatever comes, and however it is cut it reads the same. */
 #include "fuzz.h"
 
-#include "door/request.h"
+#include "admission/request_parser.h"
 #include "wire/route.h"
 
 static FkReader read_all(const FkDoorLimits *l, const char *data, gsize len, gsize piece, gsize *used) {
--- a/test/fuzz/rexec.c
+++ b/test/fuzz/rexec.c
@@ -3,8 +3,8 @@
 #include "fuzz.h"
 
 #include "keys/keys.h"
-#include "rexec/message.h"
-#include "rexec/settings.h"
+#include "remote_execution/message.h"
+#include "remote_execution/settings.h"
 
 static const ProtobufCMessageDescriptor *const types[] = {&rx__find_missing_blobs_request__descriptor,
                                                           &rx__batch_update_blobs_request__descriptor,
--- a/test/rig.h
+++ b/test/rig.h
@@ -1,7 +1,7 @@
 /* One controller core, fed by hand. */
 #pragma once
 #include "core/controller.h"
-#include "core/internal.h"
+#include "core/controller_internal.h"
 
 typedef struct {
   FkSettings *s;
--- a/test/test_core.c
+++ b/test/test_core.c
@@ -1,9 +1,9 @@
 /* One controller core, fed by hand: what its transactions are guarded by, and what it takes for proof. */
 #include <string.h>
 
-#include "core/stops.h"
-#include "core/turn.h"
-#include "io/budget.h"
+#include "core/scheduling/scheduling_queue.h"
+#include "core/scheduling/stop_transaction.h"
+#include "daemon/rate_limiter.h"
 #include "rig.h"
 #include "wire/settings.h"
 #include "wire/store.h"
--- a/test/test_deps.c
+++ b/test/test_deps.c
@@ -2,7 +2,7 @@
  * cancelled, the same become ready and the same are withdrawn, once each. */
 #include <string.h>
 
-#include "deps/deps.h"
+#include "dependency_graph/dependency_graph.h"
 
 typedef struct {
   GString *log; /* "+id" ready, "-id" withdrawn, in order */
--- a/test/test_digest.c
+++ b/test/test_digest.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "lab/digest.h"
+#include "simulation/digest.h"
 
 /* Shows errors and warnings of the code under test, nothing else. */
 static void quiet(const char *domain, GLogLevelFlags level, const char *text, gpointer data) {
--- a/test/test_door.c
+++ b/test/test_door.c
@@ -11,8 +11,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "io/http.h"
-#include "io/soup_door.h"
+#include "net/http_client.h"
+#include "net/soup_listener.h"
 #include "wire/route.h"
 
 #define S 1000000
--- a/test/test_evidence.c
+++ b/test/test_failure_detector.c
@@ -1,7 +1,7 @@
 /* What is known of a machine, by tables of what it says and what it is asked. */
 #include <string.h>
 
-#include "core/evidence.h"
+#include "core/workers/failure_detector.h"
 
 #define LEASE_S 42.0
 
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -2,9 +2,9 @@
  * reached. */
 #include <string.h>
 
-#include "door/gate.h"
-#include "door/reach.h"
-#include "door/request.h"
+#include "admission/admission.h"
+#include "admission/dependency_health.h"
+#include "admission/request_parser.h"
 #include "wire/route.h"
 
 #define S 1000000
--- a/test/test_looks.c
+++ b/test/test_looks.c
@@ -2,13 +2,13 @@
  * grow with what waits, nor with the machines that have no room. And the two indexes it rests on. */
 #include <string.h>
 
-#include "core/batch.h"
-#include "core/fleet_internal.h"
-#include "core/rooms.h"
-#include "core/turn.h"
-#include "queue/capacity.h"
-#include "queue/wait_queue.h"
+#include "core/autoscaler/autoscaler_internal.h"
+#include "core/scheduling/capacity_index.h"
+#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/scheduling_queue.h"
 #include "rig.h"
+#include "scheduling_queue/capacity_buckets.h"
+#include "scheduling_queue/wait_queue.h"
 #include "wire/store.h"
 
 #define FILLER_TASKS 100
--- a/test/test_meetings.c
+++ b/test/test_meetings.c
@@ -3,8 +3,8 @@
  * count from what a user was told, and look at what is on the machines. */
 #include <string.h>
 
-#include "lab/world.h"
 #include "schedules.h"
+#include "simulation/simulation.h"
 
 #define FAULTS_MAX 12
 
--- a/test/test_rexec.c
+++ b/test/test_rexec.c
@@ -1,11 +1,11 @@
 /* Remote Execution's parts without a socket or a disk: names, frames, keys, settings, the shelf's books. */
 #include <string.h>
 
-#include "cas/shelf.h"
+#include "blob_store/blob_index.h"
 #include "grpc/frames.h"
 #include "keys/keys.h"
-#include "rexec/message.h"
-#include "rexec/settings.h"
+#include "remote_execution/message.h"
+#include "remote_execution/settings.h"
 #include "wire/json.h"
 
 #define H "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
--- a/test/test_sim.c
+++ b/test/test_sim.c
@@ -2,9 +2,9 @@
  */
 #include <string.h>
 
-#include "lab/world.h"
+#include "fair_share/quota.h"
 #include "schedules.h"
-#include "teams/limits.h"
+#include "simulation/simulation.h"
 
 typedef struct {
   const char *name;
--- a/test/test_teams.c
+++ b/test/test_teams.c
@@ -2,12 +2,12 @@
 #include <math.h>
 #include <string.h>
 
-#include "blame/blame.h"
-#include "rent/boot.h"
-#include "rent/hold.h"
-#include "teams/limits.h"
-#include "teams/served.h"
-#include "teams/share.h"
+#include "fair_share/fair_share.h"
+#include "fair_share/quota.h"
+#include "fair_share/service_level.h"
+#include "fault_attribution/fault_attribution.h"
+#include "instance_models/boot_time.h"
+#include "instance_models/idle_retention.h"
 
 static void test_limits(void) {
   static const struct {
--- a/test/test_units.c
+++ b/test/test_units.c
@@ -1,5 +1,5 @@
-#include "core/job.h"
-#include "core/sizing.h"
+#include "core/scheduling/elastic_sizing.h"
+#include "core/state/job.h"
 
 /* Worked by hand from the Linear model: p = mean / bound, at most 1; floor = share of machines, smoothed by
  * 0.3. */
--- a/test/test_unlisted.c
+++ b/test/test_unlisted.c
@@ -4,8 +4,8 @@
  * (docs/end-of-day.md). */
 #include <string.h>
 
-#include "core/overdue.h"
-#include "core/turn.h"
+#include "core/scheduling/backfill_reservation.h"
+#include "core/scheduling/scheduling_queue.h"
 #include "rig.h"
 #include "wire/store.h"
 
