--- a/src/admission/limits.h
+++ b/src/admission/limits.h
@@ -5,41 +5,50 @@
 #include <glib.h>
 
 /* Who is at the other end. Everybody is an outsider until a request says otherwise. */
-typedef enum { FK_GUEST_OUTSIDER, FK_GUEST_REPORTER, FK_GUEST_CHECKER, FK_GUEST_PEER, FK_GUESTS } FkGuest;
+typedef enum {
+  FK_CONNECTION_CLASS_CLIENT,
+  FK_CONNECTION_CLASS_WORKER,
+  FK_CONNECTION_CLASS_HEALTH_CHECK,
+  FK_CONNECTION_CLASS_PEER,
+  FK_CONNECTION_CLASSES
+} FkConnectionClass;
 
 /* What is asked, in the order in which it is served under overload (docs/design.md, "The front door"). */
 typedef enum {
-  FK_ASK_HEALTH,
-  FK_ASK_PEER,
-  FK_ASK_REPORT,
-  FK_ASK_CANCEL,
-  FK_ASK_POLL,
-  FK_ASK_SUBMIT,
-  FK_ASK_OTHER,
-  FK_ASKS
-} FkAsk;
+  FK_REQUEST_CLASS_HEALTH,
+  FK_REQUEST_CLASS_PEER,
+  FK_REQUEST_CLASS_HEARTBEAT,
+  FK_REQUEST_CLASS_CANCEL,
+  FK_REQUEST_CLASS_POLL,
+  FK_REQUEST_CLASS_SUBMIT,
+  FK_REQUEST_CLASS_OTHER,
+  FK_REQUEST_CLASSES
+} FkRequestClass;
 
 /* What a controller has. */
 typedef struct {
   double sockets, ram_mb;
   guint peers;
-} FkDoorMeans;
+} FkAdmissionResources;
 
 /* What operators may set; 0: derived. Seconds, kB. */
 typedef struct {
   double connections, head_s, body_s, idle_s, send_s, memory_mb;
-} FkDoorWishes;
+} FkAdmissionOptions;
 
 typedef struct {
-  guint guests[FK_GUESTS]; /* connections at once, inwards */
-  guint endings;           /* of those told to go that are still read from for a moment */
-  guint backlog;           /* of each listener: all that may come in */
-  guint store_calls, cloud_calls, worker_calls, peer_calls; /* connections at once, outwards */
-  guint requests;                                           /* under way at once */
-  gsize held;                                               /* bytes of requests and answers under way */
-  gsize head, body, raw;      /* bytes of one request: before its body, its body, all of it on the wire */
-  gsize answer, store_answer; /* bytes of one answer to ourselves */
-  gint64 fresh_us, head_us, body_us, idle_us, send_us, linger_us;
-} FkDoorLimits;
+  guint connections[FK_CONNECTION_CLASSES]; /* connections at once, inwards */
+  guint lingering;                          /* of those told to go that are still read from for a moment */
+  guint backlog;                            /* of each listener: all that may come in */
+  guint store_connections, cloud_connections, worker_connections,
+      peer_connections; /* connections at once, outwards */
+  guint requests;       /* under way at once */
+  gsize buffered_bytes; /* bytes of requests and answers under way */
+  gsize head_bytes, body_bytes,
+      wire_bytes; /* bytes of one request: before its body, its body, all of it on the wire */
+  gsize response_bytes, store_response_bytes; /* bytes of one answer to ourselves */
+  gint64 first_byte_us, head_us, body_us, idle_us, send_us, linger_us;
+} FkAdmissionLimits;
 
-FkDoorLimits fk_door_limits(const FkDoorMeans *means, const FkDoorWishes *wishes);
+FkAdmissionLimits fk_admission_limits_derive(const FkAdmissionResources *means,
+                                             const FkAdmissionOptions *wishes);
--- a/src/admission/request_parser.h
+++ b/src/admission/request_parser.h
@@ -6,25 +6,32 @@
 
 #include "admission/limits.h"
 
-#define FK_PATH_KEPT 96 /* enough of a path to tell what is asked */
+#define FK_REQUEST_PATH_BYTES 96 /* enough of a path to tell what is asked */
 
-typedef enum { FK_READ_NOTHING, FK_READ_HEAD, FK_READ_BODY, FK_READ_ALL, FK_READ_BAD } FkReadStage;
+typedef enum {
+  FK_PARSER_STAGE_START,
+  FK_PARSER_STAGE_HEAD,
+  FK_PARSER_STAGE_BODY,
+  FK_PARSER_STAGE_COMPLETE,
+  FK_PARSER_STAGE_FAILED
+} FkParserStage;
 
 typedef struct {
   http_parser parser;
-  FkReadStage stage;
-  gsize raw, body, path_len, fields;
-  guint64 declared;        /* length of the body; 0: none was declared */
-  char path[FK_PATH_KEPT]; /* ended by 0; cut short when path_len is larger */
-  char field[8];           /* the name of the field that is being read */
-  guint field_len;
-  gboolean in_value, expects; /* ... `100-continue` */
-  guint status;               /* when bad: the answer ... */
-  const char *why;            /* ... and its reason, static */
-} FkReader;
+  FkParserStage stage;
+  gsize wire_bytes, body_bytes, path_len, field_count;
+  guint64 content_length;           /* length of the body; 0: none was declared */
+  char path[FK_REQUEST_PATH_BYTES]; /* ended by 0; cut short when path_len is larger */
+  char field_name[8];               /* the name of the field that is being read */
+  guint field_name_len;
+  gboolean in_value, expects_continue; /* ... `100-continue` */
+  guint status;                        /* when bad: the answer ... */
+  const char *reason;                  /* ... and its reason, static */
+} FkRequestParser;
 
-void fk_reader_init(FkReader *r);
+void fk_request_parser_init(FkRequestParser *r);
 /* Takes bytes up to the end of the request at most; returns how many. Reading over the bounds makes it bad.
  */
-gsize fk_reader_feed(FkReader *r, const FkDoorLimits *limits, const char *data, gsize len);
-const char *fk_reader_method(const FkReader *r);
+gsize fk_request_parser_feed(FkRequestParser *r, const FkAdmissionLimits *limits, const char *data,
+                             gsize len);
+const char *fk_request_parser_method(const FkRequestParser *r);
--- a/src/blob_store/blob_index.h
+++ b/src/blob_store/blob_index.h
@@ -5,48 +5,50 @@
 #pragma once
 #include "blob_store/digest.h"
 
-typedef struct FkShelf FkShelf;
-typedef struct FkShelfTeam FkShelfTeam;
+typedef struct FkBlobIndex FkBlobIndex;
+typedef struct FkBlobIndexTeam FkBlobIndexTeam;
 
-typedef enum { FK_SHELF_BLOB, FK_SHELF_RESULT } FkShelfKind;
+typedef enum { FK_BLOB_KIND_BLOB, FK_BLOB_KIND_RESULT } FkBlobKind;
 
 typedef struct {
-  FkShelfTeam *team;
-  FkShelfKind kind;
+  FkBlobIndexTeam *team;
+  FkBlobKind kind;
   FkDigest digest; /* of a result: its action's */
   guint64 bytes;   /* that it takes */
   guint pins;
-  gboolean dropped; /* no longer found; goes when the last pin does */
-  GList by_use;
-} FkShelfItem;
+  gboolean removed; /* no longer found; goes when the last pin does */
+  GList lru_link;
+} FkBlobEntry;
 
 typedef struct {
   guint64 bytes;
   guint count;
-} FkShelfLimits;
+} FkBlobIndexLimits;
 
-FkShelf *fk_shelf_new(const FkShelfLimits *limits);
-void fk_shelf_free(FkShelf *s);
+FkBlobIndex *fk_blob_index_new(const FkBlobIndexLimits *limits);
+void fk_blob_index_free(FkBlobIndex *s);
 
 /* The entry, or NULL. Does not count as a use. */
-FkShelfItem *fk_shelf_find(FkShelf *s, const char *team, FkShelfKind kind, const FkDigest *d);
-void fk_shelf_use(FkShelf *s, FkShelfItem *i);
-void fk_shelf_pin(FkShelf *s, FkShelfItem *i);
-void fk_shelf_unpin(FkShelf *s, FkShelfItem *i);
+FkBlobEntry *fk_blob_index_find(FkBlobIndex *s, const char *team, FkBlobKind kind, const FkDigest *d);
+void fk_blob_index_touch(FkBlobIndex *s, FkBlobEntry *i);
+void fk_blob_index_pin(FkBlobIndex *s, FkBlobEntry *i);
+void fk_blob_index_unpin(FkBlobIndex *s, FkBlobEntry *i);
 
 /* Sets room aside for something of that size. FALSE: it doesn't fit, whatever goes. What must go for it is
- * given by fk_shelf_victim(), until that is NULL; each is to be taken off with fk_shelf_drop(). */
-gboolean fk_shelf_reserve(FkShelf *s, const char *team, guint64 bytes);
-void fk_shelf_unreserve(FkShelf *s, const char *team, guint64 bytes);
-FkShelfItem *fk_shelf_victim(FkShelf *s);
+ * given by fk_blob_index_next_victim(), until that is NULL; each is to be taken off with
+ * fk_blob_index_remove(). */
+gboolean fk_blob_index_reserve(FkBlobIndex *s, const char *team, guint64 bytes);
+void fk_blob_index_unreserve(FkBlobIndex *s, const char *team, guint64 bytes);
+FkBlobEntry *fk_blob_index_next_victim(FkBlobIndex *s);
 /* An entry is there now. One that was there before is given back unchanged. */
-FkShelfItem *fk_shelf_put(FkShelf *s, const char *team, FkShelfKind kind, const FkDigest *d, guint64 bytes);
+FkBlobEntry *fk_blob_index_insert(FkBlobIndex *s, const char *team, FkBlobKind kind, const FkDigest *d,
+                                  guint64 bytes);
 /* It is gone; `i` isn't valid any more (a pinned one lasts until it is unpinned, but isn't found). */
-void fk_shelf_drop(FkShelf *s, FkShelfItem *i);
+void fk_blob_index_remove(FkBlobIndex *s, FkBlobEntry *i);
 
-guint64 fk_shelf_bytes(const FkShelf *s);
-guint fk_shelf_count(const FkShelf *s);
-guint64 fk_shelf_team_bytes(FkShelf *s, const char *team);
-const char *fk_shelf_team_name(const FkShelfItem *i);
+guint64 fk_blob_index_bytes(const FkBlobIndex *s);
+guint fk_blob_index_count(const FkBlobIndex *s);
+guint64 fk_blob_index_team_bytes(FkBlobIndex *s, const char *team);
+const char *fk_blob_entry_team(const FkBlobEntry *i);
 /* For tests: aborts unless the books are right. */
-void fk_shelf_check(FkShelf *s);
+void fk_blob_index_verify(FkBlobIndex *s);
--- a/src/core/api/cancellation_barrier.c
+++ b/src/core/api/cancellation_barrier.c
@@ -19,28 +19,30 @@
  * reads a store that is no older. */
 #include "core/controller_internal.h"
 
-struct FkTell {
+struct FkCancellationBarrier {
   GHashTable *applied; /* controller -> FkRev*: the latest revision that it is known to have applied */
 };
 
-FkTell *fk_tell_new(void) {
-  FkTell *t = g_new0(FkTell, 1);
+FkCancellationBarrier *fk_cancellation_barrier_new(void) {
+  FkCancellationBarrier *t = g_new0(FkCancellationBarrier, 1);
   t->applied = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   return t;
 }
 
-void fk_tell_free(FkTell *t) {
+void fk_cancellation_barrier_free(FkCancellationBarrier *t) {
   g_hash_table_unref(t->applied);
   g_free(t);
 }
 
-double fk_lease_over_s(const FkSettings *s) { return s->lease_s * (1 + FK_DRIFT) + FK_MARGIN_S; }
+double fk_lease_expiry_s(const FkSettings *s) {
+  return s->worker_lease_s * (1 + FK_CLOCK_DRIFT) + FK_LEASE_MARGIN_S;
+}
 
-double fk_trust_s(const FkSettings *s) {
-  return MAX(1.0, s->cancel_s - fk_lease_over_s(s)) + s->tuning.tell_after_s;
+double fk_stale_view_trust_s(const FkSettings *s) {
+  return MAX(1.0, s->cancellation_deadline_s - fk_lease_expiry_s(s)) + s->tuning.cancellation_barrier_s;
 }
 
-void fk_tell_applied(FkTell *t, const char *peer, FkRev applied) {
+void fk_cancellation_barrier_note_applied(FkCancellationBarrier *t, const char *peer, FkRev applied) {
   FkRev *known = g_hash_table_lookup(t->applied, peer);
   if (!known)
     g_hash_table_insert(t->applied, g_strdup(peer), g_memdup2(&applied, sizeof applied));
@@ -48,28 +50,30 @@
     *known = applied;
 }
 
-gboolean fk_tell_knows(const FkTell *t, const char *peer, FkRev rev) {
+gboolean fk_cancellation_barrier_has_applied(const FkCancellationBarrier *t, const char *peer, FkRev rev) {
   const FkRev *known = g_hash_table_lookup(t->applied, peer);
   return known && known->n >= rev.n;
 }
 
 /* Only machines of ours that have shown our present token. */
-static gboolean only_ours(FkController *c, const FkJob *j) {
-  for (guint32 i = 0; i < j->n_chunks; i++)
-    for (guint k = 0; j->chunks[i] && k < j->chunks[i]->bookings->len; k++) {
-      FkMachine *m = fk_view_machine(c->view, g_array_index(j->chunks[i]->bookings, FkBooking, k).machine);
-      if (!m || !fk_is_mine(c, m) || !fk_home_heard(m))
+static gboolean all_allocations_confirmed(FkController *c, const FkJob *j) {
+  for (guint32 i = 0; i < j->chunk_count; i++)
+    for (guint k = 0; j->chunks[i] && k < j->chunks[i]->allocations->len; k++) {
+      FkMachine *m =
+          fk_view_find_machine(c->view, g_array_index(j->chunks[i]->allocations, FkAllocation, k).machine);
+      if (!m || !fk_machine_is_owned(c, m) || !fk_worker_has_echoed_token(m))
         return FALSE;
     }
   return TRUE;
 }
 
-gboolean fk_tell_may(FkController *c, const FkJob *j) {
-  double wait_s = c->settings->tuning.tell_after_s;
-  if (!j->booked || wait_s <= 0 || only_ours(c, j))
+gboolean fk_cancellation_barrier_is_passed(FkController *c, const FkJob *j) {
+  double wait_s = c->settings->tuning.cancellation_barrier_s;
+  if (!j->allocated || wait_s <= 0 || all_allocations_confirmed(c, j))
     return TRUE;
   gboolean all = TRUE;
   for (guint i = 0; i < c->settings->peers->len && all; i++)
-    all = fk_tell_knows(c->tell, ((FkPeer *)c->settings->peers->pdata[i])->name, j->rev);
-  return all || fk_time_between(j->cancel_seen, c->now) > wait_s * (1 + FK_DRIFT);
+    all = fk_cancellation_barrier_has_applied(c->requests.cancellation_barrier,
+                                              ((FkPeer *)c->settings->peers->pdata[i])->name, j->rev);
+  return all || fk_time_between(j->cancelled_at, c->now) > wait_s * (1 + FK_CLOCK_DRIFT);
 }
--- a/src/core/autoscaler/cost_accounting.c
+++ b/src/core/autoscaler/cost_accounting.c
@@ -2,77 +2,78 @@
  * were doing at each look, and told once a window. */
 #include "core/controller_internal.h"
 
-#define LOOK_S 2.0
+#define SAMPLE_INTERVAL_S 2.0
 
 /* In the price's unit (money an hour) times seconds, since the last line. */
-struct FkMoney {
-  double boots;  /* rented, not up yet */
-  double going;  /* on their way out, and what still runs there */
-  double idle;   /* nothing booked */
-  double empty;  /* the free part of machines in use */
-  double needed; /* what the tasks that are booked would cost on the cheapest machines they may have */
-  double dear;   /* ... and what they cost above that */
-  FkTime looked;
+struct FkCostAccounting {
+  double booting;     /* rented, not up yet */
+  double terminating; /* on their way out, and what still runs there */
+  double idle;        /* nothing booked */
+  double unused;      /* the free part of machines in use */
+  double needed;      /* what the tasks that are booked would cost on the cheapest machines they may have */
+  double overpriced;  /* ... and what they cost above that */
+  FkTime sampled_at;
 };
 
-FkMoney *fk_money_new(void) { return g_new0(FkMoney, 1); }
+FkCostAccounting *fk_cost_accounting_new(void) { return g_new0(FkCostAccounting, 1); }
 
-void fk_money_free(FkMoney *m) { g_free(m); }
+void fk_cost_accounting_free(FkCostAccounting *m) { g_free(m); }
 
-static void count_tasks(FkController *c, FkMoney *a, const FkMachine *m, double price, double s) {
-  const FkType *t = m->type;
+static void account_tasks(FkController *c, FkCostAccounting *a, const FkMachine *m, double price, double s) {
+  const FkInstanceType *t = m->type;
   double part = 0;
-  for (guint i = 0; i < m->books->len; i++) {
-    const FkSpec *spec = g_array_index(m->books, FkBookRef, i).job->spec;
+  for (guint i = 0; i < m->allocations->len; i++) {
+    const FkSpec *spec = g_array_index(m->allocations, FkAllocationRef, i).job->spec;
     double share = t->cpus > 0 ? spec->cpus / t->cpus : 0;
-    double need = MIN(fk_cheapest_price(c, spec), share * price);
+    double need = MIN(fk_autoscaler_cheapest_price(c, spec), share * price);
     part += share;
     a->needed += need * s;
-    a->dear += (share * price - need) * s;
+    a->overpriced += (share * price - need) * s;
   }
-  a->empty += MAX(0, 1 - part) * price * s;
+  a->unused += MAX(0, 1 - part) * price * s;
 }
 
-static void look(FkController *c, double s) {
-  FkMoney *a = c->money;
+static void take_sample(FkController *c, double s) {
+  FkCostAccounting *a = c->autoscaling.cost_accounting;
   GHashTableIter it;
   gpointer p;
-  a->boots += fk_fleet_boot_price(c) * s;
+  a->booting += fk_autoscaler_booting_price(c) * s;
   g_hash_table_iter_init(&it, c->view->machines);
   while (g_hash_table_iter_next(&it, NULL, &p)) {
     const FkMachine *m = p;
-    const FkType *t = m->rec ? fk_type_of(c, m) : NULL;
+    const FkInstanceType *t = m->record ? fk_machine_type(c, m) : NULL;
     if (!t)
       continue;
-    double price = fk_type_price(t, m->rec->spot);
-    if (m->mark)
-      a->going += price * s;
-    else if (!m->books->len)
+    double price = fk_instance_type_price(t, m->record->spot);
+    if (m->drain_reason)
+      a->terminating += price * s;
+    else if (!m->allocations->len)
       a->idle += price * s;
     else
-      count_tasks(c, a, m, price, s);
+      account_tasks(c, a, m, price, s);
   }
 }
 
-void fk_money_tick(FkController *c) {
-  FkMoney *a = c->money;
-  double s = fk_time_between(a->looked, c->now);
-  if (s < LOOK_S)
+void fk_cost_accounting_tick(FkController *c) {
+  FkCostAccounting *a = c->autoscaling.cost_accounting;
+  double s = fk_time_between(a->sampled_at, c->now);
+  if (s < SAMPLE_INTERVAL_S)
     return;
-  a->looked = c->now;
-  if (s < 2 * LOOK_S) /* longer: we weren't leading meanwhile */
-    look(c, s);
+  a->sampled_at = c->now;
+  if (s < 2 * SAMPLE_INTERVAL_S) /* longer: we weren't leading meanwhile */
+    take_sample(c, s);
 }
 
-void fk_money_tell(FkController *c) {
-  FkMoney *a = c->money;
-  double all = a->boots + a->going + a->idle + a->empty + a->needed + a->dear, per = all > 0 ? 100 / all : 0;
+void fk_cost_accounting_log(FkController *c) {
+  FkCostAccounting *a = c->autoscaling.cost_accounting;
+  double all = a->booting + a->terminating + a->idle + a->unused + a->needed + a->overpriced,
+         per = all > 0 ? 100 / all : 0;
   FkView *v = c->view;
   g_info(
       "money: %.3f; needed %.0f%%, dearer machines %.0f%%, partly empty %.0f%%, idle %.0f%%, booting %.0f%%, "
       "going %.0f%%; %.0f core-seconds were lost",
-      all / 3600, a->needed * per, a->dear * per, a->empty * per, a->idle * per, a->boots * per,
-      a->going * per, v->lost_cpu_s);
+      all / 3600, a->needed * per, a->overpriced * per, a->unused * per, a->idle * per, a->booting * per,
+      a->terminating * per, v->lost_cpu_s);
   v->lost_cpu_s = 0;
-  *a = (FkMoney){.looked = a->looked};
+  *a = (FkCostAccounting){.sampled_at = a->sampled_at};
 }
--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -7,195 +7,195 @@
 
 /* ------------------------------------------------------------------ shares, and whether it serves */
 
-FkOut *fk_controller_next(FkController *c) { return g_queue_pop_head(c->outs); }
+FkOutput *fk_controller_next_output(FkController *c) { return g_queue_pop_head(c->outputs); }
 
 FkView *fk_controller_view(FkController *c) { return c->view; }
 
-FkMeter *fk_controller_meter(FkController *c) { return &c->meter; }
+FkCpuProfile *fk_controller_cpu_profile(FkController *c) { return &c->cpu_profile; }
 
-void fk_controller_room(FkController *c, double writes) { c->write_room = writes; }
+void fk_controller_set_write_capacity(FkController *c, double writes) { c->launches.write_room = writes; }
 
-double fk_controller_share(FkController *c) { return 1.0 / fk_controllers(c); }
+double fk_controller_request_share(FkController *c) { return 1.0 / fk_controller_live_count(c); }
 
-double fk_controller_write_share(FkController *c) { return fk_write_share(c); }
+double fk_controller_write_share(FkController *c) { return fk_store_write_share(c); }
 
-gboolean fk_controller_up(FkController *c, FkTime now) { return fk_serves(c, now); }
+gboolean fk_controller_is_serving(FkController *c, FkTime now) { return fk_controller_can_serve(c, now); }
 
 /* ------------------------------------------------------------------ life */
 
 static void redirect_free(gpointer p) {
   FkRedirect *r = p;
-  g_free(r->to);
+  g_free(r->target);
   g_free(r);
 }
 
 FkController *fk_controller_new(const FkSettings *s, const char *life, guint32 seed, FkTime now) {
   FkController *c = g_new0(FkController, 1);
   c->settings = s;
-  c->life = g_strdup(life);
+  c->incarnation = g_strdup(life);
   c->rand = g_rand_new_with_seed(seed);
-  c->now = c->started = now;
+  c->now = c->started_at = now;
   c->view = fk_view_new(s);
-  c->outs = g_queue_new();
-  c->commits = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, fk_call_free);
-  c->gets = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, fk_call_free);
-  c->asks = g_hash_table_new_full(g_direct_hash, g_direct_equal, fk_users_ask_free, NULL);
-  c->verify = g_queue_new();
-  c->tell = fk_tell_new();
-  c->telling = g_queue_new();
-  c->settling = g_queue_new();
-  c->finals_asked = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  c->peer_proof = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  c->held = g_queue_new();
-  c->fence_needed = TRUE;
-  c->hindrances = g_hash_table_new(g_direct_hash, g_direct_equal);
-  c->ending_on = g_hash_table_new(g_direct_hash, g_direct_equal);
-  c->ended = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, fk_ending_free);
-  c->redirects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, redirect_free);
-  c->commands = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-  c->types = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, fk_type_free);
-  c->heard = g_array_new(FALSE, FALSE, sizeof(FkHeard));
-  c->fleet = fk_fleet_new(now);
-  c->money = fk_money_new();
-  c->turn = fk_turn_new(s);
-  c->rooms = fk_rooms_new();
-  c->overdue = fk_overdue_new();
-  c->pending = g_array_new(FALSE, FALSE, sizeof(FkPend));
-  c->window_end = fk_time_add(now, s->tuning.window_s);
-  c->store_ok = now;
-  c->write_room = s->txn_ops;
+  c->outputs = g_queue_new();
+  c->calls.pending_transactions = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, fk_call_free);
+  c->calls.pending_reads = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, fk_call_free);
+  c->requests.pending = g_hash_table_new_full(g_direct_hash, g_direct_equal, fk_pending_request_free, NULL);
+  c->requests.to_verify = g_queue_new();
+  c->requests.cancellation_barrier = fk_cancellation_barrier_new();
+  c->requests.awaiting_cancellation = g_queue_new();
+  c->requests.awaiting_view = g_queue_new();
+  c->requests.terminal_states_requested = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  c->store_session.peer_confirmed_at = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  c->workers.held_heartbeats = g_queue_new();
+  c->launches.fence_needed = TRUE;
+  c->launches.hindrances = g_hash_table_new(g_direct_hash, g_direct_equal);
+  c->completions.pending_by_machine = g_hash_table_new(g_direct_hash, g_direct_equal);
+  c->completions.pending = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, fk_completion_free);
+  c->workers.redirects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, redirect_free);
+  c->workers.commands = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+  c->autoscaling.instance_types = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, fk_instance_type_free);
+  c->workers.zones = g_array_new(FALSE, FALSE, sizeof(FkZoneReachability));
+  c->autoscaling.autoscaler = fk_autoscaler_new(now);
+  c->autoscaling.cost_accounting = fk_cost_accounting_new();
+  c->leader.scheduling_queue = fk_scheduling_queue_new(s);
+  c->leader.capacity_index = fk_capacity_index_new();
+  c->leader.backfill_reservations = fk_backfill_reservation_new();
+  c->launches.reservations = g_array_new(FALSE, FALSE, sizeof(FkReservation));
+  c->window.end = fk_time_add(now, s->tuning.window_s);
+  c->store_session.store_answered_at = now;
+  c->launches.write_room = s->transaction_ops_max;
   return c;
 }
 
 void fk_controller_free(FkController *c) {
   if (!c)
     return;
-  FkOut *o;
-  while ((o = fk_controller_next(c)))
-    fk_out_free(o);
-  g_queue_free(c->outs);
-  g_hash_table_unref(c->commits);
-  g_hash_table_unref(c->gets);
-  g_queue_free(c->verify);
-  g_queue_free(c->telling);
-  g_queue_free(c->settling);
-  g_hash_table_unref(c->finals_asked);
-  g_hash_table_unref(c->asks);
-  fk_tell_free(c->tell);
-  FkHeldReport *h;
-  while ((h = g_queue_pop_head(c->held))) {
-    fk_report_free(h->report);
+  FkOutput *o;
+  while ((o = fk_controller_next_output(c)))
+    fk_output_free(o);
+  g_queue_free(c->outputs);
+  g_hash_table_unref(c->calls.pending_transactions);
+  g_hash_table_unref(c->calls.pending_reads);
+  g_queue_free(c->requests.to_verify);
+  g_queue_free(c->requests.awaiting_cancellation);
+  g_queue_free(c->requests.awaiting_view);
+  g_hash_table_unref(c->requests.terminal_states_requested);
+  g_hash_table_unref(c->requests.pending);
+  fk_cancellation_barrier_free(c->requests.cancellation_barrier);
+  FkHeldHeartbeat *h;
+  while ((h = g_queue_pop_head(c->workers.held_heartbeats))) {
+    fk_heartbeat_free(h->heartbeat);
     g_free(h);
   }
-  g_queue_free(c->held);
-  g_hash_table_unref(c->peer_proof);
-  g_hash_table_unref(c->redirects);
-  g_hash_table_unref(c->ended);
-  g_hash_table_unref(c->ending_on);
-  g_hash_table_unref(c->hindrances);
-  g_hash_table_unref(c->commands);
-  g_array_unref(c->heard);
-  g_array_unref(c->pending);
-  g_hash_table_unref(c->types);
-  fk_fleet_free(c->fleet);
-  fk_money_free(c->money);
-  fk_turn_free(c->turn);
-  fk_rooms_free(c->rooms);
-  fk_overdue_free(c->overdue);
+  g_queue_free(c->workers.held_heartbeats);
+  g_hash_table_unref(c->store_session.peer_confirmed_at);
+  g_hash_table_unref(c->workers.redirects);
+  g_hash_table_unref(c->completions.pending);
+  g_hash_table_unref(c->completions.pending_by_machine);
+  g_hash_table_unref(c->launches.hindrances);
+  g_hash_table_unref(c->workers.commands);
+  g_array_unref(c->workers.zones);
+  g_array_unref(c->launches.reservations);
+  g_hash_table_unref(c->autoscaling.instance_types);
+  fk_autoscaler_free(c->autoscaling.autoscaler);
+  fk_cost_accounting_free(c->autoscaling.cost_accounting);
+  fk_scheduling_queue_free(c->leader.scheduling_queue);
+  fk_capacity_index_free(c->leader.capacity_index);
+  fk_backfill_reservation_free(c->leader.backfill_reservations);
   fk_view_free(c->view);
   g_rand_free(c->rand);
-  g_free(c->list_after);
-  g_free(c->life);
+  g_free(c->store_session.list_after);
+  g_free(c->incarnation);
   g_free(c);
 }
 
-void fk_controller_request_gone(FkController *c, FkRequest r) {
+void fk_controller_request_closed(FkController *c, FkRequestId r) {
   /* Answers to requests that are gone are dropped by the shell; only reports that wait are worth dropping
    * here. */
-  for (GList *l = c->held->head; l; l = l->next) {
-    FkHeldReport *h = l->data;
+  for (GList *l = c->workers.held_heartbeats->head; l; l = l->next) {
+    FkHeldHeartbeat *h = l->data;
     if (h->request.n == r.n) {
-      fk_report_free(h->report);
+      fk_heartbeat_free(h->heartbeat);
       g_free(h);
-      g_queue_delete_link(c->held, l);
+      g_queue_delete_link(c->workers.held_heartbeats, l);
       return;
     }
   }
 }
 
-void fk_controller_types(FkController *c, FkTime now, FkOutcome o, GPtrArray *types) {
+void fk_controller_instance_types_received(FkController *c, FkTime now, FkOutcome o, GPtrArray *types) {
   c->now = now;
-  c->types_pending = FALSE;
-  if (o != FK_OK) {
-    c->types_next = fk_time_add(now, g_rand_double_range(c->rand, 0.6, 1.4));
+  c->autoscaling.types_pending = FALSE;
+  if (o != FK_OUTCOME_OK) {
+    c->autoscaling.next_types_query = fk_time_add(now, g_rand_double_range(c->rand, 0.6, 1.4));
     return;
   }
-  c->types_next = fk_time_add(now, 60);
+  c->autoscaling.next_types_query = fk_time_add(now, 60);
   for (guint i = 0; i < types->len; i++) {
-    FkType *t = types->pdata[i], *known = g_hash_table_lookup(c->types, t->name);
+    FkInstanceType *t = types->pdata[i], *known = g_hash_table_lookup(c->autoscaling.instance_types, t->name);
     types->pdata[i] = NULL;
     if (!known) {
-      g_hash_table_replace(c->types, t->name, t);
+      g_hash_table_replace(c->autoscaling.instance_types, t->name, t);
       continue;
     }
     /* in place: machines hold on to theirs */
-    FkType old = *known;
+    FkInstanceType old = *known;
     *known = *t;
     known->name = old.name; /* the table's key */
     old.name = t->name;
     *t = old;
-    fk_type_free(t);
+    fk_instance_type_free(t);
   }
 }
 
 void fk_controller_tick(FkController *c, FkTime now, gint64 wall_us) {
   c->now = now;
   c->view->wall_offset_us = wall_us - now.us;
-  fk_session_tick(c);
-  fk_calls_again(c);
-  if (!c->types_pending && fk_time_reached(now, c->types_next)) {
-    fk_out(c, FK_OUT_TYPES);
-    c->types_pending = TRUE;
+  fk_store_session_tick(c);
+  fk_calls_retry_overdue(c);
+  if (!c->autoscaling.types_pending && fk_time_reached(now, c->autoscaling.next_types_query)) {
+    fk_output_new(c, FK_OUTPUT_LIST_INSTANCE_TYPES);
+    c->autoscaling.types_pending = TRUE;
   }
-  fk_users_settle(c);
-  if (!fk_ready(c))
+  fk_requests_pass_read_barrier(c);
+  if (!fk_controller_is_ready(c))
     return;
-  fk_metered(c, FK_COST_USERS, fk_users_verify);
-  fk_metered(c, FK_COST_USERS, fk_chains_tick);
-  fk_users_tell_waiting(c);
-  fk_proof_tick(c, fk_users_wait_for(c));
+  fk_cpu_profile_run(c, FK_CPU_USER_REQUESTS, fk_requests_send_read_checks);
+  fk_cpu_profile_run(c, FK_CPU_USER_REQUESTS, fk_job_dependencies_tick);
+  fk_requests_reply_cancelled(c);
+  fk_read_freshness_tick(c, fk_requests_awaited_rev(c));
   c->view->now = now;
-  fk_view_rate_services(c->view);
-  fk_view_review_doubts(c->view);
-  fk_metered(c, FK_COST_CLAIMS, fk_claims_tick);
-  fk_metered(c, FK_COST_USERS, fk_serving_tick);
-  fk_metered(c, FK_COST_HOMES, fk_homes_tick);
-  fk_metered(c, FK_COST_HOMES, fk_ends_tick);
-  fk_metered(c, FK_COST_CLAIMS, fk_windows_tick);
-  fk_metered(c, FK_COST_STOPS, fk_leader_tick);
-  fk_metered(c, FK_COST_CLAIMS, fk_roster_tick);
-  fk_metered(c, FK_COST_CLAIMS, fk_quota_tick);
-  fk_metered(c, FK_COST_LAUNCHES, fk_place);
+  fk_view_update_service_rate(c->view);
+  fk_view_review_failing_jobs(c->view);
+  fk_cpu_profile_run(c, FK_CPU_SHARDS, fk_shard_ownership_tick);
+  fk_cpu_profile_run(c, FK_CPU_USER_REQUESTS, fk_starvation_tick);
+  fk_cpu_profile_run(c, FK_CPU_WORKERS, fk_workers_tick);
+  fk_cpu_profile_run(c, FK_CPU_WORKERS, fk_completions_tick);
+  fk_cpu_profile_run(c, FK_CPU_SHARDS, fk_windows_tick);
+  fk_cpu_profile_run(c, FK_CPU_PREEMPTION, fk_leader_tick);
+  fk_cpu_profile_run(c, FK_CPU_SHARDS, fk_machine_registry_tick);
+  fk_cpu_profile_run(c, FK_CPU_SHARDS, fk_quota_partition_tick);
+  fk_cpu_profile_run(c, FK_CPU_SCHEDULING, fk_scheduling_cycle_run);
 }
 
 /* What has changed is acted on at once. */
-void fk_controller_watched(FkController *c, FkTime now, FkOutcome o, GPtrArray *events, FkRev epoch,
-                           FkTime sent) {
+void fk_controller_watch_received(FkController *c, FkTime now, FkOutcome o, GPtrArray *events, FkRev epoch,
+                                  FkTime sent) {
   c->now = now;
-  fk_session_watched(c, o, events, epoch, sent);
-  if (o != FK_OK || !fk_ready(c))
+  fk_store_session_watch_received(c, o, events, epoch, sent);
+  if (o != FK_OUTCOME_OK || !fk_controller_is_ready(c))
     return;
-  fk_metered(c, FK_COST_CLAIMS, fk_claims_tick);
-  fk_metered(c, FK_COST_HOMES, fk_homes_view_changed);
-  fk_metered(c, FK_COST_HOMES, fk_ends_tick);
-  fk_metered(c, FK_COST_LAUNCHES, fk_place);
-  fk_metered(c, FK_COST_STOPS, fk_leader_act);
+  fk_cpu_profile_run(c, FK_CPU_SHARDS, fk_shard_ownership_tick);
+  fk_cpu_profile_run(c, FK_CPU_WORKERS, fk_workers_view_changed);
+  fk_cpu_profile_run(c, FK_CPU_WORKERS, fk_completions_tick);
+  fk_cpu_profile_run(c, FK_CPU_SCHEDULING, fk_scheduling_cycle_run);
+  fk_cpu_profile_run(c, FK_CPU_PREEMPTION, fk_leader_view_changed);
 }
 
-void fk_controller_peer(FkController *c, FkTime now, const char *peer, const char *life, FkRev seen,
-                        FkRev applied, double store_age_s, FkTime sent) {
-  c->now = c->peer_heard = now;
-  fk_tell_applied(c->tell, peer, applied);
-  fk_users_tell_waiting(c);
-  fk_proof_peer(c, peer, life, seen, store_age_s, sent);
+void fk_controller_peer_progress_received(FkController *c, FkTime now, const char *peer, const char *life,
+                                          FkRev seen, FkRev applied, double store_age_s, FkTime sent) {
+  c->now = c->store_session.peer_answered_at = now;
+  fk_cancellation_barrier_note_applied(c->requests.cancellation_barrier, peer, applied);
+  fk_requests_reply_cancelled(c);
+  fk_read_freshness_peer_received(c, peer, life, seen, store_age_s, sent);
 }
--- a/src/core/controller_status.c
+++ b/src/core/controller_status.c
@@ -1,69 +1,79 @@
 /* What every part of the core asks of its state. */
 #include "core/controller_internal.h"
 
-#define ALONE_S 2.5
-#define CUT_OFF_S 6.0 /* the others are asked from FK_PEER_AFTER_S on, once a second */
+#define ISOLATED_FROM_STORE_S 2.5
+#define ISOLATED_FROM_ALL_S 6.0 /* the others are asked from FK_PEER_QUERY_AFTER_S on, once a second */
 
-FkOut *fk_out(FkController *c, FkOutKind kind) {
-  FkOut *o = g_new0(FkOut, 1);
+FkOutput *fk_output_new(FkController *c, FkOutputKind kind) {
+  FkOutput *o = g_new0(FkOutput, 1);
   o->kind = kind;
-  g_queue_push_tail(c->outs, o);
+  g_queue_push_tail(c->outputs, o);
   return o;
 }
 
-gboolean fk_ready(FkController *c) { return c->sync == FK_SYNC_READY; }
+gboolean fk_controller_is_ready(FkController *c) { return c->store_session.sync == FK_SYNC_READY; }
 
-gboolean fk_alive(FkController *c, const char *node) {
+gboolean fk_node_is_alive(FkController *c, const char *node) {
   return node && g_hash_table_contains(c->view->nodes, node);
 }
 
-gboolean fk_spec_long(FkController *c, const FkSpec *s) {
-  return s->shape != FK_SHAPE_ARRAY || s->estimate_s >= c->settings->tuning.cutoff_s;
+gboolean fk_spec_is_long(FkController *c, const FkSpec *s) {
+  return s->shape != FK_SHAPE_ARRAY || s->estimate_s >= c->settings->tuning.short_cutoff_s;
 }
 
 /* Does it with its processor time charged to that purpose. */
-void fk_metered(FkController *c, FkCost what, void (*fn)(FkController *)) {
-  FkCost before = fk_meter_enter(&c->meter, what);
+void fk_cpu_profile_run(FkController *c, FkCpuPurpose what, void (*fn)(FkController *)) {
+  FkCpuPurpose before = fk_cpu_profile_enter(&c->cpu_profile, what);
   fn(c);
-  fk_meter_leave(&c->meter, before);
+  fk_cpu_profile_leave(&c->cpu_profile, before);
 }
 
-guint fk_controllers(FkController *c) {
+guint fk_controller_live_count(FkController *c) {
   guint all = c->settings->peers->len + 1;
-  return fk_ready(c) ? CLAMP(g_hash_table_size(c->view->nodes), 1, all) : all;
+  return fk_controller_is_ready(c) ? CLAMP(g_hash_table_size(c->view->nodes), 1, all) : all;
 }
 
-#define SERVICES_MANY 4
+#define SERVICES_WAITING_MIN 4
 
-gboolean fk_services_first(FkController *c) { return c->services_waiting >= SERVICES_MANY; }
+gboolean fk_services_have_priority(FkController *c) {
+  return c->launches.services_waiting >= SERVICES_WAITING_MIN;
+}
 
 /* The leader writes for the services of all: it has two parts, and as many as all the others together while
  * services wait. Everybody counts them in the same view, so that the parts make up the whole. */
-double fk_write_share(FkController *c) {
-  guint n = fk_controllers(c);
-  double leader = fk_services_first(c) ? MAX(2, n - 1) : 2;
-  return (c->leading ? leader : 1.0) / (n - 1 + leader);
+double fk_store_write_share(FkController *c) {
+  guint n = fk_controller_live_count(c);
+  double leader = fk_services_have_priority(c) ? MAX(2, n - 1) : 2;
+  return (c->leader.is_leader ? leader : 1.0) / (n - 1 + leader);
 }
 
-gboolean fk_serves(FkController *c, FkTime now) {
+gboolean fk_controller_can_serve(FkController *c, FkTime now) {
   /* When the store answers others and not us, users are better served by them. When it answers nobody, taking
    * ourselves out would only make the return slower. */
-  double without = fk_time_between(c->store_ok, now);
-  gboolean alone = without > ALONE_S && fk_time_between(c->store_ok, c->peer_store_ok) > 1 &&
-                   fk_time_between(c->peer_store_ok, now) < 5;
+  double without = fk_time_between(c->store_session.store_answered_at, now);
+  gboolean alone =
+      without > ISOLATED_FROM_STORE_S &&
+      fk_time_between(c->store_session.store_answered_at, c->store_session.peer_store_answered_at) > 1 &&
+      fk_time_between(c->store_session.peer_store_answered_at, now) < 5;
   /* Without the store and without any other controller it is we who are cut off, whoever else still reaches
    * us: every question would hear 503. */
-  gboolean cut_off = c->settings->peers->len && without > CUT_OFF_S &&
-                     fk_time_between(c->peer_heard, now) > CUT_OFF_S - FK_PEER_AFTER_S;
-  return fk_ready(c) && g_hash_table_size(c->types) > 0 && !alone && !cut_off;
+  gboolean cut_off =
+      c->settings->peers->len && without > ISOLATED_FROM_ALL_S &&
+      fk_time_between(c->store_session.peer_answered_at, now) > ISOLATED_FROM_ALL_S - FK_PEER_QUERY_AFTER_S;
+  return fk_controller_is_ready(c) && g_hash_table_size(c->autoscaling.instance_types) > 0 && !alone &&
+         !cut_off;
 }
 
-gboolean fk_group_mine(FkController *c, const FkGroup *g) {
-  return g->home && g_str_equal(g->home, c->settings->node) && g_str_equal(g->life, c->life);
+gboolean fk_shard_is_owned(FkController *c, const FkShard *g) {
+  return g->owner && g_str_equal(g->owner, c->settings->node) &&
+         g_str_equal(g->owner_incarnation, c->incarnation);
 }
 
-gboolean fk_is_mine(FkController *c, const FkMachine *m) { return m->group && fk_group_mine(c, m->group); }
+gboolean fk_machine_is_owned(FkController *c, const FkMachine *m) {
+  return m->shard && fk_shard_is_owned(c, m->shard);
+}
 
-gboolean fk_home_heard(const FkMachine *m) {
-  return m->home && m->home->evidence.shown.n && m->home->evidence.shown.n == m->group->rev.n;
+gboolean fk_worker_has_echoed_token(const FkMachine *m) {
+  return m->worker && m->worker->failure_detector.token_echoed.n &&
+         m->worker->failure_detector.token_echoed.n == m->shard->rev.n;
 }
--- a/src/core/cpu_profile.c
+++ b/src/core/cpu_profile.c
@@ -1,7 +1,7 @@
 #include "core/cpu_profile.h"
 
-const char *fk_cost_name(FkCost c) {
-  static const char *names[FK_COSTS] = {"loop",     "reports", "decode", "apply", "encode", "users",
-                                        "launches", "stops",   "fleet",  "homes", "claims", "idle"};
+const char *fk_cpu_purpose_name(FkCpuPurpose c) {
+  static const char *names[FK_CPU_PURPOSES] = {"loop",     "reports", "decode", "apply", "encode", "users",
+                                               "launches", "stops",   "fleet",  "homes", "claims", "idle"};
   return names[c];
 }
--- a/src/core/messages.c
+++ b/src/core/messages.c
@@ -1,19 +1,19 @@
 #include "core/messages.h"
 
-static void task_report_free(gpointer p) {
-  FkTaskReport *t = p;
+static void task_status_free(gpointer p) {
+  FkTaskStatus *t = p;
   g_free(t->job);
   g_free(t);
 }
 
-FkReport *fk_report_new(void) {
-  FkReport *r = g_new0(FkReport, 1);
-  r->tasks = g_ptr_array_new_with_free_func(task_report_free);
-  r->notice_s = -1;
+FkHeartbeat *fk_heartbeat_new(void) {
+  FkHeartbeat *r = g_new0(FkHeartbeat, 1);
+  r->tasks = g_ptr_array_new_with_free_func(task_status_free);
+  r->termination_notice_s = -1;
   return r;
 }
 
-void fk_report_free(FkReport *r) {
+void fk_heartbeat_free(FkHeartbeat *r) {
   if (!r)
     return;
   g_free(r->machine);
@@ -24,15 +24,15 @@
   g_free(r);
 }
 
-void fk_type_free(gpointer p) {
-  FkType *t = p;
+void fk_instance_type_free(gpointer p) {
+  FkInstanceType *t = p;
   g_free(t->name);
   g_strfreev(t->zones);
   g_free(t);
 }
 
-void fk_listed_free(gpointer p) {
-  FkListed *l = p;
+void fk_cloud_machine_free(gpointer p) {
+  FkCloudMachine *l = p;
   g_free(l->id);
   g_free(l->addr);
   g_free(l->type);
@@ -40,18 +40,18 @@
   g_free(l);
 }
 
-FkOut *fk_out_ref(FkOut *o) {
-  o->shared++;
+FkOutput *fk_output_ref(FkOutput *o) {
+  o->extra_refs++;
   return o;
 }
 
-void fk_out_free(FkOut *o) {
-  if (!o || o->shared--)
+void fk_output_free(FkOutput *o) {
+  if (!o || o->extra_refs--)
     return;
   g_free(o->job);
-  if (o->orders)
-    g_ptr_array_unref(o->orders);
-  g_free(o->report_to);
+  if (o->commands)
+    g_ptr_array_unref(o->commands);
+  g_free(o->redirect_to);
   if (o->guards) {
     for (guint i = 0; i < o->guards->len; i++)
       g_free(g_array_index(o->guards, FkGuard, i).path);
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -5,64 +5,66 @@
 /* ---- what workers and the cloud say ---- */
 typedef enum { FK_TASK_FETCHING, FK_TASK_RUNNING, FK_TASK_SAVING, FK_TASK_EXITED, FK_TASK_OTHER } FkTaskState;
 typedef enum {
-  FK_WHY_NONE,
-  FK_WHY_DONE,
-  FK_WHY_STOPPED,
-  FK_WHY_ERROR,
-  FK_WHY_FULL,
-  FK_WHY_BUSY,
-  FK_WHY_UNKNOWN
-} FkWhy;
+  FK_EXIT_NONE,
+  FK_EXIT_DONE,
+  FK_EXIT_STOPPED,
+  FK_EXIT_ERROR,
+  FK_EXIT_FULL,
+  FK_EXIT_BUSY,
+  FK_EXIT_UNKNOWN
+} FkExitReason;
 
 typedef struct {
   char *job;
   guint32 task;
   FkAttempt attempt;
   FkTaskState state;
-  FkWhy why;
-} FkTaskReport;
+  FkExitReason exit_reason;
+} FkTaskStatus;
 
 typedef struct {
   char *machine, *addr, *type, *zone;
   gboolean spot;
-  guint64 session, seq;
-  FkToken token;
-  double notice_s;  /* < 0: none */
-  GPtrArray *tasks; /* FkTaskReport */
-} FkReport;
+  guint64 incarnation, sequence;
+  FkFencingToken fencing_token;
+  double termination_notice_s; /* < 0: none */
+  GPtrArray *tasks;            /* FkTaskStatus */
+} FkHeartbeat;
 
-FkReport *fk_report_new(void);
-void fk_report_free(FkReport *r);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkReport, fk_report_free)
+FkHeartbeat *fk_heartbeat_new(void);
+void fk_heartbeat_free(FkHeartbeat *r);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkHeartbeat, fk_heartbeat_free)
 
-typedef struct FkType {
+typedef struct FkInstanceType {
   char *name;
   double cpus, gpus, mem_gb, fetch_gb_per_s, price, spot_price, boot_s;
   char **zones;
-} FkType;
+} FkInstanceType;
 
 /* What such a machine costs now, an hour. */
-static inline double fk_type_price(const FkType *t, gboolean spot) { return spot ? t->spot_price : t->price; }
+static inline double fk_instance_type_price(const FkInstanceType *t, gboolean spot) {
+  return spot ? t->spot_price : t->price;
+}
 
 typedef struct {
   char *id, *addr, *type, *zone;
   gboolean spot;
-  enum { FK_MACHINE_BOOTING, FK_MACHINE_RUNNING, FK_MACHINE_FAILED } state;
+  enum { FK_CLOUD_MACHINE_BOOTING, FK_CLOUD_MACHINE_RUNNING, FK_CLOUD_MACHINE_FAILED } state;
   double age_s;
-} FkListed;
+} FkCloudMachine;
 
-void fk_type_free(gpointer t);
-void fk_listed_free(gpointer l);
+void fk_instance_type_free(gpointer t);
+void fk_cloud_machine_free(gpointer l);
 
 /* ---- outputs ---- */
-typedef enum { FK_ORDER_START, FK_ORDER_STOP, FK_ORDER_FORGET } FkOrderOp;
+typedef enum { FK_COMMAND_START, FK_COMMAND_STOP, FK_COMMAND_FORGET } FkCommandKind;
 typedef struct {
-  FkOrderOp op;
+  FkCommandKind kind;
   char *job;
   guint32 task;
   FkAttempt attempt;
   double grace_s;
-} FkOrder;
+} FkCommand;
 
 typedef struct {
   char *path;
@@ -72,63 +74,69 @@
 typedef struct {
   char *path;
   FkRecord *record; /* NULL: delete */
-  FkRev hold;       /* 0: none */
+  FkRev lease;      /* 0: none */
 } FkWrite;
 
-typedef enum { FK_PRIO_HOLD, FK_PRIO_USER, FK_PRIO_CLAIM, FK_PRIO_LAUNCH, FK_PRIO_RESULT } FkPrio;
+typedef enum {
+  FK_PRIORITY_LEASE,
+  FK_PRIORITY_USER,
+  FK_PRIORITY_SHARD,
+  FK_PRIORITY_LAUNCH,
+  FK_PRIORITY_RESULT
+} FkTransactionPriority;
 
 typedef enum {
-  FK_OUT_ANSWER,     /* to a user: status, job, phase, done, running, retry_s */
-  FK_OUT_REPLY,      /* to a worker: status, token, orders, report_to */
-  FK_OUT_COMMIT,     /* call, guards, writes, prio */
-  FK_OUT_GET,        /* call, path */
-  FK_OUT_LIST,       /* path (prefix), after */
-  FK_OUT_WATCH,      /* rev, seconds, delay_s */
-  FK_OUT_HOLD_NEW,   /* seconds */
-  FK_OUT_HOLD_RENEW, /* rev (the hold) */
-  FK_OUT_COMMANDS,   /* call, machine, addr, token, session, orders */
-  FK_OUT_PEER,       /* name, addr: ask another controller what it has seen */
-  FK_OUT_TYPES,
-  FK_OUT_RENT,    /* call, name, type, zone, spot, count */
-  FK_OUT_RETURN,  /* call, names */
-  FK_OUT_MACHINES /* after */
-} FkOutKind;
+  FK_OUTPUT_USER_REPLY,      /* to a user: status, job, phase, done, running, retry_s */
+  FK_OUTPUT_HEARTBEAT_REPLY, /* to a worker: status, token, orders, report_to */
+  FK_OUTPUT_COMMIT,          /* call, guards, writes, prio */
+  FK_OUTPUT_GET,             /* call, path */
+  FK_OUTPUT_LIST,            /* path (prefix), after */
+  FK_OUTPUT_WATCH,           /* rev, seconds, delay_s */
+  FK_OUTPUT_LEASE_GRANT,     /* seconds */
+  FK_OUTPUT_LEASE_KEEPALIVE, /* rev (the hold) */
+  FK_OUTPUT_COMMANDS,        /* call, machine, addr, token, session, orders */
+  FK_OUTPUT_PEER_QUERY,      /* name, addr: ask another controller what it has seen */
+  FK_OUTPUT_LIST_INSTANCE_TYPES,
+  FK_OUTPUT_PROVISION,    /* call, name, type, zone, spot, count */
+  FK_OUTPUT_TERMINATE,    /* call, names */
+  FK_OUTPUT_LIST_MACHINES /* after */
+} FkOutputKind;
 
 typedef struct {
-  FkOutKind kind;
-  FkRequest request;
+  FkOutputKind kind;
+  FkRequestId request;
   guint64 call;
   int status;
   char *job;
   FkPhase phase;
   guint32 done, running;
   double retry_s;
-  FkToken token;
-  guint64 session;
-  GPtrArray *orders; /* FkOrder */
-  char *report_to;
+  FkFencingToken fencing_token;
+  guint64 incarnation;
+  GPtrArray *commands; /* FkCommand */
+  char *redirect_to;
   GArray *guards; /* FkGuard */
   GArray *writes; /* FkWrite */
-  FkPrio prio;
+  FkTransactionPriority priority;
   char *path, *after, *machine, *addr, *name, *type, *zone;
   gboolean spot;
   guint count;
   GPtrArray *names;
   FkRev rev;
   double seconds, delay_s;
-  guint tries;  /* the shell's: times refused for want of budget */
-  guint shared; /* references beside the first */
-} FkOut;
+  guint budget_refusals; /* the shell's: times refused for want of budget */
+  guint extra_refs;      /* references beside the first */
+} FkOutput;
 
-FkOut *fk_out_ref(FkOut *o);
-void fk_out_free(FkOut *o); /* NULL is fine; gives one reference back */
+FkOutput *fk_output_ref(FkOutput *o);
+void fk_output_free(FkOutput *o); /* NULL is fine; gives one reference back */
 
 /* The outcome of a call to another process. */
 typedef enum {
-  FK_OK,       /* 200 */
-  FK_CONFLICT, /* 409 */
-  FK_GONE,     /* 404, 410 */
-  FK_REFUSED,  /* certainly not carried out (503, 429, never sent) */
-  FK_INVALID,  /* 400 */
-  FK_UNKNOWN   /* no answer: carried out, or not, or later */
+  FK_OUTCOME_OK,       /* 200 */
+  FK_OUTCOME_CONFLICT, /* 409 */
+  FK_OUTCOME_GONE,     /* 404, 410 */
+  FK_OUTCOME_REFUSED,  /* certainly not carried out (503, 429, never sent) */
+  FK_OUTCOME_INVALID,  /* 400 */
+  FK_OUTCOME_UNKNOWN   /* no answer: carried out, or not, or later */
 } FkOutcome;
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -2,12 +2,13 @@
 #include "core/scheduling/scheduling_queue.h"
 #include "core/scheduling/stop_transaction.h"
 
-#define AFTER_S 15.0  /* the first has waited for so long: tasks that end mostly make room sooner */
-#define LEAST 0.02    /* of the fleet's CPUs wait: for less, what was done is worth more */
-#define BEYOND 1.25   /* times what is due: so far above it, borrowed room is asked back */
-#define EVERY_S 4.0   /* what was asked to leave has left by then, and shows */
-#define AT_ONCE 0.05  /* of the fleet's CPUs */
-#define CHUNKS_MOST 6 /* a round: each is a write */
+#define BLOCKED_WAIT_MIN_S 15.0 /* the first has waited for so long: tasks that end mostly make room sooner  \
+                                 */
+#define BLOCKED_SHARE_MIN 0.02  /* of the fleet's CPUs wait: for less, what was done is worth more */
+#define OVER_SHARE_FACTOR 1.25  /* times what is due: so far above it, borrowed room is asked back */
+#define RECLAIM_INTERVAL_S 4.0  /* what was asked to leave has left by then, and shows */
+#define RECLAIM_SHARE_MAX 0.05  /* of the fleet's CPUs */
+#define CHUNKS_PER_ROUND_MAX 6  /* a round: each is a write */
 
 /* A chunk's tasks stop by one write, and were mostly placed together: so chunks are asked for, not tasks. */
 typedef struct {
@@ -16,7 +17,7 @@
   double cpus, loss; /* of its tasks that aren't leaving yet; core-seconds */
 } Candidate;
 
-static int by_loss(gconstpointer a, gconstpointer b) {
+static int compare_by_loss(gconstpointer a, gconstpointer b) {
   const Candidate *x = a, *y = b;
   double lx = x->loss / x->cpus, ly = y->loss / y->cpus;
   return lx != ly ? (lx < ly ? -1 : 1) : g_strcmp0(x->job->spec->id, y->job->spec->id);
@@ -24,27 +25,28 @@
 
 /* Lower ranks give way to higher ones; and to who waits within its own guarantee, all that others run above
  * theirs (PROTOCOL, "Preemption"). Nobody falls below what it is due by that. */
-static gboolean gives_way(FkController *c, const FkJob *j, const FkJob *waits) {
-  const FkClaimant *team = fk_turn_claimant(c, j->spec->team);
+static gboolean is_preemptible_for(FkController *c, const FkJob *j, const FkJob *waits) {
+  const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, j->spec->team);
   if (j->spec->shape != FK_SHAPE_ARRAY || j->cancelled || g_str_equal(j->spec->team, waits->spec->team))
     return FALSE;
-  if (j->spec->rank > waits->spec->rank)
-    return team->used > BEYOND * team->due && !fk_serving_starved(c, j);
-  return waits->standing == FK_STANDING_PROTECTED && waits->rank_now == waits->spec->rank &&
-         team->used > MAX(team->due, team->guarantee) && fk_share_standing(team) == FK_STANDING_OVER;
+  if (j->spec->priority > waits->spec->priority)
+    return team->used > OVER_SHARE_FACTOR * team->share && !fk_starvation_affects_class(c, j);
+  return waits->fair_share_standing == FK_STANDING_PROTECTED &&
+         waits->effective_priority == waits->spec->priority &&
+         team->used > MAX(team->share, team->guarantee) && fk_fair_share_standing(team) == FK_STANDING_OVER;
 }
 
 static void add_candidates(FkController *c, GArray *list, FkJob *j, double *leaving) {
-  for (guint32 i = 0; i < j->n_chunks; i++) {
+  for (guint32 i = 0; i < j->chunk_count; i++) {
     Candidate k = {j, i, 0, 0};
-    for (guint b = 0; j->chunks[i] && b < j->chunks[i]->bookings->len; b++) {
-      const FkBooking *x = &g_array_index(j->chunks[i]->bookings, FkBooking, b);
-      if (x->stop) {
+    for (guint b = 0; j->chunks[i] && b < j->chunks[i]->allocations->len; b++) {
+      const FkAllocation *x = &g_array_index(j->chunks[i]->allocations, FkAllocation, b);
+      if (x->stop_requested) {
         *leaving += j->spec->cpus;
         continue;
       }
       k.cpus += j->spec->cpus;
-      k.loss += fk_work_lost(c, j->spec, x->since);
+      k.loss += fk_preemption_work_lost(c, j->spec, x->first_seen_at);
     }
     if (k.cpus > 0)
       g_array_append_val(list, k);
@@ -52,16 +54,18 @@
 }
 
 /* What the job's team and class may lose. */
-static double spare(FkController *c, const FkJob *j, double room) {
-  const FkClaimant *team = fk_turn_claimant(c, j->spec->team);
-  const FkServedRow *row = fk_served_class(c->view->served, j->spec->class_name);
-  return MIN(team->used - team->due, (row ? row->cpus : 0) - FK_FLOOR * room);
+static double reclaimable_cpus(FkController *c, const FkJob *j, double room) {
+  const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, j->spec->team);
+  const FkServiceLevelRow *row = fk_service_level_class(c->view->service_level, j->spec->class_name);
+  return MIN(team->used - team->share, (row ? row->cpus : 0) - FK_SERVICE_FLOOR_SHARE * room);
 }
 
-void fk_reclaim(FkController *c, FkStops *s) {
-  double waited, room = fk_turn_room(c), ahead = fk_turn_ahead(c, &waited);
-  const FkJob *waits = fk_turn_first(c);
-  if (!waits || waited < AFTER_S || ahead < LEAST * room || fk_time_between(c->reclaimed, c->now) < EVERY_S)
+void fk_preemption_reclaim(FkController *c, FkStopTransaction *s) {
+  double waited, room = fk_scheduling_queue_fleet_cpus(c),
+                 ahead = fk_scheduling_queue_blocked_cpus(c, &waited);
+  const FkJob *waits = fk_scheduling_queue_first_blocked(c);
+  if (!waits || waited < BLOCKED_WAIT_MIN_S || ahead < BLOCKED_SHARE_MIN * room ||
+      fk_time_between(c->leader.quota_reclaimed_at, c->now) < RECLAIM_INTERVAL_S)
     return;
   g_autoptr(GArray) list = g_array_new(FALSE, FALSE, sizeof(Candidate));
   double leaving = 0;
@@ -69,20 +73,20 @@
   gpointer p;
   g_hash_table_iter_init(&it, c->view->jobs);
   while (g_hash_table_iter_next(&it, NULL, &p))
-    if (((FkJob *)p)->booked && gives_way(c, p, waits))
+    if (((FkJob *)p)->allocated && is_preemptible_for(c, p, waits))
       add_candidates(c, list, p, &leaving);
-  g_array_sort(list, by_loss);
-  double want = MIN(ahead, AT_ONCE * room) - leaving, got = 0;
+  g_array_sort(list, compare_by_loss);
+  double want = MIN(ahead, RECLAIM_SHARE_MAX * room) - leaving, got = 0;
   guint chunks = 0;
-  for (guint i = 0; i < list->len && got < want && chunks < CHUNKS_MOST; i++) {
+  for (guint i = 0; i < list->len && got < want && chunks < CHUNKS_PER_ROUND_MAX; i++) {
     const Candidate *k = &g_array_index(list, Candidate, i);
-    double most = MIN(want - got, spare(c, k->job, room) - got), taken = 0;
-    const GArray *books = k->job->chunks[k->index]->bookings;
-    for (guint b = books->len; b-- && taken + k->job->spec->cpus <= most + FK_EPS;) {
-      const FkBooking *x = &g_array_index(books, FkBooking, b);
-      if (x->stop)
+    double most = MIN(want - got, reclaimable_cpus(c, k->job, room) - got), taken = 0;
+    const GArray *books = k->job->chunks[k->index]->allocations;
+    for (guint b = books->len; b-- && taken + k->job->spec->cpus <= most + FK_AMOUNT_EPSILON;) {
+      const FkAllocation *x = &g_array_index(books, FkAllocation, b);
+      if (x->stop_requested)
         continue;
-      if (!fk_stops_add(c, s, k->job, x->task))
+      if (!fk_stop_transaction_add(c, s, k->job, x->task))
         break;
       taken += k->job->spec->cpus;
     }
@@ -91,7 +95,7 @@
   }
   if (got <= 0)
     return;
-  c->reclaimed = c->now;
+  c->leader.quota_reclaimed_at = c->now;
   g_info("reclaimed: tasks with %.0f CPUs are asked to leave for arrays that wait for %.0f, the first for "
          "%.1f s",
          got, ahead, waited);
--- a/src/core/scheduling/scheduling_queue.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -10,67 +10,69 @@
 /* A look costs by what has changed since the last, not by what waits: jobs whose waiting may have changed
  * take their places anew, and of the others so many a look, in turns; then the first of them are read off.
  * With fewer jobs than this all take part in every look. */
-#define REFRESHED_A_LOOK 256
-#define FIRST_A_LOOK 256
-#define LOOKED_AT_MOST (4 * FIRST_A_LOOK)
-
-#define ROOM_S 1.0   /* the fleet's size is looked at so often */
-#define AHEAD_MOST 4 /* of the jobs that others yield to, the first */
-#define YIELD_S 1.0  /* who has waited for less may yet find room beside them */
-
-struct FkTurn {
-  FkWaitQueue *queue;    /* FkJob, with a reference: those with tasks that wait */
-  guint cursor;          /* of the view's list of jobs: who takes its place anew next */
-  guint64 look;          /* counts them */
-  guint n_teams;         /* of the settings */
-  double *wanted;        /* CPUs of the fleet that a team's jobs wait for; in the settings' order of teams */
-  guint services;        /* tasks of services that wait */
-  guint64 touched;       /* jobs that took their places anew, in all looks */
-  FkClaimant *claimants; /* in the settings' order of teams */
-  double cpus, gpus;     /* of the machines that are up */
-  FkTime counted;
-  GPtrArray *ahead; /* FkJob, with a reference: arrays that wait though it is their turn */
-  double ahead_cpus, ahead_s;
+#define REFRESHED_PER_CYCLE 256
+#define SELECTED_PER_CYCLE 256
+#define EXAMINED_PER_CYCLE_MAX (4 * SELECTED_PER_CYCLE)
+
+#define FLEET_COUNT_INTERVAL_S 1.0 /* the fleet's size is looked at so often */
+#define BLOCKED_JOBS_MAX 4         /* of the jobs that others yield to, the first */
+#define BACK_OFF_AFTER_S 1.0       /* who has waited for less may yet find room beside them */
+
+struct FkSchedulingQueue {
+  FkWaitQueue *queue; /* FkJob, with a reference: those with tasks that wait */
+  guint cursor;       /* of the view's list of jobs: who takes its place anew next */
+  guint64 cycle;      /* counts them */
+  guint team_count;   /* of the settings */
+  double
+      *team_demand_cpus;  /* CPUs of the fleet that a team's jobs wait for; in the settings' order of teams */
+  guint waiting_services; /* tasks of services that wait */
+  guint64 refreshed_count;        /* jobs that took their places anew, in all looks */
+  FkFairShareDemand *team_shares; /* in the settings' order of teams */
+  double fleet_cpus, fleet_gpus;  /* of the machines that are up */
+  FkTime counted_at;
+  GPtrArray *blocked; /* FkJob, with a reference: arrays that wait though it is their turn */
+  double blocked_cpus, blocked_wait_s;
 };
 
-FkTurn *fk_turn_new(const FkSettings *s) {
-  FkTurn *o = g_new0(FkTurn, 1);
+FkSchedulingQueue *fk_scheduling_queue_new(const FkSettings *s) {
+  FkSchedulingQueue *o = g_new0(FkSchedulingQueue, 1);
   o->queue = fk_wait_queue_new();
-  o->n_teams = s->teams->len;
-  o->wanted = g_new0(double, s->teams->len);
-  o->claimants = g_new0(FkClaimant, s->teams->len);
-  o->ahead = g_ptr_array_new_with_free_func(fk_job_unref);
+  o->team_count = s->teams->len;
+  o->team_demand_cpus = g_new0(double, s->teams->len);
+  o->team_shares = g_new0(FkFairShareDemand, s->teams->len);
+  o->blocked = g_ptr_array_new_with_free_func(fk_job_unref);
   return o;
 }
 
-void fk_turn_free(FkTurn *o) {
+void fk_scheduling_queue_free(FkSchedulingQueue *o) {
   if (!o)
     return;
-  fk_turn_forget(o);
+  fk_scheduling_queue_reset(o);
   fk_wait_queue_free(o->queue);
-  g_free(o->wanted);
-  g_free(o->claimants);
-  g_ptr_array_unref(o->ahead);
+  g_free(o->team_demand_cpus);
+  g_free(o->team_shares);
+  g_ptr_array_unref(o->blocked);
   g_free(o);
 }
 
-static gboolean any(gpointer job, gpointer unused) { return TRUE; }
+static gboolean accept_all(gpointer job, gpointer unused) { return TRUE; }
 
-void fk_turn_forget(FkTurn *o) {
+void fk_scheduling_queue_reset(FkSchedulingQueue *o) {
   g_autoptr(GPtrArray) jobs = g_ptr_array_new_with_free_func(fk_job_unref);
-  fk_wait_queue_first(o->queue, G_MAXUINT, G_MAXUINT, any, NULL, jobs);
+  fk_wait_queue_first(o->queue, G_MAXUINT, G_MAXUINT, accept_all, NULL, jobs);
   fk_wait_queue_clear(o->queue);
-  memset(o->wanted, 0, o->n_teams * sizeof *o->wanted);
-  o->services = 0;
-  g_ptr_array_set_size(o->ahead, 0);
-  o->ahead_cpus = o->ahead_s = 0;
+  memset(o->team_demand_cpus, 0, o->team_count * sizeof *o->team_demand_cpus);
+  o->waiting_services = 0;
+  g_ptr_array_set_size(o->blocked, 0);
+  o->blocked_cpus = o->blocked_wait_s = 0;
 }
 
 double fk_job_latest_start(FkController *c, const FkJob *j, double slack) {
   const FkSpec *s = j->spec;
-  double left = slack * fk_view_run_s(c->view, s) + fk_time_between((FkTime){j->could_us}, c->now);
+  double left =
+      slack * fk_view_expected_run_s(c->view, s) + fk_time_between((FkTime){j->startable_us}, c->now);
   double best = G_MAXDOUBLE;
-  double due = fk_job_due_s(j);
+  double due = fk_job_allowed_s(j);
   if (due >= left)
     best = due - left;
   for (guint i = 0; i < c->settings->objectives->len; i++) {
@@ -84,239 +86,246 @@
   return best;
 }
 
-static void count_room(FkController *c, FkTurn *o) {
-  if (fk_time_between(o->counted, c->now) < ROOM_S)
+static void count_fleet_capacity(FkController *c, FkSchedulingQueue *o) {
+  if (fk_time_between(o->counted_at, c->now) < FLEET_COUNT_INTERVAL_S)
     return;
-  o->counted = c->now;
-  o->cpus = o->gpus = 0;
+  o->counted_at = c->now;
+  o->fleet_cpus = o->fleet_gpus = 0;
   GHashTableIter it;
   gpointer p;
   g_hash_table_iter_init(&it, c->view->machines);
   while (g_hash_table_iter_next(&it, NULL, &p)) {
     const FkMachine *m = p;
-    const FkType *t = m->rec && !m->mark ? fk_type_of(c, m) : NULL;
-    o->cpus += t ? t->cpus : 0;
-    o->gpus += t ? t->gpus : 0;
+    const FkInstanceType *t = m->record && !m->drain_reason ? fk_machine_type(c, m) : NULL;
+    o->fleet_cpus += t ? t->cpus : 0;
+    o->fleet_gpus += t ? t->gpus : 0;
   }
 }
 
 /* What each team is due, by what waits and what is booked now. */
-static void share_out(FkController *c, FkTurn *o) {
-  for (guint i = 0; i < o->n_teams; i++) {
+static void divide_fair_shares(FkController *c, FkSchedulingQueue *o) {
+  for (guint i = 0; i < o->team_count; i++) {
     const FkTeam *t = c->settings->teams->pdata[i];
-    const FkTeamUse *use = fk_view_team(c->view, t->name);
-    o->claimants[i] = (FkClaimant){.guarantee = fk_share_dominant(t->cpus, t->gpus, o->cpus, o->gpus),
-                                   .most = t->cpus_max,
-                                   .used = fk_share_dominant(use->cpus, use->gpus, o->cpus, o->gpus),
-                                   .wanted = o->wanted[i] > FK_EPS ? o->wanted[i] : 0};
+    const FkTeamUsage *use = fk_view_ensure_team(c->view, t->name);
+    o->team_shares[i] = (FkFairShareDemand){
+        .guarantee =
+            fk_fair_share_dominant(t->guaranteed_cpus, t->guaranteed_gpus, o->fleet_cpus, o->fleet_gpus),
+        .quota = t->max_cpus,
+        .used = fk_fair_share_dominant(use->cpus, use->gpus, o->fleet_cpus, o->fleet_gpus),
+        .wanted = o->team_demand_cpus[i] > FK_AMOUNT_EPSILON ? o->team_demand_cpus[i] : 0};
   }
-  fk_share_out(o->claimants, o->n_teams, o->cpus);
+  fk_fair_share_divide(o->team_shares, o->team_count, o->fleet_cpus);
 }
 
-const FkClaimant *fk_turn_claimant(FkController *c, const char *team) {
-  return &c->turn->claimants[fk_settings_team_index(c->settings, team)];
+const FkFairShareDemand *fk_scheduling_queue_team_share(FkController *c, const char *team) {
+  return &c->leader.scheduling_queue->team_shares[fk_settings_team_index(c->settings, team)];
 }
 
 /* A rank orders a team's own work, and that of teams which have a claim to room. Who has none can't outrank
  * them by it; and who is hardly served at all, or hasn't begun for too long, gets a floor, as if its rank
  * were the usual one. (A guest's six sweeps waited for up to 352 s to begin on a recorded day.) */
-static void take_place(FkController *c, FkJob *j) {
-  j->rank_now = j->pulled_rank;
-  gboolean overdue = fk_overdue(c, j);
-  j->urgent = overdue || fk_serving_largest_starved(c, j);
-  j->standing = fk_share_standing(fk_turn_claimant(c, j->spec->team));
-  if (fk_settings_team(c->settings, j->spec->team)->cpus <= 0)
-    j->rank_now = MAX(j->rank_now, FK_RANK_NORMAL);
+static void update_priority(FkController *c, FkJob *j) {
+  j->effective_priority = j->inherited_priority;
+  gboolean overdue = fk_backfill_reservation_is_aged(c, j);
+  j->urgent = overdue || fk_starvation_affects_largest(c, j);
+  j->fair_share_standing = fk_fair_share_standing(fk_scheduling_queue_team_share(c, j->spec->team));
+  if (fk_settings_find_team(c->settings, j->spec->team)->guaranteed_cpus <= 0)
+    j->effective_priority = MAX(j->effective_priority, FK_JOB_PRIORITY_NORMAL);
   /* whoever must begin soon is lifted until its first task has */
-  if (j->rank_now < FK_RANK_NORMAL || !(overdue || fk_serving_lifts(c, j, c->turn->cpus)))
+  if (j->effective_priority < FK_JOB_PRIORITY_NORMAL ||
+      !(overdue || fk_starvation_lifts(c, j, c->leader.scheduling_queue->fleet_cpus)))
     return;
-  j->rank_now = FK_RANK_NORMAL;
-  j->standing = FK_STANDING_PROTECTED;
+  j->effective_priority = FK_JOB_PRIORITY_NORMAL;
+  j->fair_share_standing = FK_STANDING_PROTECTED;
 }
 
 /* Arrays of the usual rank that could have started, but for room. */
-static void note_ahead(FkController *c, FkTurn *o, GPtrArray *jobs) {
-  g_ptr_array_set_size(o->ahead, 0);
-  o->ahead_cpus = o->ahead_s = 0;
+static void update_blocked_jobs(FkController *c, FkSchedulingQueue *o, GPtrArray *jobs) {
+  g_ptr_array_set_size(o->blocked, 0);
+  o->blocked_cpus = o->blocked_wait_s = 0;
   for (guint i = 0; i < jobs->len; i++) {
     FkJob *j = jobs->pdata[i];
-    double waited = fk_time_between(j->seen, c->now);
-    if (j->rank_now > FK_RANK_NORMAL)
+    double waited = fk_time_between(j->first_seen_at, c->now);
+    if (j->effective_priority > FK_JOB_PRIORITY_NORMAL)
       break;
-    if (j->spec->shape != FK_SHAPE_ARRAY || j->doubted || waited < YIELD_S || !fk_team_allows(c, j->spec))
+    if (j->spec->shape != FK_SHAPE_ARRAY || j->failing || waited < BACK_OFF_AFTER_S ||
+        !fk_team_quota_allows_task(c, j->spec))
       continue;
-    o->ahead_cpus += fk_job_waiting(j) * j->spec->cpus;
-    if (!o->ahead->len)
-      o->ahead_s = waited;
-    if (o->ahead->len < AHEAD_MOST)
-      g_ptr_array_add(o->ahead, fk_job_ref(j));
+    o->blocked_cpus += fk_job_waiting_tasks(j) * j->spec->cpus;
+    if (!o->blocked->len)
+      o->blocked_wait_s = waited;
+    if (o->blocked->len < BLOCKED_JOBS_MAX)
+      g_ptr_array_add(o->blocked, fk_job_ref(j));
   }
 }
 
-static gboolean has_aims(FkController *c, const FkSpec *s) {
+static gboolean has_objective(FkController *c, const FkSpec *s) {
   for (guint i = 0; i < c->settings->objectives->len; i++)
     if (g_strcmp0(((FkObjective *)c->settings->objectives->pdata[i])->class_name, s->class_name) == 0)
       return TRUE;
   return s->deadline_s >= 0;
 }
 
-#define ENOUGH 0.5 /* of a class is served */
+#define SERVICE_LEVEL_SUFFICIENT 0.5 /* of a class is served */
 
-gboolean fk_turn_frugal(FkController *c, const FkJob *j) {
-  const FkTeam *team = fk_settings_team(c->settings, j->spec->team);
-  const FkServedRow *row = fk_served_class(c->view->served, j->spec->class_name);
-  return team->cpus <= 0 && j->spec->shape == FK_SHAPE_ARRAY && !has_aims(c, j->spec) && row &&
-         (row->due <= 0 || fk_served_share(row) >= ENOUGH) && !fk_serving_lifts(c, j, c->turn->cpus);
+gboolean fk_scheduling_queue_is_low_cost_only(FkController *c, const FkJob *j) {
+  const FkTeam *team = fk_settings_find_team(c->settings, j->spec->team);
+  const FkServiceLevelRow *row = fk_service_level_class(c->view->service_level, j->spec->class_name);
+  return team->guaranteed_cpus <= 0 && j->spec->shape == FK_SHAPE_ARRAY && !has_objective(c, j->spec) &&
+         row && (row->expected_jobs <= 0 || fk_service_level_share(row) >= SERVICE_LEVEL_SUFFICIENT) &&
+         !fk_starvation_lifts(c, j, c->leader.scheduling_queue->fleet_cpus);
 }
 
-gboolean fk_turn_yields(FkController *c, const FkJob *j, const FkMachine *m) {
-  if (fk_overdue_keeps(c, j, m))
+gboolean fk_scheduling_queue_must_back_off(FkController *c, const FkJob *j, const FkMachine *m) {
+  if (fk_backfill_reservation_blocks(c, j, m))
     return TRUE;
-  if (j->rank_now <= FK_RANK_NORMAL || j->urgent || j->spec->shape == FK_SHAPE_SERVICE)
+  if (j->effective_priority <= FK_JOB_PRIORITY_NORMAL || j->urgent || j->spec->shape == FK_SHAPE_SERVICE)
     return FALSE;
-  for (guint i = 0; i < c->turn->ahead->len; i++) {
-    const FkJob *first = c->turn->ahead->pdata[i];
-    if (fk_job_waiting(first) && fk_job_allows(c, first, m))
+  for (guint i = 0; i < c->leader.scheduling_queue->blocked->len; i++) {
+    const FkJob *first = c->leader.scheduling_queue->blocked->pdata[i];
+    if (fk_job_waiting_tasks(first) && fk_placement_is_allowed(c, first, m))
       return TRUE;
   }
   return FALSE;
 }
 
-double fk_turn_room(FkController *c) { return c->turn->cpus; }
+double fk_scheduling_queue_fleet_cpus(FkController *c) { return c->leader.scheduling_queue->fleet_cpus; }
 
-const FkJob *fk_turn_first(FkController *c) {
-  const FkJob *j = c->turn->ahead->len ? c->turn->ahead->pdata[0] : NULL;
-  return j && fk_job_waiting(j) ? j : NULL;
+const FkJob *fk_scheduling_queue_first_blocked(FkController *c) {
+  const FkJob *j =
+      c->leader.scheduling_queue->blocked->len ? c->leader.scheduling_queue->blocked->pdata[0] : NULL;
+  return j && fk_job_waiting_tasks(j) ? j : NULL;
 }
 
-double fk_turn_ahead(FkController *c, double *waited_s) {
-  *waited_s = c->turn->ahead_s;
-  return c->turn->ahead_cpus;
+double fk_scheduling_queue_blocked_cpus(FkController *c, double *waited_s) {
+  *waited_s = c->leader.scheduling_queue->blocked_wait_s;
+  return c->leader.scheduling_queue->blocked_cpus;
 }
 
 /* ------------------------------------------------------------------ the order, kept */
 
-static gboolean waits(FkController *c, const FkJob *j) {
-  return fk_job_waiting(j) && fk_settings_team(c->settings, j->spec->team);
+static gboolean has_waiting_tasks(FkController *c, const FkJob *j) {
+  return fk_job_waiting_tasks(j) && fk_settings_find_team(c->settings, j->spec->team);
 }
 
 /* What it wants counts for its team, and for the services. */
-static void count_wants(FkController *c, FkTurn *o, FkJob *j) {
+static void update_demand(FkController *c, FkSchedulingQueue *o, FkJob *j) {
   const FkSpec *s = j->spec;
-  if (!fk_settings_team(c->settings, s->team))
+  if (!fk_settings_find_team(c->settings, s->team))
     return;
-  double tasks = fk_job_waiting(j);
-  double wants = fk_share_dominant(tasks * s->cpus, tasks * s->gpus, o->cpus, o->gpus);
-  guint services = s->shape == FK_SHAPE_SERVICE ? fk_job_waiting(j) : 0;
-  o->wanted[fk_settings_team_index(c->settings, s->team)] += wants - j->wants;
-  o->services += services - j->services_counted;
-  j->wants = wants;
-  j->services_counted = services;
+  double tasks = fk_job_waiting_tasks(j);
+  double wants = fk_fair_share_dominant(tasks * s->cpus, tasks * s->gpus, o->fleet_cpus, o->fleet_gpus);
+  guint services = s->shape == FK_SHAPE_SERVICE ? fk_job_waiting_tasks(j) : 0;
+  o->team_demand_cpus[fk_settings_team_index(c->settings, s->team)] += wants - j->demand_cpus;
+  o->waiting_services += services - j->waiting_services;
+  j->demand_cpus = wants;
+  j->waiting_services = services;
 }
 
-static void take_place_anew(FkController *c, FkTurn *o, FkJob *j) {
-  o->touched++;
-  if (!waits(c, j)) {
+static void refresh_job(FkController *c, FkSchedulingQueue *o, FkJob *j) {
+  o->refreshed_count++;
+  if (!has_waiting_tasks(c, j)) {
     if (fk_wait_queue_remove(o->queue, j))
       fk_job_unref(j);
     return;
   }
-  j->latest_s = fk_job_latest_start(c, j, 1.0);
-  take_place(c, j);
-  j->left_cpu_s = fk_job_waiting(j) * fk_view_run_s(c->view, j->spec) * j->spec->cpus;
-  const FkWaitKey key = {j->rank_now,   j->standing, j->urgent, j->latest_s < G_MAXDOUBLE,
-                         j->left_cpu_s, j->could_us};
+  j->latest_start_s = fk_job_latest_start(c, j, 1.0);
+  update_priority(c, j);
+  j->waiting_cpu_s = fk_job_waiting_tasks(j) * fk_view_expected_run_s(c->view, j->spec) * j->spec->cpus;
+  const FkWaitKey key = {j->effective_priority,           j->fair_share_standing, j->urgent,
+                         j->latest_start_s < G_MAXDOUBLE, j->waiting_cpu_s,       j->startable_us};
   if (!fk_wait_queue_place(o->queue, j))
     fk_job_ref(j);
   fk_wait_queue_put(o->queue, j, &key);
 }
 
 /* Whose waiting may have changed, and the next of all jobs in turns: references. */
-static GPtrArray *to_refresh(FkController *c, FkTurn *o) {
+static GPtrArray *jobs_to_refresh(FkController *c, FkSchedulingQueue *o) {
   GPtrArray *jobs = g_ptr_array_new_with_free_func(fk_job_unref);
   GHashTableIter it;
   gpointer j;
-  g_hash_table_iter_init(&it, c->view->jobs_touched);
+  g_hash_table_iter_init(&it, c->view->changed_jobs);
   while (g_hash_table_iter_next(&it, &j, NULL))
     g_ptr_array_add(jobs, fk_job_ref(j));
-  g_hash_table_remove_all(c->view->jobs_touched);
-  const GPtrArray *all = c->view->job_list;
-  for (guint i = 0; i < MIN(all->len, REFRESHED_A_LOOK); i++)
+  g_hash_table_remove_all(c->view->changed_jobs);
+  const GPtrArray *all = c->view->live_jobs;
+  for (guint i = 0; i < MIN(all->len, REFRESHED_PER_CYCLE); i++)
     g_ptr_array_add(jobs, fk_job_ref(all->pdata[o->cursor++ % all->len]));
   return jobs;
 }
 
-static gboolean may_start(gpointer job, gpointer controller) {
+static gboolean can_start(gpointer job, gpointer controller) {
   FkController *c = controller;
   FkJob *j = job;
   /* where more wait than are looked at, those that can start nowhere give up their places to others */
-  gboolean crowded = fk_wait_queue_size(c->turn->queue) > FIRST_A_LOOK;
-  j->limit_left = fk_team_has_limit_left(c, j->spec);
-  return waits(c, j) && fk_time_reached(c->now, j->retry_at) && (j->limit_left || !crowded);
+  gboolean crowded = fk_wait_queue_size(c->leader.scheduling_queue->queue) > SELECTED_PER_CYCLE;
+  j->quota_available = fk_team_quota_has_room(c, j->spec);
+  return has_waiting_tasks(c, j) && fk_time_reached(c->now, j->retry_at) && (j->quota_available || !crowded);
 }
 
-static int by_place(gconstpointer a, gconstpointer b) {
+static int compare_by_place(gconstpointer a, gconstpointer b) {
   const FkJob *x = *(FkJob *const *)a, *y = *(FkJob *const *)b;
-  return x->place < y->place ? -1 : x->place > y->place;
+  return x->queue_position < y->queue_position ? -1 : x->queue_position > y->queue_position;
 }
 
 /* The first in the order, and those of the jobs refreshed now that come after them: so each has its turn. */
-static GPtrArray *read_off(FkController *c, FkTurn *o, const GPtrArray *refreshed) {
+static GPtrArray *select_jobs(FkController *c, FkSchedulingQueue *o, const GPtrArray *refreshed) {
   GPtrArray *jobs = g_ptr_array_new();
-  o->look++;
-  fk_wait_queue_first(o->queue, FIRST_A_LOOK, LOOKED_AT_MOST, may_start, c, jobs);
+  o->cycle++;
+  fk_wait_queue_first(o->queue, SELECTED_PER_CYCLE, EXAMINED_PER_CYCLE_MAX, can_start, c, jobs);
   guint first = jobs->len;
   for (guint i = 0; i < first; i++) {
     FkJob *j = jobs->pdata[i];
-    j->place = i + 1;
-    j->look = o->look;
+    j->queue_position = i + 1;
+    j->last_cycle = o->cycle;
   }
   for (guint i = 0; i < refreshed->len && fk_wait_queue_size(o->queue) > first; i++) {
     FkJob *j = refreshed->pdata[i];
-    if (j->look == o->look || !may_start(j, c))
+    if (j->last_cycle == o->cycle || !can_start(j, c))
       continue;
-    j->place = MAX(first + 1, fk_wait_queue_place(o->queue, j));
-    j->look = o->look;
+    j->queue_position = MAX(first + 1, fk_wait_queue_place(o->queue, j));
+    j->last_cycle = o->cycle;
     g_ptr_array_add(jobs, j);
   }
   if (jobs->len > first)
-    g_ptr_array_sort(jobs, by_place);
+    g_ptr_array_sort(jobs, compare_by_place);
   return jobs;
 }
 
 static gboolean is_urgent(FkController *c, const FkJob *j) {
-  return j->pulled_rank < FK_RANK_NORMAL && waits(c, j) && fk_time_reached(c->now, j->retry_at) &&
-         (c->leading || !fk_spec_long(c, j->spec)) && fk_team_has_limit_left(c, j->spec);
+  return j->inherited_priority < FK_JOB_PRIORITY_NORMAL && has_waiting_tasks(c, j) &&
+         fk_time_reached(c->now, j->retry_at) && (c->leader.is_leader || !fk_spec_is_long(c, j->spec)) &&
+         fk_team_quota_has_room(c, j->spec);
 }
 
-gboolean fk_turn_urgent_waits(FkController *c) {
+gboolean fk_scheduling_queue_has_urgent(FkController *c) {
   g_autoptr(GPtrArray) first = g_ptr_array_new();
-  fk_wait_queue_first(c->turn->queue, 1, 1, any, NULL, first);
+  fk_wait_queue_first(c->leader.scheduling_queue->queue, 1, 1, accept_all, NULL, first);
   if (first->len && is_urgent(c, first->pdata[0]))
     return TRUE;
   GHashTableIter it;
   gpointer j;
-  g_hash_table_iter_init(&it, c->view->jobs_touched);
+  g_hash_table_iter_init(&it, c->view->changed_jobs);
   while (g_hash_table_iter_next(&it, &j, NULL))
     if (is_urgent(c, j))
       return TRUE;
   return FALSE;
 }
 
-guint64 fk_turn_touched(const FkTurn *o) { return o->touched; }
+guint64 fk_scheduling_queue_refreshed_count(const FkSchedulingQueue *o) { return o->refreshed_count; }
 
-GPtrArray *fk_turn_waiting(FkController *c) {
-  FkTurn *o = c->turn;
-  g_autoptr(GPtrArray) refreshed = to_refresh(c, o);
-  count_room(c, o);
+GPtrArray *fk_scheduling_queue_select_jobs(FkController *c) {
+  FkSchedulingQueue *o = c->leader.scheduling_queue;
+  g_autoptr(GPtrArray) refreshed = jobs_to_refresh(c, o);
+  count_fleet_capacity(c, o);
   for (guint i = 0; i < refreshed->len; i++)
-    count_wants(c, o, refreshed->pdata[i]);
-  share_out(c, o);
+    update_demand(c, o, refreshed->pdata[i]);
+  divide_fair_shares(c, o);
   for (guint i = 0; i < refreshed->len; i++)
-    take_place_anew(c, o, refreshed->pdata[i]);
-  GPtrArray *jobs = read_off(c, o, refreshed);
-  c->services_waiting = o->services;
-  note_ahead(c, o, jobs);
-  fk_overdue_look(c, jobs);
+    refresh_job(c, o, refreshed->pdata[i]);
+  GPtrArray *jobs = select_jobs(c, o, refreshed);
+  c->launches.services_waiting = o->waiting_services;
+  update_blocked_jobs(c, o, jobs);
+  fk_backfill_reservation_refresh(c, jobs);
   return jobs;
 }
--- a/src/core/settings.c
+++ b/src/core/settings.c
@@ -31,16 +31,16 @@
   s->objectives = g_ptr_array_new_with_free_func(objective_free);
   s->tuning = (FkTuning){.window_s = 10,
                          .max_wait_s = 20,
-                         .span = 0.08,
-                         .cutoff_s = 240,
+                         .short_partition_span = 0.08,
+                         .short_cutoff_s = 240,
                          .probe_ratio = 2,
                          .steal_after_s = 0.3,
                          .idle_s = 12,
-                         .slack = 1.5,
+                         .deadline_slack = 1.5,
                          .spot_patience = 0.3,
                          .headroom_s = 20,
-                         .silent_s = 0,
-                         .tell_after_s = 40};
+                         .silent_after_s = 0,
+                         .cancellation_barrier_s = 40};
   return s;
 }
 
@@ -49,10 +49,10 @@
     return;
   g_free(s->node);
   g_free(s->zone);
-  g_free(s->listen);
-  g_free(s->mesh);
-  g_free(s->cloud);
-  g_free(s->state);
+  g_free(s->listen_addr);
+  g_free(s->peer_listen_addr);
+  g_free(s->cloud_addr);
+  g_free(s->store_addr);
   g_ptr_array_unref(s->peers);
   g_ptr_array_unref(s->teams);
   g_ptr_array_unref(s->zones);
@@ -60,7 +60,9 @@
   g_free(s);
 }
 
-gboolean fk_team_limited(const FkTeam *t) { return fk_limited(t->cpus_max) || fk_limited(t->gpus_max); }
+gboolean fk_team_has_limit(const FkTeam *t) {
+  return fk_quota_is_limited(t->max_cpus) || fk_quota_is_limited(t->max_gpus);
+}
 
 guint fk_settings_team_index(const FkSettings *s, const char *name) {
   guint i = 0;
@@ -69,7 +71,7 @@
   return i;
 }
 
-FkTeam *fk_settings_team(const FkSettings *s, const char *name) {
+FkTeam *fk_settings_find_team(const FkSettings *s, const char *name) {
   guint i = fk_settings_team_index(s, name);
   return i < s->teams->len ? s->teams->pdata[i] : NULL;
 }
--- a/src/core/state/view.c
+++ b/src/core/state/view.c
@@ -3,13 +3,13 @@
 #include <string.h>
 
 /* Finals are permanent in the store; memory keeps only the latest of them. */
-#define FINALS_KEPT 20000
+#define TERMINAL_JOBS_KEPT 20000
 
-void fk_waits_add(FkWaits *to, const FkWaits *more) {
+void fk_wait_times_add(FkWaitTimes *to, const FkWaitTimes *more) {
+  to->capped_sum_s += more->capped_sum_s;
+  to->capped_count += more->capped_count;
   to->sum_s += more->sum_s;
   to->count += more->count;
-  to->all_sum_s += more->all_sum_s;
-  to->all_count += more->all_count;
 }
 
 FkRecord *fk_record_new(FkKeyKind kind) {
@@ -18,8 +18,8 @@
   return r;
 }
 
-void fk_machine_rec_free(gpointer p) {
-  FkMachineRec *m = p;
+void fk_machine_record_free(gpointer p) {
+  FkMachineRecord *m = p;
   if (!m)
     return;
   g_free(m->id);
@@ -27,30 +27,30 @@
   g_free(m);
 }
 
-FkMachineRec *fk_machine_rec_copy(const FkMachineRec *m) {
-  FkMachineRec *c = g_memdup2(m, sizeof *m);
+FkMachineRecord *fk_machine_record_copy(const FkMachineRecord *m) {
+  FkMachineRecord *c = g_memdup2(m, sizeof *m);
   c->id = g_strdup(m->id);
   c->addr = g_strdup(m->addr);
   return c;
 }
 
-FkEnds *fk_ends_new(const char *chunk) {
-  FkEnds *e = g_new0(FkEnds, 1);
+FkCompletionRecord *fk_completion_record_new(const char *chunk) {
+  FkCompletionRecord *e = g_new0(FkCompletionRecord, 1);
   e->chunk = g_strdup(chunk);
   e->done = g_byte_array_new();
-  e->released = g_array_new(FALSE, FALSE, sizeof(FkTry));
+  e->released = g_array_new(FALSE, FALSE, sizeof(FkReleasedAttempt));
   return e;
 }
 
-FkEnds *fk_ends_copy(const FkEnds *e) {
-  FkEnds *c = fk_ends_new(e->chunk);
+FkCompletionRecord *fk_completion_record_copy(const FkCompletionRecord *e) {
+  FkCompletionRecord *c = fk_completion_record_new(e->chunk);
   g_byte_array_append(c->done, e->done->data, e->done->len);
   g_array_append_vals(c->released, e->released->data, e->released->len);
   return c;
 }
 
-void fk_ends_free(gpointer p) {
-  FkEnds *e = p;
+void fk_completion_record_free(gpointer p) {
+  FkCompletionRecord *e = p;
   if (!e)
     return;
   g_free(e->chunk);
@@ -64,18 +64,18 @@
     return;
   fk_spec_unref(r->spec);
   fk_chunk_free(r->chunk);
-  if (r->members)
-    g_ptr_array_unref(r->members);
-  if (r->ends)
-    g_ptr_array_unref(r->ends);
-  if (r->split)
-    g_hash_table_unref(r->split);
+  if (r->machines)
+    g_ptr_array_unref(r->machines);
+  if (r->completions)
+    g_ptr_array_unref(r->completions);
+  if (r->partition)
+    g_hash_table_unref(r->partition);
   g_free(r->node);
-  g_free(r->life);
+  g_free(r->incarnation);
   g_free(r);
 }
 
-void fk_event_free(FkEvent *e) {
+void fk_store_event_free(FkStoreEvent *e) {
   if (!e)
     return;
   g_free(e->path);
@@ -87,21 +87,23 @@
   FkKeyKind kind;
   const char *prefix;
 } key_prefixes[] = {
-    {FK_KEY_JOB, FK_LIVE "j/"},   {FK_KEY_CHUNK, FK_LIVE "t/"},      {FK_KEY_GROUP, FK_LIVE "g/"},
-    {FK_KEY_PAGE, FK_LIVE "m/"},  {FK_KEY_NODE, FK_LIVE "n/"},       {FK_KEY_TEAM, FK_LIVE "q/"},
-    {FK_KEY_ENDS, FK_LIVE "r/"},  {FK_KEY_FENCE, FK_LIVE "f/"},      {FK_KEY_WAITS, FK_LIVE "w/"},
-    {FK_KEY_FINAL, FK_ROOT "d/"}, {FK_KEY_LEADER, FK_LIVE "leader"},
+    {FK_KEY_JOB, FK_STORE_LIVE_ROOT "j/"},         {FK_KEY_CHUNK, FK_STORE_LIVE_ROOT "t/"},
+    {FK_KEY_SHARD, FK_STORE_LIVE_ROOT "g/"},       {FK_KEY_MACHINE_PAGE, FK_STORE_LIVE_ROOT "m/"},
+    {FK_KEY_NODE, FK_STORE_LIVE_ROOT "n/"},        {FK_KEY_TEAM, FK_STORE_LIVE_ROOT "q/"},
+    {FK_KEY_COMPLETIONS, FK_STORE_LIVE_ROOT "r/"}, {FK_KEY_LAUNCH_FENCE, FK_STORE_LIVE_ROOT "f/"},
+    {FK_KEY_WAIT_TIMES, FK_STORE_LIVE_ROOT "w/"},  {FK_KEY_TERMINAL_JOB, FK_STORE_ROOT "d/"},
+    {FK_KEY_LEADER, FK_STORE_LIVE_ROOT "leader"},
 };
 
-char *fk_key(FkKeyKind kind, const char *id) {
+char *fk_key_path(FkKeyKind kind, const char *id) {
   for (guint i = 0; i < G_N_ELEMENTS(key_prefixes); i++)
     if (key_prefixes[i].kind == kind)
       return g_strconcat(key_prefixes[i].prefix, id, NULL);
   return NULL;
 }
 
-char *fk_key_chunk(const char *job, guint32 chunk) {
-  return g_strdup_printf(FK_LIVE "t/%s/%05u", job, chunk);
+char *fk_key_chunk_path(const char *job, guint32 chunk) {
+  return g_strdup_printf(FK_STORE_LIVE_ROOT "t/%s/%05u", job, chunk);
 }
 
 FkKeyKind fk_key_parse(const char *path, char **id, guint32 *chunk) {
@@ -125,7 +127,7 @@
 }
 
 FkJob *fk_job_ref(FkJob *j) {
-  j->refs++;
+  j->ref_count++;
   return j;
 }
 
@@ -133,23 +135,23 @@
 
 void fk_job_unref(gpointer p) {
   FkJob *j = p;
-  if (--j->refs > 0)
+  if (--j->ref_count > 0)
     return;
   fk_spec_unref(j->spec);
   g_free(j);
 }
 
 /* The view has it no more. Probes may refer to it for a while: they find nothing that waits. */
-static void job_gone(gpointer p) {
+static void job_removed(gpointer p) {
   FkJob *j = p;
-  for (guint32 i = 0; i < j->n_chunks; i++) {
+  for (guint32 i = 0; i < j->chunk_count; i++) {
     fk_chunk_free(j->chunks[i]);
-    fk_chunk_free(j->bases[i]);
+    fk_chunk_free(j->base_chunks[i]);
   }
   g_clear_pointer(&j->chunks, g_free);
-  g_clear_pointer(&j->bases, g_free);
-  j->n_chunks = 0;
-  j->gone = TRUE;
+  g_clear_pointer(&j->base_chunks, g_free);
+  j->chunk_count = 0;
+  j->removed = TRUE;
   fk_job_unref(j);
 }
 
@@ -157,130 +159,132 @@
 
 static void machine_free(gpointer p) {
   FkMachine *m = p;
-  if (m->group)
-    g_ptr_array_remove_fast(m->group->machines, m);
-  fk_machine_rec_free(m->rec);
-  fk_machine_rec_free(m->joining);
-  g_array_unref(m->books);
+  if (m->shard)
+    g_ptr_array_remove_fast(m->shard->machines, m);
+  fk_machine_record_free(m->record);
+  fk_machine_record_free(m->pending_record);
+  g_array_unref(m->allocations);
   g_hash_table_unref(m->images);
-  if (m->home)
-    m->home_free(m->home);
+  if (m->worker)
+    m->worker_state_free(m->worker);
   if (m->probes)
     g_ptr_array_unref(m->probes);
   g_free(m);
 }
 
-static void group_free(gpointer p) {
-  FkGroup *g = p;
-  g_free(g->home);
-  g_free(g->life);
+static void shard_free(gpointer p) {
+  FkShard *g = p;
+  g_free(g->owner);
+  g_free(g->owner_incarnation);
   g_ptr_array_unref(g->machines);
-  g_hash_table_unref(g->back);
+  g_hash_table_unref(g->returned_machines);
   g_free(g);
 }
 
-static void team_use_free(gpointer p) {
-  FkTeamUse *t = p;
-  g_hash_table_unref(t->by);
-  g_free(t->was_short);
-  if (t->split)
-    g_hash_table_unref(t->split);
+static void team_usage_free(gpointer p) {
+  FkTeamUsage *t = p;
+  g_hash_table_unref(t->cpus_by_controller);
+  g_free(t->last_exhausted_by);
+  if (t->partition)
+    g_hash_table_unref(t->partition);
   g_free(t);
 }
 
-static void end_page_free(gpointer p) {
-  FkEndPage *e = p;
+static void completion_page_free(gpointer p) {
+  FkCompletionPage *e = p;
   g_ptr_array_unref(e->ends);
   g_free(e);
 }
 
 static void node_free(gpointer p) {
-  FkNode *n = p;
+  FkControllerNode *n = p;
   g_free(n->name);
-  g_free(n->life);
+  g_free(n->incarnation);
   g_free(n);
 }
 
-void fk_view_touch_job(FkView *v, FkJob *j) { g_hash_table_add(v->jobs_touched, fk_job_ref(j)); }
+void fk_view_mark_job_changed(FkView *v, FkJob *j) { g_hash_table_add(v->changed_jobs, fk_job_ref(j)); }
 
-void fk_view_touch(FkView *v, FkMachine *m) {
-  g_hash_table_add(v->touched, (gpointer)m->id);
-  g_hash_table_add(v->room_touched, (gpointer)m->id);
+void fk_view_mark_machine_changed(FkView *v, FkMachine *m) {
+  g_hash_table_add(v->changed_machines, (gpointer)m->id);
+  g_hash_table_add(v->capacity_changed, (gpointer)m->id);
 }
 
 /* All that the job needs is done, or an ancestor of it is cancelled. */
 static void dependency_changed(gpointer data, const char *id, gboolean cancelled) {
   FkView *v = data;
-  FkJob *j = fk_view_job(v, id);
+  FkJob *j = fk_view_find_job(v, id);
   if (!j)
     return;
-  fk_view_touch_job(v, j);
+  fk_view_mark_job_changed(v, j);
   if (cancelled) {
-    j->cancelled = j->withdrawn = TRUE;
-    j->cancel_seen = v->now;
+    j->cancelled = j->ancestor_cancelled = TRUE;
+    j->cancelled_at = v->now;
     return;
   }
-  if (!j->held)
+  if (!j->blocked)
     return;
-  gint64 ready_ms = fk_deps_ready_ms(v->deps, id);
-  j->held = FALSE;
-  j->seen = v->now;
-  j->could_us = ready_ms ? CLAMP(ready_ms * 1000 - v->wall_offset_us, j->submitted_us, v->now.us) : v->now.us;
+  gint64 ready_ms = fk_dependency_graph_ready_ms(v->dependencies, id);
+  j->blocked = FALSE;
+  j->first_seen_at = v->now;
+  j->startable_us =
+      ready_ms ? CLAMP(ready_ms * 1000 - v->wall_offset_us, j->submitted_us, v->now.us) : v->now.us;
 }
 
 FkView *fk_view_new(const FkSettings *s) {
   FkView *v = g_new0(FkView, 1);
   v->settings = s;
-  v->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_gone);
+  v->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_removed);
   v->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, machine_free);
   v->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
-  v->groups = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, group_free);
-  v->end_pages = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, end_page_free);
-  v->ends = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-  v->fences = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  v->teams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, team_use_free);
-  v->waits = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  v->finals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  v->final_tasks = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, NULL);
-  v->final_order = g_queue_new();
-  v->corrections = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  v->blame = fk_blame_new();
-  v->served = fk_served_new();
-  v->orphans = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  v->deps = fk_deps_new(dependency_changed, v);
-  v->touched = g_hash_table_new(g_str_hash, g_str_equal);
-  v->room_touched = g_hash_table_new(g_str_hash, g_str_equal);
-  v->room_dropped = g_ptr_array_new();
-  v->job_list = g_ptr_array_new();
-  v->jobs_touched = g_hash_table_new_full(fk_job_hash, g_direct_equal, fk_job_unref, NULL);
+  v->shards = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_free);
+  v->completion_pages = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, completion_page_free);
+  v->completions_by_chunk =
+      g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
+  v->launch_fences = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  v->teams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, team_usage_free);
+  v->wait_times = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  v->terminal_phases = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  v->terminal_task_counts = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, NULL);
+  v->terminal_order = g_queue_new();
+  v->estimate_corrections = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  v->fault_attribution = fk_fault_attribution_new();
+  v->service_level = fk_service_level_new();
+  v->orphan_chunks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  v->dependencies = fk_dependency_graph_new(dependency_changed, v);
+  v->changed_machines = g_hash_table_new(g_str_hash, g_str_equal);
+  v->capacity_changed = g_hash_table_new(g_str_hash, g_str_equal);
+  v->capacity_removed = g_ptr_array_new();
+  v->live_jobs = g_ptr_array_new();
+  v->changed_jobs = g_hash_table_new_full(fk_job_hash, g_direct_equal, fk_job_unref, NULL);
   return v;
 }
 
 /* Forgets what lives, before reading it again. Finals never change, so they stay. */
 void fk_view_clear(FkView *v) {
-  fk_deps_clear(v->deps);
-  g_ptr_array_set_size(v->job_list, 0);
-  g_hash_table_remove_all(v->jobs_touched);
+  fk_dependency_graph_clear(v->dependencies);
+  g_ptr_array_set_size(v->live_jobs, 0);
+  g_hash_table_remove_all(v->changed_jobs);
   g_hash_table_remove_all(v->jobs);
   g_hash_table_remove_all(v->machines);
-  g_hash_table_remove_all(v->groups);
-  g_hash_table_remove_all(v->ends);
-  g_hash_table_remove_all(v->end_pages);
-  g_hash_table_remove_all(v->fences);
+  g_hash_table_remove_all(v->shards);
+  g_hash_table_remove_all(v->completions_by_chunk);
+  g_hash_table_remove_all(v->completion_pages);
+  g_hash_table_remove_all(v->launch_fences);
   g_hash_table_remove_all(v->nodes);
   g_hash_table_remove_all(v->teams);
-  g_hash_table_remove_all(v->waits);
-  g_hash_table_remove_all(v->orphans);
-  fk_blame_clear(v->blame);
-  fk_served_clear(v->served);
-  g_hash_table_remove_all(v->touched);
-  g_hash_table_remove_all(v->room_touched);
-  g_ptr_array_set_size(v->room_dropped, 0);
+  g_hash_table_remove_all(v->wait_times);
+  g_hash_table_remove_all(v->orphan_chunks);
+  fk_fault_attribution_clear(v->fault_attribution);
+  fk_service_level_clear(v->service_level);
+  g_hash_table_remove_all(v->changed_machines);
+  g_hash_table_remove_all(v->capacity_changed);
+  g_ptr_array_set_size(v->capacity_removed, 0);
   g_clear_pointer(&v->leader, g_free);
-  g_clear_pointer(&v->leader_life, g_free);
+  g_clear_pointer(&v->leader_incarnation, g_free);
   v->leader_rev.n = 0;
   v->applied.n = 0;
-  v->live = FALSE;
+  v->caught_up = FALSE;
 }
 
 void fk_view_free(FkView *v) {
@@ -289,40 +293,40 @@
   fk_view_clear(v);
   g_hash_table_unref(v->jobs);
   g_hash_table_unref(v->machines);
-  g_hash_table_unref(v->groups);
-  g_hash_table_unref(v->ends);
-  g_hash_table_unref(v->end_pages);
-  g_hash_table_unref(v->fences);
+  g_hash_table_unref(v->shards);
+  g_hash_table_unref(v->completions_by_chunk);
+  g_hash_table_unref(v->completion_pages);
+  g_hash_table_unref(v->launch_fences);
   g_hash_table_unref(v->nodes);
   g_hash_table_unref(v->teams);
-  g_hash_table_unref(v->waits);
-  g_hash_table_unref(v->final_tasks);
-  g_hash_table_unref(v->finals);
-  g_queue_free(v->final_order);
-  g_hash_table_unref(v->corrections);
-  g_hash_table_unref(v->orphans);
-  fk_blame_free(v->blame);
-  fk_served_free(v->served);
-  g_hash_table_unref(v->touched);
-  g_hash_table_unref(v->room_touched);
-  g_ptr_array_unref(v->room_dropped);
-  g_hash_table_unref(v->jobs_touched);
-  g_ptr_array_unref(v->job_list);
-  fk_spec_unref(v->service);
-  fk_deps_free(v->deps);
+  g_hash_table_unref(v->wait_times);
+  g_hash_table_unref(v->terminal_task_counts);
+  g_hash_table_unref(v->terminal_phases);
+  g_queue_free(v->terminal_order);
+  g_hash_table_unref(v->estimate_corrections);
+  g_hash_table_unref(v->orphan_chunks);
+  fk_fault_attribution_free(v->fault_attribution);
+  fk_service_level_free(v->service_level);
+  g_hash_table_unref(v->changed_machines);
+  g_hash_table_unref(v->capacity_changed);
+  g_ptr_array_unref(v->capacity_removed);
+  g_hash_table_unref(v->changed_jobs);
+  g_ptr_array_unref(v->live_jobs);
+  fk_spec_unref(v->latest_service);
+  fk_dependency_graph_free(v->dependencies);
   g_free(v);
 }
 
-FkJob *fk_view_job(FkView *v, const char *id) { return g_hash_table_lookup(v->jobs, id); }
+FkJob *fk_view_find_job(FkView *v, const char *id) { return g_hash_table_lookup(v->jobs, id); }
 
-FkMachine *fk_view_machine(FkView *v, const char *id) { return g_hash_table_lookup(v->machines, id); }
+FkMachine *fk_view_find_machine(FkView *v, const char *id) { return g_hash_table_lookup(v->machines, id); }
 
-FkMachine *fk_view_machine_ensure(FkView *v, const char *id) {
+FkMachine *fk_view_ensure_machine(FkView *v, const char *id) {
   FkMachine *m = g_hash_table_lookup(v->machines, id);
   if (!m) {
     m = g_new0(FkMachine, 1);
     m->id = g_intern_string(id);
-    m->books = g_array_new(FALSE, FALSE, sizeof(FkBookRef));
+    m->allocations = g_array_new(FALSE, FALSE, sizeof(FkAllocationRef));
     m->idle_since = v->now;
     m->images = g_hash_table_new(g_str_hash, g_str_equal);
     g_hash_table_insert(v->machines, (gpointer)m->id, m);
@@ -330,121 +334,122 @@
   return m;
 }
 
-void fk_view_drop_machine(FkView *v, FkMachine *m) {
-  fk_blame_machine_gone(v->blame, m->id);
-  g_hash_table_remove(v->touched, m->id);
-  g_hash_table_remove(v->room_touched, m->id);
-  g_ptr_array_add(v->room_dropped, m);
+void fk_view_remove_machine(FkView *v, FkMachine *m) {
+  fk_fault_attribution_remove_machine(v->fault_attribution, m->id);
+  g_hash_table_remove(v->changed_machines, m->id);
+  g_hash_table_remove(v->capacity_changed, m->id);
+  g_ptr_array_add(v->capacity_removed, m);
   g_hash_table_remove(v->machines, m->id);
 }
 
-#define GROUPS 32 /* a zone; part of the store's layout */
+#define SHARDS_PER_ZONE 32 /* a zone; part of the store's layout */
 
-char *fk_group_id(const char *zone, const char *machine) {
+char *fk_shard_id_for_machine(const char *zone, const char *machine) {
   /* ids that differ in a digit must not fall together: g_str_hash alone is a weak mixer */
   guint32 h = g_str_hash(machine) * 2654435761u;
-  return g_strdup_printf("%s.%u", zone, (h >> 8) % GROUPS);
+  return g_strdup_printf("%s.%u", zone, (h >> 8) % SHARDS_PER_ZONE);
 }
 
-FkGroup *fk_view_group(FkView *v, const char *id) {
-  FkGroup *g = g_hash_table_lookup(v->groups, id);
+FkShard *fk_view_ensure_shard(FkView *v, const char *id) {
+  FkShard *g = g_hash_table_lookup(v->shards, id);
   if (!g) {
-    g = g_new0(FkGroup, 1);
+    g = g_new0(FkShard, 1);
     g->id = g_intern_string(id);
     const char *dot = strrchr(id, '.');
     g_autofree char *zone = dot ? g_strndup(id, dot - id) : g_strdup(id);
     g->zone = g_intern_string(zone);
     g->machines = g_ptr_array_new();
-    g->back = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    g_hash_table_insert(v->groups, (gpointer)g->id, g);
+    g->returned_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    g_hash_table_insert(v->shards, (gpointer)g->id, g);
   }
   return g;
 }
 
-void fk_view_join_group(FkMachine *m, FkGroup *g) {
-  if (m->group == g)
+void fk_view_join_shard(FkMachine *m, FkShard *g) {
+  if (m->shard == g)
     return;
-  if (m->group)
-    g_ptr_array_remove_fast(m->group->machines, m);
-  m->group = g;
+  if (m->shard)
+    g_ptr_array_remove_fast(m->shard->machines, m);
+  m->shard = g;
   g_ptr_array_add(g->machines, m);
 }
 
-void fk_view_set_group(FkView *v, FkMachine *m, const char *zone) {
-  if (m->group)
+void fk_view_assign_shard(FkView *v, FkMachine *m, const char *zone) {
+  if (m->shard)
     return;
-  g_autofree char *id = fk_group_id(zone, m->id);
-  fk_view_join_group(m, fk_view_group(v, id));
+  g_autofree char *id = fk_shard_id_for_machine(zone, m->id);
+  fk_view_join_shard(m, fk_view_ensure_shard(v, id));
 }
 
-FkRev fk_view_fence(FkView *v, const char *node) {
-  FkFence *f = g_hash_table_lookup(v->fences, node);
+FkRev fk_view_launch_fence_rev(FkView *v, const char *node) {
+  FkLaunchFence *f = g_hash_table_lookup(v->launch_fences, node);
   return f ? f->rev : (FkRev){0};
 }
 
-FkTeamUse *fk_view_team(FkView *v, const char *name) {
-  FkTeamUse *t = g_hash_table_lookup(v->teams, name);
+FkTeamUsage *fk_view_ensure_team(FkView *v, const char *name) {
+  FkTeamUsage *t = g_hash_table_lookup(v->teams, name);
   if (!t) {
-    t = g_new0(FkTeamUse, 1);
-    t->by = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
+    t = g_new0(FkTeamUsage, 1);
+    t->cpus_by_controller = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
     g_hash_table_insert(v->teams, g_strdup(name), t);
   }
   return t;
 }
 
-void fk_view_remember_final(FkView *v, const char *id, FkPhase phase, guint32 tasks, gint64 at_ms) {
-  fk_deps_note(v->deps, id, phase == FK_PHASE_DONE ? FK_DEP_DONE : FK_DEP_CANCELLED, at_ms);
-  if (g_hash_table_contains(v->finals, id))
+void fk_view_add_terminal_job(FkView *v, const char *id, FkPhase phase, guint32 tasks, gint64 at_ms) {
+  fk_dependency_graph_set_state(v->dependencies, id,
+                                phase == FK_PHASE_DONE ? FK_DEPENDENCY_DONE : FK_DEPENDENCY_CANCELLED, at_ms);
+  if (g_hash_table_contains(v->terminal_phases, id))
     return;
   char *key = g_strdup(id);
-  g_hash_table_insert(v->finals, key, GINT_TO_POINTER(phase + 1));
-  g_hash_table_insert(v->final_tasks, key, GUINT_TO_POINTER(tasks));
-  g_queue_push_tail(v->final_order, key);
-  if (v->final_order->length > FINALS_KEPT) {
-    char *oldest = g_queue_pop_head(v->final_order);
-    g_hash_table_remove(v->final_tasks, oldest);
-    g_hash_table_remove(v->finals, oldest);
+  g_hash_table_insert(v->terminal_phases, key, GINT_TO_POINTER(phase + 1));
+  g_hash_table_insert(v->terminal_task_counts, key, GUINT_TO_POINTER(tasks));
+  g_queue_push_tail(v->terminal_order, key);
+  if (v->terminal_order->length > TERMINAL_JOBS_KEPT) {
+    char *oldest = g_queue_pop_head(v->terminal_order);
+    g_hash_table_remove(v->terminal_task_counts, oldest);
+    g_hash_table_remove(v->terminal_phases, oldest);
   }
 }
 
-gboolean fk_view_final(FkView *v, const char *id, FkPhase *phase, guint32 *tasks) {
-  gpointer p = g_hash_table_lookup(v->finals, id);
+gboolean fk_view_find_terminal_job(FkView *v, const char *id, FkPhase *phase, guint32 *tasks) {
+  gpointer p = g_hash_table_lookup(v->terminal_phases, id);
   if (p) {
     *phase = GPOINTER_TO_INT(p) - 1;
-    *tasks = GPOINTER_TO_UINT(g_hash_table_lookup(v->final_tasks, id));
+    *tasks = GPOINTER_TO_UINT(g_hash_table_lookup(v->terminal_task_counts, id));
     return TRUE;
   }
   return FALSE;
 }
 
-char *fk_key_page(const char *group, guint part) {
+char *fk_key_machine_page_path(const char *group, guint part) {
   g_autofree char *id = part ? g_strdup_printf("%s+%u", group, part) : g_strdup(group);
-  return fk_key(FK_KEY_PAGE, id);
+  return fk_key_path(FK_KEY_MACHINE_PAGE, id);
 }
 
-guint fk_machine_rec_bytes(const FkMachineRec *m) {
+guint fk_machine_record_bytes(const FkMachineRecord *m) {
   return (guint)(strlen(m->id) + strlen(m->addr) + strlen(m->type) + 50);
 }
 
-gint64 fk_job_own_due(const FkJob *j) {
+gint64 fk_job_own_deadline_us(const FkJob *j) {
   return j->spec->deadline_s < 0 ? G_MAXINT64 : j->submitted_us + (gint64)(j->spec->deadline_s * 1e6);
 }
 
-double fk_job_due_s(const FkJob *j) {
-  return j->due_us == G_MAXINT64 ? -1 : MAX(0, (double)(j->due_us - j->could_us) / 1e6);
+double fk_job_allowed_s(const FkJob *j) {
+  return j->deadline_us == G_MAXINT64 ? -1 : MAX(0, (double)(j->deadline_us - j->startable_us) / 1e6);
 }
 
 FkPhase fk_job_phase(const FkJob *j) {
   if (j->cancelled)
     return FK_PHASE_CANCELLED;
-  return j->booked ? FK_PHASE_RUNNING : FK_PHASE_QUEUED;
+  return j->allocated ? FK_PHASE_RUNNING : FK_PHASE_QUEUED;
 }
 
-gboolean fk_job_complete(const FkJob *j) { return j->done == j->spec->tasks; }
+gboolean fk_job_is_complete(const FkJob *j) { return j->done == j->spec->tasks; }
 
-guint32 fk_job_waiting(const FkJob *j) {
-  if (j->cancelled || j->gone || j->held)
+guint32 fk_job_waiting_tasks(const FkJob *j) {
+  if (j->cancelled || j->removed || j->blocked)
     return 0;
-  guint32 all = j->spec->tasks - j->done - j->booked;
-  return !j->doubted || j->spec->shape == FK_SHAPE_GANG ? all : j->booked ? 0 : MIN(1, all);
+  guint32 all = j->spec->tasks - j->done - j->allocated;
+  return !j->failing || j->spec->shape == FK_SHAPE_GANG ? all : j->allocated ? 0 : MIN(1, all);
 }
--- a/src/core/state/view_apply.c
+++ b/src/core/state/view_apply.c
@@ -3,87 +3,87 @@
 
 #include <string.h>
 
-static void set_group(FkView *v, const char *id, FkRecord *r, FkRev rev) {
-  FkGroup *g = fk_view_group(v, id);
+static void set_shard(FkView *v, const char *id, FkRecord *r, FkRev rev) {
+  FkShard *g = fk_view_ensure_shard(v, id);
   if (g->rev.n >= rev.n)
     return;
-  g_clear_pointer(&g->home, g_free);
-  g_clear_pointer(&g->life, g_free);
+  g_clear_pointer(&g->owner, g_free);
+  g_clear_pointer(&g->owner_incarnation, g_free);
   g->rev = r ? rev : (FkRev){0};
   if (r) {
-    g->home = g_strdup(r->node);
-    g->life = g_strdup(r->life);
+    g->owner = g_strdup(r->node);
+    g->owner_incarnation = g_strdup(r->incarnation);
   }
   for (guint i = 0; i < g->machines->len; i++)
-    fk_view_touch(v, g->machines->pdata[i]);
+    fk_view_mark_machine_changed(v, g->machines->pdata[i]);
 }
 
 /* A machine that a part of its page no longer has, and no other has now, is proven gone: its bookings have
  * ended before. One that moves is in its new part by the same transaction. */
-static void set_page(FkView *v, const char *id, FkRecord *r, FkRev rev) {
+static void set_machine_page(FkView *v, const char *id, FkRecord *r, FkRev rev) {
   const char *plus = strrchr(id, '+');
   g_autofree char *group = plus ? g_strndup(id, plus - id) : g_strdup(id);
   guint64 part = plus ? g_ascii_strtoull(plus + 1, NULL, 10) : 0;
-  if (part >= FK_PARTS)
+  if (part >= FK_SHARD_PAGES_MAX)
     return;
-  FkGroup *g = fk_view_group(v, group);
-  if (g->page_rev[part].n >= rev.n)
+  FkShard *g = fk_view_ensure_shard(v, group);
+  if (g->page_revs[part].n >= rev.n)
     return;
-  g->page_rev[part] = rev;
-  guint bytes = FK_PAGE_BYTES;
-  for (guint i = 0; r && i < r->members->len; i++) {
-    FkMachineRec *rec = r->members->pdata[i];
-    FkMachine *m = fk_view_machine_ensure(v, rec->id);
-    fk_view_join_group(m, g);
+  g->page_revs[part] = rev;
+  guint bytes = FK_MACHINE_PAGE_OVERHEAD_BYTES;
+  for (guint i = 0; r && i < r->machines->len; i++) {
+    FkMachineRecord *rec = r->machines->pdata[i];
+    FkMachine *m = fk_view_ensure_machine(v, rec->id);
+    fk_view_join_shard(m, g);
     m->page_rev = rev;
-    m->part = (guint)part;
-    bytes += fk_machine_rec_bytes(rec);
-    gboolean fresh = !m->rec, changed = m->mark != rec->mark;
+    m->page_part = (guint)part;
+    bytes += fk_machine_record_bytes(rec);
+    gboolean fresh = !m->record, changed = m->drain_reason != rec->drain_reason;
     if (changed) {
-      m->mark = rec->mark;
+      m->drain_reason = rec->drain_reason;
       m->notice_s = rec->notice_s;
-      m->mark_seen = v->now;
+      m->drain_reason_since = v->now;
     }
     if (fresh) {
-      m->rec = fk_machine_rec_copy(rec);
-      m->rec_seen = m->idle_since = v->now;
+      m->record = fk_machine_record_copy(rec);
+      m->record_seen = m->idle_since = v->now;
     }
     if (fresh || changed)
-      fk_view_touch(v, m);
+      fk_view_mark_machine_changed(v, m);
   }
-  g->oversized |= bytes > FK_PAGE_LIMIT(v->settings->value_kb);
+  g->oversized |= bytes > FK_MACHINE_PAGE_MAX_BYTES(v->settings->value_kb);
   for (guint i = 0; i < g->machines->len; i++) {
     FkMachine *m = g->machines->pdata[i];
-    if (m->part != part || m->page_rev.n == rev.n || !m->rec)
+    if (m->page_part != part || m->page_rev.n == rev.n || !m->record)
       continue;
-    g_clear_pointer(&m->rec, fk_machine_rec_free);
-    m->mark = NULL;
+    g_clear_pointer(&m->record, fk_machine_record_free);
+    m->drain_reason = NULL;
     m->type = NULL;
-    fk_view_touch(v, m);
+    fk_view_mark_machine_changed(v, m);
   }
 }
 
 static void set_team(FkView *v, const char *id, FkRecord *r, FkRev rev) {
-  FkTeamUse *t = fk_view_team(v, id);
+  FkTeamUsage *t = fk_view_ensure_team(v, id);
   t->rev = r ? rev : (FkRev){0};
-  t->changed = v->now;
-  g_clear_pointer(&t->split, g_hash_table_unref);
+  t->changed_at = v->now;
+  g_clear_pointer(&t->partition, g_hash_table_unref);
   if (!r)
     return;
-  t->split = g_steal_pointer(&r->split);
+  t->partition = g_steal_pointer(&r->partition);
   if (r->node) {
-    g_free(t->was_short);
-    t->was_short = g_steal_pointer(&r->node);
+    g_free(t->last_exhausted_by);
+    t->last_exhausted_by = g_steal_pointer(&r->node);
   }
 }
 
-static void apply_small(FkView *v, FkKeyKind kind, const char *id, FkRecord *r, FkRev rev) {
+static void set_other(FkView *v, FkKeyKind kind, const char *id, FkRecord *r, FkRev rev) {
   switch (kind) {
   case FK_KEY_NODE:
     if (r) {
-      FkNode *n = g_new0(FkNode, 1);
+      FkControllerNode *n = g_new0(FkControllerNode, 1);
       n->name = g_strdup(id);
-      n->life = g_strdup(r->life);
+      n->incarnation = g_strdup(r->incarnation);
       n->rev = rev;
       g_hash_table_replace(v->nodes, n->name, n);
     } else {
@@ -93,30 +93,30 @@
   case FK_KEY_TEAM:
     set_team(v, id, r, rev);
     break;
-  case FK_KEY_FENCE:
+  case FK_KEY_LAUNCH_FENCE:
     if (r) {
-      FkFence f = {rev, r->chains};
-      g_hash_table_replace(v->fences, g_strdup(id), g_memdup2(&f, sizeof f));
+      FkLaunchFence f = {rev, r->supports_dependencies};
+      g_hash_table_replace(v->launch_fences, g_strdup(id), g_memdup2(&f, sizeof f));
     } else
-      g_hash_table_remove(v->fences, id);
+      g_hash_table_remove(v->launch_fences, id);
     break;
   case FK_KEY_LEADER:
     g_clear_pointer(&v->leader, g_free);
-    g_clear_pointer(&v->leader_life, g_free);
+    g_clear_pointer(&v->leader_incarnation, g_free);
     v->leader_rev.n = 0;
     if (r) {
       v->leader = g_strdup(r->node);
-      v->leader_life = g_strdup(r->life);
+      v->leader_incarnation = g_strdup(r->incarnation);
       v->leader_rev = rev;
     }
     break;
-  case FK_KEY_WAITS:
+  case FK_KEY_WAIT_TIMES:
     if (r) {
-      FkWaits *w = g_new0(FkWaits, 1);
-      *w = r->waits;
-      g_hash_table_replace(v->waits, g_strdup(id), w);
+      FkWaitTimes *w = g_new0(FkWaitTimes, 1);
+      *w = r->wait_times;
+      g_hash_table_replace(v->wait_times, g_strdup(id), w);
     } else {
-      g_hash_table_remove(v->waits, id);
+      g_hash_table_remove(v->wait_times, id);
     }
     break;
   default:
@@ -138,29 +138,29 @@
     fk_view_set_job(v, id, r, rev);
     break;
   case FK_KEY_CHUNK: {
-    FkJob *j = fk_view_job(v, id);
+    FkJob *j = fk_view_find_job(v, id);
     if (j)
       fk_view_set_chunk(v, j, chunk, r ? g_steal_pointer(&r->chunk) : NULL, rev);
     if (r && !j)
-      g_hash_table_replace(v->orphans, g_strdup(path), g_memdup2(&rev, sizeof rev));
+      g_hash_table_replace(v->orphan_chunks, g_strdup(path), g_memdup2(&rev, sizeof rev));
     else
-      g_hash_table_remove(v->orphans, path); /* the job has come since, or the chunk is gone */
+      g_hash_table_remove(v->orphan_chunks, path); /* the job has come since, or the chunk is gone */
     break;
   }
-  case FK_KEY_GROUP:
-    set_group(v, id, r, rev);
+  case FK_KEY_SHARD:
+    set_shard(v, id, r, rev);
     break;
-  case FK_KEY_PAGE:
-    set_page(v, id, r, rev);
+  case FK_KEY_MACHINE_PAGE:
+    set_machine_page(v, id, r, rev);
     break;
-  case FK_KEY_ENDS:
-    fk_view_set_ends(v, id, r, rev);
+  case FK_KEY_COMPLETIONS:
+    fk_view_set_completions(v, id, r, rev);
     break;
-  case FK_KEY_FINAL:
+  case FK_KEY_TERMINAL_JOB:
     if (r)
-      fk_view_remember_final(v, id, r->phase, r->tasks, r->at_ms);
+      fk_view_add_terminal_job(v, id, r->phase, r->tasks, r->ended_at_ms);
     break;
   default:
-    apply_small(v, kind, id, r, rev);
+    set_other(v, kind, id, r, rev);
   }
 }
--- a/src/core/workers/failure_detector.c
+++ b/src/core/workers/failure_detector.c
@@ -1,109 +1,115 @@
 #include "core/workers/failure_detector.h"
 
-#define DEAF_CALLS 2 /* questions in a row without an answer ... */
-#define DEAF_S 3.0   /* ... over so long ... */
-#define DEAF_ANSWERS                                                                                         \
+#define PARTITION_MISSED_PROBES 2 /* questions in a row without an answer ... */
+#define PARTITION_AFTER_S 3.0     /* ... over so long ... */
+#define PARTITION_REPLIES                                                                                    \
   2 /* ... and so many answers to its reports without an effect: the second was given to a                   \
        report that shows nothing of the first */
-#define LAPSE_SLACK_S 6.0 /* a report's way, and the time that its answer may take, are part of the lease */
+#define LEASE_LAPSE_SLACK_S                                                                                  \
+  6.0 /* a report's way, and the time that its answer may take, are part of the lease */
 
-void fk_evidence_claimed(FkEvidence *e, FkTime now) {
-  e->claimed = now;
-  e->first_shown.us = e->answered.us = 0;
+void fk_failure_detector_acquired(FkFailureDetector *e, FkTime now) {
+  e->owned_since = now;
+  e->token_first_echoed_at.us = e->last_replied_at.us = 0;
 }
 
-static void hears(FkEvidence *e) {
-  e->missed.us = 0;
-  e->unanswered = e->answers_since = 0;
-  e->lapsed = FALSE;
+static void note_receiving(FkFailureDetector *e) {
+  e->first_missed_at.us = 0;
+  e->missed_probes = e->replies_without_effect = 0;
+  e->lease_lapsed = FALSE;
 }
 
-static gboolean known(FkTally t) { return t.session || t.seq; }
+static gboolean sequence_is_known(FkHeartbeatSequence t) { return t.incarnation || t.sequence; }
 
-static void take(FkEvidence *e, FkTally at, double lease_s, FkTime now) {
-  gboolean next = known(e->last) && at.session > e->last.session;
+static void accept_message(FkFailureDetector *e, FkHeartbeatSequence at, double lease_s, FkTime now) {
+  gboolean next = sequence_is_known(e->newest_message) && at.incarnation > e->newest_message.incarnation;
   /* A session ends when no answer to a report of the last `lease_s` arrived. */
-  if (next && e->answered.us && e->answered_session == e->last.session &&
-      fk_time_between(e->answered, now) < lease_s - LAPSE_SLACK_S)
-    e->lapsed = TRUE;
-  if (!known(e->last) || next)
-    e->session_began = now;
-  e->last = at;
+  if (next && e->last_replied_at.us && e->replied_incarnation == e->newest_message.incarnation &&
+      fk_time_between(e->last_replied_at, now) < lease_s - LEASE_LAPSE_SLACK_S)
+    e->lease_lapsed = TRUE;
+  if (!sequence_is_known(e->newest_message) || next)
+    e->incarnation_began = now;
+  e->newest_message = at;
 }
 
-FkNews fk_evidence_report(FkEvidence *e, FkTally at, double lease_s, FkTime now) {
-  if (known(e->told) && !fk_tally_after(at, e->told))
-    return FK_NEWS_COPY;
-  e->told = at;
-  if (known(e->last) && !fk_tally_after(at, e->last))
-    return FK_NEWS_OVERTAKEN;
-  take(e, at, lease_s, now);
-  return FK_NEWS_NEW;
+FkHeartbeatFreshness fk_failure_detector_heartbeat(FkFailureDetector *e, FkHeartbeatSequence at,
+                                                   double lease_s, FkTime now) {
+  if (sequence_is_known(e->newest_heartbeat) && !fk_heartbeat_sequence_after(at, e->newest_heartbeat))
+    return FK_HEARTBEAT_DUPLICATE;
+  e->newest_heartbeat = at;
+  if (sequence_is_known(e->newest_message) && !fk_heartbeat_sequence_after(at, e->newest_message))
+    return FK_HEARTBEAT_STALE;
+  accept_message(e, at, lease_s, now);
+  return FK_HEARTBEAT_NEW;
 }
 
-void fk_evidence_asked(FkEvidence *e) { e->asked = e->last; }
+void fk_failure_detector_probe_sent(FkFailureDetector *e) { e->newest_at_probe = e->newest_message; }
 
-FkNews fk_evidence_reply(FkEvidence *e, FkTally at, double lease_s, FkTime now) {
+FkHeartbeatFreshness fk_failure_detector_probe_answered(FkFailureDetector *e, FkHeartbeatSequence at,
+                                                        double lease_s, FkTime now) {
   /* What it says now is older than what it had said before it was asked: its count began anew. */
-  if (known(e->asked) && !fk_tally_after(at, e->asked)) {
-    e->told = (FkTally){0, 0};
-    e->last = at;
-    e->session_began = now;
-    e->shown.n = 0;
-    hears(e);
-    return FK_NEWS_ANEW;
+  if (sequence_is_known(e->newest_at_probe) && !fk_heartbeat_sequence_after(at, e->newest_at_probe)) {
+    e->newest_heartbeat = (FkHeartbeatSequence){0, 0};
+    e->newest_message = at;
+    e->incarnation_began = now;
+    e->token_echoed.n = 0;
+    note_receiving(e);
+    return FK_HEARTBEAT_RESTARTED;
   }
-  hears(e);
-  e->heard = now;
-  if (known(e->last) && !fk_tally_after(at, e->last))
-    return FK_NEWS_OVERTAKEN;
-  take(e, at, lease_s, now);
-  e->lapsed = FALSE; /* whatever was lost before: it hears now */
-  return FK_NEWS_NEW;
+  note_receiving(e);
+  e->last_heard_at = now;
+  if (sequence_is_known(e->newest_message) && !fk_heartbeat_sequence_after(at, e->newest_message))
+    return FK_HEARTBEAT_STALE;
+  accept_message(e, at, lease_s, now);
+  e->lease_lapsed = FALSE; /* whatever was lost before: it hears now */
+  return FK_HEARTBEAT_NEW;
 }
 
-void fk_evidence_no_reply(FkEvidence *e, FkTime now) {
-  if (!e->unanswered++)
-    e->missed = now;
+void fk_failure_detector_probe_missed(FkFailureDetector *e, FkTime now) {
+  if (!e->missed_probes++)
+    e->first_missed_at = now;
 }
 
-void fk_evidence_answered(FkEvidence *e, FkTime now) {
-  e->answered = now;
-  e->answered_session = e->last.session;
-  e->answers_since += e->unanswered > 0;
+void fk_failure_detector_replied(FkFailureDetector *e, FkTime now) {
+  e->last_replied_at = now;
+  e->replied_incarnation = e->newest_message.incarnation;
+  e->replies_without_effect += e->missed_probes > 0;
 }
 
-gboolean fk_evidence_shows(FkEvidence *e, FkRev claim, FkTime now) {
-  e->heard = now;
-  if (fk_rev_eq(e->shown, claim))
+gboolean fk_failure_detector_token_echoed(FkFailureDetector *e, FkRev claim, FkTime now) {
+  e->last_heard_at = now;
+  if (fk_rev_equal(e->token_echoed, claim))
     return FALSE;
-  e->shown = claim;
-  if (!e->first_shown.us)
-    e->first_shown = now;
-  hears(e);
+  e->token_echoed = claim;
+  if (!e->token_first_echoed_at.us)
+    e->token_first_echoed_at = now;
+  note_receiving(e);
   return TRUE;
 }
 
-void fk_evidence_effect(FkEvidence *e) { hears(e); }
+void fk_failure_detector_effect_seen(FkFailureDetector *e) { note_receiving(e); }
 
-gboolean fk_evidence_doubtful(const FkEvidence *e) { return e->unanswered || e->lapsed; }
+gboolean fk_failure_detector_is_suspected(const FkFailureDetector *e) {
+  return e->missed_probes || e->lease_lapsed;
+}
 
-gboolean fk_evidence_deaf(const FkEvidence *e, FkTime now) {
-  return e->lapsed || (e->unanswered >= DEAF_CALLS && e->answers_since >= DEAF_ANSWERS &&
-                       fk_time_between(e->missed, now) > DEAF_S);
+gboolean fk_failure_detector_is_partitioned(const FkFailureDetector *e, FkTime now) {
+  return e->lease_lapsed ||
+         (e->missed_probes >= PARTITION_MISSED_PROBES && e->replies_without_effect >= PARTITION_REPLIES &&
+          fk_time_between(e->first_missed_at, now) > PARTITION_AFTER_S);
 }
 
-FkTime fk_evidence_quiet_since(const FkEvidence *e) {
-  return e->heard.us > e->claimed.us ? e->heard : e->claimed;
+FkTime fk_failure_detector_silent_since(const FkFailureDetector *e) {
+  return e->last_heard_at.us > e->owned_since.us ? e->last_heard_at : e->owned_since;
 }
 
-FkTime fk_evidence_lease_from(const FkEvidence *e, double trust_s) {
+FkTime fk_failure_detector_lease_from(const FkFailureDetector *e, double trust_s) {
   /* until the worker has seen our token, an earlier home may have gone on answering for as long as it trusted
    * its view */
-  FkTime from = e->first_shown.us ? e->first_shown : fk_time_add(e->claimed, trust_s);
-  if (e->answered.us > from.us)
-    from = e->answered;
+  FkTime from = e->token_first_echoed_at.us ? e->token_first_echoed_at : fk_time_add(e->owned_since, trust_s);
+  if (e->last_replied_at.us > from.us)
+    from = e->last_replied_at;
   /* A new session has a lease of its own from its start, answered or not: starts that we sent straight to it
    * may be carried out until that ends. */
-  return e->session_began.us > from.us ? e->session_began : from;
+  return e->incarnation_began.us > from.us ? e->incarnation_began : from;
 }
--- a/src/core/workers/failure_detector.h
+++ b/src/core/workers/failure_detector.h
@@ -8,60 +8,65 @@
 
 /* A message of the machine's own count: the larger is the newer, within one life of the machine. */
 typedef struct {
-  guint64 session, seq;
-} FkTally;
+  guint64 incarnation, sequence;
+} FkHeartbeatSequence;
 
-static inline gboolean fk_tally_after(FkTally a, FkTally b) {
-  return a.session != b.session ? a.session > b.session : a.seq > b.seq;
+static inline gboolean fk_heartbeat_sequence_after(FkHeartbeatSequence a, FkHeartbeatSequence b) {
+  return a.incarnation != b.incarnation ? a.incarnation > b.incarnation : a.sequence > b.sequence;
 }
 
 typedef struct {
-  FkTime claimed;     /* this stretch of ours as its home began */
-  FkTime first_shown; /* when a message first showed a token of this stretch; 0: none has */
-  FkRev shown;        /* the latest of our tokens that it has shown */
-  FkTime heard;       /* when something that proves it alive came last */
-  FkTime answered;    /* when we last answered a report of this stretch; 0: never */
-  guint64 answered_session;
-  FkTally last;         /* the newest message, and ... */
-  FkTally told;         /* ... the newest report: an answer to a question may overtake a report */
-  FkTally asked;        /* what was the newest when the question under way was put */
-  FkTime session_began; /* the present session began before this */
+  FkTime owned_since;           /* this stretch of ours as its home began */
+  FkTime token_first_echoed_at; /* when a message first showed a token of this stretch; 0: none has */
+  FkRev token_echoed;           /* the latest of our tokens that it has shown */
+  FkTime last_heard_at;         /* when something that proves it alive came last */
+  FkTime last_replied_at;       /* when we last answered a report of this stretch; 0: never */
+  guint64 replied_incarnation;
+  FkHeartbeatSequence newest_message; /* the newest message, and ... */
+  FkHeartbeatSequence
+      newest_heartbeat; /* ... the newest report: an answer to a question may overtake a report */
+  FkHeartbeatSequence newest_at_probe; /* what was the newest when the question under way was put */
+  FkTime incarnation_began;            /* the present session began before this */
   /* Whether it hears us. */
-  FkTime missed;       /* the first of the questions in a row that it hasn't answered was given up; 0: none */
-  guint unanswered;    /* how many there are */
-  guint answers_since; /* reports answered since then without an effect */
-  gboolean lapsed;     /* its lease ran out although we answered in time */
-} FkEvidence;
+  FkTime
+      first_missed_at; /* the first of the questions in a row that it hasn't answered was given up; 0: none */
+  guint missed_probes; /* how many there are */
+  guint replies_without_effect; /* reports answered since then without an effect */
+  gboolean lease_lapsed;        /* its lease ran out although we answered in time */
+} FkFailureDetector;
 
 typedef enum {
-  FK_NEWS_NEW,       /* the machine's present state, as far as anybody knows */
-  FK_NEWS_OVERTAKEN, /* true, and older than what is known; who sent it waits for an answer */
-  FK_NEWS_COPY,      /* nobody waits for an answer; or the machine has begun anew: only a question can tell */
-  FK_NEWS_ANEW       /* the answer to a question shows that its count began anew: so did the machine */
-} FkNews;
+  FK_HEARTBEAT_NEW,       /* the machine's present state, as far as anybody knows */
+  FK_HEARTBEAT_STALE,     /* true, and older than what is known; who sent it waits for an answer */
+  FK_HEARTBEAT_DUPLICATE, /* nobody waits for an answer; or the machine has begun anew: only a question can
+                             tell */
+  FK_HEARTBEAT_RESTARTED  /* the answer to a question shows that its count began anew: so did the machine */
+} FkHeartbeatFreshness;
 
 /* We are home to it from now on, after not having been. */
-void fk_evidence_claimed(FkEvidence *e, FkTime now);
+void fk_failure_detector_acquired(FkFailureDetector *e, FkTime now);
 /* A report has come. `lease_s`: the shortest that its lease lasts after an answer. */
-FkNews fk_evidence_report(FkEvidence *e, FkTally at, double lease_s, FkTime now);
+FkHeartbeatFreshness fk_failure_detector_heartbeat(FkFailureDetector *e, FkHeartbeatSequence at,
+                                                   double lease_s, FkTime now);
 /* A question is asked, or orders are sent, straight to it. */
-void fk_evidence_asked(FkEvidence *e);
+void fk_failure_detector_probe_sent(FkFailureDetector *e);
 /* It has answered that. */
-FkNews fk_evidence_reply(FkEvidence *e, FkTally at, double lease_s, FkTime now);
+FkHeartbeatFreshness fk_failure_detector_probe_answered(FkFailureDetector *e, FkHeartbeatSequence at,
+                                                        double lease_s, FkTime now);
 /* It hasn't in time. */
-void fk_evidence_no_reply(FkEvidence *e, FkTime now);
+void fk_failure_detector_probe_missed(FkFailureDetector *e, FkTime now);
 /* We have answered its latest report. */
-void fk_evidence_answered(FkEvidence *e, FkTime now);
+void fk_failure_detector_replied(FkFailureDetector *e, FkTime now);
 /* A message that is the newest shows our claim's token. Returns TRUE when it is the first to do so. */
-gboolean fk_evidence_shows(FkEvidence *e, FkRev claim, FkTime now);
+gboolean fk_failure_detector_token_echoed(FkFailureDetector *e, FkRev claim, FkTime now);
 /* Something that only orders of ours can have brought about shows. */
-void fk_evidence_effect(FkEvidence *e);
+void fk_failure_detector_effect_seen(FkFailureDetector *e);
 /* Nothing new goes there until it answers. */
-gboolean fk_evidence_doubtful(const FkEvidence *e);
+gboolean fk_failure_detector_is_suspected(const FkFailureDetector *e);
 /* It speaks, and doesn't hear: questions and answers are lost on the way to it. */
-gboolean fk_evidence_deaf(const FkEvidence *e, FkTime now);
+gboolean fk_failure_detector_is_partitioned(const FkFailureDetector *e, FkTime now);
 /* Since when it has been quiet. */
-FkTime fk_evidence_quiet_since(const FkEvidence *e);
+FkTime fk_failure_detector_silent_since(const FkFailureDetector *e);
 /* The moment from which a lease that nobody renews runs. `trust_s`: how long an earlier home may have gone on
  * answering after our claim. */
-FkTime fk_evidence_lease_from(const FkEvidence *e, double trust_s);
+FkTime fk_failure_detector_lease_from(const FkFailureDetector *e, double trust_s);
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -2,8 +2,8 @@
 #pragma once
 #include "core/controller.h"
 
-typedef struct FkShell FkShell;
-FkShell *fk_shell_new(const FkSettings *s, GError **error);
+typedef struct FkDaemon FkDaemon;
+FkDaemon *fk_daemon_new(const FkSettings *s, GError **error);
 /* Until the process is killed. */
-void fk_shell_run(FkShell *s);
-void fk_shell_free(FkShell *s);
+void fk_daemon_run(FkDaemon *s);
+void fk_daemon_free(FkDaemon *s);
--- a/src/dependency_graph/dependency_graph.c
+++ b/src/dependency_graph/dependency_graph.c
@@ -4,7 +4,7 @@
 
 typedef struct {
   char *id;
-  FkDepState state;
+  FkDependencyState state;
   gboolean live;         /* added, and not removed */
   GPtrArray *needs;      /* Node; while it is live */
   GHashTable *needed_by; /* Node set: live ones */
@@ -12,13 +12,13 @@
   gint64 ended_ms;
   guint64 round; /* of the walk that has seen it last */
   guint waits;   /* dependents whose pull isn't known yet, in a walk */
-  FkDepsPull pull;
+  FkInheritedPriority pull;
 } Node;
 
-struct FkDeps {
+struct FkDependencyGraph {
   GHashTable *nodes;   /* id -> Node */
   GHashTable *unknown; /* Node set: those that somebody needs and of whom nothing is known */
-  FkDepsChanged changed;
+  FkDependencyChangedFunc changed;
   gpointer data;
   guint64 round;
 };
@@ -34,8 +34,8 @@
   g_free(n);
 }
 
-FkDeps *fk_deps_new(FkDepsChanged changed, gpointer data) {
-  FkDeps *g = g_new0(FkDeps, 1);
+FkDependencyGraph *fk_dependency_graph_new(FkDependencyChangedFunc changed, gpointer data) {
+  FkDependencyGraph *g = g_new0(FkDependencyGraph, 1);
   g->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
   g->unknown = g_hash_table_new(node_hash, g_direct_equal);
   g->changed = changed;
@@ -43,7 +43,7 @@
   return g;
 }
 
-void fk_deps_free(FkDeps *g) {
+void fk_dependency_graph_free(FkDependencyGraph *g) {
   if (!g)
     return;
   g_hash_table_unref(g->unknown);
@@ -51,14 +51,14 @@
   g_free(g);
 }
 
-void fk_deps_clear(FkDeps *g) {
+void fk_dependency_graph_clear(FkDependencyGraph *g) {
   g_hash_table_remove_all(g->unknown);
   g_hash_table_remove_all(g->nodes);
 }
 
-static Node *find(const FkDeps *g, const char *id) { return g_hash_table_lookup(g->nodes, id); }
+static Node *find(const FkDependencyGraph *g, const char *id) { return g_hash_table_lookup(g->nodes, id); }
 
-static Node *ensure(FkDeps *g, const char *id) {
+static Node *ensure(FkDependencyGraph *g, const char *id) {
   Node *n = find(g, id);
   if (!n) {
     n = g_new0(Node, 1);
@@ -71,7 +71,7 @@
 }
 
 /* Nobody needs it, and it waits for nobody: what is known of it is known elsewhere. */
-static void drop_if_idle(FkDeps *g, Node *n) {
+static void drop_if_idle(FkDependencyGraph *g, Node *n) {
   if (n->live || g_hash_table_size(n->needed_by))
     return;
   g_hash_table_remove(g->unknown, n);
@@ -79,7 +79,7 @@
 }
 
 /* It is cancelled, and with it all that need it. */
-static void cancel(FkDeps *g, Node *first) {
+static void cancel_descendants(FkDependencyGraph *g, Node *first) {
   g_autoptr(GPtrArray) todo = g_ptr_array_new();
   g_ptr_array_add(todo, first);
   while (todo->len) {
@@ -89,43 +89,44 @@
     g_hash_table_iter_init(&it, n->needed_by);
     while (g_hash_table_iter_next(&it, &p, NULL)) {
       Node *d = p;
-      if (d->state >= FK_DEP_CANCELLED)
+      if (d->state >= FK_DEPENDENCY_CANCELLED)
         continue;
-      d->state = FK_DEP_CANCELLED;
+      d->state = FK_DEPENDENCY_CANCELLED;
       g_ptr_array_add(todo, d);
       g->changed(g->data, d->id, TRUE);
     }
   }
 }
 
-static void done(FkDeps *g, Node *n) {
+static void mark_done(FkDependencyGraph *g, Node *n) {
   GHashTableIter it;
   gpointer p;
   g_hash_table_iter_init(&it, n->needed_by);
   while (g_hash_table_iter_next(&it, &p, NULL)) {
     Node *d = p;
-    if (!--d->open && d->state < FK_DEP_CANCELLED)
+    if (!--d->open && d->state < FK_DEPENDENCY_CANCELLED)
       g->changed(g->data, d->id, FALSE);
   }
 }
 
-void fk_deps_note(FkDeps *g, const char *id, FkDepState state, gint64 at_ms) {
+void fk_dependency_graph_set_state(FkDependencyGraph *g, const char *id, FkDependencyState state,
+                                   gint64 at_ms) {
   Node *n = find(g, id);
-  if (!n || n->state >= FK_DEP_CANCELLED)
+  if (!n || n->state >= FK_DEPENDENCY_CANCELLED)
     return;
   n->state = state;
   n->ended_ms = at_ms;
-  if (state == FK_DEP_UNKNOWN && g_hash_table_size(n->needed_by))
+  if (state == FK_DEPENDENCY_UNKNOWN && g_hash_table_size(n->needed_by))
     g_hash_table_add(g->unknown, n);
   else
     g_hash_table_remove(g->unknown, n);
-  if (state == FK_DEP_CANCELLED)
-    cancel(g, n);
-  else if (state == FK_DEP_DONE)
-    done(g, n);
+  if (state == FK_DEPENDENCY_CANCELLED)
+    cancel_descendants(g, n);
+  else if (state == FK_DEPENDENCY_DONE)
+    mark_done(g, n);
 }
 
-void fk_deps_add(FkDeps *g, const char *id, char *const *dependencies) {
+void fk_dependency_graph_add(FkDependencyGraph *g, const char *id, char *const *dependencies) {
   Node *known = find(g, id);
   if (!dependencies || !*dependencies || (known && known->live))
     return;
@@ -133,28 +134,28 @@
   gboolean cancelled = FALSE;
   n->live = TRUE;
   n->open = 0;
-  if (n->state == FK_DEP_UNKNOWN)
-    fk_deps_note(g, id, FK_DEP_LIVE, 0);
+  if (n->state == FK_DEPENDENCY_UNKNOWN)
+    fk_dependency_graph_set_state(g, id, FK_DEPENDENCY_LIVE, 0);
   for (; *dependencies; dependencies++) {
     Node *d = ensure(g, *dependencies);
     if (d == n || !g_hash_table_add(d->needed_by, n))
       continue;
     g_ptr_array_add(n->needs, d);
-    n->open += d->state != FK_DEP_DONE;
-    cancelled |= d->state == FK_DEP_CANCELLED;
-    if (d->state == FK_DEP_UNKNOWN)
+    n->open += d->state != FK_DEPENDENCY_DONE;
+    cancelled |= d->state == FK_DEPENDENCY_CANCELLED;
+    if (d->state == FK_DEPENDENCY_UNKNOWN)
       g_hash_table_add(g->unknown, d);
   }
-  if (cancelled && n->state < FK_DEP_CANCELLED) {
-    n->state = FK_DEP_CANCELLED;
+  if (cancelled && n->state < FK_DEPENDENCY_CANCELLED) {
+    n->state = FK_DEPENDENCY_CANCELLED;
     g->changed(g->data, n->id, TRUE);
-    cancel(g, n);
-  } else if (!n->open && n->state < FK_DEP_CANCELLED) {
+    cancel_descendants(g, n);
+  } else if (!n->open && n->state < FK_DEPENDENCY_CANCELLED) {
     g->changed(g->data, n->id, FALSE);
   }
 }
 
-void fk_deps_remove(FkDeps *g, const char *id) {
+void fk_dependency_graph_remove(FkDependencyGraph *g, const char *id) {
   Node *n = find(g, id);
   if (!n || !n->live)
     return;
@@ -168,12 +169,12 @@
   drop_if_idle(g, n);
 }
 
-guint fk_deps_open(const FkDeps *g, const char *id) {
+guint fk_dependency_graph_open_count(const FkDependencyGraph *g, const char *id) {
   const Node *n = find(g, id);
   return n && n->live ? n->open : 0;
 }
 
-gint64 fk_deps_ready_ms(const FkDeps *g, const char *id) {
+gint64 fk_dependency_graph_ready_ms(const FkDependencyGraph *g, const char *id) {
   const Node *n = find(g, id);
   gint64 latest = 0;
   for (guint i = 0; n && i < n->needs->len; i++)
@@ -181,12 +182,12 @@
   return latest;
 }
 
-gboolean fk_deps_needed(const FkDeps *g, const char *id) {
+gboolean fk_dependency_graph_has_dependents(const FkDependencyGraph *g, const char *id) {
   const Node *n = find(g, id);
   return n && g_hash_table_size(n->needed_by);
 }
 
-gboolean fk_deps_sure(FkDeps *g, const char *id) {
+gboolean fk_dependency_graph_is_known(FkDependencyGraph *g, const char *id) {
   Node *first = find(g, id);
   if (!first || !g_hash_table_size(g->unknown))
     return TRUE;
@@ -197,9 +198,9 @@
     Node *n = g_ptr_array_steal_index_fast(todo, todo->len - 1);
     for (guint i = 0; i < n->needs->len; i++) {
       Node *d = n->needs->pdata[i];
-      if (d->state == FK_DEP_UNKNOWN)
+      if (d->state == FK_DEPENDENCY_UNKNOWN)
         return FALSE;
-      if (d->round == g->round || d->state == FK_DEP_DONE)
+      if (d->round == g->round || d->state == FK_DEPENDENCY_DONE)
         continue;
       d->round = g->round;
       g_ptr_array_add(todo, d);
@@ -208,7 +209,9 @@
   return TRUE;
 }
 
-guint fk_deps_unknown(const FkDeps *g, void (*fn)(gpointer data, const char *id), gpointer data, guint most) {
+guint fk_dependency_graph_for_each_unknown(const FkDependencyGraph *g,
+                                           void (*fn)(gpointer data, const char *id), gpointer data,
+                                           guint most) {
   guint n = 0;
   GHashTableIter it;
   gpointer p;
@@ -220,17 +223,19 @@
   return n;
 }
 
-guint fk_deps_size(const FkDeps *g) { return g_hash_table_size(g->nodes); }
+guint fk_dependency_graph_size(const FkDependencyGraph *g) { return g_hash_table_size(g->nodes); }
 
-static void pull_over(Node *n, FkDepsPull own, gint64 run_us, FkDepsPull *to) {
-  FkDepsPull all = {MIN(own.rank, n->pull.rank), MIN(own.by_us, n->pull.by_us)};
+static void propagate_priority(Node *n, FkInheritedPriority own, gint64 run_us, FkInheritedPriority *to) {
+  FkInheritedPriority all = {MIN(own.rank, n->pull.rank), MIN(own.due_us, n->pull.due_us)};
   to->rank = MIN(to->rank, all.rank);
-  if (all.by_us != G_MAXINT64)
-    to->by_us = MIN(to->by_us, all.by_us - run_us);
+  if (all.due_us != G_MAXINT64)
+    to->due_us = MIN(to->due_us, all.due_us - run_us);
 }
 
-void fk_deps_pull(FkDeps *g, FkDepsOwn own, void (*fn)(gpointer data, const char *id, FkDepsPull pull),
-                  gpointer data) {
+void fk_dependency_graph_inherit_priorities(FkDependencyGraph *g, FkOwnPriorityFunc own,
+                                            void (*fn)(gpointer data, const char *id,
+                                                       FkInheritedPriority pull),
+                                            gpointer data) {
   g_autoptr(GPtrArray) ready = g_ptr_array_new();
   GHashTableIter it;
   gpointer p;
@@ -238,21 +243,22 @@
   while (g_hash_table_iter_next(&it, NULL, &p)) {
     Node *n = p;
     n->waits = g_hash_table_size(n->needed_by);
-    n->pull = (FkDepsPull){G_MAXINT, G_MAXINT64};
+    n->pull = (FkInheritedPriority){G_MAXINT, G_MAXINT64};
     if (!n->waits)
       g_ptr_array_add(ready, n);
   }
   while (ready->len) {
     Node *n = g_ptr_array_steal_index_fast(ready, ready->len - 1);
-    FkDepsPull mine = {G_MAXINT, G_MAXINT64};
+    FkInheritedPriority mine = {G_MAXINT, G_MAXINT64};
     gint64 run_us = 0;
-    gboolean counts = n->state < FK_DEP_CANCELLED && own(data, n->id, &mine.rank, &mine.by_us, &run_us);
-    if (n->pull.rank != G_MAXINT && n->state < FK_DEP_CANCELLED)
+    gboolean counts =
+        n->state < FK_DEPENDENCY_CANCELLED && own(data, n->id, &mine.rank, &mine.due_us, &run_us);
+    if (n->pull.rank != G_MAXINT && n->state < FK_DEPENDENCY_CANCELLED)
       fn(data, n->id, n->pull);
     for (guint i = 0; i < n->needs->len; i++) {
       Node *d = n->needs->pdata[i];
       if (counts)
-        pull_over(n, mine, run_us, &d->pull);
+        propagate_priority(n, mine, run_us, &d->pull);
       if (!--d->waits)
         g_ptr_array_add(ready, d);
     }
--- a/src/dependency_graph/dependency_graph.h
+++ b/src/dependency_graph/dependency_graph.h
@@ -8,49 +8,55 @@
 #include <glib.h>
 
 typedef enum {
-  FK_DEP_UNKNOWN, /* it isn't live as far as we know, and its end hasn't been seen: to be asked for */
-  FK_DEP_LIVE,
-  FK_DEP_CANCELLED,
-  FK_DEP_DONE
-} FkDepState;
+  FK_DEPENDENCY_UNKNOWN, /* it isn't live as far as we know, and its end hasn't been seen: to be asked for */
+  FK_DEPENDENCY_LIVE,
+  FK_DEPENDENCY_CANCELLED,
+  FK_DEPENDENCY_DONE
+} FkDependencyState;
 
-typedef struct FkDeps FkDeps;
+typedef struct FkDependencyGraph FkDependencyGraph;
 
 /* A job has become ready, or is cancelled because an ancestor is: it is live, and named some. At most one
  * call of each a job. The graph must not be changed from it. */
-typedef void (*FkDepsChanged)(gpointer data, const char *id, gboolean cancelled);
+typedef void (*FkDependencyChangedFunc)(gpointer data, const char *id, gboolean cancelled);
 
-FkDeps *fk_deps_new(FkDepsChanged changed, gpointer data);
-void fk_deps_free(FkDeps *g);
-void fk_deps_clear(FkDeps *g);
+FkDependencyGraph *fk_dependency_graph_new(FkDependencyChangedFunc changed, gpointer data);
+void fk_dependency_graph_free(FkDependencyGraph *g);
+void fk_dependency_graph_clear(FkDependencyGraph *g);
 /* A live job, and those it waits for (NULL or empty: none). Again: nothing happens. */
-void fk_deps_add(FkDeps *g, const char *id, char *const *dependencies);
+void fk_dependency_graph_add(FkDependencyGraph *g, const char *id, char *const *dependencies);
 /* What is known of a job, whether or not somebody names it; UNKNOWN: its record has gone, its end isn't known
  * yet. A final state stays. `at_ms`: when it ended, time of day; 0: not known. */
-void fk_deps_note(FkDeps *g, const char *id, FkDepState state, gint64 at_ms);
+void fk_dependency_graph_set_state(FkDependencyGraph *g, const char *id, FkDependencyState state,
+                                   gint64 at_ms);
 /* A live job has gone: it waits for nobody any more. What became of it is noted apart. */
-void fk_deps_remove(FkDeps *g, const char *id);
+void fk_dependency_graph_remove(FkDependencyGraph *g, const char *id);
 
 /* Dependencies of it that aren't known to be done. */
-guint fk_deps_open(const FkDeps *g, const char *id);
+guint fk_dependency_graph_open_count(const FkDependencyGraph *g, const char *id);
 /* The latest end among those that are done, in ms; 0: none is known. */
-gint64 fk_deps_ready_ms(const FkDeps *g, const char *id);
+gint64 fk_dependency_graph_ready_ms(const FkDependencyGraph *g, const char *id);
 /* A live job names it. */
-gboolean fk_deps_needed(const FkDeps *g, const char *id);
+gboolean fk_dependency_graph_has_dependents(const FkDependencyGraph *g, const char *id);
 /* What is known of everything that it needs, directly or through others: nobody has to be asked. */
-gboolean fk_deps_sure(FkDeps *g, const char *id);
+gboolean fk_dependency_graph_is_known(FkDependencyGraph *g, const char *id);
 /* Calls `fn` with each job whose state is to be asked for, `most` at the most. */
-guint fk_deps_unknown(const FkDeps *g, void (*fn)(gpointer data, const char *id), gpointer data, guint most);
-guint fk_deps_size(const FkDeps *g);
+guint fk_dependency_graph_for_each_unknown(const FkDependencyGraph *g,
+                                           void (*fn)(gpointer data, const char *id), gpointer data,
+                                           guint most);
+guint fk_dependency_graph_size(const FkDependencyGraph *g);
 
 /* What a live job takes over from those that need it. */
 typedef struct {
-  int rank;     /* lower goes first; G_MAXINT: nobody needs it */
-  gint64 by_us; /* by when it must be over, so that each of them can be in time; G_MAXINT64: no matter */
-} FkDepsPull;
+  int rank;      /* lower goes first; G_MAXINT: nobody needs it */
+  gint64 due_us; /* by when it must be over, so that each of them can be in time; G_MAXINT64: no matter */
+} FkInheritedPriority;
 /* A job's own: its rank, when it is due (G_MAXINT64: never) and how long it runs. FALSE: it isn't known. */
-typedef gboolean (*FkDepsOwn)(gpointer data, const char *id, int *rank, gint64 *due_us, gint64 *run_us);
+typedef gboolean (*FkOwnPriorityFunc)(gpointer data, const char *id, int *rank, gint64 *due_us,
+                                      gint64 *run_us);
 /* Works the pulls out for all jobs that a live one names, the dependents' before their dependencies', and
  * calls `fn` with each. */
-void fk_deps_pull(FkDeps *g, FkDepsOwn own, void (*fn)(gpointer data, const char *id, FkDepsPull pull),
-                  gpointer data);
+void fk_dependency_graph_inherit_priorities(FkDependencyGraph *g, FkOwnPriorityFunc own,
+                                            void (*fn)(gpointer data, const char *id,
+                                                       FkInheritedPriority pull),
+                                            gpointer data);
--- a/src/fair_share/fair_share.h
+++ b/src/fair_share/fair_share.h
@@ -7,18 +7,18 @@
 
 typedef struct {
   double guarantee; /* 0: none */
-  double most;      /* the limit; infinite: none */
+  double quota;     /* the limit; infinite: none */
   double used;      /* booked */
   double wanted;    /* waits for a place */
-  double due;       /* out: what it is owed of the room there is */
-} FkClaimant;
+  double share;     /* out: what it is owed of the room there is */
+} FkFairShareDemand;
 
 /* CPUs that stand for so much of a fleet with `all_cpus` and `all_gpus`. */
-double fk_share_dominant(double cpus, double gpus, double all_cpus, double all_gpus);
+double fk_fair_share_dominant(double cpus, double gpus, double all_cpus, double all_gpus);
 
 /* Fills in what each is due of `room`. Never more than it uses and wants, nor than its limit; the sum is at
  * most the room. */
-void fk_share_out(FkClaimant *claimants, guint n, double room);
+void fk_fair_share_divide(FkFairShareDemand *claimants, guint n, double room);
 
 /* Lower: goes first. */
 typedef enum {
@@ -27,4 +27,4 @@
   FK_STANDING_FAIR,
   FK_STANDING_OVER /* well above */
 } FkStanding;
-FkStanding fk_share_standing(const FkClaimant *c);
+FkStanding fk_fair_share_standing(const FkFairShareDemand *c);
--- a/src/fair_share/quota.c
+++ b/src/fair_share/quota.c
@@ -4,22 +4,22 @@
 
 #define EPS 1e-6
 
-double fk_limit_of(double setting) { return setting > 0 ? setting : INFINITY; }
+double fk_quota_from_setting(double setting) { return setting > 0 ? setting : INFINITY; }
 
-gboolean fk_limited(double most) { return isfinite(most); }
+gboolean fk_quota_is_limited(double most) { return isfinite(most); }
 
-gboolean fk_limit_allows(double most, double used, double each, double times) {
+gboolean fk_quota_allows(double most, double used, double each, double times) {
   return used + each * times <= most + EPS;
 }
 
-double fk_limit_left(double most, double used) { return MAX(0, most - used); }
+double fk_quota_left(double most, double used) { return MAX(0, most - used); }
 
 FkTeamKind fk_team_kind(double guarantee, double most) {
   if (guarantee <= 0)
-    return fk_limited(most) ? FK_TEAM_BORROWER : FK_TEAM_GUEST;
-  if (!fk_limited(most))
+    return fk_quota_is_limited(most) ? FK_TEAM_WITHOUT_GUARANTEE : FK_TEAM_BEST_EFFORT;
+  if (!fk_quota_is_limited(most))
     return FK_TEAM_UNLIMITED;
-  return most < guarantee ? FK_TEAM_NARROW : FK_TEAM_ORDINARY;
+  return most < guarantee ? FK_TEAM_QUOTA_BELOW_GUARANTEE : FK_TEAM_ORDINARY;
 }
 
 const char *fk_team_kind_name(FkTeamKind kind) {
--- a/src/fair_share/service_level.h
+++ b/src/fair_share/service_level.h
@@ -4,24 +4,24 @@
 #pragma once
 #include <glib.h>
 
-typedef struct FkServed FkServed;
+typedef struct FkServiceLevel FkServiceLevel;
 
 /* One class or team at the latest look. Jobs that their users have withdrawn count nowhere. */
 typedef struct {
   const char *name; /* the book's own */
   enum {
-    FK_SERVED_CLASS,
-    FK_SERVED_LARGEST,
-    FK_SERVED_TEAM
+    FK_SERVICE_LEVEL_CLASS,
+    FK_SERVICE_LEVEL_LARGEST,
+    FK_SERVICE_LEVEL_TEAM
   } kind;      /* LARGEST: the largest jobs of the class */
   guint ended; /* jobs done since the book was opened */
   guint live;
   guint64 waiting, running; /* tasks of live jobs */
   double cpus;              /* booked */
-  double due;               /* jobs that have had time, the ended ones as well ... */
-  double served;            /* ... and how many of those are served: each by its tasks that run or are done */
-  double oldest_s;          /* the longest that a job with waiting tasks has been there */
-} FkServedRow;
+  double expected_jobs;     /* jobs that have had time, the ended ones as well ... */
+  double served_jobs;       /* ... and how many of those are served: each by its tasks that run or are done */
+  double oldest_wait_s;     /* the longest that a job with waiting tasks has been there */
+} FkServiceLevelRow;
 
 typedef struct {
   const char *class_name, *team;
@@ -29,31 +29,31 @@
   guint32 tasks, done, running, waiting;
   double cpus; /* booked */
   double size; /* what the whole job takes, in CPU-seconds */
-} FkServedJob;
+} FkServiceLevelJob;
 
-FkServed *fk_served_new(void);
-void fk_served_free(FkServed *b);
-void fk_served_clear(FkServed *b);
+FkServiceLevel *fk_service_level_new(void);
+void fk_service_level_free(FkServiceLevel *b);
+void fk_service_level_clear(FkServiceLevel *b);
 /* A job of that size is there: once for each job. */
-void fk_served_sized(FkServed *b, const char *class_name, double size);
+void fk_service_level_add_size(FkServiceLevel *b, const char *class_name, double size);
 /* Whether a job of that size is one of the largest of its class: of the largest tenth of those seen, and
  * those as large as the least of them; one at the least. Sizes count in steps of a fifth. */
-gboolean fk_served_is_large(const FkServed *b, const char *class_name, double size);
+gboolean fk_service_level_is_large(const FkServiceLevel *b, const char *class_name, double size);
 /* A job is done. */
-void fk_served_ended(FkServed *b, const char *class_name, const char *team, double size);
+void fk_service_level_job_ended(FkServiceLevel *b, const char *class_name, const char *team, double size);
 
 /* A look: first this, then every live job. */
-void fk_served_begin(FkServed *b);
-void fk_served_live(FkServed *b, const FkServedJob *j);
+void fk_service_level_begin(FkServiceLevel *b);
+void fk_service_level_add_live_job(FkServiceLevel *b, const FkServiceLevelJob *j);
 
 /* From 0 to 1; 1 when nothing is due yet. */
-double fk_served_share(const FkServedRow *r);
+double fk_service_level_share(const FkServiceLevelRow *r);
 /* Less than half is served, and something has waited for long. */
-gboolean fk_served_starved(const FkServedRow *r);
+gboolean fk_service_level_is_starved(const FkServiceLevelRow *r);
 /* The row as of the latest look, or NULL. */
-const FkServedRow *fk_served_class(const FkServed *b, const char *name);
+const FkServiceLevelRow *fk_service_level_class(const FkServiceLevel *b, const char *name);
 /* The row of the class's largest jobs. */
-const FkServedRow *fk_served_largest(const FkServed *b, const char *class_name);
-const FkServedRow *fk_served_team(const FkServed *b, const char *name);
+const FkServiceLevelRow *fk_service_level_largest(const FkServiceLevel *b, const char *class_name);
+const FkServiceLevelRow *fk_service_level_team(const FkServiceLevel *b, const char *name);
 /* All rows, by kind and name. Free the array; the rows are the book's. */
-GPtrArray *fk_served_rows(const FkServed *b);
+GPtrArray *fk_service_level_rows(const FkServiceLevel *b);
--- a/src/grpc/h2.c
+++ b/src/grpc/h2.c
@@ -5,35 +5,35 @@
 
 #include "grpc/frames.h"
 
-#define WINDOW (1 << 20) /* of a connection and of a stream, inwards */
-#define PATH_MAX_LEN 256
-#define KEY_MAX_LEN 1024
-#define MESSAGE_TEXT_MAX 1024 /* of a status, before it is encoded */
+#define WINDOW_BYTES (1 << 20) /* of a connection and of a stream, inwards */
+#define PATH_BYTES_MAX 256
+#define KEY_BYTES_MAX 1024
+#define STATUS_MESSAGE_BYTES_MAX 1024 /* of a status, before it is encoded */
 
 struct FkRpc {
-  FkH2 *h;
+  FkH2Session *session;
   gint32 id;
-  GList link;
+  GList session_link;
   char *path, *bearer;
   gsize header_bytes;
-  gboolean post, grpc, begun, half, ended, answered, over;
-  FkFrames frames;
-  gsize held;
-  GByteArray *out; /* framed, not yet taken by nghttp2 */
-  gsize sent;      /* of `out` */
-  gboolean wants_room;
-  FkGrpc status;
-  char *text, *details; /* of the status; details in base64 */
+  gboolean post, grpc, begun, half_closed, ended, headers_sent, finished;
+  FkGrpcFrameParser frames;
+  gsize buffered;
+  GByteArray *unsent; /* framed, not yet taken by nghttp2 */
+  gsize sent;         /* of `out` */
+  gboolean wants_writable;
+  FkGrpcStatus status;
+  char *status_message, *status_details; /* of the status; details in base64 */
   gpointer data;
 };
 
-struct FkH2 {
+struct FkH2Session {
   nghttp2_session *session;
   FkH2Limits limits;
-  const FkH2Calls *calls;
+  const FkH2Callbacks *callbacks;
   gpointer data;
-  GQueue rpcs;
-  gsize held;
+  GQueue calls;
+  gsize buffered;
   gboolean broken;
 };
 
@@ -42,28 +42,28 @@
 static void rpc_free(FkRpc *r) {
   g_free(r->path);
   g_free(r->bearer);
-  g_free(r->text);
-  g_free(r->details);
-  fk_frames_clear(&r->frames);
-  g_byte_array_unref(r->out);
+  g_free(r->status_message);
+  g_free(r->status_details);
+  fk_grpc_frame_parser_clear(&r->frames);
+  g_byte_array_unref(r->unsent);
   g_free(r);
 }
 
-static void set_held(FkRpc *r, gsize bytes) {
-  r->h->held += bytes - r->held;
-  r->held = bytes;
+static void set_buffered(FkRpc *r, gsize bytes) {
+  r->session->buffered += bytes - r->buffered;
+  r->buffered = bytes;
 }
 
-static void finish(FkRpc *r) {
-  FkH2 *h = r->h;
-  if (r->over)
+static void finish_call(FkRpc *r) {
+  FkH2Session *h = r->session;
+  if (r->finished)
     return;
-  r->over = r->ended = TRUE;
-  set_held(r, 0);
+  r->finished = r->ended = TRUE;
+  set_buffered(r, 0);
   if (r->begun)
-    h->calls->over(h->data, r);
+    h->callbacks->call_ended(h->data, r);
   nghttp2_session_set_stream_user_data(h->session, r->id, NULL);
-  g_queue_unlink(&h->rpcs, &r->link);
+  g_queue_unlink(&h->calls, &r->session_link);
   rpc_free(r);
 }
 
@@ -78,31 +78,31 @@
 #define NV(n, v)                                                                                             \
   { (guint8 *)(n), (guint8 *)(v), strlen(n), strlen(v), NGHTTP2_NV_FLAG_NONE }
 
-static guint trailers(FkRpc *r, nghttp2_nv *nv, char code[4]) {
+static guint fill_trailers(FkRpc *r, nghttp2_nv *nv, char code[4]) {
   guint n = 0;
   g_snprintf(code, 4, "%d", r->status);
   nv[n++] = (nghttp2_nv)NV("grpc-status", code);
-  if (r->text)
-    nv[n++] = (nghttp2_nv)NV("grpc-message", r->text);
-  if (r->details)
-    nv[n++] = (nghttp2_nv)NV("grpc-status-details-bin", r->details);
+  if (r->status_message)
+    nv[n++] = (nghttp2_nv)NV("grpc-message", r->status_message);
+  if (r->status_details)
+    nv[n++] = (nghttp2_nv)NV("grpc-status-details-bin", r->status_details);
   return n;
 }
 
-static ssize_t read_out(nghttp2_session *s, gint32 id, guint8 *to, size_t len, guint32 *flags,
-                        nghttp2_data_source *source, void *data) {
+static ssize_t read_response(nghttp2_session *s, gint32 id, guint8 *to, size_t len, guint32 *flags,
+                             nghttp2_data_source *source, void *data) {
   FkRpc *r = source->ptr;
-  gsize n = MIN(len, r->out->len - r->sent);
-  memcpy(to, r->out->data + r->sent, n);
+  gsize n = MIN(len, r->unsent->len - r->sent);
+  memcpy(to, r->unsent->data + r->sent, n);
   r->sent += n;
-  if (r->sent == r->out->len) {
-    g_byte_array_set_size(r->out, 0);
+  if (r->sent == r->unsent->len) {
+    g_byte_array_set_size(r->unsent, 0);
     r->sent = 0;
   }
-  if (r->out->len == 0 && r->ended) {
+  if (r->unsent->len == 0 && r->ended) {
     nghttp2_nv nv[3];
     char code[4];
-    guint count = trailers(r, nv, code);
+    guint count = fill_trailers(r, nv, code);
     *flags |= NGHTTP2_DATA_FLAG_EOF | NGHTTP2_DATA_FLAG_NO_END_STREAM;
     nghttp2_submit_trailer(s, id, nv, count);
     return (ssize_t)n;
@@ -112,21 +112,21 @@
 
 /* The head of the answer, once there is something to say. An answer without a message is one block of
  * headers. */
-static void answer(FkRpc *r) {
-  nghttp2_session *s = r->h->session;
-  if (r->answered) {
+static void send_response(FkRpc *r) {
+  nghttp2_session *s = r->session->session;
+  if (r->headers_sent) {
     nghttp2_session_resume_data(s, r->id);
     return;
   }
-  r->answered = TRUE;
+  r->headers_sent = TRUE;
   nghttp2_nv nv[5] = {NV(":status", "200"), NV("content-type", "application/grpc")};
-  if (r->ended && r->out->len == 0) {
+  if (r->ended && r->unsent->len == 0) {
     char code[4];
-    guint n = trailers(r, nv + 2, code);
+    guint n = fill_trailers(r, nv + 2, code);
     nghttp2_submit_response(s, r->id, nv, 2 + n, NULL);
     return;
   }
-  nghttp2_data_provider from = {.source.ptr = r, .read_callback = read_out};
+  nghttp2_data_provider from = {.source.ptr = r, .read_callback = read_response};
   nghttp2_submit_response(s, r->id, nv, 2, &from);
 }
 
@@ -134,20 +134,20 @@
   guint8 prefix[5];
   if (r->ended)
     return TRUE;
-  fk_frames_prefix(prefix, len);
-  g_byte_array_append(r->out, prefix, sizeof prefix);
-  g_byte_array_append(r->out, bytes, (guint)len);
-  answer(r);
-  r->wants_room = r->out->len - r->sent >= r->h->limits.queued;
-  return !r->wants_room;
+  fk_grpc_frame_prefix(prefix, len);
+  g_byte_array_append(r->unsent, prefix, sizeof prefix);
+  g_byte_array_append(r->unsent, bytes, (guint)len);
+  send_response(r);
+  r->wants_writable = r->unsent->len - r->sent >= r->session->limits.queued_bytes;
+  return !r->wants_writable;
 }
 
 /* A status's text travels percent-encoded. */
-static char *encoded(const char *text) {
+static char *percent_encode(const char *text) {
   if (!text || !*text)
     return NULL;
   GString *s = g_string_new("");
-  for (gsize i = 0; i < MESSAGE_TEXT_MAX && text[i]; i++) {
+  for (gsize i = 0; i < STATUS_MESSAGE_BYTES_MAX && text[i]; i++) {
     guchar c = (guchar)text[i];
     if (c >= 0x20 && c <= 0x7e && c != '%')
       g_string_append_c(s, (char)c);
@@ -157,55 +157,58 @@
   return g_string_free(s, FALSE);
 }
 
-void fk_rpc_end(FkRpc *r, FkGrpc status, const char *message, const guint8 *details, gsize details_len) {
+void fk_rpc_end(FkRpc *r, FkGrpcStatus status, const char *message, const guint8 *details,
+                gsize details_len) {
   if (r->ended)
     return;
   r->ended = TRUE;
   r->status = status;
-  r->text = encoded(message);
-  r->details = details_len ? g_base64_encode(details, details_len) : NULL;
-  answer(r);
+  r->status_message = percent_encode(message);
+  r->status_details = details_len ? g_base64_encode(details, details_len) : NULL;
+  send_response(r);
 }
 
 /* ------------------------------------------------------------------ inwards */
 
-static FkRpc *rpc_of(FkH2 *h, gint32 id) { return nghttp2_session_get_stream_user_data(h->session, id); }
+static FkRpc *call_by_stream(FkH2Session *h, gint32 id) {
+  return nghttp2_session_get_stream_user_data(h->session, id);
+}
 
 static int on_begin_headers(nghttp2_session *s, const nghttp2_frame *f, void *data) {
-  FkH2 *h = data;
+  FkH2Session *h = data;
   if (f->hd.type != NGHTTP2_HEADERS || f->headers.cat != NGHTTP2_HCAT_REQUEST)
     return 0;
   FkRpc *r = g_new0(FkRpc, 1);
-  r->h = h;
+  r->session = h;
   r->id = f->hd.stream_id;
-  r->out = g_byte_array_new();
-  fk_frames_init(&r->frames, h->limits.message);
-  r->link.data = r;
-  g_queue_push_tail_link(&h->rpcs, &r->link);
+  r->unsent = g_byte_array_new();
+  fk_grpc_frame_parser_init(&r->frames, h->limits.message_bytes);
+  r->session_link.data = r;
+  g_queue_push_tail_link(&h->calls, &r->session_link);
   nghttp2_session_set_stream_user_data(s, r->id, r);
   return 0;
 }
 
-static gboolean is(const guint8 *name, size_t len, const char *what) {
+static gboolean equals(const guint8 *name, size_t len, const char *what) {
   return len == strlen(what) && memcmp(name, what, len) == 0;
 }
 
 static int on_header(nghttp2_session *s, const nghttp2_frame *f, const guint8 *name, size_t name_len,
                      const guint8 *value, size_t value_len, guint8 flags, void *data) {
-  FkH2 *h = data;
-  FkRpc *r = rpc_of(h, f->hd.stream_id);
+  FkH2Session *h = data;
+  FkRpc *r = call_by_stream(h, f->hd.stream_id);
   if (!r || r->begun)
     return 0; /* a client's trailers: nothing is expected in them */
   r->header_bytes += name_len + value_len + 32;
   if (r->header_bytes > h->limits.header_bytes)
     return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE; /* resets this stream */
-  if (is(name, name_len, ":path") && value_len <= PATH_MAX_LEN && !r->path)
+  if (equals(name, name_len, ":path") && value_len <= PATH_BYTES_MAX && !r->path)
     r->path = g_strndup((const char *)value, value_len);
-  else if (is(name, name_len, ":method"))
-    r->post = is(value, value_len, "POST");
-  else if (is(name, name_len, "content-type"))
+  else if (equals(name, name_len, ":method"))
+    r->post = equals(value, value_len, "POST");
+  else if (equals(name, name_len, "content-type"))
     r->grpc = value_len >= 16 && memcmp(value, "application/grpc", 16) == 0;
-  else if (is(name, name_len, "authorization") && value_len > 7 && value_len <= KEY_MAX_LEN &&
+  else if (equals(name, name_len, "authorization") && value_len > 7 && value_len <= KEY_BYTES_MAX &&
            g_ascii_strncasecmp((const char *)value, "Bearer ", 7) == 0 && !r->bearer)
     r->bearer = g_strndup((const char *)value + 7, value_len - 7);
   return 0;
@@ -213,12 +216,12 @@
 
 static int refuse_http(FkRpc *r, const char *status) {
   nghttp2_nv nv[] = {NV(":status", status)};
-  r->answered = r->ended = TRUE;
-  return nghttp2_submit_response(r->h->session, r->id, nv, 1, NULL);
+  r->headers_sent = r->ended = TRUE;
+  return nghttp2_submit_response(r->session->session, r->id, nv, 1, NULL);
 }
 
-static void begin(FkRpc *r) {
-  FkH2 *h = r->h;
+static void begin_call(FkRpc *r) {
+  FkH2Session *h = r->session;
   if (!r->post || !r->path) {
     refuse_http(r, "405");
     return;
@@ -228,38 +231,39 @@
     return;
   }
   r->begun = TRUE;
-  h->calls->begin(h->data, r);
+  h->callbacks->call_begun(h->data, r);
 }
 
-static void said_all(FkRpc *r) {
-  FkH2 *h = r->h;
-  if (!r->begun || r->half || r->ended)
+static void end_of_input(FkRpc *r) {
+  FkH2Session *h = r->session;
+  if (!r->begun || r->half_closed || r->ended)
     return;
-  r->half = TRUE;
-  if (!fk_frames_empty(&r->frames))
+  r->half_closed = TRUE;
+  if (!fk_grpc_frame_parser_is_empty(&r->frames))
     fk_rpc_end(r, FK_GRPC_INTERNAL, "the call ends within a message", NULL, 0);
   else
-    h->calls->half(h->data, r);
+    h->callbacks->half_closed(h->data, r);
 }
 
 static int on_frame(nghttp2_session *s, const nghttp2_frame *f, void *data) {
-  FkRpc *r = rpc_of(data, f->hd.stream_id);
+  FkRpc *r = call_by_stream(data, f->hd.stream_id);
   if (!r || (f->hd.type != NGHTTP2_HEADERS && f->hd.type != NGHTTP2_DATA))
     return 0;
   if (f->hd.type == NGHTTP2_HEADERS && f->headers.cat == NGHTTP2_HCAT_REQUEST)
-    begin(r);
+    begin_call(r);
   if (f->hd.flags & NGHTTP2_FLAG_END_STREAM)
-    said_all(r);
+    end_of_input(r);
   return 0;
 }
 
-static int on_data(nghttp2_session *s, guint8 flags, gint32 id, const guint8 *bytes, size_t len, void *data) {
-  FkH2 *h = data;
-  FkRpc *r = rpc_of(h, id);
+static int on_data_chunk(nghttp2_session *s, guint8 flags, gint32 id, const guint8 *bytes, size_t len,
+                         void *data) {
+  FkH2Session *h = data;
+  FkRpc *r = call_by_stream(h, id);
   while (r && r->begun && !r->ended && len) {
     const guint8 *message;
     gsize used, message_len;
-    FkGrpc bad = fk_frames_feed(&r->frames, bytes, len, &used, &message, &message_len);
+    FkGrpcStatus bad = fk_grpc_frame_parser_feed(&r->frames, bytes, len, &used, &message, &message_len);
     if (bad) {
       fk_rpc_end(r, bad,
                  bad == FK_GRPC_UNIMPLEMENTED ? "compressed messages aren't taken" : "a message is too long",
@@ -268,38 +272,38 @@
     }
     bytes += used;
     len -= used;
-    set_held(r, message ? 0 : r->frames.bytes->len);
+    set_buffered(r, message ? 0 : r->frames.bytes->len);
     if (message)
-      h->calls->message(h->data, r, message, message_len);
-    else if (h->held > h->limits.held)
+      h->callbacks->message_received(h->data, r, message, message_len);
+    else if (h->buffered > h->limits.buffered_bytes)
       fk_rpc_end(r, FK_GRPC_RESOURCE_EXHAUSTED, "too much is held for calls of this connection", NULL, 0);
   }
   return 0;
 }
 
-static int on_close(nghttp2_session *s, gint32 id, guint32 why, void *data) {
-  FkRpc *r = rpc_of(data, id);
+static int on_stream_close(nghttp2_session *s, gint32 id, guint32 why, void *data) {
+  FkRpc *r = call_by_stream(data, id);
   if (r)
-    finish(r);
+    finish_call(r);
   return 0;
 }
 
-static int on_sent(nghttp2_session *s, const nghttp2_frame *f, void *data) {
-  FkH2 *h = data;
-  FkRpc *r = f->hd.type == NGHTTP2_DATA ? rpc_of(h, f->hd.stream_id) : NULL;
-  if (r && r->wants_room && !r->ended && r->out->len - r->sent < h->limits.queued / 2) {
-    r->wants_room = FALSE;
-    h->calls->room(h->data, r);
+static int on_frame_sent(nghttp2_session *s, const nghttp2_frame *f, void *data) {
+  FkH2Session *h = data;
+  FkRpc *r = f->hd.type == NGHTTP2_DATA ? call_by_stream(h, f->hd.stream_id) : NULL;
+  if (r && r->wants_writable && !r->ended && r->unsent->len - r->sent < h->limits.queued_bytes / 2) {
+    r->wants_writable = FALSE;
+    h->callbacks->writable(h->data, r);
   }
   return 0;
 }
 
 /* ------------------------------------------------------------------ connections */
 
-FkH2 *fk_h2_new(const FkH2Limits *limits, const FkH2Calls *calls, gpointer data) {
-  FkH2 *h = g_new0(FkH2, 1);
+FkH2Session *fk_h2_session_new(const FkH2Limits *limits, const FkH2Callbacks *calls, gpointer data) {
+  FkH2Session *h = g_new0(FkH2Session, 1);
   h->limits = *limits;
-  h->calls = calls;
+  h->callbacks = calls;
   h->data = data;
   nghttp2_session_callbacks *c;
   nghttp2_option *o;
@@ -307,9 +311,9 @@
   nghttp2_session_callbacks_set_on_begin_headers_callback(c, on_begin_headers);
   nghttp2_session_callbacks_set_on_header_callback(c, on_header);
   nghttp2_session_callbacks_set_on_frame_recv_callback(c, on_frame);
-  nghttp2_session_callbacks_set_on_data_chunk_recv_callback(c, on_data);
-  nghttp2_session_callbacks_set_on_stream_close_callback(c, on_close);
-  nghttp2_session_callbacks_set_on_frame_send_callback(c, on_sent);
+  nghttp2_session_callbacks_set_on_data_chunk_recv_callback(c, on_data_chunk);
+  nghttp2_session_callbacks_set_on_stream_close_callback(c, on_stream_close);
+  nghttp2_session_callbacks_set_on_frame_send_callback(c, on_frame_sent);
   nghttp2_option_new(&o);
   nghttp2_option_set_max_send_header_block_length(o, 65536);
   nghttp2_session_server_new2(&h->session, c, h, o);
@@ -317,23 +321,23 @@
   nghttp2_session_callbacks_del(c);
   const nghttp2_settings_entry settings[] = {
       {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, limits->streams},
-      {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, WINDOW},
+      {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, WINDOW_BYTES},
       {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, (guint32)limits->header_bytes}};
   nghttp2_submit_settings(h->session, NGHTTP2_FLAG_NONE, settings, G_N_ELEMENTS(settings));
-  nghttp2_session_set_local_window_size(h->session, NGHTTP2_FLAG_NONE, 0, 4 * WINDOW);
+  nghttp2_session_set_local_window_size(h->session, NGHTTP2_FLAG_NONE, 0, 4 * WINDOW_BYTES);
   return h;
 }
 
-void fk_h2_free(FkH2 *h) {
+void fk_h2_session_free(FkH2Session *h) {
   if (!h)
     return;
-  while (h->rpcs.head)
-    finish(h->rpcs.head->data);
+  while (h->calls.head)
+    finish_call(h->calls.head->data);
   nghttp2_session_del(h->session);
   g_free(h);
 }
 
-gboolean fk_h2_receive(FkH2 *h, const guint8 *bytes, gsize len) {
+gboolean fk_h2_session_receive(FkH2Session *h, const guint8 *bytes, gsize len) {
   if (h->broken)
     return FALSE;
   ssize_t n = nghttp2_session_mem_recv(h->session, bytes, len);
@@ -341,18 +345,18 @@
   return !h->broken;
 }
 
-gsize fk_h2_next(FkH2 *h, const guint8 **bytes) {
+gsize fk_h2_session_next_output(FkH2Session *h, const guint8 **bytes) {
   ssize_t n = nghttp2_session_mem_send(h->session, bytes);
   if (n < 0)
     h->broken = TRUE;
   return n > 0 ? (gsize)n : 0;
 }
 
-gboolean fk_h2_done(const FkH2 *h) {
+gboolean fk_h2_session_is_done(const FkH2Session *h) {
   return h->broken || (!nghttp2_session_want_read(h->session) && !nghttp2_session_want_write(h->session));
 }
 
-void fk_h2_goaway(FkH2 *h) { nghttp2_submit_shutdown_notice(h->session); }
+void fk_h2_session_goaway(FkH2Session *h) { nghttp2_submit_shutdown_notice(h->session); }
 
-guint fk_h2_calls(const FkH2 *h) { return h->rpcs.length; }
-gsize fk_h2_held(const FkH2 *h) { return h->held; }
+guint fk_h2_session_calls(const FkH2Session *h) { return h->calls.length; }
+gsize fk_h2_session_buffered_bytes(const FkH2Session *h) { return h->buffered; }
--- a/src/grpc/status.h
+++ b/src/grpc/status.h
@@ -19,4 +19,4 @@
   FK_GRPC_UNAVAILABLE = 14,
   FK_GRPC_DATA_LOSS = 15,
   FK_GRPC_UNAUTHENTICATED = 16
-} FkGrpc;
+} FkGrpcStatus;
--- a/src/instance_models/boot_time.h
+++ b/src/instance_models/boot_time.h
@@ -4,21 +4,21 @@
 #pragma once
 #include <glib.h>
 
-#define FK_BOOT_BINS 16
+#define FK_BOOT_TIME_BINS 16
 
 /* How many came at which age, and how many were still awaited then; both fade as new ones come. */
 typedef struct {
-  double came[FK_BOOT_BINS];
-  double awaited[FK_BOOT_BINS];
-} FkBoots;
+  double joined[FK_BOOT_TIME_BINS];
+  double at_risk[FK_BOOT_TIME_BINS];
+} FkBootTimeModel;
 
 /* What PROTOCOL says of boots, worth a few machines' experience. */
-void fk_boots_init(FkBoots *b);
+void fk_boot_time_init(FkBootTimeModel *b);
 /* One came `ratio` boot times after it was rented. */
-void fk_boots_came(FkBoots *b, double ratio);
+void fk_boot_time_observe_joined(FkBootTimeModel *b, double ratio);
 /* One was given up, or is waited for no longer, at that age. */
-void fk_boots_missed(FkBoots *b, double ratio);
+void fk_boot_time_observe_given_up(FkBootTimeModel *b, double ratio);
 /* The chance that one of this age comes within so many boot times more. */
-double fk_boots_chance(const FkBoots *b, double age, double within);
+double fk_boot_time_probability(const FkBootTimeModel *b, double age, double within);
 /* How much longer one of this age takes, if it comes, in boot times. */
-double fk_boots_left(const FkBoots *b, double age);
+double fk_boot_time_remaining(const FkBootTimeModel *b, double age);
--- a/src/instance_models/idle_retention.h
+++ b/src/instance_models/idle_retention.h
@@ -5,15 +5,15 @@
 #include "core/types.h"
 
 typedef struct {
-  double returned, again; /* CPUs given back, and of them rented again soon; both fade */
-  GArray *lately;         /* what was given back in the last while, the oldest first */
-  FkTime faded;
-} FkHold;
+  double terminated_cpus, reprovisioned_cpus; /* CPUs given back, and of them rented again soon; both fade */
+  GArray *recent;                             /* what was given back in the last while, the oldest first */
+  FkTime decayed_at;
+} FkIdleRetention;
 
-void fk_hold_init(FkHold *h, FkTime now);
-void fk_hold_clear(FkHold *h);
-void fk_hold_returned(FkHold *h, double cpus, FkTime now);
-void fk_hold_rented(FkHold *h, double cpus, FkTime now);
-/* How many times as long as usual an idle machine is kept: 1 to FK_HOLD_MOST. */
-double fk_hold_times(FkHold *h, FkTime now);
-#define FK_HOLD_MOST 8.0
+void fk_idle_retention_init(FkIdleRetention *h, FkTime now);
+void fk_idle_retention_clear(FkIdleRetention *h);
+void fk_idle_retention_terminated(FkIdleRetention *h, double cpus, FkTime now);
+void fk_idle_retention_provisioned(FkIdleRetention *h, double cpus, FkTime now);
+/* How many times as long as usual an idle machine is kept: 1 to FK_IDLE_RETENTION_FACTOR_MAX. */
+double fk_idle_retention_factor(FkIdleRetention *h, FkTime now);
+#define FK_IDLE_RETENTION_FACTOR_MAX 8.0
--- a/src/keys/keys.c
+++ b/src/keys/keys.c
@@ -6,7 +6,7 @@
 
 #include "wire/json.h"
 
-#define KEY_MAX 512 /* bytes of a key that are looked at: more is no key of ours */
+#define KEY_BYTES_MAX 512 /* bytes of a key that are looked at: more is no key of ours */
 
 typedef struct {
   char *team;
@@ -29,7 +29,7 @@
   g_free(k);
 }
 
-static gboolean take_hash(const char *hex, guint8 *out) {
+static gboolean parse_hash(const char *hex, guint8 *out) {
   if (!hex || strlen(hex) != 2 * SHA256_DIGEST_LENGTH)
     return FALSE;
   for (guint i = 0; i < SHA256_DIGEST_LENGTH; i++) {
@@ -41,7 +41,7 @@
   return TRUE;
 }
 
-static gboolean take_until(const cJSON *o, gint64 *out) {
+static gboolean parse_until(const cJSON *o, gint64 *out) {
   *out = G_MAXINT64;
   if (!fk_json_get(o, "until"))
     return TRUE;
@@ -69,9 +69,9 @@
     const char *team = fk_json_str(j, "team"), *wrong = NULL;
     if (!team || !*team)
       wrong = "team: a name is needed";
-    else if (!take_hash(fk_json_str(j, "sha256"), key.hash))
+    else if (!parse_hash(fk_json_str(j, "sha256"), key.hash))
       wrong = "sha256: 64 hexadecimal digits are needed";
-    else if (!take_until(j, &key.until_s))
+    else if (!parse_until(j, &key.until_s))
       wrong = "until: a time like 2027-01-01T00:00:00Z is needed";
     if (wrong) {
       g_set_error(error, keys_error(), 1, "keys[%u].%s", k->keys->len, wrong);
@@ -84,15 +84,15 @@
   return g_steal_pointer(&k);
 }
 
-const char *fk_keys_team(const FkKeys *k, const char *key, gint64 now_s) {
+const char *fk_keys_find_team(const FkKeys *k, const char *key, gint64 now_s) {
   guint8 hash[SHA256_DIGEST_LENGTH];
-  gsize len = key ? strnlen(key, KEY_MAX + 1) : 0;
+  gsize len = key ? strnlen(key, KEY_BYTES_MAX + 1) : 0;
   const char *team = NULL;
-  SHA256((const guint8 *)(key ? key : ""), MIN(len, KEY_MAX), hash);
+  SHA256((const guint8 *)(key ? key : ""), MIN(len, KEY_BYTES_MAX), hash);
   for (guint i = 0; i < k->keys->len; i++) {
     const Key *e = &g_array_index(k->keys, Key, i);
     gboolean same = CRYPTO_memcmp(e->hash, hash, sizeof hash) == 0;
-    if (same && len > 0 && len <= KEY_MAX && now_s < e->until_s)
+    if (same && len > 0 && len <= KEY_BYTES_MAX && now_s < e->until_s)
       team = e->team;
   }
   return team;
--- a/src/keys/keys.h
+++ b/src/keys/keys.h
@@ -14,7 +14,7 @@
 /* The team for which a bearer's key stands at that time (seconds since 1970), or NULL. The string is the
  * keys' own. Takes as long for a key that is nearly right as for one that isn't: every hash is compared, each
  * to its end. */
-const char *fk_keys_team(const FkKeys *k, const char *key, gint64 now_s);
+const char *fk_keys_find_team(const FkKeys *k, const char *key, gint64 now_s);
 /* The hash that goes into the file, to be freed. */
 char *fk_keys_hash(const char *key);
 guint fk_keys_count(const FkKeys *k);
--- a/src/main.c
+++ b/src/main.c
@@ -13,7 +13,7 @@
 
 #define OPERATOR_ENV "FLAXKNOT_OPERATOR"
 
-static FkSettings *load(const char *config, const char *operator_file, GError **error) {
+static FkSettings *load_settings(const char *config, const char *operator_file, GError **error) {
   g_autofree char *text = NULL;
   gsize len;
   if (!g_file_get_contents(config, &text, &len, error))
@@ -35,19 +35,19 @@
   return g_steal_pointer(&s);
 }
 
-static FkRexecSettings *load_rexec(const char *file, GError **error) {
+static FkRemoteExecutionSettings *load_remote_execution(const char *file, GError **error) {
   g_autofree char *text = NULL;
   gsize len;
   if (!g_file_get_contents(file, &text, &len, error))
     return NULL;
-  FkRexecSettings *s = fk_rexec_settings_parse(text, len, error);
+  FkRemoteExecutionSettings *s = fk_remote_execution_settings_parse(text, len, error);
   if (!s)
     g_prefix_error(error, "%s: ", file);
   return s;
 }
 
 /* The scheduler's door has what the build tools' one leaves. */
-static gboolean share_sockets(FkSettings *settings, const FkRexecSettings *rexec, GError **error) {
+static gboolean split_sockets(FkSettings *settings, const FkRemoteExecutionSettings *rexec, GError **error) {
   double left = settings->sockets - rexec->connections - 16;
   if (left < 100) {
     g_set_error(error, fk_settings_error(), 1,
@@ -77,11 +77,11 @@
   return 0;
 }
 
-static void tell_amount(const char *what, double guarantee, double most) {
+static void print_quota(const char *what, double guarantee, double most) {
   printf("  %s: ", what);
   if (guarantee > 0)
     printf("%g guaranteed, ", guarantee);
-  if (fk_limited(most))
+  if (fk_quota_is_limited(most))
     printf("%g at most", most);
   else
     printf("no limit");
@@ -89,12 +89,12 @@
 }
 
 /* How the zeros of the platform's file were read. */
-static void tell_teams(const FkSettings *settings) {
+static void print_teams(const FkSettings *settings) {
   for (guint i = 0; i < settings->teams->len; i++) {
     const FkTeam *t = settings->teams->pdata[i];
     printf("team %s\n", t->name);
-    tell_amount("CPUs", t->cpus, t->cpus_max);
-    tell_amount("GPUs", t->gpus, t->gpus_max);
+    print_quota("CPUs", t->guaranteed_cpus, t->max_cpus);
+    print_quota("GPUs", t->guaranteed_gpus, t->max_gpus);
   }
 }
 
@@ -137,34 +137,35 @@
     return 2;
   }
   g_autoptr(FkSettings) settings =
-      load(config, operator_file ? operator_file : g_getenv(OPERATOR_ENV), &error);
+      load_settings(config, operator_file ? operator_file : g_getenv(OPERATOR_ENV), &error);
   if (!settings) {
     fprintf(stderr, "flaxknot: %s\n", error->message);
     return 1;
   }
-  g_autoptr(FkRexecSettings) rexec_settings = rexec_file ? load_rexec(rexec_file, &error) : NULL;
-  if (rexec_file && (!rexec_settings || !share_sockets(settings, rexec_settings, &error))) {
+  g_autoptr(FkRemoteExecutionSettings) rexec_settings =
+      rexec_file ? load_remote_execution(rexec_file, &error) : NULL;
+  if (rexec_file && (!rexec_settings || !split_sockets(settings, rexec_settings, &error))) {
     fprintf(stderr, "flaxknot: %s\n", error->message);
     return 1;
   }
   if (check) {
     printf("the settings of %s are in order\n", settings->node);
-    tell_teams(settings);
+    print_teams(settings);
     return 0;
   }
-  FkShell *shell = fk_shell_new(settings, &error);
+  FkDaemon *shell = fk_daemon_new(settings, &error);
   if (!shell) {
     fprintf(stderr, "flaxknot: %s\n", error->message);
     return 1;
   }
-  FkRexec *rexec = rexec_settings ? fk_rexec_start(rexec_settings, &error) : NULL;
+  FkRemoteExecution *rexec = rexec_settings ? fk_remote_execution_start(rexec_settings, &error) : NULL;
   if (rexec_settings && !rexec) {
     fprintf(stderr, "flaxknot: remote execution: %s\n", error->message);
-    fk_shell_free(shell);
+    fk_daemon_free(shell);
     return 1;
   }
-  fk_shell_run(shell);
-  fk_rexec_stop(rexec);
-  fk_shell_free(shell);
+  fk_daemon_run(shell);
+  fk_remote_execution_stop(rexec);
+  fk_daemon_free(shell);
   return 0;
 }
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -2,23 +2,23 @@
 #pragma once
 #include <gio/gio.h>
 
-typedef struct FkConn FkConn;
+typedef struct FkConnection FkConnection;
 
-#define FK_CONN_LATER (-1)
-#define FK_CONN_GONE (-2)
+#define FK_CONNECTION_WOULD_BLOCK (-1)
+#define FK_CONNECTION_BROKEN (-2)
 
-FkConn *fk_conn_ref(FkConn *c);
-void fk_conn_unref(FkConn *c);
+FkConnection *fk_connection_ref(FkConnection *c);
+void fk_connection_unref(FkConnection *c);
 /* The handler is about to wait for something to read. */
-void fk_conn_wants(FkConn *c);
-/* Bytes, 0 at the end, or FK_CONN_LATER. */
-gssize fk_conn_read(FkConn *c, void *to, gsize len);
-/* Bytes, FK_CONN_LATER, or FK_CONN_GONE. */
-gssize fk_conn_write(FkConn *c, const void *from, gsize len);
-gboolean fk_conn_can_read(const FkConn *c);
-gboolean fk_conn_can_write(const FkConn *c);
+void fk_connection_want_read(FkConnection *c);
+/* Bytes, 0 at the end, or FK_CONNECTION_WOULD_BLOCK. */
+gssize fk_connection_read(FkConnection *c, void *to, gsize len);
+/* Bytes, FK_CONNECTION_WOULD_BLOCK, or FK_CONNECTION_BROKEN. */
+gssize fk_connection_write(FkConnection *c, const void *from, gsize len);
+gboolean fk_connection_can_read(const FkConnection *c);
+gboolean fk_connection_can_write(const FkConnection *c);
 /* The handler has closed its stream, or let go of it. */
-void fk_conn_closed(FkConn *c);
+void fk_connection_stream_closed(FkConnection *c);
 
 /* A stream on a connection: holds a reference to it. */
-GIOStream *fk_stream_new(FkConn *c);
+GIOStream *fk_stream_new(FkConnection *c);
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -7,28 +7,28 @@
 #include "admission/admission.h"
 #include "admission/request_parser.h"
 
-typedef struct FkDoor FkDoor;
+typedef struct FkServer FkServer;
 
 typedef struct {
   /* Requests aren't read here: a connection is handed over with its first byte, and its bytes go through as
    * they come. For protocols that aren't HTTP/1; `ask` and `refusal` aren't used. */
   gboolean raw;
-  FkGuest guest; /* who comes to this listener, until a request says more */
+  FkConnectionClass connection_class; /* who comes to this listener, until a request says more */
   /* What is asked, by method and path (cut short when long). */
-  FkAsk (*ask)(const char *method, const char *path);
+  FkRequestClass (*classify)(const char *method, const char *path);
   /* The body of a refusal, to be freed, as JSON. */
-  char *(*refusal)(const char *why);
+  char *(*rejection_body)(const char *why);
   /* The first request of a connection is complete. The stream is the callee's to keep (it is not given a
    * reference) and to read, answer and close; later requests come through it too. */
   void (*serve)(gpointer data, GIOStream *stream, GSocketAddress *local, GSocketAddress *remote);
   gpointer data;
-} FkDoorKeeper;
+} FkListenerHandler;
 
 /* Attached to the thread's default main context, where all of its calls and callbacks belong. */
-FkDoor *fk_door_new(const FkDoorLimits *limits);
+FkServer *fk_server_new(const FkAdmissionLimits *limits);
 /* Closes all. Streams that others still hold are at their end then. */
-void fk_door_free(FkDoor *d);
+void fk_server_free(FkServer *d);
 /* `where`: an IP address and a port. Returns the listening socket, which stays the door's; NULL on failure.
  */
-GSocket *fk_door_listen(FkDoor *d, const char *where, const FkDoorKeeper *keeper, GError **error);
-const FkGate *fk_door_gate(const FkDoor *d);
+GSocket *fk_server_listen(FkServer *d, const char *where, const FkListenerHandler *keeper, GError **error);
+const FkAdmission *fk_server_admission(const FkServer *d);
--- a/src/net/stream.c
+++ b/src/net/stream.c
@@ -4,12 +4,12 @@
 
 typedef struct {
   GSource source;
-  FkConn *conn;
+  FkConnection *conn;
   gboolean output;
 } Ready;
 
 static gboolean is_ready(const Ready *r) {
-  return r->output ? fk_conn_can_write(r->conn) : fk_conn_can_read(r->conn);
+  return r->output ? fk_connection_can_write(r->conn) : fk_connection_can_read(r->conn);
 }
 
 static gboolean ready_prepare(GSource *source, gint *timeout) {
@@ -23,27 +23,27 @@
   return callback ? callback(data) : G_SOURCE_CONTINUE;
 }
 
-static void ready_finalize(GSource *source) { fk_conn_unref(((Ready *)source)->conn); }
+static void ready_finalize(GSource *source) { fk_connection_unref(((Ready *)source)->conn); }
 
-static gboolean stay(gpointer data) { return G_SOURCE_CONTINUE; }
+static gboolean continue_source(gpointer data) { return G_SOURCE_CONTINUE; }
 
 static GSourceFuncs ready_funcs = {.prepare = ready_prepare,
                                    .check = ready_check,
                                    .dispatch = ready_dispatch,
                                    .finalize = ready_finalize,
-                                   .closure_callback = stay};
+                                   .closure_callback = continue_source};
 
-static GSource *ready_source(gpointer stream, FkConn *c, gboolean output, GCancellable *cancellable) {
+static GSource *ready_source(gpointer stream, FkConnection *c, gboolean output, GCancellable *cancellable) {
   g_autoptr(GSource) source = g_source_new(&ready_funcs, sizeof(Ready));
-  ((Ready *)source)->conn = fk_conn_ref(c);
+  ((Ready *)source)->conn = fk_connection_ref(c);
   ((Ready *)source)->output = output;
   return g_pollable_source_new_full(stream, source, cancellable);
 }
 
-static gssize told(gssize n, GError **error) {
-  if (n == FK_CONN_LATER)
+static gssize set_error(gssize n, GError **error) {
+  if (n == FK_CONNECTION_WOULD_BLOCK)
     g_set_error_literal(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK, "later");
-  else if (n == FK_CONN_GONE)
+  else if (n == FK_CONNECTION_BROKEN)
     g_set_error_literal(error, G_IO_ERROR, G_IO_ERROR_BROKEN_PIPE, "the other end is gone");
   return n < 0 ? -1 : n;
 }
@@ -52,7 +52,7 @@
 
 typedef struct {
   GInputStream parent;
-  FkConn *conn;
+  FkConnection *conn;
 } FkStreamIn;
 typedef struct {
   GInputStreamClass parent;
@@ -61,22 +61,24 @@
 static GType fk_stream_in_get_type(void);
 
 static gssize in_read(GInputStream *s, void *to, gsize len, GCancellable *c, GError **error) {
-  return told(fk_conn_read(((FkStreamIn *)s)->conn, to, len), error);
+  return set_error(fk_connection_read(((FkStreamIn *)s)->conn, to, len), error);
 }
 
 static gssize in_read_now(GPollableInputStream *s, void *to, gsize len, GError **error) {
-  return told(fk_conn_read(((FkStreamIn *)s)->conn, to, len), error);
+  return set_error(fk_connection_read(((FkStreamIn *)s)->conn, to, len), error);
 }
 
-static gboolean in_can(GPollableInputStream *s) { return fk_conn_can_read(((FkStreamIn *)s)->conn); }
+static gboolean in_is_readable(GPollableInputStream *s) {
+  return fk_connection_can_read(((FkStreamIn *)s)->conn);
+}
 
 static GSource *in_source(GPollableInputStream *s, GCancellable *c) {
-  fk_conn_wants(((FkStreamIn *)s)->conn);
+  fk_connection_want_read(((FkStreamIn *)s)->conn);
   return ready_source(s, ((FkStreamIn *)s)->conn, FALSE, c);
 }
 
 static void in_pollable(GPollableInputStreamInterface *i) {
-  i->is_readable = in_can;
+  i->is_readable = in_is_readable;
   i->create_source = in_source;
   i->read_nonblocking = in_read_now;
 }
@@ -87,7 +89,7 @@
 static void fk_stream_in_init(FkStreamIn *s) {}
 
 static void in_finalize(GObject *o) {
-  fk_conn_unref(((FkStreamIn *)o)->conn);
+  fk_connection_unref(((FkStreamIn *)o)->conn);
   G_OBJECT_CLASS(fk_stream_in_parent_class)->finalize(o);
 }
 
@@ -100,7 +102,7 @@
 
 typedef struct {
   GOutputStream parent;
-  FkConn *conn;
+  FkConnection *conn;
 } FkStreamOut;
 typedef struct {
   GOutputStreamClass parent;
@@ -109,21 +111,23 @@
 static GType fk_stream_out_get_type(void);
 
 static gssize out_write(GOutputStream *s, const void *from, gsize len, GCancellable *c, GError **error) {
-  return told(fk_conn_write(((FkStreamOut *)s)->conn, from, len), error);
+  return set_error(fk_connection_write(((FkStreamOut *)s)->conn, from, len), error);
 }
 
 static gssize out_write_now(GPollableOutputStream *s, const void *from, gsize len, GError **error) {
-  return told(fk_conn_write(((FkStreamOut *)s)->conn, from, len), error);
+  return set_error(fk_connection_write(((FkStreamOut *)s)->conn, from, len), error);
 }
 
-static gboolean out_can(GPollableOutputStream *s) { return fk_conn_can_write(((FkStreamOut *)s)->conn); }
+static gboolean out_is_writable(GPollableOutputStream *s) {
+  return fk_connection_can_write(((FkStreamOut *)s)->conn);
+}
 
 static GSource *out_source(GPollableOutputStream *s, GCancellable *c) {
   return ready_source(s, ((FkStreamOut *)s)->conn, TRUE, c);
 }
 
 static void out_pollable(GPollableOutputStreamInterface *i) {
-  i->is_writable = out_can;
+  i->is_writable = out_is_writable;
   i->create_source = out_source;
   i->write_nonblocking = out_write_now;
 }
@@ -134,7 +138,7 @@
 static void fk_stream_out_init(FkStreamOut *s) {}
 
 static void out_finalize(GObject *o) {
-  fk_conn_unref(((FkStreamOut *)o)->conn);
+  fk_connection_unref(((FkStreamOut *)o)->conn);
   G_OBJECT_CLASS(fk_stream_out_parent_class)->finalize(o);
 }
 
@@ -147,7 +151,7 @@
 
 typedef struct {
   GIOStream parent;
-  FkConn *conn;
+  FkConnection *conn;
   FkStreamIn *in;
   FkStreamOut *out;
 } FkStream;
@@ -164,7 +168,7 @@
 static GOutputStream *stream_out(GIOStream *s) { return (GOutputStream *)((FkStream *)s)->out; }
 
 static gboolean stream_close(GIOStream *s, GCancellable *c, GError **error) {
-  fk_conn_closed(((FkStream *)s)->conn);
+  fk_connection_stream_closed(((FkStream *)s)->conn);
   return TRUE;
 }
 
@@ -172,7 +176,7 @@
 static void stream_close_async(GIOStream *s, int priority, GCancellable *c, GAsyncReadyCallback callback,
                                gpointer data) {
   g_autoptr(GTask) task = g_task_new(s, c, callback, data);
-  fk_conn_closed(((FkStream *)s)->conn);
+  fk_connection_stream_closed(((FkStream *)s)->conn);
   g_task_return_boolean(task, TRUE);
 }
 
@@ -183,10 +187,10 @@
 static void stream_dispose(GObject *o) {
   FkStream *s = (FkStream *)o;
   if (s->conn)
-    fk_conn_closed(s->conn);
+    fk_connection_stream_closed(s->conn);
   g_clear_object(&s->in);
   g_clear_object(&s->out);
-  g_clear_pointer(&s->conn, fk_conn_unref);
+  g_clear_pointer(&s->conn, fk_connection_unref);
   G_OBJECT_CLASS(fk_stream_parent_class)->dispose(o);
 }
 
@@ -200,12 +204,12 @@
   io->close_finish = stream_close_finish;
 }
 
-GIOStream *fk_stream_new(FkConn *c) {
+GIOStream *fk_stream_new(FkConnection *c) {
   FkStream *s = g_object_new(fk_stream_get_type(), NULL);
-  s->conn = fk_conn_ref(c);
+  s->conn = fk_connection_ref(c);
   s->in = g_object_new(fk_stream_in_get_type(), NULL);
-  s->in->conn = fk_conn_ref(c);
+  s->in->conn = fk_connection_ref(c);
   s->out = g_object_new(fk_stream_out_get_type(), NULL);
-  s->out->conn = fk_conn_ref(c);
+  s->out->conn = fk_connection_ref(c);
   return (GIOStream *)s;
 }
--- a/src/remote_execution/message.c
+++ b/src/remote_execution/message.c
@@ -44,12 +44,12 @@
 }
 
 gboolean fk_message_digest(const Rx__Digest *d, FkDigest *out) {
-  return d && fk_digest_set(out, d->hash, d->size_bytes);
+  return d && fk_digest_parse(out, d->hash, d->size_bytes);
 }
 
 /* ------------------------------------------------------------------ statuses */
 
-static GBytes *status(FkGrpc code, const char *text, const char *type, gconstpointer detail) {
+static GBytes *status(FkGrpcStatus code, const char *text, const char *type, gconstpointer detail) {
   g_autoptr(GBytes) packed = fk_message_pack(detail);
   gsize len;
   const guint8 *bytes = g_bytes_get_data(packed, &len);
@@ -64,7 +64,7 @@
   return fk_message_pack(&s);
 }
 
-GBytes *fk_message_retry(FkGrpc code, const char *text, gint64 retry_s) {
+GBytes *fk_message_retry_status(FkGrpcStatus code, const char *text, gint64 retry_s) {
   Rx__Duration delay = RX__DURATION__INIT;
   Rx__RetryInfo info = RX__RETRY_INFO__INIT;
   delay.seconds = retry_s;
@@ -72,7 +72,7 @@
   return status(code, text, FK_TYPE_RETRY_INFO, &info);
 }
 
-GBytes *fk_message_missing(const char *text, const GArray *missing) {
+GBytes *fk_message_missing_status(const char *text, const GArray *missing) {
   g_autofree Rx__Violation *all = g_new(Rx__Violation, missing->len);
   g_autofree Rx__Violation **list = g_new(Rx__Violation *, missing->len);
   g_autoptr(GPtrArray) subjects = g_ptr_array_new_with_free_func(g_free);
@@ -93,17 +93,17 @@
 
 /* ------------------------------------------------------------------ what a result refers to */
 
-gboolean fk_message_name_ok(const char *name) {
+gboolean fk_message_name_is_valid(const char *name) {
   return name && *name && !strchr(name, '/') && strcmp(name, ".") != 0 && strcmp(name, "..") != 0 &&
          strlen(name) <= 255 && g_utf8_validate(name, -1, NULL);
 }
 
-gboolean fk_message_path_ok(const char *path) {
+gboolean fk_message_path_is_valid(const char *path) {
   if (!path || strlen(path) > 4095)
     return FALSE;
   g_auto(GStrv) parts = g_strsplit(path, "/", -1);
   for (guint i = 0; parts[i]; i++)
-    if (!fk_message_name_ok(parts[i]))
+    if (!fk_message_name_is_valid(parts[i]))
       return FALSE;
   return parts[0] != NULL;
 }
@@ -119,7 +119,7 @@
 }
 
 static gboolean path(const char *p, const char **why) {
-  if (fk_message_path_ok(p))
+  if (fk_message_path_is_valid(p))
     return TRUE;
   *why = "an output's path leads out of the working directory, or isn't a path";
   return FALSE;
@@ -151,7 +151,7 @@
 
 static gboolean directory_blobs(const Rx__Directory *d, GArray *blobs, const char **why) {
   for (gsize i = 0; i < d->n_files; i++) {
-    if (!fk_message_name_ok(d->files[i]->name)) {
+    if (!fk_message_name_is_valid(d->files[i]->name)) {
       *why = "a file's name isn't one";
       return FALSE;
     }
--- a/src/remote_execution/message.h
+++ b/src/remote_execution/message.h
@@ -19,8 +19,8 @@
 
 /* A google.rpc.Status with when to come back, or (`missing`: FkDigest) with each blob that is needed; to be
  * unreffed. */
-GBytes *fk_message_retry(FkGrpc code, const char *text, gint64 retry_s);
-GBytes *fk_message_missing(const char *text, const GArray *missing);
+GBytes *fk_message_retry_status(FkGrpcStatus code, const char *text, gint64 retry_s);
+GBytes *fk_message_missing_status(const char *text, const GArray *missing);
 
 /* Every blob that a result refers to, outputs, standard streams and trees: FkDigest into `blobs`, and the
  * trees into `trees` besides. FALSE and a reason (static) when the result can't be one: a path that isn't
@@ -29,5 +29,5 @@
 /* Every file of a tree, likewise. */
 gboolean fk_message_tree_blobs(const Rx__Tree *t, GArray *blobs, const char **why);
 /* A relative path without empty, `.` or `..` parts. `name`: one part of one. */
-gboolean fk_message_path_ok(const char *path);
-gboolean fk_message_name_ok(const char *name);
+gboolean fk_message_path_is_valid(const char *path);
+gboolean fk_message_name_is_valid(const char *name);
--- a/src/remote_execution/names.h
+++ b/src/remote_execution/names.h
@@ -1,14 +1,14 @@
 /* The published names that travel: services' paths and Any's type URLs. */
 #pragma once
 
-#define FK_RE "/build.bazel.remote.execution.v2."
-#define FK_PATH_CAPABILITIES FK_RE "Capabilities/GetCapabilities"
-#define FK_PATH_FIND_MISSING FK_RE "ContentAddressableStorage/FindMissingBlobs"
-#define FK_PATH_BATCH_UPDATE FK_RE "ContentAddressableStorage/BatchUpdateBlobs"
-#define FK_PATH_BATCH_READ FK_RE "ContentAddressableStorage/BatchReadBlobs"
-#define FK_PATH_GET_TREE FK_RE "ContentAddressableStorage/GetTree"
-#define FK_PATH_GET_RESULT FK_RE "ActionCache/GetActionResult"
-#define FK_PATH_UPDATE_RESULT FK_RE "ActionCache/UpdateActionResult"
+#define FK_REMOTE_EXECUTION_PACKAGE "/build.bazel.remote.execution.v2."
+#define FK_PATH_CAPABILITIES FK_REMOTE_EXECUTION_PACKAGE "Capabilities/GetCapabilities"
+#define FK_PATH_FIND_MISSING FK_REMOTE_EXECUTION_PACKAGE "ContentAddressableStorage/FindMissingBlobs"
+#define FK_PATH_BATCH_UPDATE FK_REMOTE_EXECUTION_PACKAGE "ContentAddressableStorage/BatchUpdateBlobs"
+#define FK_PATH_BATCH_READ FK_REMOTE_EXECUTION_PACKAGE "ContentAddressableStorage/BatchReadBlobs"
+#define FK_PATH_GET_TREE FK_REMOTE_EXECUTION_PACKAGE "ContentAddressableStorage/GetTree"
+#define FK_PATH_GET_RESULT FK_REMOTE_EXECUTION_PACKAGE "ActionCache/GetActionResult"
+#define FK_PATH_UPDATE_RESULT FK_REMOTE_EXECUTION_PACKAGE "ActionCache/UpdateActionResult"
 #define FK_PATH_READ "/google.bytestream.ByteStream/Read"
 #define FK_PATH_WRITE "/google.bytestream.ByteStream/Write"
 #define FK_PATH_QUERY_WRITE "/google.bytestream.ByteStream/QueryWriteStatus"
