--- a/src/remote_execution/server.c
+++ b/src/remote_execution/server.c
@@ -33,16 +33,16 @@
   void (*message)(Call *c, gpointer request);
 } Method;
 
-struct FkRexec {
-  const FkRexecSettings *settings;
+struct FkRemoteExecution {
+  const FkRemoteExecutionSettings *settings;
   GThread *thread;
   GMainContext *context;
   GMainLoop *loop;
-  FkDoor *door;
-  FkBlobs *blobs;
+  FkServer *door;
+  FkBlobStore *blobs;
   FkKeys *keys;
   gint64 keys_mtime;
-  GHashTable *conns;   /* FkH2Conn */
+  GHashTable *conns;   /* FkH2Connection */
   GHashTable *uploads; /* team and name -> Upload */
   gsize message_max;
   FkH2Limits limits;
@@ -57,7 +57,7 @@
 } Upload;
 
 struct Call {
-  FkRexec *s;
+  FkRemoteExecution *s;
   FkRpc *rpc;
   const Method *method;
   char *team;
@@ -68,7 +68,7 @@
   ZSTD_CStream *pack;
   /* Write */
   Upload *upload;
-  FkResource resource;
+  FkResourceName resource;
   gboolean named;
   gint64 taken; /* bytes of the wire, for offsets of a compressed one */
   ZSTD_DStream *unpack;
@@ -77,9 +77,9 @@
 
 /* ------------------------------------------------------------------ answers */
 
-static void fail(Call *c, FkGrpc code, const char *why) { fk_rpc_end(c->rpc, code, why, NULL, 0); }
+static void fail(Call *c, FkGrpcStatus code, const char *why) { fk_rpc_end(c->rpc, code, why, NULL, 0); }
 
-static void fail_with(Call *c, FkGrpc code, const char *why, GBytes *details /* taken */) {
+static void fail_with(Call *c, FkGrpcStatus code, const char *why, GBytes *details /* taken */) {
   gsize len;
   const guint8 *bytes = g_bytes_get_data(details, &len);
   fk_rpc_end(c->rpc, code, why, bytes, len);
@@ -109,33 +109,34 @@
   return unpacked(type, bytes, len);
 }
 
-static FkGrpc code_of(FkBlobsOutcome o) {
+static FkGrpcStatus code_of(FkBlobStatus o) {
   switch (o) {
-  case FK_BLOBS_OK:
+  case FK_BLOB_STATUS_OK:
     return FK_GRPC_OK;
-  case FK_BLOBS_MISSING:
+  case FK_BLOB_STATUS_NOT_FOUND:
     return FK_GRPC_NOT_FOUND;
-  case FK_BLOBS_MISMATCH:
+  case FK_BLOB_STATUS_MISMATCH:
     return FK_GRPC_INVALID_ARGUMENT;
-  case FK_BLOBS_FULL:
+  case FK_BLOB_STATUS_FULL:
     return FK_GRPC_RESOURCE_EXHAUSTED;
   default:
     return FK_GRPC_INTERNAL;
   }
 }
 
-static const char *text_of(FkBlobsOutcome o) {
+static const char *text_of(FkBlobStatus o) {
   static const char *const texts[] = {"", "no such blob", "the bytes aren't what the digest says",
                                       "no room for this blob", "the disk fails"};
   return texts[o];
 }
 
 static void come_back(Call *c, const char *why) {
-  fail_with(c, FK_GRPC_RESOURCE_EXHAUSTED, why, fk_message_retry(FK_GRPC_RESOURCE_EXHAUSTED, why, RETRY_S));
+  fail_with(c, FK_GRPC_RESOURCE_EXHAUSTED, why,
+            fk_message_retry_status(FK_GRPC_RESOURCE_EXHAUSTED, why, RETRY_S));
 }
 
-static void fail_blob(Call *c, FkBlobsOutcome o) {
-  if (o == FK_BLOBS_FULL)
+static void fail_blob(Call *c, FkBlobStatus o) {
+  if (o == FK_BLOB_STATUS_FULL)
     come_back(c, text_of(o));
   else
     fail(c, code_of(o), text_of(o));
@@ -208,19 +209,19 @@
     FkDigest d;
     if (!digest_of(c, q->blob_digests[i], &d))
       return;
-    if (!fk_blobs_has(c->s->blobs, c->team, &d))
+    if (!fk_blob_store_has(c->s->blobs, c->team, &d))
       missing[r.n_missing_blob_digests++] = q->blob_digests[i];
   }
   reply_and_end(c, &r);
 }
 
-static FkBlobsOutcome put(Call *c, const FkDigest *d, const guint8 *data, gsize len) {
+static FkBlobStatus put(Call *c, const FkDigest *d, const guint8 *data, gsize len) {
   FkUpload *u;
-  FkBlobsOutcome o = fk_upload_begin(c->s->blobs, c->team, d, &u);
-  if (o != FK_BLOBS_OK)
+  FkBlobStatus o = fk_upload_begin(c->s->blobs, c->team, d, &u);
+  if (o != FK_BLOB_STATUS_OK)
     return o;
   o = fk_upload_write(u, data, len);
-  if (o == FK_BLOBS_OK)
+  if (o == FK_BLOB_STATUS_OK)
     return fk_upload_finish(u);
   fk_upload_abort(u);
   return o;
@@ -239,12 +240,12 @@
     rx__blob_updated__init(list[i] = &all[i]);
     rx__status__init(all[i].status = &statuses[i]);
     all[i].digest = u->digest;
-    FkBlobsOutcome o = FK_BLOBS_MISMATCH;
+    FkBlobStatus o = FK_BLOB_STATUS_MISMATCH;
     if (u->compressor)
       statuses[i].message = "blobs of a batch are taken as they are, not compressed";
     else if (!fk_message_digest(u->digest, &d))
       statuses[i].message = "a digest isn't one";
-    else if ((o = put(c, &d, u->data.data, u->data.len)) != FK_BLOBS_OK)
+    else if ((o = put(c, &d, u->data.data, u->data.len)) != FK_BLOB_STATUS_OK)
       statuses[i].message = (char *)text_of(o);
     statuses[i].code = (int)code_of(o);
   }
@@ -277,10 +278,10 @@
     rx__blob_read__init(list[i] = &all[i]);
     rx__status__init(all[i].status = &statuses[i]);
     all[i].digest = q->digests[i];
-    GBytes *bytes = fk_blobs_get(c->s->blobs, c->team, &digests[i], c->s->message_max);
+    GBytes *bytes = fk_blob_store_read_all(c->s->blobs, c->team, &digests[i], c->s->message_max);
     if (!bytes) {
       statuses[i].code = FK_GRPC_NOT_FOUND;
-      statuses[i].message = (char *)text_of(FK_BLOBS_MISSING);
+      statuses[i].message = (char *)text_of(FK_BLOB_STATUS_NOT_FOUND);
       continue;
     }
     g_ptr_array_add(kept, bytes);
@@ -316,7 +317,7 @@
   g_array_append_val(order, root);
   for (; at < order->len && given->len < page && bytes_given < PAGE_BYTES; at++) {
     FkDigest d = g_array_index(order, FkDigest, at);
-    g_autoptr(GBytes) bytes = fk_blobs_get(c->s->blobs, c->team, &d, c->s->message_max);
+    g_autoptr(GBytes) bytes = fk_blob_store_read_all(c->s->blobs, c->team, &d, c->s->message_max);
     if (!bytes) {
       if (at == 0) {
         fail(c, FK_GRPC_NOT_FOUND, "the root isn't there");
@@ -332,7 +333,7 @@
     for (gsize i = 0; i < dir->n_directories; i++) {
       FkDigest child;
       if (!fk_message_digest(dir->directories[i]->digest, &child) ||
-          !g_hash_table_add(seen, g_strndup(child.hex, FK_HEX)))
+          !g_hash_table_add(seen, g_strndup(child.hex, FK_DIGEST_HEX_LEN)))
         continue;
       if (order->len >= TREE_MAX) {
         fk_message_free(dir);
@@ -367,7 +368,7 @@
     return FALSE;
   for (guint i = 0; i < trees->len; i++) {
     g_autoptr(GBytes) bytes =
-        fk_blobs_get(c->s->blobs, c->team, &g_array_index(trees, FkDigest, i), 64 * 1024 * 1024);
+        fk_blob_store_read_all(c->s->blobs, c->team, &g_array_index(trees, FkDigest, i), 64 * 1024 * 1024);
     if (!bytes)
       continue; /* it is among the blobs, and missing there */
     Rx__Tree *tree = unpacked_blob(&rx__tree__descriptor, bytes);
@@ -379,7 +380,7 @@
       return FALSE;
   }
   for (guint i = 0; i < blobs->len; i++)
-    if (!fk_blobs_has(c->s->blobs, c->team, &g_array_index(blobs, FkDigest, i)))
+    if (!fk_blob_store_has(c->s->blobs, c->team, &g_array_index(blobs, FkDigest, i)))
       g_array_append_val(missing, g_array_index(blobs, FkDigest, i));
   return TRUE;
 }
@@ -389,7 +390,7 @@
   FkDigest action;
   if (!own(c, q->instance_name) || !sha256(c, q->digest_function) || !digest_of(c, q->action_digest, &action))
     return;
-  g_autoptr(GBytes) bytes = fk_blobs_get_result(c->s->blobs, c->team, &action);
+  g_autoptr(GBytes) bytes = fk_blob_store_get_result(c->s->blobs, c->team, &action);
   g_autoptr(GArray) missing = g_array_new(FALSE, FALSE, sizeof(FkDigest));
   const char *why = NULL;
   Rx__ActionResult *r = bytes ? unpacked_blob(&rx__action_result__descriptor, bytes) : NULL;
@@ -417,14 +418,14 @@
   }
   if (missing->len) {
     why = "the result refers to blobs that aren't there";
-    fail_with(c, FK_GRPC_FAILED_PRECONDITION, why, fk_message_missing(why, missing));
+    fail_with(c, FK_GRPC_FAILED_PRECONDITION, why, fk_message_missing_status(why, missing));
     return;
   }
   g_autoptr(GBytes) bytes = fk_message_pack(q->action_result);
   gsize len;
   const guint8 *data = g_bytes_get_data(bytes, &len);
-  FkBlobsOutcome o = fk_blobs_put_result(c->s->blobs, c->team, &action, data, len);
-  if (o == FK_BLOBS_OK)
+  FkBlobStatus o = fk_blob_store_put_result(c->s->blobs, c->team, &action, data, len);
+  if (o == FK_BLOB_STATUS_OK)
     reply_and_end(c, q->action_result);
   else
     fail_blob(c, o);
@@ -435,14 +436,14 @@
 /* Up to a chunk's bytes, compressed or not. 0: the end. < 0: broken. */
 static gssize next_bytes(Call *c, guint8 *to, gsize room) {
   if (!c->pack) {
-    gssize n = fk_blob_read(c->reader, to, (gsize)MIN(room, c->left));
+    gssize n = fk_blob_reader_read(c->reader, to, (gsize)MIN(room, c->left));
     c->left -= (guint64)MAX(0, n);
     return n;
   }
   ZSTD_outBuffer out = {to, room, 0};
   guint8 plain[READ_CHUNK];
   while (out.pos < out.size) {
-    gssize n = c->left ? fk_blob_read(c->reader, plain, (gsize)MIN(sizeof plain, c->left)) : 0;
+    gssize n = c->left ? fk_blob_reader_read(c->reader, plain, (gsize)MIN(sizeof plain, c->left)) : 0;
     if (n < 0)
       return n;
     c->left -= (guint64)n;
@@ -484,8 +485,8 @@
 
 static void byte_read(Call *c, gpointer request) {
   const Rx__ReadRequest *q = request;
-  FkResource r;
-  if (!fk_resource_parse(q->resource_name, FK_RESOURCE_READ, &r)) {
+  FkResourceName r;
+  if (!fk_resource_name_parse(q->resource_name, FK_RESOURCE_READ, &r)) {
     fail(c, FK_GRPC_INVALID_ARGUMENT, "no blob's name");
     return;
   }
@@ -499,8 +500,9 @@
     fail(c, FK_GRPC_INVALID_ARGUMENT, "a compressed blob is read to its end");
     return;
   }
-  FkBlobsOutcome o = fk_blobs_open_read(c->s->blobs, c->team, &r.digest, (guint64)q->read_offset, &c->reader);
-  if (o != FK_BLOBS_OK) {
+  FkBlobStatus o =
+      fk_blob_store_open_reader(c->s->blobs, c->team, &r.digest, (guint64)q->read_offset, &c->reader);
+  if (o != FK_BLOB_STATUS_OK) {
     fail_blob(c, o);
     return;
   }
@@ -522,14 +524,14 @@
   g_free(u);
 }
 
-static char *upload_key(const char *team, const FkResource *r) {
-  return g_strdup_printf("%s\n%s\n%s\n%" G_GUINT64_FORMAT "\n%d", team, r->upload, r->digest.hex,
+static char *upload_key(const char *team, const FkResourceName *r) {
+  return g_strdup_printf("%s\n%s\n%s\n%" G_GUINT64_FORMAT "\n%d", team, r->upload_id, r->digest.hex,
                          r->digest.size, r->zstd);
 }
 
-static void upload_forget(FkRexec *s, Upload *u) { g_hash_table_remove(s->uploads, u->key); }
+static void upload_forget(FkRemoteExecution *s, Upload *u) { g_hash_table_remove(s->uploads, u->key); }
 
-static guint team_uploads(FkRexec *s, const char *team, Upload **oldest) {
+static guint team_uploads(FkRemoteExecution *s, const char *team, Upload **oldest) {
   GHashTableIter it;
   gpointer v;
   guint n = 0;
@@ -554,7 +556,7 @@
 
 /* The upload that goes by that name, new or gone on with. FALSE: the call is answered. */
 static gboolean take_upload(Call *c) {
-  FkRexec *s = c->s;
+  FkRemoteExecution *s = c->s;
   g_autofree char *key = upload_key(c->team, &c->resource);
   Upload *u = g_hash_table_lookup(s->uploads, key), *oldest;
   if (u && u->by) {
@@ -574,8 +576,8 @@
       upload_forget(s, oldest);
     }
     FkUpload *upload;
-    FkBlobsOutcome o = fk_upload_begin(s->blobs, c->team, &c->resource.digest, &upload);
-    if (o != FK_BLOBS_OK) {
+    FkBlobStatus o = fk_upload_begin(s->blobs, c->team, &c->resource.digest, &upload);
+    if (o != FK_BLOB_STATUS_OK) {
       fail_blob(c, o);
       return FALSE;
     }
@@ -588,7 +590,7 @@
   return TRUE;
 }
 
-static FkBlobsOutcome write_some(Call *c, const guint8 *data, gsize len) {
+static FkBlobStatus write_some(Call *c, const guint8 *data, gsize len) {
   if (!c->resource.zstd)
     return fk_upload_write(c->upload->upload, data, len);
   if (!c->unpack)
@@ -600,27 +602,27 @@
     ZSTD_outBuffer out = {plain, sizeof plain, 0};
     gsize todo = ZSTD_decompressStream(c->unpack, &out, &in);
     if (ZSTD_isError(todo))
-      return FK_BLOBS_MISMATCH;
-    FkBlobsOutcome o = fk_upload_write(c->upload->upload, plain, out.pos);
-    if (o != FK_BLOBS_OK)
+      return FK_BLOB_STATUS_MISMATCH;
+    FkBlobStatus o = fk_upload_write(c->upload->upload, plain, out.pos);
+    if (o != FK_BLOB_STATUS_OK)
       return o;
     if (in.pos == in.size && out.pos < out.size)
-      return FK_BLOBS_OK;
+      return FK_BLOB_STATUS_OK;
   }
 }
 
 static void byte_write(Call *c, gpointer request) {
   const Rx__WriteRequest *q = request;
-  FkRexec *s = c->s;
+  FkRemoteExecution *s = c->s;
   if (!c->named) {
-    if (!fk_resource_parse(q->resource_name, FK_RESOURCE_WRITE, &c->resource)) {
+    if (!fk_resource_name_parse(q->resource_name, FK_RESOURCE_WRITE, &c->resource)) {
       fail(c, FK_GRPC_INVALID_ARGUMENT, "no upload's name");
       return;
     }
     if (!own(c, c->resource.instance))
       return;
     c->named = TRUE;
-    if (fk_blobs_has(s->blobs, c->team, &c->resource.digest)) { /* nobody needs it again */
+    if (fk_blob_store_has(s->blobs, c->team, &c->resource.digest)) { /* nobody needs it again */
       written(c, c->resource.zstd ? -1 : (gint64)c->resource.digest.size);
       return;
     }
@@ -628,10 +630,10 @@
       return;
     c->taken = c->resource.zstd ? 0 : (gint64)fk_upload_written(c->upload->upload);
   } else if (*q->resource_name) {
-    FkResource again;
-    if (!fk_resource_parse(q->resource_name, FK_RESOURCE_WRITE, &again) ||
+    FkResourceName again;
+    if (!fk_resource_name_parse(q->resource_name, FK_RESOURCE_WRITE, &again) ||
         !fk_digest_equal(&again.digest, &c->resource.digest) ||
-        strcmp(again.upload, c->resource.upload) != 0) {
+        strcmp(again.upload_id, c->resource.upload_id) != 0) {
       fail(c, FK_GRPC_INVALID_ARGUMENT, "an upload keeps its name");
       return;
     }
@@ -640,18 +642,18 @@
     fail(c, FK_GRPC_INVALID_ARGUMENT, "the offset isn't where the upload stands");
     return;
   }
-  FkBlobsOutcome o = write_some(c, q->data.data, q->data.len);
+  FkBlobStatus o = write_some(c, q->data.data, q->data.len);
   c->taken += (gint64)q->data.len;
-  if (o == FK_BLOBS_OK && !q->finish_write)
+  if (o == FK_BLOB_STATUS_OK && !q->finish_write)
     return;
   Upload *u = c->upload;
   c->upload = NULL;
-  if (o == FK_BLOBS_OK) {
+  if (o == FK_BLOB_STATUS_OK) {
     o = fk_upload_finish(u->upload);
     u->upload = NULL;
   }
   upload_forget(s, u);
-  if (o == FK_BLOBS_OK)
+  if (o == FK_BLOB_STATUS_OK)
     written(c, c->taken);
   else
     fail_blob(c, o);
@@ -659,8 +661,8 @@
 
 static void query_write(Call *c, gpointer request) {
   const Rx__QueryWriteStatusRequest *q = request;
-  FkResource r;
-  if (!fk_resource_parse(q->resource_name, FK_RESOURCE_WRITE, &r)) {
+  FkResourceName r;
+  if (!fk_resource_name_parse(q->resource_name, FK_RESOURCE_WRITE, &r)) {
     fail(c, FK_GRPC_INVALID_ARGUMENT, "no upload's name");
     return;
   }
@@ -669,7 +671,7 @@
   Rx__QueryWriteStatusResponse a = RX__QUERY_WRITE_STATUS_RESPONSE__INIT;
   g_autofree char *key = upload_key(c->team, &r);
   Upload *u = g_hash_table_lookup(c->s->uploads, key);
-  a.complete = fk_blobs_has(c->s->blobs, c->team, &r.digest);
+  a.complete = fk_blob_store_has(c->s->blobs, c->team, &r.digest);
   if (a.complete)
     a.committed_size = (gint64)r.digest.size;
   else if (u && !r.zstd)
@@ -697,13 +699,13 @@
 };
 
 static void on_begin(gpointer data, FkRpc *rpc) {
-  FkRexec *s = data;
+  FkRemoteExecution *s = data;
   Call *c = g_new0(Call, 1);
   c->s = s;
   c->rpc = rpc;
   fk_rpc_set_data(rpc, c);
   /* the key first: who has none learns nothing, not even which calls there are */
-  const char *team = fk_keys_team(s->keys, fk_rpc_bearer(rpc), g_get_real_time() / G_USEC_PER_SEC);
+  const char *team = fk_keys_find_team(s->keys, fk_rpc_bearer(rpc), g_get_real_time() / G_USEC_PER_SEC);
   if (!team) {
     fail(c, FK_GRPC_UNAUTHENTICATED, "a team's key is needed");
     return;
@@ -747,9 +749,9 @@
 }
 
 static void on_over(gpointer data, FkRpc *rpc) {
-  FkRexec *s = data;
+  FkRemoteExecution *s = data;
   Call *c = fk_rpc_data(rpc);
-  fk_blob_close(c->reader);
+  fk_blob_reader_close(c->reader);
   ZSTD_freeCStream(c->pack);
   ZSTD_freeDStream(c->unpack);
   if (c->upload) { /* whoever sent may come back for it */
@@ -762,19 +764,21 @@
   g_free(c);
 }
 
-static const FkH2Calls calls = {on_begin, on_message, on_half, on_room, on_over};
+static const FkH2Callbacks calls = {on_begin, on_message, on_half, on_room, on_over};
 
 /* ------------------------------------------------------------------ the server */
 
-static void conn_over(gpointer data, FkH2Conn *c) { g_hash_table_steal(((FkRexec *)data)->conns, c); }
+static void conn_over(gpointer data, FkH2Connection *c) {
+  g_hash_table_steal(((FkRemoteExecution *)data)->conns, c);
+}
 
 static void serve(gpointer data, GIOStream *stream, GSocketAddress *local, GSocketAddress *remote) {
-  FkRexec *s = data;
-  g_hash_table_add(s->conns, fk_h2_conn_new(stream, &s->limits, &calls, s,
-                                            (gint64)(s->settings->idle_s * 1e6), conn_over, s));
+  FkRemoteExecution *s = data;
+  g_hash_table_add(s->conns, fk_h2_connection_new(stream, &s->limits, &calls, s,
+                                                  (gint64)(s->settings->idle_s * 1e6), conn_over, s));
 }
 
-static FkKeys *read_keys(FkRexec *s, gint64 *mtime, GError **error) {
+static FkKeys *read_keys(FkRemoteExecution *s, gint64 *mtime, GError **error) {
   g_autofree char *text = NULL;
   gsize len;
   GStatBuf st;
@@ -791,7 +795,7 @@
 /* Keys that were changed count from now on; a file that can't be read leaves those that stood. Uploads that
  * nobody goes on with are given up. */
 static gboolean on_second(gpointer data) {
-  FkRexec *s = data;
+  FkRemoteExecution *s = data;
   GStatBuf st;
   if (g_stat(s->settings->keys, &st) == 0 &&
       (gint64)st.st_mtim.tv_sec * 1000000000 + st.st_mtim.tv_nsec != s->keys_mtime) {
@@ -815,16 +819,16 @@
   return G_SOURCE_CONTINUE;
 }
 
-static FkDoorLimits door_limits(const FkRexecSettings *set) {
-  const FkDoorMeans means = {set->connections * 4 + 100, 1e6, 0};
-  const FkDoorWishes wishes = {.connections = set->connections};
-  FkDoorLimits l = fk_door_limits(&means, &wishes);
-  l.guests[FK_GUEST_OUTSIDER] = (guint)set->connections;
+static FkAdmissionLimits door_limits(const FkRemoteExecutionSettings *set) {
+  const FkAdmissionResources means = {set->connections * 4 + 100, 1e6, 0};
+  const FkAdmissionOptions wishes = {.connections = set->connections};
+  FkAdmissionLimits l = fk_admission_limits_derive(&means, &wishes);
+  l.connections[FK_CONNECTION_CLASS_CLIENT] = (guint)set->connections;
   return l;
 }
 
 static gpointer run(gpointer data) {
-  FkRexec *s = data;
+  FkRemoteExecution *s = data;
   g_main_context_push_thread_default(s->context);
   g_main_loop_run(s->loop);
   GHashTableIter it;
@@ -832,27 +836,27 @@
   g_hash_table_iter_init(&it, s->conns);
   while (g_hash_table_iter_next(&it, &c, NULL)) {
     g_hash_table_iter_steal(&it);
-    fk_h2_conn_free(c);
+    fk_h2_connection_free(c);
   }
-  fk_door_free(s->door);
+  fk_server_free(s->door);
   s->door = NULL;
   g_main_context_pop_thread_default(s->context);
   return NULL;
 }
 
-static void rexec_free(FkRexec *s) {
-  fk_door_free(s->door);
+static void rexec_free(FkRemoteExecution *s) {
+  fk_server_free(s->door);
   g_hash_table_unref(s->conns);
   g_hash_table_unref(s->uploads);
   fk_keys_free(s->keys);
-  fk_blobs_close(s->blobs);
+  fk_blob_store_close(s->blobs);
   g_main_loop_unref(s->loop);
   g_main_context_unref(s->context);
   g_free(s);
 }
 
-FkRexec *fk_rexec_start(const FkRexecSettings *set, GError **error) {
-  FkRexec *s = g_new0(FkRexec, 1);
+FkRemoteExecution *fk_remote_execution_start(const FkRemoteExecutionSettings *set, GError **error) {
+  FkRemoteExecution *s = g_new0(FkRemoteExecution, 1);
   s->settings = set;
   s->context = g_main_context_new();
   s->loop = g_main_loop_new(s->context, FALSE);
@@ -860,14 +864,14 @@
   s->uploads = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, upload_free);
   s->message_max = (gsize)(set->message_mb * MB);
   s->limits = (FkH2Limits){(guint)set->calls, s->message_max + READ_CHUNK, 4 * s->message_max, QUEUED, 16384};
-  const FkShelfLimits kept = {(guint64)(set->bytes_gb * 1024 * MB), (guint)set->blobs};
-  const FkDoorLimits l = door_limits(set);
-  const FkDoorKeeper keeper = {TRUE, FK_GUEST_OUTSIDER, NULL, NULL, serve, s};
+  const FkBlobIndexLimits kept = {(guint64)(set->bytes_gb * 1024 * MB), (guint)set->blobs};
+  const FkAdmissionLimits l = door_limits(set);
+  const FkListenerHandler keeper = {TRUE, FK_CONNECTION_CLASS_CLIENT, NULL, NULL, serve, s};
   g_main_context_push_thread_default(s->context);
-  s->door = fk_door_new(&l);
+  s->door = fk_server_new(&l);
   gboolean ok = (s->keys = read_keys(s, &s->keys_mtime, error)) != NULL &&
-                (s->blobs = fk_blobs_open(set->directory, &kept, error)) != NULL &&
-                fk_door_listen(s->door, set->listen, &keeper, error) != NULL;
+                (s->blobs = fk_blob_store_open(set->directory, &kept, error)) != NULL &&
+                fk_server_listen(s->door, set->listen, &keeper, error) != NULL;
   g_main_context_pop_thread_default(s->context);
   if (!ok) {
     rexec_free(s);
@@ -885,7 +889,7 @@
   return G_SOURCE_REMOVE;
 }
 
-void fk_rexec_stop(FkRexec *s) {
+void fk_remote_execution_stop(FkRemoteExecution *s) {
   if (!s)
     return;
   g_autoptr(GSource) stop = g_idle_source_new();
--- a/src/remote_execution/server.h
+++ b/src/remote_execution/server.h
@@ -6,10 +6,10 @@
 
 #include "remote_execution/settings.h"
 
-typedef struct FkRexec FkRexec;
+typedef struct FkRemoteExecution FkRemoteExecution;
 
 /* Listens and serves from now on. NULL and an error when the directory, the keys or the address can't be had.
  * `s` is kept by reference. */
-FkRexec *fk_rexec_start(const FkRexecSettings *s, GError **error);
+FkRemoteExecution *fk_remote_execution_start(const FkRemoteExecutionSettings *s, GError **error);
 /* Ends the thread; what is half done is given up. */
-void fk_rexec_stop(FkRexec *r);
+void fk_remote_execution_stop(FkRemoteExecution *r);
--- a/src/remote_execution/settings.c
+++ b/src/remote_execution/settings.c
@@ -5,24 +5,24 @@
 
 #include "wire/json.h"
 
-static const FkRexecNumber numbers[] = {
-    {"bytes_gb", offsetof(FkRexecSettings, bytes_gb), 0.001, 1e6, 10},
-    {"blobs", offsetof(FkRexecSettings, blobs), 10, 1e9, 1e6},
-    {"message_mb", offsetof(FkRexecSettings, message_mb), 0.125, 64, 4},
-    {"connections", offsetof(FkRexecSettings, connections), 1, 10000, 100},
-    {"calls", offsetof(FkRexecSettings, calls), 1, 10000, 200},
-    {"idle_s", offsetof(FkRexecSettings, idle_s), 1, 86400, 600},
-    {"upload_s", offsetof(FkRexecSettings, upload_s), 1, 86400, 600},
+static const FkRemoteExecutionNumber numbers[] = {
+    {"bytes_gb", offsetof(FkRemoteExecutionSettings, bytes_gb), 0.001, 1e6, 10},
+    {"blobs", offsetof(FkRemoteExecutionSettings, blobs), 10, 1e9, 1e6},
+    {"message_mb", offsetof(FkRemoteExecutionSettings, message_mb), 0.125, 64, 4},
+    {"connections", offsetof(FkRemoteExecutionSettings, connections), 1, 10000, 100},
+    {"calls", offsetof(FkRemoteExecutionSettings, calls), 1, 10000, 200},
+    {"idle_s", offsetof(FkRemoteExecutionSettings, idle_s), 1, 86400, 600},
+    {"upload_s", offsetof(FkRemoteExecutionSettings, upload_s), 1, 86400, 600},
 };
 
-const FkRexecNumber *fk_rexec_numbers(guint *n) {
+const FkRemoteExecutionNumber *fk_remote_execution_numbers(guint *n) {
   *n = G_N_ELEMENTS(numbers);
   return numbers;
 }
 
 static GQuark settings_error(void) { return g_quark_from_static_string("fk-rexec-settings"); }
 
-void fk_rexec_settings_free(FkRexecSettings *s) {
+void fk_remote_execution_settings_free(FkRemoteExecutionSettings *s) {
   if (!s)
     return;
   g_free(s->listen);
@@ -31,9 +31,9 @@
   g_free(s);
 }
 
-static gboolean take_number(FkRexecSettings *s, const cJSON *j, GError **error) {
+static gboolean take_number(FkRemoteExecutionSettings *s, const cJSON *j, GError **error) {
   for (guint i = 0; i < G_N_ELEMENTS(numbers); i++) {
-    const FkRexecNumber *f = &numbers[i];
+    const FkRemoteExecutionNumber *f = &numbers[i];
     if (!g_str_equal(f->name, j->string))
       continue;
     if (!cJSON_IsNumber(j) || !(j->valuedouble >= f->min && j->valuedouble <= f->max)) {
@@ -68,9 +68,9 @@
          g_ascii_string_to_unsigned(colon + 1, 10, 1, 65535, &port, NULL);
 }
 
-FkRexecSettings *fk_rexec_settings_parse(const char *text, gsize len, GError **error) {
+FkRemoteExecutionSettings *fk_remote_execution_settings_parse(const char *text, gsize len, GError **error) {
   g_autoptr(cJSON) o = fk_json_parse(text, len);
-  g_autoptr(FkRexecSettings) s = g_new0(FkRexecSettings, 1);
+  g_autoptr(FkRemoteExecutionSettings) s = g_new0(FkRemoteExecutionSettings, 1);
   const cJSON *j;
   if (!cJSON_IsObject(o)) {
     g_set_error(error, settings_error(), 1, "not a JSON object");
--- a/src/remote_execution/settings.h
+++ b/src/remote_execution/settings.h
@@ -8,15 +8,15 @@
   double message_mb;         /* one message */
   double connections, calls; /* at once; calls: of one connection */
   double idle_s, upload_s;   /* a connection without calls; an upload that nobody goes on with */
-} FkRexecSettings;
+} FkRemoteExecutionSettings;
 
-FkRexecSettings *fk_rexec_settings_parse(const char *text, gsize len, GError **error);
-void fk_rexec_settings_free(FkRexecSettings *s);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkRexecSettings, fk_rexec_settings_free)
+FkRemoteExecutionSettings *fk_remote_execution_settings_parse(const char *text, gsize len, GError **error);
+void fk_remote_execution_settings_free(FkRemoteExecutionSettings *s);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkRemoteExecutionSettings, fk_remote_execution_settings_free)
 
 typedef struct {
   const char *name;
   gsize offset;
   double min, max, fallback;
-} FkRexecNumber;
-const FkRexecNumber *fk_rexec_numbers(guint *n);
+} FkRemoteExecutionNumber;
+const FkRemoteExecutionNumber *fk_remote_execution_numbers(guint *n);
--- a/src/scheduling_queue/capacity_buckets.c
+++ b/src/scheduling_queue/capacity_buckets.c
@@ -1,7 +1,7 @@
 #include "scheduling_queue/capacity_buckets.h"
 
-#define STEPS_A_CPU 4
-#define STEPS 1024 /* more than so many count as so many */
+#define BUCKETS_PER_CPU 4
+#define BUCKET_MAX 1024 /* more than so many count as so many */
 
 typedef struct {
   gpointer item;
@@ -9,22 +9,22 @@
   guint listed;   /* its place among all */
 } Entry;
 
-struct FkCapacity {
-  GPtrArray *buckets[STEPS + 1]; /* Entry; NULL: none yet */
+struct FkCapacityBuckets {
+  GPtrArray *buckets[BUCKET_MAX + 1]; /* Entry; NULL: none yet */
   GPtrArray *items;
   GHashTable *index; /* item -> Entry */
   guint highest;     /* no bucket above has any */
 };
 
-FkCapacity *fk_capacity_new(void) {
-  FkCapacity *c = g_new0(FkCapacity, 1);
+FkCapacityBuckets *fk_capacity_buckets_new(void) {
+  FkCapacityBuckets *c = g_new0(FkCapacityBuckets, 1);
   c->items = g_ptr_array_new();
   c->index = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
   return c;
 }
 
-void fk_capacity_clear(FkCapacity *c) {
-  for (guint i = 0; i <= STEPS; i++)
+void fk_capacity_buckets_clear(FkCapacityBuckets *c) {
+  for (guint i = 0; i <= BUCKET_MAX; i++)
     if (c->buckets[i])
       g_ptr_array_set_size(c->buckets[i], 0);
   g_ptr_array_set_size(c->items, 0);
@@ -32,19 +32,19 @@
   c->highest = 0;
 }
 
-void fk_capacity_free(FkCapacity *c) {
+void fk_capacity_buckets_free(FkCapacityBuckets *c) {
   if (!c)
     return;
-  for (guint i = 0; i <= STEPS; i++)
+  for (guint i = 0; i <= BUCKET_MAX; i++)
     g_clear_pointer(&c->buckets[i], g_ptr_array_unref);
   g_ptr_array_unref(c->items);
   g_hash_table_unref(c->index);
   g_free(c);
 }
 
-static guint step_of(double cpus) { return (guint)CLAMP(cpus * STEPS_A_CPU + 1e-6, 0, STEPS); }
+static guint bucket_of(double cpus) { return (guint)CLAMP(cpus * BUCKETS_PER_CPU + 1e-6, 0, BUCKET_MAX); }
 
-static void enter_bucket(FkCapacity *c, Entry *e, guint step) {
+static void enter_bucket(FkCapacityBuckets *c, Entry *e, guint step) {
   if (!c->buckets[step])
     c->buckets[step] = g_ptr_array_new();
   e->step = step;
@@ -53,7 +53,7 @@
   c->highest = MAX(c->highest, step);
 }
 
-static void leave_bucket(FkCapacity *c, Entry *e) {
+static void leave_bucket(FkCapacityBuckets *c, Entry *e) {
   GPtrArray *bucket = c->buckets[e->step];
   g_ptr_array_remove_index_fast(bucket, e->at);
   if (e->at < bucket->len)
@@ -62,8 +62,8 @@
     c->highest--;
 }
 
-void fk_capacity_put(FkCapacity *c, gpointer item, double cpus) {
-  guint step = step_of(cpus);
+void fk_capacity_buckets_put(FkCapacityBuckets *c, gpointer item, double cpus) {
+  guint step = bucket_of(cpus);
   Entry *e = g_hash_table_lookup(c->index, item);
   if (e && e->step == step)
     return;
@@ -79,7 +79,7 @@
   enter_bucket(c, e, step);
 }
 
-void fk_capacity_remove(FkCapacity *c, gpointer item) {
+void fk_capacity_buckets_remove(FkCapacityBuckets *c, gpointer item) {
   Entry *e = g_hash_table_lookup(c->index, item);
   if (!e)
     return;
@@ -92,12 +92,13 @@
   g_hash_table_remove(c->index, item);
 }
 
-const GPtrArray *fk_capacity_items(const FkCapacity *c) { return c->items; }
+const GPtrArray *fk_capacity_buckets_items(const FkCapacityBuckets *c) { return c->items; }
 
-guint fk_capacity_at_least(const FkCapacity *c, double cpus, guint most,
-                           gboolean (*wanted)(gpointer item, gpointer data), gpointer data, GPtrArray *out) {
+guint fk_capacity_buckets_find(const FkCapacityBuckets *c, double cpus, guint most,
+                               gboolean (*wanted)(gpointer item, gpointer data), gpointer data,
+                               GPtrArray *out) {
   guint looked_at = 0, taken = 0;
-  for (guint step = step_of(cpus); step <= c->highest && taken < most; step++) {
+  for (guint step = bucket_of(cpus); step <= c->highest && taken < most; step++) {
     const GPtrArray *bucket = c->buckets[step];
     for (guint i = 0; bucket && i < bucket->len && taken < most; i++) {
       gpointer item = ((Entry *)bucket->pdata[i])->item;
--- a/src/scheduling_queue/capacity_buckets.h
+++ b/src/scheduling_queue/capacity_buckets.h
@@ -4,17 +4,18 @@
 #pragma once
 #include <glib.h>
 
-typedef struct FkCapacity FkCapacity;
+typedef struct FkCapacityBuckets FkCapacityBuckets;
 
-FkCapacity *fk_capacity_new(void);
-void fk_capacity_free(FkCapacity *c);
-void fk_capacity_clear(FkCapacity *c);
+FkCapacityBuckets *fk_capacity_buckets_new(void);
+void fk_capacity_buckets_free(FkCapacityBuckets *c);
+void fk_capacity_buckets_clear(FkCapacityBuckets *c);
 /* Inserts the item, or moves it to what it has free now. */
-void fk_capacity_put(FkCapacity *c, gpointer item, double cpus);
-void fk_capacity_remove(FkCapacity *c, gpointer item);
+void fk_capacity_buckets_put(FkCapacityBuckets *c, gpointer item, double cpus);
+void fk_capacity_buckets_remove(FkCapacityBuckets *c, gpointer item);
 /* All items, in no order; borrowed until the next change. */
-const GPtrArray *fk_capacity_items(const FkCapacity *c);
+const GPtrArray *fk_capacity_buckets_items(const FkCapacityBuckets *c);
 /* Appends items with at least so much, up to `most` that are wanted, the fullest first; what has somewhat
  * less than a quarter CPU too little may be among them. Returns how many were looked at. */
-guint fk_capacity_at_least(const FkCapacity *c, double cpus, guint most,
-                           gboolean (*wanted)(gpointer item, gpointer data), gpointer data, GPtrArray *out);
+guint fk_capacity_buckets_find(const FkCapacityBuckets *c, double cpus, guint most,
+                               gboolean (*wanted)(gpointer item, gpointer data), gpointer data,
+                               GPtrArray *out);
--- a/src/scheduling_queue/wait_queue.c
+++ b/src/scheduling_queue/wait_queue.c
@@ -24,7 +24,7 @@
   return a->since_us < b->since_us ? -1 : a->since_us > b->since_us;
 }
 
-static int by_key(gconstpointer a, gconstpointer b, gpointer unused) {
+static int compare_by_key(gconstpointer a, gconstpointer b, gpointer unused) {
   return fk_wait_key_compare(&((const Entry *)a)->key, &((const Entry *)b)->key);
 }
 
@@ -53,7 +53,7 @@
 static void insert(FkWaitQueue *o, gpointer item, const FkWaitKey *key) {
   Entry *e = g_new0(Entry, 1);
   *e = (Entry){item, *key};
-  g_hash_table_insert(o->index, item, g_sequence_insert_sorted(o->entries, e, by_key, NULL));
+  g_hash_table_insert(o->index, item, g_sequence_insert_sorted(o->entries, e, compare_by_key, NULL));
 }
 
 void fk_wait_queue_put(FkWaitQueue *o, gpointer item, const FkWaitKey *key) {
@@ -66,7 +66,7 @@
   if (fk_wait_key_compare(&e->key, key) == 0)
     return;
   e->key = *key;
-  g_sequence_sort_changed(at, by_key, NULL);
+  g_sequence_sort_changed(at, compare_by_key, NULL);
 }
 
 gboolean fk_wait_queue_remove(FkWaitQueue *o, gpointer item) {
--- a/src/simulation/check_transaction.c
+++ b/src/simulation/check_transaction.c
@@ -2,15 +2,15 @@
  * out late, after newer ones, and more than once: a write without its guard would undo what came after it. */
 #include "simulation/check_transaction.h"
 
-static const FkGuard *guard_on(const FkOut *t, const char *path) {
+static const FkGuard *guard_on(const FkOutput *t, const char *path) {
   for (guint i = 0; i < t->guards->len; i++)
     if (g_str_equal(g_array_index(t->guards, FkGuard, i).path, path))
       return &g_array_index(t->guards, FkGuard, i);
   return NULL;
 }
 
-static gboolean guards_a(const FkOut *t, FkKeyKind kind) {
-  g_autofree char *prefix = fk_key(kind, "");
+static gboolean guards_kind(const FkOutput *t, FkKeyKind kind) {
+  g_autofree char *prefix = fk_key_path(kind, "");
   for (guint i = 0; i < t->guards->len; i++)
     if (g_str_has_prefix(g_array_index(t->guards, FkGuard, i).path, prefix))
       return TRUE;
@@ -18,19 +18,19 @@
 }
 
 /* The job's record is as it was, and there is one. */
-static gboolean job_stands(const FkOut *t, const char *job) {
-  g_autofree char *path = fk_key(FK_KEY_JOB, job);
+static gboolean guards_existing_job(const FkOutput *t, const char *job) {
+  g_autofree char *path = fk_key_path(FK_KEY_JOB, job);
   const FkGuard *g = guard_on(t, path);
   return g && g->rev.n;
 }
 
-static gboolean nobody_has(const FkOut *t, FkKeyKind kind, const char *id) {
-  g_autofree char *path = fk_key(kind, id);
+static gboolean guards_absence(const FkOutput *t, FkKeyKind kind, const char *id) {
+  g_autofree char *path = fk_key_path(kind, id);
   const FkGuard *g = guard_on(t, path);
   return g && !g->rev.n;
 }
 
-static const char *unguarded(const FkOut *t, const FkWrite *w) {
+static const char *missing_guard(const FkOutput *t, const FkWrite *w) {
   g_autofree char *id = NULL;
   guint32 chunk;
   const FkGuard *own = guard_on(t, w->path);
@@ -40,33 +40,37 @@
     if (!own)
       return "its own revision";
     /* absent now isn't absent as then: a job that has ended stays so */
-    return own->rev.n || nobody_has(t, FK_KEY_FINAL, id) ? NULL : "that it hasn't ended";
-  case FK_KEY_FINAL:
-    return job_stands(t, id) ? NULL : "the job's record";
+    return own->rev.n || guards_absence(t, FK_KEY_TERMINAL_JOB, id) ? NULL : "that it hasn't ended";
+  case FK_KEY_TERMINAL_JOB:
+    return guards_existing_job(t, id) ? NULL : "the job's record";
   case FK_KEY_CHUNK:
     if (!w->record) /* with its job, or as nobody's */
-      return job_stands(t, id) || nobody_has(t, FK_KEY_JOB, id) ? NULL : "the job's record, or its absence";
+      return guards_existing_job(t, id) || guards_absence(t, FK_KEY_JOB, id)
+                 ? NULL
+                 : "the job's record, or its absence";
     if (!own)
       return "its own revision";
-    if (!guards_a(t, FK_KEY_FENCE)) /* a stop: it takes nothing */
+    if (!guards_kind(t, FK_KEY_LAUNCH_FENCE)) /* a stop: it takes nothing */
       return own->rev.n ? NULL : "that it is there";
-    return !job_stands(t, id) ? "the job's record" : !guards_a(t, FK_KEY_GROUP) ? "a claim" : NULL;
+    return !guards_existing_job(t, id)     ? "the job's record"
+           : !guards_kind(t, FK_KEY_SHARD) ? "a claim"
+                                           : NULL;
   case FK_KEY_TEAM:
     /* a pause gives nobody anything, whatever was there */
-    return own || (w->record && w->record->split && !g_hash_table_size(w->record->split))
+    return own || (w->record && w->record->partition && !g_hash_table_size(w->record->partition))
                ? NULL
                : "its own revision";
-  case FK_KEY_WAITS:
+  case FK_KEY_WAIT_TIMES:
     return NULL; /* a statistic, on a hold */
   default:
     return own ? NULL : "its own revision";
   }
 }
 
-char *check_txn(const FkOut *t) {
+char *sim_check_transaction(const FkOutput *t) {
   for (guint i = 0; i < t->writes->len; i++) {
     const FkWrite *w = &g_array_index(t->writes, FkWrite, i);
-    const char *what = unguarded(t, w);
+    const char *what = missing_guard(t, w);
     if (what)
       return g_strdup_printf("%s of %s isn't guarded by %s", w->record ? "the write" : "the deletion",
                              w->path, what);
--- a/src/simulation/check_transaction.h
+++ b/src/simulation/check_transaction.h
@@ -2,4 +2,4 @@
 #include "core/messages.h"
 
 /* NULL, or what is written without a guard that it needs (to be freed). */
-char *check_txn(const FkOut *t);
+char *sim_check_transaction(const FkOutput *t);
--- a/src/simulation/check_view.h
+++ b/src/simulation/check_view.h
@@ -2,4 +2,4 @@
 #include "core/state/view.h"
 
 /* Fails where an index or a running sum of the view isn't what a full look gives. */
-void check_view(FkView *v);
+void sim_check_view(FkView *v);
--- a/src/simulation/digest.c
+++ b/src/simulation/digest.c
@@ -52,7 +52,8 @@
 
 static const Schedule schedules[] = {
     /* troubles by chance */
-    {"quiet", {.seed = 11, .seconds = 400, .submit_s = 200, .cancels = TRUE, .gangs = TRUE, .machines = 12}},
+    {"quiet",
+     {.seed = 11, .seconds = 400, .submit_until_s = 200, .cancels = TRUE, .gangs = TRUE, .machines = 12}},
     {"losses", {.seed = 12, DAY, .lost = 0.05, .late = 0.03, .gangs = TRUE}},
     {"kills", {.seed = 13, DAY, .kills = TRUE, .late = 0.02}},
     {"cuts", {.seed = 14, DAY, .cuts = TRUE, .late = 0.02}},
@@ -75,7 +76,7 @@
       .hangs = TRUE,
       .gangs = TRUE,
       .scale = 3,
-      .budgets = TRUE,
+      .rate_limited = TRUE,
       FIVE}},
     {"scale",
      {.seed = 19,
@@ -87,10 +88,17 @@
       .kills = TRUE,
       .controllers = 5},
      .limits = 20},
-    {"zones_clocks", {.seed = 20, DAY, .masses = TRUE, .late = 0.02, .scale = 2, .clocks = TRUE}},
-    {"zones_limits", {.seed = 21, DAY, .masses = TRUE, .late = 0.02, .scale = 2}, .limits = 0.3},
+    {"zones_clocks", {.seed = 20, DAY, .mass_failures = TRUE, .late = 0.02, .scale = 2, .clock_skew = TRUE}},
+    {"zones_limits", {.seed = 21, DAY, .mass_failures = TRUE, .late = 0.02, .scale = 2}, .limits = 0.3},
     {"stillborn",
-     {.seed = 22, DAY, .masses = TRUE, .kills = TRUE, .hangs = TRUE, .up = 8, .scale = 2, .stillborn = 0.5}},
+     {.seed = 22,
+      DAY,
+      .mass_failures = TRUE,
+      .kills = TRUE,
+      .hangs = TRUE,
+      .up = 8,
+      .scale = 2,
+      .boot_failure_chance = 0.5}},
     {"masses_all",
      {.seed = 23,
       .seconds = 220,
@@ -103,32 +111,33 @@
       .hangs = TRUE,
       .cancels = TRUE,
       .gangs = TRUE,
-      .masses = TRUE,
+      .mass_failures = TRUE,
       .machines = 20,
       .up = 12,
       .scale = 2,
-      .waits_apart = TRUE,
+      .skip_starvation_check = TRUE,
       FIVE}},
-    {"guests", {.seed = 24, DAY, .guests = TRUE, .up = 10, .scale = 2}},
+    {"guests", {.seed = 24, DAY, .best_effort_teams = TRUE, .up = 10, .scale = 2}},
     {"guests_troubles",
      {.seed = 25,
       .seconds = 260,
-      .submit_s = 150,
+      .submit_until_s = 150,
       .cancels = TRUE,
       .machines = 24,
-      .guests = TRUE,
+      .best_effort_teams = TRUE,
       .up = 16,
       .scale = 3,
       .kills = TRUE,
       .outages = TRUE,
-      .masses = TRUE,
+      .mass_failures = TRUE,
       .deaths = TRUE,
-      .freezes = TRUE,
+      .pauses = TRUE,
       .late = 0.02}},
-    {"faulty", {.seed = 26, DAY, .faulty = 0.2, .deaths = TRUE, .kills = TRUE, .up = 10, .scale = 2}},
-    {"freezes", {.seed = 27, DAY, .freezes = TRUE, .late = 0.02, .scale = 2}},
+    {"faulty",
+     {.seed = 26, DAY, .failing_job_chance = 0.2, .deaths = TRUE, .kills = TRUE, .up = 10, .scale = 2}},
+    {"freezes", {.seed = 27, DAY, .pauses = TRUE, .late = 0.02, .scale = 2}},
     {"deaf",
-     {.seed = 28, DAY, .late = 0.02, .scale = 2, .deaf = TRUE, .up = 12, FIVE, .waits_apart = TRUE},
+     {.seed = 28, DAY, .late = 0.02, .scale = 2, .deaf = TRUE, .up = 12, FIVE, .skip_starvation_check = TRUE},
      .limits = 20},
     {"copies",
      {.seed = 29, DAY, .late = 0.02, .scale = 2, .copies = 0.15, .hangs = TRUE, .up = 10},
@@ -140,143 +149,147 @@
     {"large",
      {.seed = 32,
       .seconds = 300,
-      .submit_s = 260,
+      .submit_until_s = 260,
       .cancels = TRUE,
       .machines = 12,
       .up = 12,
       .scale = 4,
-      .large = TRUE},
+      .large_jobs = TRUE},
      .limits = 20},
     /* faults by plan */
     {"gap",
      {.seed = 33, TWICE, .run_s = 60},
-     {{60, 14, SIM_REFUSE, SIM_LEADER}, {59, 2.5, SIM_RUSH}, {61.5, 60, SIM_OUTAGE}},
+     {{60, 14, SIM_FAULT_STORE_REFUSAL, SIM_TARGET_LEADER},
+      {59, 2.5, SIM_FAULT_CANCEL_BURST},
+      {61.5, 60, SIM_FAULT_STORE_OUTAGE}},
      .limits = 20},
     {"late_writes",
      {.seed = 34, TWICE, .quick = TRUE},
-     {{40, 100, SIM_LATE_WRITES, .share = 0.6},
-      {60, 60, SIM_RUSH},
-      {70, 0, SIM_CRASH, SIM_LEADER},
-      {85, 0, SIM_CRASH, SIM_ALL},
-      {110, 20, SIM_REFUSE, SIM_OTHERS},
-      {120, 40, SIM_COPIES}},
+     {{40, 100, SIM_FAULT_LATE_WRITES, .share = 0.6},
+      {60, 60, SIM_FAULT_CANCEL_BURST},
+      {70, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {85, 0, SIM_FAULT_CRASH, SIM_TARGET_ALL},
+      {110, 20, SIM_FAULT_STORE_REFUSAL, SIM_TARGET_FOLLOWER},
+      {120, 40, SIM_FAULT_DUPLICATES}},
      .limits = 20},
     {"lost_answers",
      {.seed = 35, TWICE, .controllers = 5},
-     {{30, 140, SIM_LOST_ANSWERS, .share = 0.5},
-      {25, 150, SIM_LOOKS},
-      {40, 100, SIM_RUSH},
-      {70, 0, SIM_CRASH, SIM_LEADER},
-      {100, 12, SIM_REFUSE, SIM_LEADER}},
+     {{30, 140, SIM_FAULT_LOST_REPLIES, .share = 0.5},
+      {25, 150, SIM_FAULT_QUERY_BURST},
+      {40, 100, SIM_FAULT_CANCEL_BURST},
+      {70, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {100, 12, SIM_FAULT_STORE_REFUSAL, SIM_TARGET_LEADER}},
      .limits = 20},
     {"lost_finals",
      {.seed = 36, TWICE},
-     {{30, 140, SIM_LOST_ANSWERS, .share = 0.8, .touches = "fk/d/"},
-      {40, 100, SIM_CANCEL_AT_END, .share = 0.5},
-      {80, 0, SIM_CRASH, SIM_LEADER}},
+     {{30, 140, SIM_FAULT_LOST_REPLIES, .share = 0.8, .key_prefix = "fk/d/"},
+      {40, 100, SIM_FAULT_CANCEL_AT_COMPLETION, .share = 0.5},
+      {80, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER}},
      .limits = 20},
     {"full_hang",
      {.seed = 37, FULL},
-     {{60, 18, SIM_CANCEL_NOW, .share = 0.5},
-      {61, 0, SIM_CRASH, SIM_LEADER},
-      {66, 0, SIM_CRASH, SIM_LEADER},
-      {80, 30, SIM_HANG, .share = 0.3},
-      {90.5, 12, SIM_REFUSE, SIM_LEADER}},
+     {{60, 18, SIM_FAULT_CANCEL_RUNNING, .share = 0.5},
+      {61, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {66, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {80, 30, SIM_FAULT_MACHINE_HANG, .share = 0.3},
+      {90.5, 12, SIM_FAULT_STORE_REFUSAL, SIM_TARGET_LEADER}},
      .limits = 4},
     {"full_deaf",
      {.seed = 38, FULL},
-     {{55, 45, SIM_DEAF, .share = 0.5},
-      {60, 0, SIM_CANCEL_NOW, .share = 0.5},
-      {61, 0, SIM_CRASH, SIM_LEADER},
-      {110, 30, SIM_MUTE, .share = 0.5},
-      {112, 0, SIM_CANCEL_NOW, .share = 0.5},
-      {114, 0, SIM_CRASH, SIM_LEADER}},
+     {{55, 45, SIM_FAULT_INBOUND_PARTITION, .share = 0.5},
+      {60, 0, SIM_FAULT_CANCEL_RUNNING, .share = 0.5},
+      {61, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {110, 30, SIM_FAULT_OUTBOUND_PARTITION, .share = 0.5},
+      {112, 0, SIM_FAULT_CANCEL_RUNNING, .share = 0.5},
+      {114, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER}},
      .limits = 4},
     {"old_reports",
      {.seed = 39, TWICE, .quick = TRUE, .controllers = 5},
-     {{30, 140, SIM_OLD_REPORTS, .share = 0.5},
-      {50, 18, SIM_HANG, .share = 0.5},
-      {58, 0, SIM_CRASH, SIM_LEADER},
-      {75, 0, SIM_ANEW, .share = 0.5},
-      {80, 0, SIM_CRASH, SIM_LEADER},
-      {100, 30, SIM_RUSH},
-      {140, 0, SIM_CRASH, SIM_ALL}},
+     {{30, 140, SIM_FAULT_STALE_HEARTBEATS, .share = 0.5},
+      {50, 18, SIM_FAULT_MACHINE_HANG, .share = 0.5},
+      {58, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {75, 0, SIM_FAULT_MACHINE_RESTART, .share = 0.5},
+      {80, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {100, 30, SIM_FAULT_CANCEL_BURST},
+      {140, 0, SIM_FAULT_CRASH, SIM_TARGET_ALL}},
      .limits = 20},
     {"held",
      {.seed = 40, TWICE},
-     {{40, 120, SIM_HELD, .share = 0.7},
-      {60, 0, SIM_CRASH, SIM_LEADER},
-      {70, 18, SIM_HANG, .share = 0.5},
-      {80, 30, SIM_RUSH},
-      {95, 25, SIM_CUT_WORKERS, SIM_ANYBODY},
-      {115, 0, SIM_ANEW}},
+     {{40, 120, SIM_FAULT_COMMAND_DELAY, .share = 0.7},
+      {60, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {70, 18, SIM_FAULT_MACHINE_HANG, .share = 0.5},
+      {80, 30, SIM_FAULT_CANCEL_BURST},
+      {95, 25, SIM_FAULT_WORKER_PARTITION, SIM_TARGET_ANY},
+      {115, 0, SIM_FAULT_MACHINE_RESTART}},
      .limits = 20},
     {"alone_cut",
      {.seed = 41, TWICE, .run_s = 30},
-     {{50, 60, SIM_ALONE, SIM_LEADER},
-      {70, 20, SIM_RUSH},
-      {75, 0, SIM_ANEW, .share = 0.7},
-      {120, 25, SIM_CUT_STATE, SIM_LEADER},
-      {122, 20, SIM_PEERS_REFUSE}},
+     {{50, 60, SIM_FAULT_ISOLATION, SIM_TARGET_LEADER},
+      {70, 20, SIM_FAULT_CANCEL_BURST},
+      {75, 0, SIM_FAULT_MACHINE_RESTART, .share = 0.7},
+      {120, 25, SIM_FAULT_STORE_PARTITION, SIM_TARGET_LEADER},
+      {122, 20, SIM_FAULT_PEER_REFUSAL}},
      .limits = 20},
     {"odd_looks",
      {.seed = 42, TWICE},
-     {{10, 180, SIM_ODD},
-      {50, 0, SIM_CRASH, SIM_LEADER},
-      {80, 12, SIM_REFUSE, SIM_LEADER},
-      {100, 15, SIM_OUTAGE},
-      {5, 200, SIM_LOOKS}},
+     {{10, 180, SIM_FAULT_INVALID_REQUESTS},
+      {50, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {80, 12, SIM_FAULT_STORE_REFUSAL, SIM_TARGET_LEADER},
+      {100, 15, SIM_FAULT_STORE_OUTAGE},
+      {5, 200, SIM_FAULT_QUERY_BURST}},
      .limits = 20},
     {"slow_zone",
      {.seed = 43, TWICE, .run_s = 30},
-     {{40, 50, SIM_SLOW},
-      {60, 35, SIM_ZONE},
-      {62, 10, SIM_RUSH},
-      {70, 0, SIM_DEATH, .share = 0.3},
-      {90, 0, SIM_CRASH, SIM_LEADER},
-      {110, 30, SIM_FREEZE, SIM_OTHERS}},
+     {{40, 50, SIM_FAULT_STORE_SLOW},
+      {60, 35, SIM_FAULT_ZONE_PARTITION},
+      {62, 10, SIM_FAULT_CANCEL_BURST},
+      {70, 0, SIM_FAULT_MACHINE_DEATH, .share = 0.3},
+      {90, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {110, 30, SIM_FAULT_PAUSE, SIM_TARGET_FOLLOWER}},
      .limits = 20},
     {"cloud_out",
      {.seed = 44, TWICE, .run_s = 30, .boot_s = 2},
-     {{50, 50, SIM_CLOUD},
-      {52, 0, SIM_DEATH, .share = 0.3},
-      {54, 25, SIM_HANG, .share = 0.4},
-      {56, 0, SIM_CRASH, SIM_LEADER},
-      {60, 20, SIM_RUSH}},
+     {{50, 50, SIM_FAULT_CLOUD_OUTAGE},
+      {52, 0, SIM_FAULT_MACHINE_DEATH, .share = 0.3},
+      {54, 25, SIM_FAULT_MACHINE_HANG, .share = 0.4},
+      {56, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {60, 20, SIM_FAULT_CANCEL_BURST}},
      .limits = 20},
     {"tiny",
-     {.seed = 45, TWICE, .tiny = 4},
-     {{20, 140, SIM_CANCEL_AT_END, .share = 0.1},
-      {50, 0, SIM_CRASH, SIM_LEADER},
-      {70, 12, SIM_REFUSE, SIM_LEADER},
-      {90, 15, SIM_OUTAGE},
-      {140, 25, SIM_HANG, .share = 0.3}},
+     {.seed = 45, TWICE, .small_jobs_per_s = 4},
+     {{20, 140, SIM_FAULT_CANCEL_AT_COMPLETION, .share = 0.1},
+      {50, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {70, 12, SIM_FAULT_STORE_REFUSAL, SIM_TARGET_LEADER},
+      {90, 15, SIM_FAULT_STORE_OUTAGE},
+      {140, 25, SIM_FAULT_MACHINE_HANG, .share = 0.3}},
      .limits = 20},
     {"chains",
-     {.seed = 46, TWICE, .chains = 0.3, .quick = TRUE},
-     {{5, 200, SIM_LOOKS},
-      {40, 110, SIM_RUSH},
-      {50, 0, SIM_CRASH, SIM_LEADER},
-      {75, 0, SIM_CRASH, SIM_ALL},
-      {90, 12, SIM_REFUSE, SIM_LEADER},
-      {110, 15, SIM_FREEZE, SIM_LEADER}},
+     {.seed = 46, TWICE, .pipelines_per_s = 0.3, .quick = TRUE},
+     {{5, 200, SIM_FAULT_QUERY_BURST},
+      {40, 110, SIM_FAULT_CANCEL_BURST},
+      {50, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {75, 0, SIM_FAULT_CRASH, SIM_TARGET_ALL},
+      {90, 12, SIM_FAULT_STORE_REFUSAL, SIM_TARGET_LEADER},
+      {110, 15, SIM_FAULT_PAUSE, SIM_TARGET_LEADER}},
      .limits = 20},
     {"chains_deep",
-     {.seed = 47, TWICE, .deep = 50, .fan = 300, .cancel_deep_s = 40, .controllers = 5},
-     {{40.5, 30, SIM_OUTAGE}, {95, 0, SIM_CRASH, SIM_ALL}, {110, 0, SIM_CRASH, SIM_LEADER}},
+     {.seed = 47, TWICE, .chain_length = 50, .fan_out = 300, .cancel_chain_at_s = 40, .controllers = 5},
+     {{40.5, 30, SIM_FAULT_STORE_OUTAGE},
+      {95, 0, SIM_FAULT_CRASH, SIM_TARGET_ALL},
+      {110, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER}},
      .limits = 20},
     {"chains_restart",
-     {.seed = 48, TWICE, .deep = 50, .fan = 300, .ask_no_more = TRUE},
-     {{60, 0, SIM_CRASH, SIM_ALL}, {105, 0, SIM_CRASH, SIM_ALL}},
+     {.seed = 48, TWICE, .chain_length = 50, .fan_out = 300, .stop_polling_when_final = TRUE},
+     {{60, 0, SIM_FAULT_CRASH, SIM_TARGET_ALL}, {105, 0, SIM_FAULT_CRASH, SIM_TARGET_ALL}},
      .limits = 20},
     {"limits_fall",
-     {.seed = 49, PLANNED, .scale = 3, .chains = 0.3, .limits_at = 80},
-     {{60, 80, SIM_RUSH},
-      {85, 15, SIM_OUTAGE},
-      {88, 0, SIM_CRASH, SIM_LEADER},
-      {115, 12, SIM_REFUSE, SIM_ANYBODY},
-      {125, 0, SIM_DEATH, .share = 0.3},
-      {130, 20, SIM_LATE_WRITES, .share = 0.3}},
+     {.seed = 49, PLANNED, .scale = 3, .pipelines_per_s = 0.3, .limits_reduced_at_s = 80},
+     {{60, 80, SIM_FAULT_CANCEL_BURST},
+      {85, 15, SIM_FAULT_STORE_OUTAGE},
+      {88, 0, SIM_FAULT_CRASH, SIM_TARGET_LEADER},
+      {115, 12, SIM_FAULT_STORE_REFUSAL, SIM_TARGET_ANY},
+      {125, 0, SIM_FAULT_MACHINE_DEATH, .share = 0.3},
+      {130, 20, SIM_FAULT_LATE_WRITES, .share = 0.3}},
      .limits = 20,
      .limits_fall = TRUE},
 };
@@ -320,9 +333,9 @@
 }
 
 /* A transaction: its conditions, its changes with records as `v` writes them, and its priority. */
-static void add_transaction(GString *s, const FkVersion *v, const FkOut *o) {
+static void add_transaction(GString *s, const FkVersion *v, const FkOutput *o) {
   add_number(s, "call", o->call);
-  add_number(s, "priority", (guint64)o->prio);
+  add_number(s, "priority", (guint64)o->priority);
   for (guint i = 0; i < o->guards->len; i++) {
     const FkGuard *guard = &g_array_index(o->guards, FkGuard, i);
     add_text(s, "if", guard->path);
@@ -331,7 +344,7 @@
   for (guint i = 0; i < o->writes->len; i++) {
     const FkWrite *w = &g_array_index(o->writes, FkWrite, i);
     add_text(s, w->record ? "put" : "delete", w->path);
-    add_number(s, "tether", w->hold.n);
+    add_number(s, "tether", w->lease.n);
     if (w->record) {
       g_autoptr(cJSON) j = v->record_to_json(w->record);
       add_body(s, fk_json_print(j));
@@ -340,9 +353,9 @@
 }
 
 /* One output, the way that its receiver sees it. */
-static void add_output(GString *s, const FkVersion *v, const FkOut *o) {
+static void add_output(GString *s, const FkVersion *v, const FkOutput *o) {
   switch (o->kind) {
-  case FK_OUT_ANSWER:
+  case FK_OUTPUT_USER_REPLY:
     g_string_append(s, " answer");
     add_number(s, "request", o->request.n);
     add_number(s, "status", (guint64)o->status);
@@ -351,70 +364,70 @@
     add_number(s, "done", o->done);
     add_number(s, "running", o->running);
     add_real(s, "retry", o->retry_s);
-    add_body(s, fk_user_print_answer(o));
+    add_body(s, fk_user_print_reply(o));
     break;
-  case FK_OUT_REPLY:
+  case FK_OUTPUT_HEARTBEAT_REPLY:
     g_string_append(s, " reply");
     add_number(s, "request", o->request.n);
     add_number(s, "status", (guint64)o->status);
-    add_number(s, "token", o->token.n);
+    add_number(s, "token", o->fencing_token.n);
     add_real(s, "retry", o->retry_s);
-    add_text(s, "to", o->report_to);
+    add_text(s, "to", o->redirect_to);
     add_body(s, fk_worker_print_reply(o));
     break;
-  case FK_OUT_COMMIT:
+  case FK_OUTPUT_COMMIT:
     g_string_append(s, " commit");
     add_transaction(s, v, o);
     break;
-  case FK_OUT_GET:
+  case FK_OUTPUT_GET:
     g_string_append(s, " get");
     add_number(s, "call", o->call);
     add_text(s, "path", o->path);
     break;
-  case FK_OUT_LIST:
+  case FK_OUTPUT_LIST:
     g_string_append(s, " list");
     add_text(s, "prefix", o->path);
     add_text(s, "after", o->after);
     break;
-  case FK_OUT_WATCH:
+  case FK_OUTPUT_WATCH:
     g_string_append(s, " watch");
     add_number(s, "from", o->rev.n);
     add_real(s, "seconds", o->seconds);
     break;
-  case FK_OUT_HOLD_NEW:
+  case FK_OUTPUT_LEASE_GRANT:
     g_string_append(s, " hold_new");
     add_real(s, "seconds", o->seconds);
     break;
-  case FK_OUT_HOLD_RENEW:
+  case FK_OUTPUT_LEASE_KEEPALIVE:
     g_string_append(s, " hold_renew");
     add_number(s, "hold", o->rev.n);
     break;
-  case FK_OUT_COMMANDS:
+  case FK_OUTPUT_COMMANDS:
     g_string_append(s, " commands");
     add_number(s, "call", o->call);
     add_text(s, "machine", o->machine);
     add_text(s, "address", o->addr);
     add_body(s, fk_worker_print_commands(o));
     break;
-  case FK_OUT_PEER:
+  case FK_OUTPUT_PEER_QUERY:
     g_string_append(s, " peer");
     add_text(s, "name", o->name);
     add_text(s, "address", o->addr);
     break;
-  case FK_OUT_TYPES:
+  case FK_OUTPUT_LIST_INSTANCE_TYPES:
     g_string_append(s, " types");
     break;
-  case FK_OUT_RENT:
+  case FK_OUTPUT_PROVISION:
     g_string_append(s, " rent");
     add_number(s, "call", o->call);
-    add_body(s, fk_cloud_print_rent(o));
+    add_body(s, fk_cloud_print_provision(o));
     break;
-  case FK_OUT_RETURN:
+  case FK_OUTPUT_TERMINATE:
     g_string_append(s, " return");
     add_number(s, "call", o->call);
-    add_body(s, fk_cloud_print_return(o));
+    add_body(s, fk_cloud_print_terminate(o));
     break;
-  case FK_OUT_MACHINES:
+  case FK_OUTPUT_LIST_MACHINES:
     g_string_append(s, " machines");
     add_text(s, "after", o->after);
     break;
@@ -423,7 +436,7 @@
 }
 
 /* The world shows an output: one line goes into the checksum. */
-static void sent(gpointer data, gint64 now_us, int controller, const FkVersion *v, const FkOut *o) {
+static void sent(gpointer data, gint64 now_us, int controller, const FkVersion *v, const FkOutput *o) {
   Digest *d = data;
   g_string_printf(d->line, "%" G_GINT64_FORMAT " %d", now_us, controller);
   add_output(d->line, v, o);
@@ -441,23 +454,23 @@
   FkSettings *s = fk_settings_parse(platform, strlen(platform), NULL);
   g_assert_nonnull(s);
   for (guint i = 0; x->limits > 0 && i < s->teams->len; i++) {
-    ((FkTeam *)s->teams->pdata[i])->cpus *= x->limits;
-    ((FkTeam *)s->teams->pdata[i])->cpus_max *= x->limits;
+    ((FkTeam *)s->teams->pdata[i])->guaranteed_cpus *= x->limits;
+    ((FkTeam *)s->teams->pdata[i])->max_cpus *= x->limits;
   }
   static const struct {
     const char *name;
     double guarantee, limit;
   } guests[] = {{"guest", 0, 0}, {"unlimited", 8, 0}, {"borrower", 0, 8}};
-  for (guint i = 0; x->plan.guests && i < G_N_ELEMENTS(guests); i++) {
+  for (guint i = 0; x->plan.best_effort_teams && i < G_N_ELEMENTS(guests); i++) {
     FkTeam *t = g_new0(FkTeam, 1);
-    *t = (FkTeam){g_strdup(guests[i].name), guests[i].guarantee, fk_limit_of(guests[i].limit), 0,
-                  fk_limit_of(0)};
+    *t = (FkTeam){g_strdup(guests[i].name), guests[i].guarantee, fk_quota_from_setting(guests[i].limit), 0,
+                  fk_quota_from_setting(0)};
     g_ptr_array_add(s->teams, t);
   }
   if (x->limits_fall) {
     s->value_kb = 1;
-    s->txn_ops = 10;
-    s->next_write_rps = 42;
+    s->transaction_ops_max = 10;
+    s->next_store_write_rps = 42;
   }
   return s;
 }
@@ -479,13 +492,13 @@
   plan.sent = sent;
   plan.sent_data = &d;
   plan.faults = x->faults;
-  while (plan.n_faults < FAULTS_MAX && x->faults[plan.n_faults].at_s > 0)
-    plan.n_faults++;
-  plan.now_txn_ops = x->limits_fall ? usual->txn_ops : 0;
+  while (plan.fault_count < FAULTS_MAX && x->faults[plan.fault_count].at_s > 0)
+    plan.fault_count++;
+  plan.initial_txn_ops = x->limits_fall ? usual->transaction_ops_max : 0;
   SimResult r = sim_run(s, &plan);
   FkDigest result = {
       g_strdup_printf("%s %s %" G_GUINT64_FORMAT, x->name, g_checksum_get_string(d.sum), d.outputs),
-      r.broken};
+      r.violation};
   g_checksum_free(d.sum);
   g_string_free(d.line, TRUE);
   return result;
@@ -510,12 +523,12 @@
                                             "couldn't be written; 2 wrong use.");
   if (!g_option_context_parse(context, &argc, &argv, &error) || argc > 1) {
     fprintf(stderr, "flaxknot-sim digest: %s\n", error ? error->message : "too many arguments");
-    return FK_LAB_USAGE;
+    return FK_SIM_EXIT_USAGE;
   }
   FILE *lines = text ? fopen(text, "w") : NULL;
   if (text && !lines) {
     fprintf(stderr, "flaxknot-sim digest: %s can't be written\n", text);
-    return FK_LAB_FAILED;
+    return FK_SIM_EXIT_FAILED;
   }
   g_autoptr(GString) table = g_string_new(NULL);
   gboolean whole = TRUE;
@@ -537,11 +550,11 @@
   }
   if (!table->len) {
     fprintf(stderr, "flaxknot-sim digest: no schedule is named %s\n", only);
-    return FK_LAB_USAGE;
+    return FK_SIM_EXIT_USAGE;
   }
   if (out && !g_file_set_contents(out, table->str, (gssize)table->len, &error)) {
     fprintf(stderr, "flaxknot-sim digest: %s\n", error->message);
-    return FK_LAB_FAILED;
+    return FK_SIM_EXIT_FAILED;
   }
-  return whole ? FK_LAB_OK : FK_LAB_FAILED;
+  return whole ? FK_SIM_EXIT_OK : FK_SIM_EXIT_FAILED;
 }
--- a/src/simulation/event_queue.c
+++ b/src/simulation/event_queue.c
@@ -1,29 +1,29 @@
 #include "simulation/event_queue.h"
 
-#define CLOCK_MS 5
+#define CLOCK_INTERVAL_MS 5
 
 typedef struct {
   gint64 at;
   guint64 order;
-  FkAgendaFn fn;
+  FkEventQueueFn fn;
   gpointer data;
 } Entry;
 
-struct FkAgenda {
+struct FkEventQueue {
   gpointer owner;
   GSequence *entries;
-  guint64 order;
+  guint64 sequence;
   guint timer;
 };
 
-FkAgenda *fk_agenda_new(gpointer owner) {
-  FkAgenda *a = g_new0(FkAgenda, 1);
+FkEventQueue *fk_event_queue_new(gpointer owner) {
+  FkEventQueue *a = g_new0(FkEventQueue, 1);
   a->owner = owner;
   a->entries = g_sequence_new(g_free);
   return a;
 }
 
-void fk_agenda_free(FkAgenda *a) {
+void fk_event_queue_free(FkEventQueue *a) {
   if (!a)
     return;
   g_clear_handle_id(&a->timer, g_source_remove);
@@ -31,7 +31,7 @@
   g_free(a);
 }
 
-void fk_agenda_drop(FkAgenda *a, GDestroyNotify data_free) {
+void fk_agenda_drop(FkEventQueue *a, GDestroyNotify data_free) {
   GSequenceIter *first;
   while (!g_sequence_iter_is_end(first = g_sequence_get_begin_iter(a->entries))) {
     data_free(((Entry *)g_sequence_get(first))->data);
@@ -39,39 +39,39 @@
   }
 }
 
-static int by_time(gconstpointer a, gconstpointer b, gpointer unused) {
+static int compare_events(gconstpointer a, gconstpointer b, gpointer unused) {
   const Entry *x = a, *y = b;
   if (x->at != y->at)
     return x->at < y->at ? -1 : 1;
   return x->order < y->order ? -1 : x->order > y->order;
 }
 
-void fk_agenda_add(FkAgenda *a, gint64 at, FkAgendaFn fn, gpointer data) {
+void fk_event_queue_add(FkEventQueue *a, gint64 at, FkEventQueueFn fn, gpointer data) {
   Entry *e = g_new0(Entry, 1);
-  *e = (Entry){at, ++a->order, fn, data};
-  g_sequence_insert_sorted(a->entries, e, by_time, NULL);
+  *e = (Entry){at, ++a->sequence, fn, data};
+  g_sequence_insert_sorted(a->entries, e, compare_events, NULL);
 }
 
-gint64 fk_agenda_next(const FkAgenda *a) {
+gint64 fk_event_queue_next_due(const FkEventQueue *a) {
   GSequenceIter *first = g_sequence_get_begin_iter(a->entries);
   return g_sequence_iter_is_end(first) ? G_MAXINT64 : ((Entry *)g_sequence_get(first))->at;
 }
 
-void fk_agenda_run_next(FkAgenda *a) {
+void fk_event_queue_run_next(FkEventQueue *a) {
   GSequenceIter *first = g_sequence_get_begin_iter(a->entries);
   Entry e = *(Entry *)g_sequence_get(first);
   g_sequence_remove(first);
   e.fn(a->owner, e.data);
 }
 
-void fk_agenda_run_until(FkAgenda *a, gint64 now) {
-  while (fk_agenda_next(a) <= now)
-    fk_agenda_run_next(a);
+void fk_event_queue_run_until(FkEventQueue *a, gint64 now) {
+  while (fk_event_queue_next_due(a) <= now)
+    fk_event_queue_run_next(a);
 }
 
 static gboolean on_clock(gpointer agenda) {
-  fk_agenda_run_until(agenda, g_get_monotonic_time());
+  fk_event_queue_run_until(agenda, g_get_monotonic_time());
   return G_SOURCE_CONTINUE;
 }
 
-void fk_agenda_start_clock(FkAgenda *a) { a->timer = g_timeout_add(CLOCK_MS, on_clock, a); }
+void fk_event_queue_start_clock(FkEventQueue *a) { a->timer = g_timeout_add(CLOCK_INTERVAL_MS, on_clock, a); }
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -4,21 +4,21 @@
 #pragma once
 #include <glib.h>
 
-typedef struct FkAgenda FkAgenda;
-typedef void (*FkAgendaFn)(gpointer owner, gpointer data);
+typedef struct FkEventQueue FkEventQueue;
+typedef void (*FkEventQueueFn)(gpointer owner, gpointer data);
 
 /* `owner` is handed to each function. */
-FkAgenda *fk_agenda_new(gpointer owner);
+FkEventQueue *fk_event_queue_new(gpointer owner);
 /* What hasn't happened is dropped; its data isn't freed. */
-void fk_agenda_free(FkAgenda *a);
+void fk_event_queue_free(FkEventQueue *a);
 /* Drops what hasn't happened; its data is freed by `data_free`. */
-void fk_agenda_drop(FkAgenda *a, GDestroyNotify data_free);
-void fk_agenda_add(FkAgenda *a, gint64 at, FkAgendaFn fn, gpointer data);
+void fk_agenda_drop(FkEventQueue *a, GDestroyNotify data_free);
+void fk_event_queue_add(FkEventQueue *a, gint64 at, FkEventQueueFn fn, gpointer data);
 /* When the next is due; G_MAXINT64: nothing is. */
-gint64 fk_agenda_next(const FkAgenda *a);
+gint64 fk_event_queue_next_due(const FkEventQueue *a);
 /* Takes the next out and lets it happen; there must be one. */
-void fk_agenda_run_next(FkAgenda *a);
+void fk_event_queue_run_next(FkEventQueue *a);
 /* All that is due by then. */
-void fk_agenda_run_until(FkAgenda *a, gint64 now);
+void fk_event_queue_run_until(FkEventQueue *a, gint64 now);
 /* From now on runs by the steady clock, in the default main context. */
-void fk_agenda_start_clock(FkAgenda *a);
+void fk_event_queue_start_clock(FkEventQueue *a);
--- a/src/simulation/main.c
+++ b/src/simulation/main.c
@@ -12,16 +12,16 @@
   int (*run)(int argc, char **argv);
 } subcommands[] = {
     {"digest", "one checksum a schedule, over everything that its controllers send", fk_lab_digest},
-    {"recovery", "how long a fleet takes to recover from the loss of many machines", fk_lab_recovery},
+    {"recovery", "how long a fleet takes to recover from the loss of many machines", fk_sim_recovery},
     {"scale", "real controllers against thousands of hollow workers, in real time", fk_lab_scale},
     {"slopes", "straight lines through the figures of several scale runs", fk_lab_slopes}};
 
-static void quiet(const char *domain, GLogLevelFlags level, const char *text, gpointer data) {
+static void log_errors_only(const char *domain, GLogLevelFlags level, const char *text, gpointer data) {
   if (level & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_WARNING) || g_getenv("LOG_LEVEL"))
     g_log_default_handler(domain, level, text, data);
 }
 
-static void usage(FILE *to) {
+static void print_usage(FILE *to) {
   fprintf(to, "Usage: flaxknot-sim SUBCOMMAND [OPTIONS]\n\n");
   for (guint i = 0; i < G_N_ELEMENTS(subcommands); i++)
     fprintf(to, "  %-10s %s\n", subcommands[i].name, subcommands[i].what);
@@ -29,11 +29,11 @@
 }
 
 int main(int argc, char **argv) {
-  g_log_set_default_handler(quiet, NULL);
+  g_log_set_default_handler(log_errors_only, NULL);
   for (guint i = 0; argc > 1 && i < G_N_ELEMENTS(subcommands); i++)
     if (!strcmp(argv[1], subcommands[i].name))
       return subcommands[i].run(argc - 1, argv + 1);
   gboolean help = argc > 1 && (!strcmp(argv[1], "--help") || !strcmp(argv[1], "-h"));
-  usage(help ? stdout : stderr);
-  return help ? FK_LAB_OK : FK_LAB_USAGE;
+  print_usage(help ? stdout : stderr);
+  return help ? FK_SIM_EXIT_OK : FK_SIM_EXIT_USAGE;
 }
--- a/src/simulation/planned_faults.c
+++ b/src/simulation/planned_faults.c
@@ -5,8 +5,8 @@
 #include "simulation/simulation_internal.h"
 #include "wire/store.h"
 
-static int leader_of(Sim *m) {
-  g_autofree char *path = fk_key(FK_KEY_LEADER, "");
+static int current_leader(Sim *m) {
+  g_autofree char *path = fk_key_path(FK_KEY_LEADER, "");
   const FkStoreItem *it = fk_store_model_get(m->store, path);
   if (!it)
     return -1;
@@ -17,68 +17,68 @@
   return i;
 }
 
-static gint64 until(const Sim *m, const SimFault *f) { return m->now + (gint64)(f->for_s * 1e6); }
+static gint64 fault_end(const Sim *m, const SimFault *f) { return m->now + (gint64)(f->duration_s * 1e6); }
 
-static void to_controller(Sim *m, const SimFault *f, int i) {
-  Ctl *c = &m->ctl[i];
-  g_debug("WORLD %.3f fault %d of c-%d for %.1f s", m->now / 1e6, f->kind, i, f->for_s);
+static void fault_controller(Sim *m, const SimFault *f, int i) {
+  SimController *c = &m->controllers[i];
+  g_debug("WORLD %.3f fault %d of c-%d for %.1f s", m->now / 1e6, f->kind, i, f->duration_s);
   switch (f->kind) {
-  case SIM_CRASH:
-    crash(m, i);
+  case SIM_FAULT_CRASH:
+    sim_crash_controller(m, i);
     break;
-  case SIM_FREEZE:
-    c->frozen = until(m, f);
+  case SIM_FAULT_PAUSE:
+    c->paused_until = fault_end(m, f);
     break;
-  case SIM_REFUSE:
-    m->refused_until[i] = until(m, f);
+  case SIM_FAULT_STORE_REFUSAL:
+    m->store_refusal_until[i] = fault_end(m, f);
     break;
-  case SIM_CUT_STATE:
-    c->cut_state = until(m, f);
+  case SIM_FAULT_STORE_PARTITION:
+    c->store_partition_until = fault_end(m, f);
     break;
-  case SIM_CUT_WORKERS:
-    c->cut_workers = until(m, f);
+  case SIM_FAULT_WORKER_PARTITION:
+    c->worker_partition_until = fault_end(m, f);
     break;
   default:
-    c->cut_state = c->cut_peers = until(m, f);
+    c->store_partition_until = c->peer_partition_until = fault_end(m, f);
   }
 }
 
-static void to_machines(Sim *m, const SimFault *f, double share) {
+static void fault_machines(Sim *m, const SimFault *f, double share) {
   guint one = (guint)g_rand_int_range(m->rand, 0, (gint)MAX(1, m->workers->len));
   for (guint i = 0; i < m->workers->len; i++) {
-    Worker *w = m->workers->pdata[i];
-    if (w->gone || (i != one && !chance(m, share)))
+    SimWorker *w = m->workers->pdata[i];
+    if (w->gone || (i != one && !sim_chance(m, share)))
       continue;
-    if (f->kind == SIM_HANG)
-      w->hung = until(m, f);
-    else if (f->kind == SIM_DEATH)
-      lose(m, w);
-    else if (f->kind == SIM_ANEW)
-      reboot(m, w);
-    else if (f->kind == SIM_MUTE)
-      w->mute = until(m, f);
+    if (f->kind == SIM_FAULT_MACHINE_HANG)
+      w->hung_until = fault_end(m, f);
+    else if (f->kind == SIM_FAULT_MACHINE_DEATH)
+      sim_worker_lose(m, w);
+    else if (f->kind == SIM_FAULT_MACHINE_RESTART)
+      sim_worker_restart(m, w);
+    else if (f->kind == SIM_FAULT_OUTBOUND_PARTITION)
+      w->outbound_partition_until = fault_end(m, f);
     else {
-      w->deaf = until(m, f);
-      w->deaf_holds = chance(m, 0.5);
+      w->inbound_partition_until = fault_end(m, f);
+      w->inbound_held = sim_chance(m, 0.5);
     }
   }
 }
 
-#define HANG_MAX 8
+#define HUNG_MACHINES_MAX 8
 
 /* Called off within a fifth of a second: jobs that run. */
-static void cancelled_now(Sim *m, const SimFault *f, double share) {
-  guint hang = f->for_s > 0 ? HANG_MAX : 0;
+static void cancel_running_jobs(Sim *m, const SimFault *f, double share) {
+  guint hang = f->duration_s > 0 ? HUNG_MACHINES_MAX : 0;
   for (guint i = 0; i < m->jobs->len; i++) {
-    UJob *j = m->jobs->pdata[i];
-    if (j->began_at && !j->large && !j->asked_cancel && chance(m, share)) {
-      after(m, between(m, 0, 0.2), user_cancels, j);
+    SimJob *j = m->jobs->pdata[i];
+    if (j->started_at && !j->large && !j->cancel_requested && sim_chance(m, share)) {
+      sim_schedule(m, sim_uniform(m, 0, 0.2), sim_user_cancel, j);
       for (guint k = 0; hang && k < m->workers->len; k++) {
-        Worker *w = m->workers->pdata[k];
-        for (guint n = 0; !w->gone && m->now >= w->hung && n < w->model.tasks->len; n++)
-          if (((FkWorkerTask *)w->model.tasks->pdata[n])->on &&
+        SimWorker *w = m->workers->pdata[k];
+        for (guint n = 0; !w->gone && m->now >= w->hung_until && n < w->model.tasks->len; n++)
+          if (((FkWorkerTask *)w->model.tasks->pdata[n])->resident &&
               g_str_equal(((FkWorkerTask *)w->model.tasks->pdata[n])->job, j->id)) {
-            w->hung = until(m, f);
+            w->hung_until = fault_end(m, f);
             hang--;
             break;
           }
@@ -87,93 +87,95 @@
   }
 }
 
-void outage_begins(Sim *m, double s) {
-  m->outage = m->now + (gint64)(s * 1e6);
-  fk_store_model_extend_holds(m->store, m->outage);
+void sim_begin_store_outage(Sim *m, double s) {
+  m->outage_until = m->now + (gint64)(s * 1e6);
+  fk_store_model_extend_leases(m->store, m->outage_until);
 }
 
-static void fault_begins(Sim *m, gpointer p) {
+static void begin_fault(Sim *m, gpointer p) {
   const SimFault *f = p;
   double share = f->share > 0 ? f->share : 1.0 / 3;
-  int leader = leader_of(m), one = leader;
+  int leader = current_leader(m), one = leader;
   switch (f->kind) {
-  case SIM_OUTAGE:
-    outage_begins(m, f->for_s);
+  case SIM_FAULT_STORE_OUTAGE:
+    sim_begin_store_outage(m, f->duration_s);
     break;
-  case SIM_SLOW:
-    m->slow = 250;
-    m->slow_until = until(m, f);
+  case SIM_FAULT_STORE_SLOW:
+    m->slow_factor = 250;
+    m->slow_until = fault_end(m, f);
     break;
-  case SIM_LATE_WRITES:
-    m->late_writes_until = until(m, f);
-    m->late_writes = share;
+  case SIM_FAULT_LATE_WRITES:
+    m->late_writes_until = fault_end(m, f);
+    m->late_writes_share = share;
     break;
-  case SIM_PEERS_REFUSE:
-    m->peers_refuse_until = until(m, f);
+  case SIM_FAULT_PEER_REFUSAL:
+    m->peer_refusal_until = fault_end(m, f);
     break;
-  case SIM_ZONE:
-    m->cut_zone = chance(m, 0.5) ? "south" : "north";
-    m->cut_until = until(m, f);
+  case SIM_FAULT_ZONE_PARTITION:
+    m->partitioned_zone = sim_chance(m, 0.5) ? "south" : "north";
+    m->zone_partition_until = fault_end(m, f);
     break;
-  case SIM_HELD:
-    m->held_until = until(m, f);
-    m->held = share;
+  case SIM_FAULT_COMMAND_DELAY:
+    m->command_delay_until = fault_end(m, f);
+    m->command_delay_share = share;
     break;
-  case SIM_COPIES:
-    m->copies_until = until(m, f);
-    m->copies = share;
+  case SIM_FAULT_DUPLICATES:
+    m->duplicates_until = fault_end(m, f);
+    m->duplicates_share = share;
     break;
-  case SIM_RUSH:
-    m->rush_until = until(m, f);
+  case SIM_FAULT_CANCEL_BURST:
+    m->cancel_burst_until = fault_end(m, f);
     break;
-  case SIM_CANCEL_NOW:
-    cancelled_now(m, f, share);
+  case SIM_FAULT_CANCEL_RUNNING:
+    cancel_running_jobs(m, f, share);
     break;
-  case SIM_CANCEL_AT_END:
-    m->cancel_at_end_until = until(m, f);
-    m->cancel_at_end = share;
+  case SIM_FAULT_CANCEL_AT_COMPLETION:
+    m->cancel_at_completion_until = fault_end(m, f);
+    m->cancel_at_completion_share = share;
     break;
-  case SIM_LOOKS:
-    m->looks_until = until(m, f);
+  case SIM_FAULT_QUERY_BURST:
+    m->query_burst_until = fault_end(m, f);
     break;
-  case SIM_ODD:
-    m->odd_until = until(m, f);
-    odd_requests(m, NULL);
+  case SIM_FAULT_INVALID_REQUESTS:
+    m->invalid_requests_until = fault_end(m, f);
+    sim_submit_invalid_requests(m, NULL);
     break;
-  case SIM_LOST_ANSWERS:
-    m->lost_answers_until = until(m, f);
-    m->lost_answers = share;
-    m->lost_of = f->touches;
+  case SIM_FAULT_LOST_REPLIES:
+    m->lost_replies_until = fault_end(m, f);
+    m->lost_replies_share = share;
+    m->lost_replies_prefix = f->key_prefix;
     break;
-  case SIM_OLD_REPORTS:
-    m->keep_until = until(m, f);
-    m->keep = share;
+  case SIM_FAULT_STALE_HEARTBEATS:
+    m->stale_heartbeats_until = fault_end(m, f);
+    m->stale_heartbeats_share = share;
     break;
-  case SIM_CLOUD:
-    m->cloud_until = until(m, f);
+  case SIM_FAULT_CLOUD_OUTAGE:
+    m->cloud_outage_until = fault_end(m, f);
     break;
-  case SIM_HANG:
-  case SIM_DEAF:
-  case SIM_MUTE:
-  case SIM_DEATH:
-  case SIM_ANEW:
-    to_machines(m, f, share);
+  case SIM_FAULT_MACHINE_HANG:
+  case SIM_FAULT_INBOUND_PARTITION:
+  case SIM_FAULT_OUTBOUND_PARTITION:
+  case SIM_FAULT_MACHINE_DEATH:
+  case SIM_FAULT_MACHINE_RESTART:
+    fault_machines(m, f, share);
     break;
   default:
-    if (f->who == SIM_ANYBODY || leader < 0)
-      one = g_rand_int_range(m->rand, 0, m->n);
-    else if (f->who == SIM_OTHERS)
-      one = (leader + g_rand_int_range(m->rand, 1, m->n)) % m->n;
-    for (int i = 0; i < m->n; i++)
-      if (f->who == SIM_ALL || i == one)
-        to_controller(m, f, i);
+    if (f->target == SIM_TARGET_ANY || leader < 0)
+      one = g_rand_int_range(m->rand, 0, m->controller_count);
+    else if (f->target == SIM_TARGET_FOLLOWER)
+      one = (leader + g_rand_int_range(m->rand, 1, m->controller_count)) % m->controller_count;
+    for (int i = 0; i < m->controller_count; i++)
+      if (f->target == SIM_TARGET_ALL || i == one)
+        fault_controller(m, f, i);
   }
-  g_debug("WORLD %.3f fault %d begins, for %.1f s", m->now / 1e6, f->kind, f->for_s);
+  g_debug("WORLD %.3f fault %d begins, for %.1f s", m->now / 1e6, f->kind, f->duration_s);
 }
 
-void faults_plan(Sim *m) {
-  for (guint i = 0; i < m->plan.n_faults; i++)
-    after(m, m->plan.faults[i].at_s, fault_begins, (gpointer)&m->plan.faults[i]);
+void sim_schedule_faults(Sim *m) {
+  for (guint i = 0; i < m->plan.fault_count; i++)
+    sim_schedule(m, m->plan.faults[i].at_s, begin_fault, (gpointer)&m->plan.faults[i]);
 }
 
-double copies_now(const Sim *m) { return m->now < m->copies_until ? m->copies : m->plan.copies; }
+double sim_duplicate_share(const Sim *m) {
+  return m->now < m->duplicates_until ? m->duplicates_share : m->plan.copies;
+}
--- a/src/simulation/recovery.c
+++ b/src/simulation/recovery.c
@@ -6,9 +6,9 @@
 #include "fair_share/quota.h"
 #include "simulation/simulation.h"
 
-#define WAIT_S 600.0 /* for the last replica, at the most */
+#define RECOVERY_TIMEOUT_S 600.0 /* for the last replica, at the most */
 
-static gint64 processor_ns(void) {
+static gint64 cpu_time_ns(void) {
   struct timespec t;
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &t);
   return (gint64)t.tv_sec * 1000000000 + t.tv_nsec;
@@ -16,7 +16,10 @@
 
 static FkTeam *team(const char *name, double cpus) {
   FkTeam *t = g_new0(FkTeam, 1);
-  *t = (FkTeam){.name = g_strdup(name), .cpus = cpus, .cpus_max = 4 * cpus, .gpus_max = fk_limit_of(0)};
+  *t = (FkTeam){.name = g_strdup(name),
+                .guaranteed_cpus = cpus,
+                .max_cpus = 4 * cpus,
+                .max_gpus = fk_quota_from_setting(0)};
   return t;
 }
 
@@ -24,49 +27,49 @@
   FkSettings *s = fk_settings_new();
   g_ptr_array_add(s->teams, team("red", machines * 8.0));
   g_ptr_array_add(s->teams, team("blue", machines * 8.0));
-  s->report_s = 10;
-  s->lease_s = 40;
-  s->cancel_s = 70;
-  s->state_write_rps = writes;
-  s->state_rps = 3 * writes;
-  s->value_kb = s->now_value_kb = 32;
-  s->next_rps = s->state_rps;
-  s->next_write_rps = s->state_write_rps;
-  s->txn_ops = 24;
+  s->heartbeat_interval_s = 10;
+  s->worker_lease_s = 40;
+  s->cancellation_deadline_s = 70;
+  s->store_write_rps = writes;
+  s->store_rps = 3 * writes;
+  s->value_kb = s->current_value_kb = 32;
+  s->next_store_rps = s->store_rps;
+  s->next_store_write_rps = s->store_write_rps;
+  s->transaction_ops_max = 24;
   s->cloud_rps = cloud;
-  s->list_lag_s = 10;
+  s->cloud_list_lag_s = 10;
   return s;
 }
 
 /* Services come no faster than the store takes them: two writes each, and as much again to spare. */
 static double loss_at(guint machines, double writes) { return 60 + 4.0 * machines / writes; }
 
-static gboolean play(guint machines, double share, double writes, double cloud, guint64 seed) {
+static gboolean run_recovery(guint machines, double share, double writes, double cloud, guint64 seed) {
   g_autoptr(FkSettings) s = settings(machines, writes, cloud);
   const SimPlan plan = {.seed = seed,
-                        .seconds = loss_at(machines, writes) + WAIT_S,
+                        .seconds = loss_at(machines, writes) + RECOVERY_TIMEOUT_S,
                         .machines = machines + machines / 2,
                         .up = machines,
                         .controllers = 5,
-                        .budgets = TRUE,
+                        .rate_limited = TRUE,
                         .services = machines,
-                        .loss_at = loss_at(machines, writes),
+                        .loss_at_s = loss_at(machines, writes),
                         .loss_share = share,
-                        .clock_ns = processor_ns};
+                        .clock_ns = cpu_time_ns};
   SimResult r = sim_run(s, &plan);
   const SimRecovery *x = &r.recovery;
   double lost = MAX(1, x->lost);
   printf("%8u %6u %6u %6u %7.1f %7.1f %7.1f %7.1f %9.2f %9.2f %9.2f %9.2f\n", machines, x->up, x->lost,
-         x->back, x->first_s, x->half_s, x->last_s, x->lost / writes, x->writes / lost, x->requests / lost,
-         (x->returns + x->rents) / lost, x->core_ms / lost);
+         x->recovered, x->first_s, x->half_s, x->last_s, x->lost / writes, x->writes / lost,
+         x->requests / lost, (x->terminate_calls + x->provision_calls) / lost, x->core_ms / lost);
   fflush(stdout);
-  if (r.broken)
-    fprintf(stderr, "a rule is broken: %s\n", r.broken);
-  g_free(r.broken);
-  return !r.broken && x->back == x->lost;
+  if (r.violation)
+    fprintf(stderr, "a rule is broken: %s\n", r.violation);
+  g_free(r.violation);
+  return !r.violation && x->recovered == x->lost;
 }
 
-int fk_lab_recovery(int argc, char **argv) {
+int fk_sim_recovery(int argc, char **argv) {
   double share = 0.2, writes = 60, cloud = 8;
   gint64 seed = 1;
   g_auto(GStrv) sizes = NULL;
@@ -92,7 +95,7 @@
   if (!g_option_context_parse(context, &argc, &argv, &error) || share < 0.01 || share > 0.5 || writes < 10 ||
       cloud < 1) {
     fprintf(stderr, "flaxknot-sim recovery: %s\n", error ? error->message : "an option is out of its range");
-    return FK_LAB_USAGE;
+    return FK_SIM_EXIT_USAGE;
   }
   const char *usual[] = {"500", "2000", "8000", NULL};
   gboolean all = TRUE;
@@ -102,9 +105,9 @@
     guint64 machines;
     if (!g_ascii_string_to_unsigned(*n, 10, 10, 50000, &machines, &error)) {
       fprintf(stderr, "flaxknot-sim recovery: %s\n", error->message);
-      return FK_LAB_USAGE;
+      return FK_SIM_EXIT_USAGE;
     }
-    all &= play((guint)machines, share, writes, cloud, (guint64)seed);
+    all &= run_recovery((guint)machines, share, writes, cloud, (guint64)seed);
   }
-  return all ? FK_LAB_OK : FK_LAB_FAILED;
+  return all ? FK_SIM_EXIT_OK : FK_SIM_EXIT_FAILED;
 }
--- a/src/simulation/recovery.h
+++ b/src/simulation/recovery.h
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 /* Exit statuses of the subcommands. */
-enum { FK_LAB_OK, FK_LAB_FAILED, FK_LAB_USAGE };
+enum { FK_SIM_EXIT_OK, FK_SIM_EXIT_FAILED, FK_SIM_EXIT_USAGE };
 
 /* `flaxknot-sim recovery`, with its own options. Prints a table to stdout. */
-int fk_lab_recovery(int argc, char **argv);
+int fk_sim_recovery(int argc, char **argv);
--- a/src/simulation/scale/cloud_service.c
+++ b/src/simulation/scale/cloud_service.c
@@ -16,18 +16,18 @@
   fk_scale_respond(m, status, g_strdup(body));
 }
 
-static FkType *hollow_type(const Fleet *f) {
-  FkType *t = g_new0(FkType, 1);
+static FkInstanceType *hollow_type(const Fleet *f) {
+  FkInstanceType *t = g_new0(FkInstanceType, 1);
   guint zones = fk_scale_region_zones(f->plan, f->region);
-  *t = (FkType){g_strdup(FK_SCALE_TYPE),
-                fk_scale_worker_cpus(f->plan),
-                0,
-                4 * fk_scale_worker_cpus(f->plan),
-                1,
-                1,
-                0.3,
-                BOOT_S,
-                g_new0(char *, zones + 1)};
+  *t = (FkInstanceType){g_strdup(FK_SCALE_TYPE),
+                        fk_scale_worker_cpus(f->plan),
+                        0,
+                        4 * fk_scale_worker_cpus(f->plan),
+                        1,
+                        1,
+                        0.3,
+                        BOOT_S,
+                        g_new0(char *, zones + 1)};
   for (guint z = 0; z < zones; z++)
     t->zones[z] = fk_scale_zone(f->region, z);
   return t;
@@ -39,12 +39,12 @@
 }
 
 static void on_rent(Fleet *f, SoupServerMessage *m, const char *body, gsize len) {
-  g_autoptr(FkRental) r = fk_cloud_parse_rental(body, len);
+  g_autoptr(FkInstanceRequest) r = fk_cloud_parse_instance_request(body, len);
   if (!r) {
     refuse(m, 400, "{}");
     return;
   }
-  GPtrArray *names = g_hash_table_lookup(f->hires, r->hire);
+  GPtrArray *names = g_hash_table_lookup(f->hires, r->name);
   guint count = MIN(r->count, free_capacity(f));
   if (!names && !count) {
     fk_scale_respond(m, 503, fk_cloud_print_no_capacity());
@@ -56,7 +56,7 @@
       double boot_s = BOOT_S * g_rand_double_range(f->rand, 0.6, 1.5);
       g_ptr_array_add(names, fk_fleet_boot(f, r->zone, r->spot, boot_s)->model.id);
     }
-    g_hash_table_insert(f->hires, g_strdup(r->hire), names);
+    g_hash_table_insert(f->hires, g_strdup(r->name), names);
     fk_series_add(f->series, "rented", count);
   }
   fk_scale_respond(m, 200, fk_cloud_print_names(names));
@@ -67,7 +67,7 @@
 /* The process that plays it hears of it too. */
 static void take_back(Fleet *f, Machine *x) {
   if (x->elsewhere && !x->gone)
-    fk_http_call(f->http, "POST", x->model.addr, FK_FLEET_RETURNED, "{}", 1, told, NULL);
+    fk_http_client_call(f->http, "POST", x->model.addr, FK_FLEET_RETURNED, "{}", 1, told, NULL);
   fk_fleet_lose(f, x);
   x->returned = g_get_monotonic_time();
   fk_series_add(f->series, "returned", 1);
@@ -91,19 +91,19 @@
 }
 
 /* As it was when the list was made; FALSE: it wasn't there. */
-static gboolean list_entry(const Machine *x, gint64 at, FkListed *out) {
+static gboolean list_entry(const Machine *x, gint64 at, FkCloudMachine *out) {
   if (x->born > at || (x->returned && x->returned <= at))
     return FALSE;
   gboolean failed = x->died && (double)(at - x->died) / 1e6 > DIED_LISTED_S;
-  *out = (FkListed){.id = x->model.id,
-                    .addr = x->model.addr,
-                    .type = x->model.type,
-                    .zone = x->model.zone,
-                    .spot = x->model.spot,
-                    .state = failed                        ? FK_MACHINE_FAILED
-                             : x->up || x->gone || x->life ? FK_MACHINE_RUNNING
-                                                           : FK_MACHINE_BOOTING,
-                    .age_s = (double)(at - x->born) / 1e6};
+  *out = (FkCloudMachine){.id = x->model.id,
+                          .addr = x->model.addr,
+                          .type = x->model.type,
+                          .zone = x->model.zone,
+                          .spot = x->model.spot,
+                          .state = failed                        ? FK_CLOUD_MACHINE_FAILED
+                                   : x->up || x->gone || x->life ? FK_CLOUD_MACHINE_RUNNING
+                                                                 : FK_CLOUD_MACHINE_BOOTING,
+                          .age_s = (double)(at - x->born) / 1e6};
   return TRUE;
 }
 
@@ -115,7 +115,7 @@
   gboolean more = FALSE;
   for (guint i = 0; i < f->machines->len && !more; i++) {
     const Machine *x = f->machines->pdata[i];
-    FkListed entry;
+    FkCloudMachine entry;
     if (strcmp(x->model.id, after) <= 0 || !list_entry(x, at, &entry))
       continue;
     if (listed->len == page)
@@ -133,7 +133,7 @@
   const char *body = fk_scale_body(m, &len);
   gboolean post = g_str_equal(soup_server_message_get_method(m), "POST");
   fk_series_add(f->series, "cloud_calls", 1);
-  if (!fk_store_budget_take(&f->cloud_budget, g_get_monotonic_time(), f->plan->cloud_calls, 1, 0))
+  if (!fk_store_rate_limit_take(&f->cloud_budget, g_get_monotonic_time(), f->plan->cloud_calls, 1, 0))
     refuse(m, 429, "{}");
   else if (g_str_equal(path, "/machine_types"))
     fk_scale_respond(m, 200, fk_cloud_print_types(f->types));
@@ -149,7 +149,7 @@
 
 gboolean fk_fleet_open_cloud(Fleet *f, GError **error) {
   g_autofree char *addr = fk_scale_cloud_addr(f->plan, f->region);
-  f->types = g_ptr_array_new_with_free_func(fk_type_free);
+  f->types = g_ptr_array_new_with_free_func(fk_instance_type_free);
   g_ptr_array_add(f->types, hollow_type(f));
   f->cloud = fk_scale_serve(addr, on_request, f, error);
   return f->cloud != NULL;
--- a/src/simulation/scale/fleet.c
+++ b/src/simulation/scale/fleet.c
@@ -11,8 +11,8 @@
 #define RESTART_SHARE 0.951           /* 1,700 restarts for 88 failures a day */
 #define CHURN_A_DAY (1788.0 / 7600.0) /* a machine */
 
-void fk_fleet_after(Fleet *f, double seconds, FkAgendaFn fn, gpointer data) {
-  fk_agenda_add(f->agenda, g_get_monotonic_time() + (gint64)(seconds * 1e6), fn, data);
+void fk_fleet_after(Fleet *f, double seconds, FkEventQueueFn fn, gpointer data) {
+  fk_event_queue_add(f->agenda, g_get_monotonic_time() + (gint64)(seconds * 1e6), fn, data);
 }
 
 const FkSpec *fk_fleet_spec(Fleet *f, const char *job) {
@@ -29,8 +29,8 @@
 gboolean fk_fleet_expire(Fleet *f, Machine *m, gint64 now) {
   if (!m->up || m->elsewhere)
     return FALSE;
-  f->left_us = m->model.lease_base + lease_us(f);
-  gboolean ended = fk_worker_model_expire(&m->model, &f->hooks, now, f->plan->lease_s);
+  f->left_us = m->model.lease_start + lease_us(f);
+  gboolean ended = fk_worker_model_check_lease(&m->model, &f->hooks, now, f->plan->lease_s);
   f->left_us = 0;
   fk_series_add(f->series, "leases_ended", ended);
   return ended;
@@ -48,17 +48,17 @@
   guint life;
 } Life;
 
-static void plan_life(Fleet *f, Machine *m, gint64 at, FkAgendaFn fn) {
+static void plan_life(Fleet *f, Machine *m, gint64 at, FkEventQueueFn fn) {
   Life *l = g_new0(Life, 1);
   *l = (Life){m, m->life};
-  fk_agenda_add(f->agenda, at, fn, l);
+  fk_event_queue_add(f->agenda, at, fn, l);
 }
 
 static void lease_is_due(gpointer fleet, gpointer data);
 
 /* The lease stands until its end, and is over right after. */
 static void watch_lease(Fleet *f, Machine *m) {
-  plan_life(f, m, m->model.lease_base + lease_us(f) + 1, lease_is_due);
+  plan_life(f, m, m->model.lease_start + lease_us(f) + 1, lease_is_due);
 }
 
 /* Where it was renewed meanwhile, its new end is waited for. */
@@ -79,7 +79,7 @@
   guint64 serial;
 } Step;
 
-static void schedule(Fleet *f, Machine *m, guint64 serial, double seconds, FkAgendaFn fn) {
+static void schedule(Fleet *f, Machine *m, guint64 serial, double seconds, FkEventQueueFn fn) {
   Step *s = g_new0(Step, 1);
   *s = (Step){m, serial};
   fk_fleet_after(f, seconds, fn, s);
@@ -104,9 +104,9 @@
   g_hash_table_add(f->finished, task_key(t));
   fk_event_log_add_at(f->events, now, FK_EVENT_ENDED, t->job, t->task, s->machine->model.id);
   fk_series_add(f->series, "ended", 1);
-  t->on = FALSE; /* told already */
+  t->resident = FALSE; /* told already */
   t->state = FK_TASK_EXITED;
-  t->why = FK_WHY_DONE;
+  t->exit_reason = FK_EXIT_DONE;
   fk_fleet_changed(f, s->machine);
 }
 
@@ -122,7 +122,7 @@
   g_autofree char *key = task_key(t);
   g_hash_table_add(s->machine->images, g_strdup(spec->image));
   t->state = FK_TASK_RUNNING;
-  t->on = TRUE;
+  t->resident = TRUE;
   fk_event_log_add_at(f->events, now, FK_EVENT_BEGAN, t->job, t->task, s->machine->model.id);
   fk_series_add(f->series, "began", 1);
   double run_s = g_hash_table_contains(f->finished, key) ? 0 : fk_scale_task_s(f->plan, spec, t->task);
@@ -169,7 +169,7 @@
     return;
   }
   m->up = TRUE;
-  m->model.lease_base = g_get_monotonic_time();
+  m->model.lease_start = g_get_monotonic_time();
   watch_lease(f, m);
   fk_fleet_begin_reports(f, m);
 }
@@ -203,7 +203,7 @@
   if (m->gone)
     return;
   fk_fleet_expire(f, m, g_get_monotonic_time());
-  fk_worker_model_wipe(&m->model, &f->hooks);
+  fk_worker_model_clear_tasks(&m->model, &f->hooks);
   m->gone = TRUE;
   m->up = FALSE;
   m->report = ++f->serial;
@@ -224,12 +224,12 @@
     return;
   fk_series_add(f->series, "restarted", !m->elsewhere);
   fk_fleet_expire(f, m, g_get_monotonic_time());
-  fk_worker_model_wipe(&m->model, &f->hooks);
+  fk_worker_model_clear_tasks(&m->model, &f->hooks);
   m->up = FALSE;
   m->life++;
   m->report = ++f->serial;
-  m->model.session = 1;
-  m->model.seq = m->model.token = 0;
+  m->model.incarnation = 1;
+  m->model.sequence = m->model.fencing_token = 0;
   g_hash_table_remove_all(m->images);
   close_address(m);
   boot_in(f, m, g_rand_double_range(f->rand, 1, 5));
@@ -286,7 +286,7 @@
   guint n = (guint)(CHURN_A_DAY * f->machines->len + 0.5);
   for (guint i = 0; i < n; i++) {
     double at_s = fault->at_s + g_rand_double(f->fault_rand) * fault->for_s;
-    fk_agenda_add(f->agenda, f->plan->begins_us + (gint64)(at_s * 1e6), one_fails, NULL);
+    fk_event_queue_add(f->agenda, f->plan->begins_us + (gint64)(at_s * 1e6), one_fails, NULL);
   }
 }
 
@@ -297,9 +297,9 @@
     if (fault->kind == FK_FAULT_CHURN)
       plan_churn(f, fault);
     else if (f->region == 0 && fault->kind == FK_FAULT_RACK)
-      fk_agenda_add(f->agenda, at, rack_dies, NULL);
+      fk_event_queue_add(f->agenda, at, rack_dies, NULL);
     else if (f->region == 0 && fault->kind == FK_FAULT_ZONE)
-      fk_agenda_add(f->agenda, at, zone_dies, NULL);
+      fk_event_queue_add(f->agenda, at, zone_dies, NULL);
   }
 }
 
@@ -313,7 +313,7 @@
     up += m->up && !m->elsewhere;
     for (guint k = 0; k < m->model.tasks->len; k++) {
       const FkWorkerTask *t = m->model.tasks->pdata[k];
-      on += t->on;
+      on += t->resident;
       fetching += t->state == FK_TASK_FETCHING;
       exited += t->state == FK_TASK_EXITED;
     }
@@ -339,8 +339,8 @@
   *f = (Fleet){.plan = p, .region = region, .part = part};
   f->rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + region));
   f->fault_rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + region + 500));
-  f->agenda = fk_agenda_new(f);
-  f->http = fk_http_new_many(CALLS_MOST, ANSWER_MOST);
+  f->agenda = fk_event_queue_new(f);
+  f->http = fk_http_client_new_for_many_hosts(CALLS_MOST, ANSWER_MOST);
   f->machines = g_ptr_array_new();
   f->by_addr = g_hash_table_new(g_str_hash, g_str_equal);
   f->specs = g_hash_table_new(g_str_hash, g_str_equal);
@@ -352,7 +352,7 @@
   f->addresses = f->events ? fk_many_addresses_new(fk_fleet_on_command, f, error) : NULL;
   if (!f->addresses || (part == 0 && !fk_fleet_open_cloud(f, error)))
     return FALSE;
-  fk_agenda_start_clock(f->agenda);
+  fk_event_queue_start_clock(f->agenda);
   return TRUE;
 }
 
@@ -360,7 +360,7 @@
   for (guint i = 0; i < f->machines->len; i++) /* an answer that still comes is void */
     ((Machine *)f->machines->pdata[i])->report = ++f->serial;
   fk_agenda_drop(f->agenda, g_free);
-  g_clear_pointer(&f->agenda, fk_agenda_free);
+  g_clear_pointer(&f->agenda, fk_event_queue_free);
   g_clear_pointer(&f->events, fk_event_log_free);
   g_clear_pointer(&f->series, fk_series_free);
 }
--- a/src/simulation/scale/fleet_internal.h
+++ b/src/simulation/scale/fleet_internal.h
@@ -32,13 +32,13 @@
   guint region, part;
   GRand *rand;
   GRand *fault_rand; /* the same in all processes of a region */
-  FkAgenda *agenda;
-  FkHttp *http;
+  FkEventQueue *agenda;
+  FkHttpClient *http;
   FkSeries *series;
   FkEventLog *events;
   FkManyAddresses *addresses;
   SoupServer *cloud;
-  FkStoreBudget cloud_budget;
+  FkStoreRateLimit cloud_budget;
   GPtrArray *machines;  /* Machine, by number */
   GHashTable *by_addr;  /* address -> Machine */
   GHashTable *specs;    /* job id -> FkSpec */
@@ -47,7 +47,7 @@
   FkWorkerHooks hooks;
   guint64 serial;
   gint64 left_us;   /* while a lease is ended: its end, when the tasks left; else 0: now */
-  GPtrArray *types; /* FkType */
+  GPtrArray *types; /* FkInstanceType */
 } Fleet;
 
 /* fleet.c */
@@ -57,7 +57,7 @@
 void fk_fleet_boot_first(Fleet *f);
 /* Its files are complete, and nothing happens there any more. */
 void fk_fleet_close(Fleet *f);
-void fk_fleet_after(Fleet *f, double seconds, FkAgendaFn fn, gpointer data);
+void fk_fleet_after(Fleet *f, double seconds, FkEventQueueFn fn, gpointer data);
 Machine *fk_fleet_boot(Fleet *f, const char *zone, gboolean spot, double boot_s);
 /* It is no more, and nothing that ran there. */
 void fk_fleet_lose(Fleet *f, Machine *m);
--- a/src/simulation/scale/plan.c
+++ b/src/simulation/scale/plan.c
@@ -354,7 +354,7 @@
 
 static guint64 job_number(const char *id) { return g_ascii_strtoull(id + strlen("run-"), NULL, 10); }
 
-gboolean fk_scale_job_urgent(const FkSpec *s) { return s->rank == FK_RANK_HIGH; }
+gboolean fk_scale_job_urgent(const FkSpec *s) { return s->priority == FK_JOB_PRIORITY_HIGH; }
 
 /* A quarter of the teams have urgent work alone: their limits aren't used up by bulk jobs of their own. */
 static guint job_team(const FkScalePlan *p, guint64 number, gboolean urgent) {
@@ -364,7 +364,7 @@
 }
 
 FkSpec *fk_scale_job(const FkScalePlan *p, const char *id) {
-  if (!fk_user_valid_id(id) || job_number(id) < REGION_NUMBERS)
+  if (!fk_user_id_is_valid(id) || job_number(id) < REGION_NUMBERS)
     return NULL;
   guint64 number = job_number(id);
   gboolean urgent = number % 2;
@@ -373,7 +373,7 @@
   s->class_name = g_strdup(urgent ? "urgent" : "bulk");
   s->team = team_name(job_team(p, number, urgent));
   s->shape = FK_SHAPE_ARRAY;
-  s->rank = urgent ? FK_RANK_HIGH : FK_RANK_NORMAL;
+  s->priority = urgent ? FK_JOB_PRIORITY_HIGH : FK_JOB_PRIORITY_NORMAL;
   double part = draw(p, number, DRAW_TASKS);
   s->tasks = (guint32)(urgent ? 1 + part * URGENT_TASKS_MOST : 1 + (0.5 + part) * p->tasks_per_job);
   s->cpus = TASK_CPUS;
--- a/src/simulation/scale/processes.c
+++ b/src/simulation/scale/processes.c
@@ -28,7 +28,7 @@
 struct FkProcesses {
   const FkScalePlan *plan;
   GPtrArray *all; /* Process */
-  FkHttp *http;
+  FkHttpClient *http;
   GMainLoop *loop;
   char *wrong;
   double memory_most_mb;
@@ -140,7 +140,7 @@
   FkProcesses *ps = g_new0(FkProcesses, 1);
   ps->plan = p;
   ps->all = g_ptr_array_new_with_free_func(process_free);
-  ps->http = fk_http_new_many(100, 65536);
+  ps->http = fk_http_client_new_for_many_hosts(100, 65536);
   ps->loop = g_main_loop_new(NULL, FALSE);
   for (guint r = 0; r < p->regions; r++)
     if (!start_region(ps, r, error)) {
@@ -192,7 +192,7 @@
       return G_SOURCE_REMOVE;
     }
     g_autofree char *addr = fk_scale_user_addr(ps->plan, x->region, x->number);
-    fk_http_call(ps->http, "GET", addr, "/up", NULL, 1, up_answered, x);
+    fk_http_client_call(ps->http, "GET", addr, "/up", NULL, 1, up_answered, x);
   }
   return all ? G_SOURCE_REMOVE : G_SOURCE_CONTINUE;
 }
@@ -323,7 +323,7 @@
 void fk_processes_free(FkProcesses *ps) {
   ps->over = FALSE; /* nothing is waited for any more */
   fk_processes_end(ps);
-  fk_http_free(ps->http);
+  fk_http_client_free(ps->http);
   g_ptr_array_unref(ps->all);
   g_main_loop_unref(ps->loop);
   g_free(ps->wrong);
--- a/src/simulation/scale/reports.c
+++ b/src/simulation/scale/reports.c
@@ -79,17 +79,18 @@
 /* A higher token is a change at most once in half of the lease. */
 static void note_token(Fleet *f, Machine *m, guint64 before) {
   gint64 now = g_get_monotonic_time();
-  if (m->model.token <= before || (double)(now - m->token_counted) / 1e6 < f->plan->lease_s / 2)
+  if (m->model.fencing_token <= before || (double)(now - m->token_counted) / 1e6 < f->plan->lease_s / 2)
     return;
   m->token_counted = now;
   m->changed = TRUE;
 }
 
-static void take_answer(Fleet *f, Machine *m, const Report *r, const FkWorkerOrders *orders) {
-  guint64 token = m->model.token;
+static void take_answer(Fleet *f, Machine *m, const Report *r, const FkWorkerCommands *orders) {
+  guint64 token = m->model.fencing_token;
   guint tasks = m->model.tasks->len;
   fk_fleet_expire(f, m, g_get_monotonic_time());
-  if (!fk_worker_model_answered(&m->model, &f->hooks, r->session, r->sent, orders->token, orders->orders))
+  if (!fk_worker_model_heartbeat_answered(&m->model, &f->hooks, r->session, r->sent, orders->fencing_token,
+                                          orders->commands))
     fk_series_add(f->series, "answers_dropped", 1);
   note_token(f, m, token);
   m->changed |= m->model.tasks->len != tasks;
@@ -104,12 +105,12 @@
     return;
   m->under_way = FALSE;
   fk_series_add(f->series, "answer_bytes", (double)len);
-  g_autoptr(FkWorkerOrders) orders = fk_worker_parse_reply(status, body, len);
+  g_autoptr(FkWorkerCommands) orders = fk_worker_parse_reply(status, body, len);
   if (status == 200 && orders) {
     take_answer(f, m, r, orders);
   } else if (status == 421) {
     fk_series_add(f->series, "reports_redirected", 1);
-    move(f, m, orders ? orders->foreman : NULL);
+    move(f, m, orders ? orders->redirect : NULL);
   } else {
     fk_series_add(f->series, "reports_unanswered", 1);
     try_next(f, m);
@@ -129,30 +130,30 @@
   m->sent = r->sent = now;
   m->changed = FALSE;
   m->under_way = TRUE;
-  r->session = m->model.session;
-  g_autoptr(FkReport) report = fk_worker_model_report(&m->model);
-  g_autofree char *body = fk_worker_print_report(report),
+  r->session = m->model.incarnation;
+  g_autoptr(FkHeartbeat) report = fk_worker_model_heartbeat(&m->model);
+  g_autofree char *body = fk_worker_print_heartbeat(report),
                   *addr = fk_scale_user_addr(f->plan, f->region, m->home);
   fk_series_add(f->series, "reports", 1);
   fk_series_add(f->series, "report_bytes", (double)strlen(body));
-  fk_http_call(f->http, "POST", addr, "/hello", body, ANSWER_S, report_answered, r);
+  fk_http_client_call(f->http, "POST", addr, "/hello", body, ANSWER_S, report_answered, r);
 }
 
 /* ------------------------------------------------------------------ direct commands */
 
 static void answer_report(Fleet *f, SoupServerMessage *msg, Machine *m, guint status) {
-  g_autoptr(FkReport) report = fk_worker_model_report(&m->model);
-  char *body = fk_worker_print_report(report);
+  g_autoptr(FkHeartbeat) report = fk_worker_model_heartbeat(&m->model);
+  char *body = fk_worker_print_heartbeat(report);
   fk_series_add(f->series, "command_answer_bytes", (double)strlen(body));
   fk_scale_respond(msg, status, body);
 }
 
-static void take_command(Fleet *f, SoupServerMessage *msg, Machine *m, const FkWorkerOrders *orders) {
-  guint64 token = m->model.token;
+static void take_command(Fleet *f, SoupServerMessage *msg, Machine *m, const FkWorkerCommands *orders) {
+  guint64 token = m->model.fencing_token;
   guint tasks = m->model.tasks->len;
   fk_fleet_expire(f, m, g_get_monotonic_time());
-  gboolean done =
-      fk_worker_model_commanded(&m->model, &f->hooks, orders->session, orders->token, orders->orders);
+  gboolean done = fk_worker_model_command(&m->model, &f->hooks, orders->incarnation, orders->fencing_token,
+                                          orders->commands);
   answer_report(f, msg, m, done ? 200 : 409);
   gboolean had_changed = m->changed;
   note_token(f, m, token);
@@ -184,7 +185,7 @@
     answer_report(f, msg, m, 200);
     return;
   }
-  g_autoptr(FkWorkerOrders) orders = fk_worker_parse_commands(body, len);
+  g_autoptr(FkWorkerCommands) orders = fk_worker_parse_commands(body, len);
   if (orders)
     take_command(f, msg, m, orders);
   else
--- a/src/simulation/scale/scale.c
+++ b/src/simulation/scale/scale.c
@@ -24,7 +24,7 @@
 
 static int wrong_use(const GError *error) {
   fprintf(stderr, "flaxknot-sim scale: %s\n", error->message);
-  return FK_LAB_USAGE;
+  return FK_SIM_EXIT_USAGE;
 }
 
 /* ------------------------------------------------------------------ a stand-in's process */
@@ -109,9 +109,9 @@
   printf(s->carried ? "the load was carried, and no rule was broken\n" : "the load was not carried\n");
   if (!write_summary(p, s, ps, &error)) {
     fprintf(stderr, "flaxknot-sim scale: %s\n", error->message);
-    return FK_LAB_FAILED;
+    return FK_SIM_EXIT_FAILED;
   }
-  return s->carried ? FK_LAB_OK : FK_LAB_FAILED;
+  return s->carried ? FK_SIM_EXIT_OK : FK_SIM_EXIT_FAILED;
 }
 
 static int run(FkScalePlan *p) {
@@ -121,18 +121,18 @@
   FkProcesses *ps = fk_processes_start(p, &error);
   if (!ps) {
     fprintf(stderr, "flaxknot-sim scale: %s\n", error->message);
-    return FK_LAB_FAILED;
+    return FK_SIM_EXIT_FAILED;
   }
   g_autofree char *wrong = fk_processes_run(ps);
   double memory_mb = fk_processes_memory_most_mb(ps);
   if (wrong) {
     fprintf(stderr, "flaxknot-sim scale: %s (%.0f MB were held)\n", wrong, memory_mb);
     fk_processes_free(ps);
-    return FK_LAB_FAILED;
+    return FK_SIM_EXIT_FAILED;
   }
   fk_processes_end(ps);
   FkSummary *s = fk_summary_of(p, &error);
-  int status = s ? report(p, s, ps) : FK_LAB_FAILED;
+  int status = s ? report(p, s, ps) : FK_SIM_EXIT_FAILED;
   if (!s)
     fprintf(stderr, "flaxknot-sim scale: %s\n", error->message);
   else
--- a/src/simulation/scale/slopes.c
+++ b/src/simulation/scale/slopes.c
@@ -144,12 +144,12 @@
                "largest last): slope and its standard error, the value at none, the worst residual.");
   if (!g_option_context_parse(context, &argc, &argv, &error)) {
     fprintf(stderr, "flaxknot-sim slopes: %s\n", error->message);
-    return FK_LAB_USAGE;
+    return FK_SIM_EXIT_USAGE;
   }
   if (argc - 1 < RUNS_LEAST || argc - 1 > RUNS_MOST) {
     fprintf(stderr, "flaxknot-sim slopes: %d to %d folders of scale runs are needed\n", RUNS_LEAST,
             RUNS_MOST);
-    return FK_LAB_USAGE;
+    return FK_SIM_EXIT_USAGE;
   }
   g_autoptr(GPtrArray) runs = g_ptr_array_new_with_free_func((GDestroyNotify)g_hash_table_unref);
   for (int i = 1; i < argc; i++) {
@@ -157,10 +157,10 @@
     g_ptr_array_add(runs, figures);
     if (!read_summary(argv[i], figures, &error) || !read_costs(argv[i], figures, &error)) {
       fprintf(stderr, "flaxknot-sim slopes: %s\n", error->message);
-      return FK_LAB_FAILED;
+      return FK_SIM_EXIT_FAILED;
     }
   }
   for (guint i = 0; i < G_N_ELEMENTS(fits); i++)
     print_fit(&fits[i], runs);
-  return FK_LAB_OK;
+  return FK_SIM_EXIT_OK;
 }
--- a/src/simulation/scale/state_service.c
+++ b/src/simulation/scale/state_service.c
@@ -25,7 +25,7 @@
   const FkScalePlan *plan;
   SoupServer *server;
   FkStoreModel *store;
-  FkStoreBudget budget;
+  FkStoreRateLimit budget;
   FkSeries *series;
   GPtrArray *watches; /* Watch */
 } Service;
@@ -64,9 +64,9 @@
   cJSON *events = cJSON_CreateArray();
   for (guint i = 0; i < changes->len; i++) {
     const FkStoreChange *c = changes->pdata[i];
-    cJSON_AddItemToArray(events, fk_store_event_to_json(c->path, c->value, c->stamp));
+    cJSON_AddItemToArray(events, fk_store_event_to_json(c->path, c->value, c->revision));
   }
-  char *body = fk_store_print_events(events, fk_store_model_epoch(s->store));
+  char *body = fk_store_print_events(events, fk_store_model_revision(s->store));
   fk_series_add(s->series, "watch_answers", 1);
   fk_series_add(s->series, "watch_events", changes->len);
   fk_series_add(s->series, "watch_bytes", (double)strlen(body));
@@ -80,7 +80,7 @@
     return; /* open watches remain open */
   for (guint i = 0; i < s->watches->len;) {
     Watch *w = s->watches->pdata[i];
-    if (fk_store_model_epoch(s->store) <= w->after && now < w->until) {
+    if (fk_store_model_revision(s->store) <= w->after && now < w->until) {
       i++;
       continue;
     }
@@ -95,7 +95,7 @@
              *block = fk_scale_query(query, "block_ms");
   guint64 revision = g_ascii_strtoull(after, NULL, 10);
   gint64 block_ms = MIN(WATCH_MOST_MS, atoi(block));
-  if (fk_store_model_epoch(s->store) > revision || !block_ms) {
+  if (fk_store_model_revision(s->store) > revision || !block_ms) {
     answer_watch(s, m, prefix, revision);
     return;
   }
@@ -110,10 +110,10 @@
 static void on_get(Service *s, SoupServerMessage *m, const char *path) {
   const FkStoreItem *item = fk_store_model_get(s->store, path);
   if (!item) {
-    respond(s, m, 404, fk_store_print_epoch(fk_store_model_epoch(s->store)));
+    respond(s, m, 404, fk_store_print_epoch(fk_store_model_revision(s->store)));
     return;
   }
-  g_autoptr(cJSON) o = fk_store_item_to_json(item->path, item->value, item->stamp, item->hold);
+  g_autoptr(cJSON) o = fk_store_item_to_json(item->path, item->value, item->revision, item->lease);
   respond(s, m, 200, fk_json_print(o));
 }
 
@@ -126,9 +126,9 @@
   cJSON *pairs = cJSON_CreateArray();
   for (guint i = 0; i < items->len; i++) {
     const FkStoreItem *item = items->pdata[i];
-    cJSON_AddItemToArray(pairs, fk_store_item_to_json(item->path, item->value, item->stamp, item->hold));
+    cJSON_AddItemToArray(pairs, fk_store_item_to_json(item->path, item->value, item->revision, item->lease));
   }
-  char *body = fk_store_print_items(pairs, more, fk_store_model_epoch(s->store));
+  char *body = fk_store_print_items(pairs, more, fk_store_model_revision(s->store));
   fk_series_add(s->series, "list_bytes", (double)strlen(body));
   respond(s, m, 200, body);
 }
@@ -138,12 +138,12 @@
                     writes = g_array_new(FALSE, FALSE, sizeof(FkStoreWrite));
   for (guint i = 0; i < t->conditions->len; i++) {
     const FkStoreCondition *c = &g_array_index(t->conditions, FkStoreCondition, i);
-    FkStoreGuard guard = {c->path, c->stamp};
+    FkStoreGuard guard = {c->path, c->revision};
     g_array_append_val(guards, guard);
   }
   for (guint i = 0; i < t->changes->len; i++) {
-    const FkStoreChangeAsked *c = &g_array_index(t->changes, FkStoreChangeAsked, i);
-    FkStoreWrite write = {c->path, c->value, c->hold};
+    const FkTransactionWrite *c = &g_array_index(t->changes, FkTransactionWrite, i);
+    FkStoreWrite write = {c->path, c->value, c->lease};
     g_array_append_val(writes, write);
   }
   return fk_store_model_commit(s->store, guards, writes, failed);
@@ -152,7 +152,7 @@
 static void on_commit(Service *s, SoupServerMessage *m, const FkStoreTransaction *t) {
   g_autoptr(GPtrArray) failed = g_ptr_array_new_with_free_func(g_free);
   FkStoreOutcome outcome = commit(s, t, failed);
-  guint64 epoch = fk_store_model_epoch(s->store);
+  guint64 epoch = fk_store_model_revision(s->store);
   fk_series_add(s->series, "transactions", 1);
   fk_series_add(s->series, "writes", t->changes->len);
   fk_series_add(s->series, "guards", t->conditions->len);
@@ -172,14 +172,15 @@
     respond(s, m, 400, g_strdup("{}"));
     return;
   }
-  respond(s, m, 200, fk_store_print_hold(fk_store_model_hold(s->store, g_get_monotonic_time(), ttl_s)));
+  respond(s, m, 200,
+          fk_store_print_lease(fk_store_model_grant_lease(s->store, g_get_monotonic_time(), ttl_s)));
 }
 
 /* /holds/ID/renew, or DELETE /holds/ID */
 static void on_known_hold(Service *s, SoupServerMessage *m, const char *rest, gboolean renew) {
   guint64 hold = g_ascii_strtoull(rest, NULL, 10);
-  gboolean there = renew ? fk_store_model_renew(s->store, g_get_monotonic_time(), hold)
-                         : fk_store_model_end_hold(s->store, hold);
+  gboolean there = renew ? fk_store_model_keep_alive(s->store, g_get_monotonic_time(), hold)
+                         : fk_store_model_revoke_lease(s->store, hold);
   respond(s, m, there ? 200 : 404, g_strdup("{}"));
 }
 
@@ -225,8 +226,8 @@
     respond(s, m, 400, g_strdup("{}"));
     return;
   }
-  if (!fk_store_budget_take(&s->budget, g_get_monotonic_time(), s->plan->state_requests,
-                            s->plan->state_writes, t ? t->changes->len : 0)) {
+  if (!fk_store_rate_limit_take(&s->budget, g_get_monotonic_time(), s->plan->state_requests,
+                                s->plan->state_writes, t ? t->changes->len : 0)) {
     refuse(s, m, 429);
     return;
   }
@@ -238,7 +239,7 @@
 static gboolean on_expire(gpointer data) {
   Service *s = data;
   if (!out(s))
-    fk_store_model_expire(s->store, g_get_monotonic_time());
+    fk_store_model_expire_leases(s->store, g_get_monotonic_time());
   settle_watches(s);
   return G_SOURCE_CONTINUE;
 }
@@ -247,7 +248,7 @@
   for (guint i = 0; i < s->plan->faults->len; i++) {
     const FkFault *f = &g_array_index(s->plan->faults, FkFault, i);
     if (f->kind == FK_FAULT_STATE)
-      fk_store_model_extend_holds(s->store, s->plan->begins_us + (gint64)((f->at_s + f->for_s) * 1e6));
+      fk_store_model_extend_leases(s->store, s->plan->begins_us + (gint64)((f->at_s + f->for_s) * 1e6));
   }
 }
 
--- a/src/simulation/scale/users.c
+++ b/src/simulation/scale/users.c
@@ -27,7 +27,7 @@
   const FkScalePlan *plan;
   guint region;
   GRand *rand;
-  FkAgenda *agenda;
+  FkEventQueue *agenda;
   SoupSession *session;
   FkBalancer *balancer;
   FkSeries *series;
@@ -42,8 +42,8 @@
   gboolean accepted, cancelling, over;
 } Job;
 
-static void after(Users *u, double seconds, FkAgendaFn fn, gpointer data) {
-  fk_agenda_add(u->agenda, g_get_monotonic_time() + (gint64)(seconds * 1e6), fn, data);
+static void after(Users *u, double seconds, FkEventQueueFn fn, gpointer data) {
+  fk_event_queue_add(u->agenda, g_get_monotonic_time() + (gint64)(seconds * 1e6), fn, data);
 }
 
 /* ------------------------------------------------------------------ calls */
@@ -282,7 +282,7 @@
   guint nodes = fk_scale_region_controllers(p, region);
   Users u = {.plan = p, .region = region};
   u.rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + 500 + region));
-  u.agenda = fk_agenda_new(&u);
+  u.agenda = fk_event_queue_new(&u);
   u.balancer = fk_balancer_new(nodes);
   u.session = soup_session_new_with_options("max-conns", CONNECTIONS, "max-conns-per-host", CONNECTIONS,
                                             "timeout", 0, NULL);
@@ -298,10 +298,10 @@
   }
   gint64 first = p->begins_us + (gint64)(FIRST_S * 1e6);
   if (bulk_rate(&u) > 0)
-    fk_agenda_add(u.agenda, first, bulk_comes, NULL);
+    fk_event_queue_add(u.agenda, first, bulk_comes, NULL);
   if (p->urgent > 0)
-    fk_agenda_add(u.agenda, first, urgent_comes, NULL);
-  fk_agenda_start_clock(u.agenda);
+    fk_event_queue_add(u.agenda, first, urgent_comes, NULL);
+  fk_event_queue_start_clock(u.agenda);
   fk_series_start(u.series, sample, &u);
   fk_scale_run_until_over(p);
   fk_event_log_free(u.events);
--- a/src/simulation/store_model.h
+++ b/src/simulation/store_model.h
@@ -9,32 +9,32 @@
 
 typedef struct {
   char *path, *value;
-  guint64 stamp, hold; /* revision of its latest change; the hold it hangs on, or 0 */
+  guint64 revision, lease; /* revision of its latest change; the hold it hangs on, or 0 */
 } FkStoreItem;
 
 typedef struct {
   char *path, *value; /* `value` NULL: deleted */
-  guint64 stamp;
+  guint64 revision;
 } FkStoreChange;
 
 typedef struct {
   const char *path;
-  guint64 stamp; /* 0: the key does not exist */
+  guint64 revision; /* 0: the key does not exist */
 } FkStoreGuard;
 
 typedef struct {
   const char *path, *value; /* `value` NULL: delete */
-  guint64 hold;
+  guint64 lease;
 } FkStoreWrite;
 
-typedef enum { FK_STORE_OK, FK_STORE_CONFLICT, FK_STORE_NO_HOLD } FkStoreOutcome;
+typedef enum { FK_STORE_OK, FK_STORE_CONFLICT, FK_STORE_LEASE_NOT_FOUND } FkStoreOutcome;
 
 /* `history_most`: changes that are kept for watches; 0: all. */
 FkStoreModel *fk_store_model_new(guint history_most);
 void fk_store_model_free(FkStoreModel *s);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkStoreModel, fk_store_model_free)
 
-guint64 fk_store_model_epoch(const FkStoreModel *s);
+guint64 fk_store_model_revision(const FkStoreModel *s);
 guint fk_store_model_size(const FkStoreModel *s);
 /* Borrowed until the next change; NULL: the key does not exist. */
 const FkStoreItem *fk_store_model_get(const FkStoreModel *s, const char *path);
@@ -50,21 +50,21 @@
 FkStoreOutcome fk_store_model_commit(FkStoreModel *s, const GArray *guards, const GArray *writes,
                                      GPtrArray *failed);
 
-guint64 fk_store_model_hold(FkStoreModel *s, gint64 now, double ttl_s);
+guint64 fk_store_model_grant_lease(FkStoreModel *s, gint64 now, double ttl_s);
 /* FALSE: there is no such hold any more. */
-gboolean fk_store_model_renew(FkStoreModel *s, gint64 now, guint64 hold);
-gboolean fk_store_model_end_hold(FkStoreModel *s, guint64 hold);
+gboolean fk_store_model_keep_alive(FkStoreModel *s, gint64 now, guint64 hold);
+gboolean fk_store_model_revoke_lease(FkStoreModel *s, guint64 hold);
 /* Ends the holds whose time is over, and deletes what hangs on them. */
-void fk_store_model_expire(FkStoreModel *s, gint64 now);
+void fk_store_model_expire_leases(FkStoreModel *s, gint64 now);
 /* Every hold has its full time from that moment on: an outage is over. */
-void fk_store_model_extend_holds(FkStoreModel *s, gint64 from);
+void fk_store_model_extend_leases(FkStoreModel *s, gint64 from);
 
 /* Requests and writes a second, each with a burst of one second's worth. */
 typedef struct {
   double requests, writes;
-  gint64 filled;
-} FkStoreBudget;
+  gint64 refilled_at;
+} FkStoreRateLimit;
 
 /* Takes one request and so many writes; FALSE: over a rate, and nothing is taken. */
-gboolean fk_store_budget_take(FkStoreBudget *b, gint64 now, double request_rate, double write_rate,
-                              guint writes);
+gboolean fk_store_rate_limit_take(FkStoreRateLimit *b, gint64 now, double request_rate, double write_rate,
+                                  guint writes);
--- a/src/simulation/version.h
+++ b/src/simulation/version.h
@@ -9,35 +9,44 @@
 
 typedef struct {
   const char *name;
-  FkSettings *(*settings)(const char *platform, const char *operator_wishes); /* JSON; NULL: refused */
+  FkSettings *(*parse_settings)(const char *platform, const char *operator_wishes); /* JSON; NULL: refused */
   void (*settings_free)(FkSettings *s);
   cJSON *(*record_to_json)(const FkRecord *r);
-  FkEvent *(*event)(const char *path, const char *value, guint64 stamp); /* `value` NULL: deleted */
-  void (*event_free)(FkEvent *e);
-  void (*out_free)(FkOut *o);
-  FkController *(*start)(const FkSettings *s, const char *life, guint32 seed, FkTime now);
-  void (*free)(FkController *c);
-  FkOut *(*next)(FkController *c);
+  FkStoreEvent *(*parse_event)(const char *path, const char *value,
+                               guint64 stamp); /* `value` NULL: deleted */
+  void (*store_event_free)(FkStoreEvent *e);
+  void (*output_free)(FkOutput *o);
+  FkController *(*controller_new)(const FkSettings *s, const char *life, guint32 seed, FkTime now);
+  void (*controller_free)(FkController *c);
+  FkOutput *(*next_output)(FkController *c);
   void (*tick)(FkController *c, FkTime now, gint64 wall_us);
-  void (*submit)(FkController *c, FkTime now, FkRequest r, FkSpec *spec);
-  void (*get)(FkController *c, FkTime now, FkRequest r, const char *id);
-  void (*cancel)(FkController *c, FkTime now, FkRequest r, const char *id);
-  void (*report)(FkController *c, FkTime now, FkRequest r, FkReport *report);
-  void (*listed)(FkController *c, FkTime now, FkOutcome o, GPtrArray *events, gboolean more, FkRev epoch);
-  void (*watched)(FkController *c, FkTime now, FkOutcome o, GPtrArray *events, FkRev epoch, FkTime sent);
-  void (*held)(FkController *c, FkTime now, FkOutcome o, FkRev hold, FkTime sent);
-  void (*renewed)(FkController *c, FkTime now, FkOutcome o, FkTime sent);
-  void (*committed)(FkController *c, FkTime now, guint64 call, FkOutcome o, FkRev epoch, GPtrArray *failed);
-  void (*sent)(FkController *c, FkTime now, guint64 call);
-  void (*got)(FkController *c, FkTime now, guint64 call, FkOutcome o, FkEvent *e);
-  void (*commanded)(FkController *c, FkTime now, guint64 call, FkOutcome o, FkReport *report);
-  const char *(*seen)(FkController *c, FkTime now, FkRev *seen, FkRev *applied, double *store_age_s);
-  void (*peer)(FkController *c, FkTime now, const char *peer, const char *life, FkRev seen, FkRev applied,
-               double store_age_s, FkTime sent);
-  void (*types)(FkController *c, FkTime now, FkOutcome o, GPtrArray *types);
-  void (*machines)(FkController *c, FkTime now, FkOutcome o, GPtrArray *listed, gboolean more);
-  void (*rented)(FkController *c, FkTime now, guint64 call, FkOutcome o, GPtrArray *names);
-  void (*returned)(FkController *c, FkTime now, guint64 call, FkOutcome o);
+  void (*submission_received)(FkController *c, FkTime now, FkRequestId r, FkSpec *spec);
+  void (*poll_received)(FkController *c, FkTime now, FkRequestId r, const char *id);
+  void (*cancellation_received)(FkController *c, FkTime now, FkRequestId r, const char *id);
+  void (*heartbeat_received)(FkController *c, FkTime now, FkRequestId r, FkHeartbeat *heartbeat_received);
+  void (*list_received)(FkController *c, FkTime now, FkOutcome o, GPtrArray *events, gboolean more,
+                        FkRev epoch);
+  void (*watch_received)(FkController *c, FkTime now, FkOutcome o, GPtrArray *events, FkRev epoch,
+                         FkTime transaction_sent);
+  void (*lease_grant_received)(FkController *c, FkTime now, FkOutcome o, FkRev hold, FkTime transaction_sent);
+  void (*lease_keepalive_received)(FkController *c, FkTime now, FkOutcome o, FkTime transaction_sent);
+  void (*commit_received)(FkController *c, FkTime now, guint64 call, FkOutcome o, FkRev epoch,
+                          GPtrArray *failed);
+  void (*transaction_sent)(FkController *c, FkTime now, guint64 call);
+  void (*get_received)(FkController *c, FkTime now, guint64 call, FkOutcome o, FkStoreEvent *e);
+  void (*command_reply_received)(FkController *c, FkTime now, guint64 call, FkOutcome o,
+                                 FkHeartbeat *heartbeat_received);
+  const char *(*store_progress)(FkController *c, FkTime now, FkRev *store_progress, FkRev *applied,
+                                double *store_age_s);
+  void (*peer_progress_received)(FkController *c, FkTime now, const char *peer_progress_received,
+                                 const char *life, FkRev store_progress, FkRev applied, double store_age_s,
+                                 FkTime transaction_sent);
+  void (*instance_types_received)(FkController *c, FkTime now, FkOutcome o,
+                                  GPtrArray *instance_types_received);
+  void (*machines_received)(FkController *c, FkTime now, FkOutcome o, GPtrArray *list_received,
+                            gboolean more);
+  void (*provision_received)(FkController *c, FkTime now, guint64 call, FkOutcome o, GPtrArray *names);
+  void (*terminate_received)(FkController *c, FkTime now, guint64 call, FkOutcome o);
 } FkVersion;
 
 extern const FkVersion fk_version_present;
--- a/src/simulation/worker_model.c
+++ b/src/simulation/worker_model.c
@@ -16,7 +16,7 @@
                        .zone = g_strdup(zone),
                        .spot = spot,
                        .cpus = cpus,
-                       .session = 1,
+                       .incarnation = 1,
                        .tasks = g_ptr_array_new_with_free_func(task_free)};
 }
 
@@ -37,44 +37,44 @@
   return NULL;
 }
 
-FkReport *fk_worker_model_report(FkWorkerModel *w) {
-  FkReport *r = fk_report_new();
+FkHeartbeat *fk_worker_model_heartbeat(FkWorkerModel *w) {
+  FkHeartbeat *r = fk_heartbeat_new();
   r->machine = g_strdup(w->id);
   r->addr = g_strdup(w->addr);
   r->type = g_strdup(w->type);
   r->zone = g_strdup(w->zone);
   r->spot = w->spot;
-  r->session = w->session;
-  r->seq = ++w->seq;
-  r->token.n = w->token;
+  r->incarnation = w->incarnation;
+  r->sequence = ++w->sequence;
+  r->fencing_token.n = w->fencing_token;
   for (guint i = 0; i < w->tasks->len; i++) {
     const FkWorkerTask *t = w->tasks->pdata[i];
-    FkTaskReport *says = g_new0(FkTaskReport, 1);
-    *says = (FkTaskReport){g_strdup(t->job), t->task, {t->attempt}, t->state, t->why};
+    FkTaskStatus *says = g_new0(FkTaskStatus, 1);
+    *says = (FkTaskStatus){g_strdup(t->job), t->task, {t->attempt}, t->state, t->exit_reason};
     g_ptr_array_add(r->tasks, says);
   }
   return r;
 }
 
-void fk_worker_model_leave(FkWorkerModel *w, const FkWorkerHooks *h, FkWorkerTask *t) {
-  if (!t->on)
+void fk_worker_model_release_task(FkWorkerModel *w, const FkWorkerHooks *h, FkWorkerTask *t) {
+  if (!t->resident)
     return;
-  t->on = FALSE;
-  h->left(h->owner, w, t);
+  t->resident = FALSE;
+  h->on_released(h->owner, w, t);
 }
 
-void fk_worker_model_wipe(FkWorkerModel *w, const FkWorkerHooks *h) {
+void fk_worker_model_clear_tasks(FkWorkerModel *w, const FkWorkerHooks *h) {
   for (guint i = 0; i < w->tasks->len; i++)
-    fk_worker_model_leave(w, h, w->tasks->pdata[i]);
+    fk_worker_model_release_task(w, h, w->tasks->pdata[i]);
   g_ptr_array_set_size(w->tasks, 0);
 }
 
-gboolean fk_worker_model_expire(FkWorkerModel *w, const FkWorkerHooks *h, gint64 now, double lease_s) {
-  if (now - w->lease_base <= (gint64)(lease_s * 1e6))
+gboolean fk_worker_model_check_lease(FkWorkerModel *w, const FkWorkerHooks *h, gint64 now, double lease_s) {
+  if (now - w->lease_start <= (gint64)(lease_s * 1e6))
     return FALSE;
-  fk_worker_model_wipe(w, h);
-  w->session++;
-  w->lease_base = now;
+  fk_worker_model_clear_tasks(w, h);
+  w->incarnation++;
+  w->lease_start = now;
   return TRUE;
 }
 
@@ -85,10 +85,10 @@
   FkWorkerTask *same;     /* this task and attempt, in any state */
   gboolean other_attempt; /* another attempt of the task, not exited */
   double used;            /* CPUs of all that hasn't exited; fetching tasks count */
-} Found;
+} TaskLookup;
 
-static Found look_up(const FkWorkerModel *w, const FkWorkerHooks *h, const FkOrder *o) {
-  Found f = {0};
+static TaskLookup find_task(const FkWorkerModel *w, const FkWorkerHooks *h, const FkCommand *o) {
+  TaskLookup f = {0};
   for (guint i = 0; i < w->tasks->len; i++) {
     FkWorkerTask *t = w->tasks->pdata[i];
     if (t->task == o->task && g_str_equal(t->job, o->job)) {
@@ -103,59 +103,59 @@
   return f;
 }
 
-static FkWhy refusal(const FkWorkerModel *w, const Found *f, double cpus) {
+static FkExitReason refusal_reason(const FkWorkerModel *w, const TaskLookup *f, double cpus) {
   if (cpus < 0)
-    return FK_WHY_UNKNOWN;
+    return FK_EXIT_UNKNOWN;
   if (f->other_attempt)
-    return FK_WHY_BUSY;
-  return f->used + cpus > w->cpus + CPUS_EPSILON ? FK_WHY_FULL : FK_WHY_NONE;
+    return FK_EXIT_BUSY;
+  return f->used + cpus > w->cpus + CPUS_EPSILON ? FK_EXIT_FULL : FK_EXIT_NONE;
 }
 
-static void launch(FkWorkerModel *w, const FkWorkerHooks *h, const FkOrder *o, const Found *f) {
+static void start_task(FkWorkerModel *w, const FkWorkerHooks *h, const FkCommand *o, const TaskLookup *f) {
   FkWorkerTask *t = g_new0(FkWorkerTask, 1);
-  *t = (FkWorkerTask){g_strdup(o->job), o->task,       o->attempt.n, FK_TASK_FETCHING,
-                      FK_WHY_NONE,      ++*h->serials, FALSE};
-  t->why = refusal(w, f, h->cpus_of(h->owner, o->job));
-  if (t->why == FK_WHY_NONE)
-    h->accepted(h->owner, w, t);
+  *t = (FkWorkerTask){g_strdup(o->job), o->task,           o->attempt.n, FK_TASK_FETCHING,
+                      FK_EXIT_NONE,     ++*h->last_serial, FALSE};
+  t->exit_reason = refusal_reason(w, f, h->cpus_of(h->owner, o->job));
+  if (t->exit_reason == FK_EXIT_NONE)
+    h->on_accepted(h->owner, w, t);
   else
     t->state = FK_TASK_EXITED;
   g_ptr_array_add(w->tasks, t);
 }
 
-static void stop(FkWorkerModel *w, const FkWorkerHooks *h, FkWorkerTask *t) {
-  fk_worker_model_leave(w, h, t);
+static void stop_task(FkWorkerModel *w, const FkWorkerHooks *h, FkWorkerTask *t) {
+  fk_worker_model_release_task(w, h, t);
   t->state = FK_TASK_EXITED;
-  t->why = FK_WHY_STOPPED;
+  t->exit_reason = FK_EXIT_STOPPED;
 }
 
 void fk_worker_model_execute(FkWorkerModel *w, const FkWorkerHooks *h, const GPtrArray *orders) {
   for (guint i = 0; orders && i < orders->len; i++) {
-    const FkOrder *o = orders->pdata[i];
-    Found f = look_up(w, h, o);
+    const FkCommand *o = orders->pdata[i];
+    TaskLookup f = find_task(w, h, o);
     gboolean exited = f.same && f.same->state == FK_TASK_EXITED;
-    if (o->op == FK_ORDER_START && !f.same)
-      launch(w, h, o, &f);
-    else if (o->op == FK_ORDER_STOP && f.same && !exited)
-      stop(w, h, f.same);
-    else if (o->op == FK_ORDER_FORGET && exited)
+    if (o->kind == FK_COMMAND_START && !f.same)
+      start_task(w, h, o, &f);
+    else if (o->kind == FK_COMMAND_STOP && f.same && !exited)
+      stop_task(w, h, f.same);
+    else if (o->kind == FK_COMMAND_FORGET && exited)
       g_ptr_array_remove(w->tasks, f.same);
   }
 }
 
-gboolean fk_worker_model_answered(FkWorkerModel *w, const FkWorkerHooks *h, guint64 session, gint64 sent,
-                                  FkToken token, const GPtrArray *orders) {
-  if (!fk_worker_model_commanded(w, h, session, token, orders))
+gboolean fk_worker_model_heartbeat_answered(FkWorkerModel *w, const FkWorkerHooks *h, guint64 session,
+                                            gint64 sent, FkFencingToken token, const GPtrArray *orders) {
+  if (!fk_worker_model_command(w, h, session, token, orders))
     return FALSE;
-  w->lease_base = sent;
+  w->lease_start = sent;
   return TRUE;
 }
 
-gboolean fk_worker_model_commanded(FkWorkerModel *w, const FkWorkerHooks *h, guint64 session, FkToken token,
-                                   const GPtrArray *orders) {
-  if (token.n < w->token || session != w->session)
+gboolean fk_worker_model_command(FkWorkerModel *w, const FkWorkerHooks *h, guint64 session,
+                                 FkFencingToken token, const GPtrArray *orders) {
+  if (token.n < w->fencing_token || session != w->incarnation)
     return FALSE;
-  w->token = token.n;
+  w->fencing_token = token.n;
   fk_worker_model_execute(w, h, orders);
   return TRUE;
 }
--- a/src/simulation/workers.c
+++ b/src/simulation/workers.c
@@ -3,254 +3,262 @@
 
 #include "simulation/simulation_internal.h"
 
-#define BOX_CPUS 8.0 /* of the only type of machine */
+#define MACHINE_CPUS 8.0 /* of the only type of machine */
 
-void worker_free(gpointer p) {
-  Worker *w = p;
+void sim_worker_free(gpointer p) {
+  SimWorker *w = p;
   fk_worker_model_clear(&w->model);
   g_free(w);
 }
 
-static char *truth_key(const FkWorkerTask *t) { return g_strdup_printf("%s/%u", t->job, t->task); }
+static char *task_key(const FkWorkerTask *t) { return g_strdup_printf("%s/%u", t->job, t->task); }
 
-static double cpus_of(gpointer sim, const char *job) { return job_of(sim, job)->cpus; }
+static double cpus_of(gpointer sim, const char *job) { return sim_job_find(sim, job)->cpus; }
 
-static void step(Sim *m, gpointer p);
+static void task_step(Sim *m, gpointer p);
 
 typedef struct {
-  Worker *w;
+  SimWorker *w;
   guint64 serial;
-  int step;
-} Step;
+  int stage;
+} TaskStep;
 
 /* The model is a worker's first member. */
-static Worker *owner_of(FkWorkerModel *model) { return (Worker *)model; }
+static SimWorker *owner_of(FkWorkerModel *model) { return (SimWorker *)model; }
 
 static void task_accepted(gpointer sim, FkWorkerModel *model, FkWorkerTask *t) {
-  Step *s = g_new0(Step, 1);
-  *s = (Step){owner_of(model), t->serial, 0};
-  after(sim, between(sim, 0.1, 3), step, s);
+  TaskStep *s = g_new0(TaskStep, 1);
+  *s = (TaskStep){owner_of(model), t->serial, 0};
+  sim_schedule(sim, sim_uniform(sim, 0.1, 3), task_step, s);
 }
 
 static void task_left(gpointer sim, FkWorkerModel *model, FkWorkerTask *t) {
   Sim *m = sim;
-  g_autofree char *key = truth_key(t);
-  if (g_hash_table_lookup(m->truth, key) == owner_of(model))
-    g_hash_table_remove(m->truth, key);
+  g_autofree char *key = task_key(t);
+  if (g_hash_table_lookup(m->running_on, key) == owner_of(model))
+    g_hash_table_remove(m->running_on, key);
 }
 
 static FkWorkerHooks hooks_of(Sim *m) {
   return (FkWorkerHooks){cpus_of, task_accepted, task_left, m, &m->next_serial};
 }
 
-static void wipe(Sim *m, Worker *w) {
+static void clear_tasks(Sim *m, SimWorker *w) {
   g_debug("WORLD %.3f %s wiped", m->now / 1e6, w->model.id);
   const FkWorkerHooks hooks = hooks_of(m);
-  fk_worker_model_wipe(&w->model, &hooks);
+  fk_worker_model_clear_tasks(&w->model, &hooks);
 }
 
 /* It is no more, and nothing that ran there. */
-void lose(Sim *m, Worker *w) {
-  wipe(m, w);
+void sim_worker_lose(Sim *m, SimWorker *w) {
+  clear_tasks(m, w);
   w->gone = TRUE;
 }
 
-gboolean hung(Sim *m, const Worker *w) { return m->now < w->hung; }
+gboolean sim_worker_is_hung(Sim *m, const SimWorker *w) { return m->now < w->hung_until; }
 
 /* One of the replicas that were lost together runs again. */
-static void came_back(Sim *m, UJob *j) {
-  SimRecovery *r = &m->r.recovery;
+static void replica_recovered(Sim *m, SimJob *j) {
+  SimRecovery *r = &m->result.recovery;
   if (!j->lost)
     return;
   j->lost = FALSE;
-  double s = (double)(m->now - m->lost_at) / 1e6;
-  if (!r->back++)
+  double s = (double)(m->now - m->machines_lost_at) / 1e6;
+  if (!r->recovered++)
     r->first_s = s;
-  if (r->back == (r->lost + 1) / 2)
+  if (r->recovered == (r->lost + 1) / 2)
     r->half_s = s;
   r->last_s = s;
-  if (r->back == r->lost) {
+  if (r->recovered == r->lost) {
     r->core_ms = (double)m->core_ns / 1e6;
-    m->over = TRUE;
+    m->finished = TRUE;
   }
 }
 
-static void check_start(Sim *m, Worker *w, FkWorkerTask *t) {
+static void check_start(Sim *m, SimWorker *w, FkWorkerTask *t) {
   g_debug("WORLD %.3f %s/%u try %" G_GUINT64_FORMAT " starts on %s session %" G_GUINT64_FORMAT
           " token %" G_GUINT64_FORMAT,
-          m->now / 1e6, t->job, t->task, t->attempt, w->model.id, w->model.session, w->model.token);
-  UJob *j = job_of(m, t->job);
-  g_autofree char *key = truth_key(t);
-  if (g_hash_table_contains(m->truth, key))
-    broken(m, "ran_twice", key);
-  if (!needs_done(j))
-    broken(m, "too_early", key);
+          m->now / 1e6, t->job, t->task, t->attempt, w->model.id, w->model.incarnation,
+          w->model.fencing_token);
+  SimJob *j = sim_job_find(m, t->job);
+  g_autofree char *key = task_key(t);
+  if (g_hash_table_contains(m->running_on, key))
+    sim_violation(m, "ran_twice", key);
+  if (!sim_job_dependencies_done(j))
+    sim_violation(m, "too_early", key);
   if ((w->model.spot && !j->spot) || (j->zone && !g_str_equal(j->zone, w->model.zone)))
-    broken(m, "wrong_place", key);
+    sim_violation(m, "wrong_place", key);
   double used = j->cpus;
   guint same = 1;
   for (guint i = 0; i < m->workers->len; i++) {
-    Worker *o = m->workers->pdata[i];
+    SimWorker *o = m->workers->pdata[i];
     for (guint k = 0; k < o->model.tasks->len; k++) {
       FkWorkerTask *x = o->model.tasks->pdata[k];
-      if (!x->on)
+      if (!x->resident)
         continue;
-      UJob *xj = job_of(m, x->job);
+      SimJob *xj = sim_job_find(m, x->job);
       if (g_str_equal(xj->team, j->team))
         used += xj->cpus;
       if (xj == j) {
         if (j->one_zone && !g_str_equal(o->model.zone, w->model.zone))
-          broken(m, "wrong_place", key);
+          sim_violation(m, "wrong_place", key);
         same += g_str_equal(o->model.zone, w->model.zone);
       }
     }
   }
   if (j->spread && same > (j->tasks + 1) / 2)
-    broken(m, "wrong_place", key);
-  if (used > fk_settings_team(m->s, j->team)->cpus_max + 1e-6)
-    broken(m, "quota", key);
-  if (j->told_cancelled && m->now > j->cancelled_at + (gint64)(m->s->cancel_s * 1e6))
-    broken(m, "ran_cancelled", key);
-  m->r.started++;
+    sim_violation(m, "wrong_place", key);
+  if (used > fk_settings_find_team(m->settings, j->team)->max_cpus + 1e-6)
+    sim_violation(m, "quota", key);
+  if (j->reported_cancelled &&
+      m->now > j->cancelled_at + (gint64)(m->settings->cancellation_deadline_s * 1e6))
+    sim_violation(m, "ran_cancelled", key);
+  m->result.started++;
 }
 
-static void step(Sim *m, gpointer p) {
-  Step *s = p;
-  Worker *w = s->w;
+static void task_step(Sim *m, gpointer p) {
+  TaskStep *s = p;
+  SimWorker *w = s->w;
   FkWorkerTask *t = w->gone ? NULL : fk_worker_model_task(&w->model, s->serial);
   if (!t || t->state == FK_TASK_EXITED) {
     g_free(s);
     return;
   }
-  if (hung(m, w)) {
-    after(m, (w->hung - m->now) / 1e6 + 0.01, step, s);
+  if (sim_worker_is_hung(m, w)) {
+    sim_schedule(m, (w->hung_until - m->now) / 1e6 + 0.01, task_step, s);
     return;
   }
-  UJob *j = job_of(m, t->job);
-  gboolean fails = (w->sick || j->faulty) && !j->finished[t->task];
-  if (s->step == 0) {
+  SimJob *j = sim_job_find(m, t->job);
+  gboolean fails = (w->faulty || j->always_fails) && !j->finished[t->task];
+  if (s->stage == 0) {
     check_start(m, w, t);
-    g_autofree char *key = truth_key(t);
-    g_hash_table_insert(m->truth, g_steal_pointer(&key), w);
-    t->on = TRUE;
+    g_autofree char *key = task_key(t);
+    g_hash_table_insert(m->running_on, g_steal_pointer(&key), w);
+    t->resident = TRUE;
     t->state = FK_TASK_RUNNING;
-    s->step = 1;
-    came_back(m, j);
-    if (!j->began_at)
-      j->began_at = m->now;
-    j->tries++;
+    s->stage = 1;
+    replica_recovered(m, j);
+    if (!j->started_at)
+      j->started_at = m->now;
+    j->starts++;
     if (fails || j->finished[t->task] || j->shape != FK_SHAPE_SERVICE) {
-      after(m, j->finished[t->task] ? 0 : fails ? 0.5 : j->run_s * between(m, 0.5, 1.5), step, s);
+      sim_schedule(m,
+                   j->finished[t->task] ? 0
+                   : fails              ? 0.5
+                                        : j->run_s * sim_uniform(m, 0.5, 1.5),
+                   task_step, s);
       return;
     }
     g_free(s);
     return;
   }
   const FkWorkerHooks hooks = hooks_of(m);
-  fk_worker_model_leave(&w->model, &hooks, t);
+  fk_worker_model_release_task(&w->model, &hooks, t);
   t->state = FK_TASK_EXITED;
-  t->why = fails ? FK_WHY_ERROR : FK_WHY_DONE;
-  if (t->why == FK_WHY_DONE) {
+  t->exit_reason = fails ? FK_EXIT_ERROR : FK_EXIT_DONE;
+  if (t->exit_reason == FK_EXIT_DONE) {
     j->finished[t->task] = 1;
-    m->r.finished++;
-    if (m->now < m->cancel_at_end_until && !memchr(j->finished, 0, j->tasks) && chance(m, m->cancel_at_end))
-      after(m, between(m, 0, 0.05), user_cancels, j);
+    m->result.finished++;
+    if (m->now < m->cancel_at_completion_until && !memchr(j->finished, 0, j->tasks) &&
+        sim_chance(m, m->cancel_at_completion_share))
+      sim_schedule(m, sim_uniform(m, 0, 0.05), sim_user_cancel, j);
   }
   g_free(s);
 }
 
-Worker *worker_of(Sim *m, const char *id) { return g_hash_table_lookup(m->by_id, id); }
+SimWorker *sim_worker_find(Sim *m, const char *id) { return g_hash_table_lookup(m->workers_by_id, id); }
 
-void check_lease(Sim *m, Worker *w) {
+void sim_worker_check_lease(Sim *m, SimWorker *w) {
   const FkWorkerHooks hooks = hooks_of(m);
   gboolean had_tasks = w->model.tasks->len > 0;
-  if (!fk_worker_model_expire(&w->model, &hooks, m->now, m->s->lease_s))
+  if (!fk_worker_model_check_lease(&w->model, &hooks, m->now, m->settings->worker_lease_s))
     return;
-  m->r.lapsed += had_tasks;
+  m->result.expired_leases += had_tasks;
   g_debug("WORLD %.3f %s session %" G_GUINT64_FORMAT " has begun", m->now / 1e6, w->model.id,
-          w->model.session);
+          w->model.incarnation);
 }
 
 /* What arrives at the worker is carried out if token and session stand, however late, and as often as it
  * comes. Whether it was; -1: it can't arrive now. */
-static int take_command(Sim *m, Call *c, void (*again)(Sim *, gpointer)) {
-  Worker *w = worker_of(m, c->out->addr);
-  if (!w || w->gone || !w->up || w->life != c->life)
+static int take_command(Sim *m, SimCall *c, void (*again)(Sim *, gpointer)) {
+  SimWorker *w = sim_worker_find(m, c->out->addr);
+  if (!w || w->gone || !w->up || w->incarnation != c->life)
     return -1;
-  if (m->now < w->deaf && !w->deaf_holds)
+  if (m->now < w->inbound_partition_until && !w->inbound_held)
     return -1;
-  if (hung(m, w) || m->now < w->deaf) {
-    after(m, (MAX(w->hung, w->deaf) - m->now) / 1e6 + 0.02, again, c);
+  if (sim_worker_is_hung(m, w) || m->now < w->inbound_partition_until) {
+    sim_schedule(m, (MAX(w->hung_until, w->inbound_partition_until) - m->now) / 1e6 + 0.02, again, c);
     return -1;
   }
-  check_lease(m, w);
+  sim_worker_check_lease(m, w);
   const FkWorkerHooks hooks = hooks_of(m);
-  return fk_worker_model_commanded(&w->model, &hooks, c->out->session, c->out->token, c->out->orders);
+  return fk_worker_model_command(&w->model, &hooks, c->out->incarnation, c->out->fencing_token,
+                                 c->out->commands);
 }
 
-static void command_repeated(Sim *m, gpointer p) { take_command(m, p, command_repeated); }
+static void duplicate_command_arrives(Sim *m, gpointer p) { take_command(m, p, duplicate_command_arrives); }
 
-void worker_commanded(Sim *m, gpointer p) {
-  Call *c = p;
-  int ok = take_command(m, c, worker_commanded);
+void sim_worker_command_arrives(Sim *m, gpointer p) {
+  SimCall *c = p;
+  int ok = take_command(m, c, sim_worker_command_arrives);
   if (ok < 0)
     return;
-  FkReport *says = fk_worker_model_report(&worker_of(m, c->out->addr)->model);
-  if (m->now < m->held_until && chance(m, m->held))
-    fk_report_free(says); /* the answer is held for longer than anybody waits for it */
+  FkHeartbeat *says = fk_worker_model_heartbeat(&sim_worker_find(m, c->out->addr)->model);
+  if (m->now < m->command_delay_until && sim_chance(m, m->command_delay_share))
+    fk_heartbeat_free(says); /* the answer is held for longer than anybody waits for it */
   else
-    answer(c, ok ? FK_OK : FK_CONFLICT, (FkRev){0}, NULL, FALSE, says);
-  if (chance(m, copies_now(m)))
-    after(m, once_more_after(m), command_repeated, c);
+    sim_call_reply(c, ok ? FK_OUTCOME_OK : FK_OUTCOME_CONFLICT, (FkRev){0}, NULL, FALSE, says);
+  if (sim_chance(m, sim_duplicate_share(m)))
+    sim_schedule(m, sim_duplicate_delay_s(m), duplicate_command_arrives, c);
 }
 
 typedef struct {
-  Worker *w;
+  SimWorker *w;
   guint64 report;
   double next_s;
   gboolean move;
-} Next;
+} NextHeartbeat;
 
-static void next_report(Sim *m, gpointer p) {
-  Next *n = p;
-  Worker *w = n->w;
-  if (w->inflight == n->report) {
-    w->inflight = 0;
+static void next_heartbeat(Sim *m, gpointer p) {
+  NextHeartbeat *n = p;
+  SimWorker *w = n->w;
+  if (w->heartbeat_in_flight == n->report) {
+    w->heartbeat_in_flight = 0;
     if (n->move)
-      w->home = (w->home + 1) % (guint)m->n;
-    report_sent(m, w);
+      w->controller = (w->controller + 1) % (guint)m->controller_count;
+    sim_worker_send_heartbeat(m, w);
   }
   g_free(n);
 }
 
-static void next_in(Sim *m, Worker *w, guint64 report, double s, gboolean move) {
-  Next *n = g_new0(Next, 1);
-  *n = (Next){w, report, 0, move};
-  after(m, s, next_report, n);
+static void schedule_heartbeat(Sim *m, SimWorker *w, guint64 report, double s, gboolean move) {
+  NextHeartbeat *n = g_new0(NextHeartbeat, 1);
+  *n = (NextHeartbeat){w, report, 0, move};
+  sim_schedule(m, s, next_heartbeat, n);
 }
 
 typedef struct {
   int ctl;
   guint gen;
-  FkReport *report;
-  Req *req;
-} Hello;
+  FkHeartbeat *report;
+  SimRequest *req;
+} HeartbeatInFlight;
 
-#define KEPT_MAX 200
+#define STALE_HEARTBEATS_MAX 200
 
-static FkReport *report_copy(const FkReport *r) {
-  FkReport *n = fk_report_new();
+static FkHeartbeat *heartbeat_copy(const FkHeartbeat *r) {
+  FkHeartbeat *n = fk_heartbeat_new();
   n->machine = g_strdup(r->machine);
   n->addr = g_strdup(r->addr);
   n->type = g_strdup(r->type);
   n->zone = g_strdup(r->zone);
   n->spot = r->spot;
-  n->session = r->session;
-  n->seq = r->seq;
-  n->token = r->token;
-  n->notice_s = r->notice_s;
+  n->incarnation = r->incarnation;
+  n->sequence = r->sequence;
+  n->fencing_token = r->fencing_token;
+  n->termination_notice_s = r->termination_notice_s;
   for (guint i = 0; i < r->tasks->len; i++) {
-    FkTaskReport *t = g_memdup2(r->tasks->pdata[i], sizeof(FkTaskReport));
+    FkTaskStatus *t = g_memdup2(r->tasks->pdata[i], sizeof(FkTaskStatus));
     t->job = g_strdup(t->job);
     g_ptr_array_add(n->tasks, t);
   }
@@ -258,162 +266,170 @@
 }
 
 /* A copy of a report comes, at any controller in any life; nobody waits for its answer. */
-static void copy_arrives(Sim *m, gpointer p) {
-  FkReport *report = p;
-  int i = g_rand_int_range(m->rand, 0, m->n);
-  if (!m->ctl[i].core || m->now < m->ctl[i].frozen) {
-    fk_report_free(report);
+static void duplicate_arrives(Sim *m, gpointer p) {
+  FkHeartbeat *report = p;
+  int i = g_rand_int_range(m->rand, 0, m->controller_count);
+  if (!m->controllers[i].core || m->now < m->controllers[i].paused_until) {
+    fk_heartbeat_free(report);
     return;
   }
-  m->ctl[i].v->report(m->ctl[i].core, ctl_now(m, i), (FkRequest){++m->next_req}, report);
-  drain(m, i);
+  m->controllers[i].version->heartbeat_received(m->controllers[i].core, sim_controller_now(m, i),
+                                                (FkRequestId){++m->next_req}, report);
+  sim_dispatch_outputs(m, i);
 }
 
 typedef struct {
-  FkReport *report;
+  FkHeartbeat *report;
   int ctl;
-} Kept;
+} StaleHeartbeat;
 
-static void kept_arrives(Sim *m, gpointer p) {
-  Kept *k = p;
-  if (waits_for_frozen(m, k->ctl, kept_arrives, k))
+static void stale_heartbeat_arrives(Sim *m, gpointer p) {
+  StaleHeartbeat *k = p;
+  if (sim_defer_while_paused(m, k->ctl, stale_heartbeat_arrives, k))
     return;
-  if (m->ctl[k->ctl].core) {
-    m->ctl[k->ctl].v->report(m->ctl[k->ctl].core, ctl_now(m, k->ctl), (FkRequest){++m->next_req}, k->report);
-    drain(m, k->ctl);
+  if (m->controllers[k->ctl].core) {
+    m->controllers[k->ctl].version->heartbeat_received(
+        m->controllers[k->ctl].core, sim_controller_now(m, k->ctl), (FkRequestId){++m->next_req}, k->report);
+    sim_dispatch_outputs(m, k->ctl);
   } else {
-    fk_report_free(k->report);
+    fk_heartbeat_free(k->report);
   }
   g_free(k);
 }
 
-void kept_reports_come(Sim *m) {
-  for (guint i = 0; i < m->kept->len; i++)
-    for (int to = 0; to < m->n; to++) {
-      Kept *k = g_new0(Kept, 1);
-      *k = (Kept){report_copy(m->kept->pdata[i]), to};
+void sim_release_stale_heartbeats(Sim *m) {
+  for (guint i = 0; i < m->stale_heartbeats->len; i++)
+    for (int to = 0; to < m->controller_count; to++) {
+      StaleHeartbeat *k = g_new0(StaleHeartbeat, 1);
+      *k = (StaleHeartbeat){heartbeat_copy(m->stale_heartbeats->pdata[i]), to};
       /* before the new leader has acted, as it does, and after */
-      after(m, chance(m, 0.5) ? between(m, 0, 0.3) : between(m, 0.3, 4), kept_arrives, k);
+      sim_schedule(m, sim_chance(m, 0.5) ? sim_uniform(m, 0, 0.3) : sim_uniform(m, 0.3, 4),
+                   stale_heartbeat_arrives, k);
     }
-  g_ptr_array_set_size(m->kept, 0);
+  g_ptr_array_set_size(m->stale_heartbeats, 0);
 }
 
-static void report_arrives(Sim *m, gpointer p) {
-  Hello *h = p;
-  Ctl *c = &m->ctl[h->ctl];
-  if (waits_for_frozen(m, h->ctl, report_arrives, h))
+static void heartbeat_arrives(Sim *m, gpointer p) {
+  HeartbeatInFlight *h = p;
+  SimController *c = &m->controllers[h->ctl];
+  if (sim_defer_while_paused(m, h->ctl, heartbeat_arrives, h))
     return;
-  if (c->core && c->gen == h->gen) {
+  if (c->core && c->generation == h->gen) {
     guint64 id = ++m->next_req;
     g_hash_table_insert(m->requests, g_memdup2(&id, sizeof id), h->req);
-    gint64 began = core_begins(m);
-    c->v->report(c->core, ctl_now(m, h->ctl), (FkRequest){id}, h->report);
-    core_ends(m, began);
-    drain(m, h->ctl);
+    gint64 began = sim_profile_begin(m);
+    c->version->heartbeat_received(c->core, sim_controller_now(m, h->ctl), (FkRequestId){id}, h->report);
+    sim_profile_end(m, began);
+    sim_dispatch_outputs(m, h->ctl);
   } else {
-    fk_report_free(h->report);
+    fk_heartbeat_free(h->report);
     g_free(h->req);
   }
   g_free(h);
 }
 
-void report_sent(Sim *m, gpointer p) {
-  Worker *w = p;
-  if (w->gone || !w->up || w->inflight)
+void sim_worker_send_heartbeat(Sim *m, gpointer p) {
+  SimWorker *w = p;
+  if (w->gone || !w->up || w->heartbeat_in_flight)
     return;
-  if (hung(m, w)) {
-    after(m, (w->hung - m->now) / 1e6 + 0.03, report_sent, w);
+  if (sim_worker_is_hung(m, w)) {
+    sim_schedule(m, (w->hung_until - m->now) / 1e6 + 0.03, sim_worker_send_heartbeat, w);
     return;
   }
-  check_lease(m, w);
-  w->inflight = ++m->next_serial;
-  next_in(m, w, w->inflight, 5, TRUE); /* no answer within 4 s: the next, 1 s later */
-  Ctl *c = &m->ctl[w->home];
-  if (!c->core || m->now < w->mute)
+  sim_worker_check_lease(m, w);
+  w->heartbeat_in_flight = ++m->next_serial;
+  schedule_heartbeat(m, w, w->heartbeat_in_flight, 5, TRUE); /* no answer within 4 s: the next, 1 s later */
+  SimController *c = &m->controllers[w->controller];
+  if (!c->core || m->now < w->outbound_partition_until)
     return;
-  Hello *h = g_new0(Hello, 1);
-  Req *r = g_new0(Req, 1);
-  *r = (Req){0, w, {m->now}, w->inflight, w->model.session, NULL, 0};
-  *h = (Hello){(int)w->home, c->gen, fk_worker_model_report(&w->model), r};
-  for (guint copies = 3; copies && chance(m, copies_now(m)); copies--)
-    after(m, once_more_after(m), copy_arrives, report_copy(h->report));
-  if (m->now < m->keep_until && m->kept->len < KEPT_MAX && chance(m, m->keep))
-    g_ptr_array_add(m->kept, report_copy(h->report));
+  HeartbeatInFlight *h = g_new0(HeartbeatInFlight, 1);
+  SimRequest *r = g_new0(SimRequest, 1);
+  *r = (SimRequest){0, w, {m->now}, w->heartbeat_in_flight, w->model.incarnation, NULL, 0};
+  *h = (HeartbeatInFlight){(int)w->controller, c->generation, fk_worker_model_heartbeat(&w->model), r};
+  for (guint copies = 3; copies && sim_chance(m, sim_duplicate_share(m)); copies--)
+    sim_schedule(m, sim_duplicate_delay_s(m), duplicate_arrives, heartbeat_copy(h->report));
+  if (m->now < m->stale_heartbeats_until && m->stale_heartbeats->len < STALE_HEARTBEATS_MAX &&
+      sim_chance(m, m->stale_heartbeats_share))
+    g_ptr_array_add(m->stale_heartbeats, heartbeat_copy(h->report));
   /* a cut may hold a report back and deliver it late */
-  double d = apart(m, ctl_zone((int)w->home), w->model.zone) ? until_healed(m)
-             : m->now < c->cut_workers                       ? (c->cut_workers - m->now) / 1e6 + 0.01
-             : chance(m, m->plan.late)                       ? between(m, 1, 20)
-                                                             : 0.002;
-  after(m, d, report_arrives, h);
+  double d = sim_zones_partitioned(m, sim_controller_zone((int)w->controller), w->model.zone)
+                 ? sim_partition_remaining_s(m)
+             : m->now < c->worker_partition_until ? (c->worker_partition_until - m->now) / 1e6 + 0.01
+             : sim_chance(m, m->plan.late)        ? sim_uniform(m, 1, 20)
+                                                  : 0.002;
+  sim_schedule(m, d, heartbeat_arrives, h);
 }
 
-void reply_arrives(Sim *m, gpointer p) {
-  Reply *r = p;
-  Worker *w = r->w;
-  if (!w->gone && !hung(m, w) && m->now >= w->deaf && w->inflight == r->req.report &&
-      m->now - r->req.sent.us < 4000000) {
-    check_lease(m, w);
-    if (w->inflight == r->req.report) {
-      guint64 report = w->inflight = ++m->next_serial; /* answered: its time can't run out any more */
+void sim_worker_reply_arrives(Sim *m, gpointer p) {
+  SimReply *r = p;
+  SimWorker *w = r->worker;
+  if (!w->gone && !sim_worker_is_hung(m, w) && m->now >= w->inbound_partition_until &&
+      w->heartbeat_in_flight == r->request.heartbeat && m->now - r->request.sent.us < 4000000) {
+    sim_worker_check_lease(m, w);
+    if (w->heartbeat_in_flight == r->request.heartbeat) {
+      guint64 report = w->heartbeat_in_flight =
+          ++m->next_serial; /* answered: its time can't run out any more */
       if (r->status == 200) {
         const FkWorkerHooks hooks = hooks_of(m);
-        fk_worker_model_answered(&w->model, &hooks, r->req.session, r->req.sent.us, r->token, r->orders);
-        next_in(m, w, report, m->s->report_s * between(m, 0.2, 1.25), FALSE);
-      } else if (r->status == 421 && r->to >= 0 && r->to != (int)w->home) {
-        w->home = (guint)r->to;
-        next_in(m, w, report, 0.2, FALSE);
+        fk_worker_model_heartbeat_answered(&w->model, &hooks, r->request.incarnation, r->request.sent.us,
+                                           r->fencing_token, r->commands);
+        schedule_heartbeat(m, w, report, m->settings->heartbeat_interval_s * sim_uniform(m, 0.2, 1.25),
+                           FALSE);
+      } else if (r->status == 421 && r->redirect_to >= 0 && r->redirect_to != (int)w->controller) {
+        w->controller = (guint)r->redirect_to;
+        schedule_heartbeat(m, w, report, 0.2, FALSE);
       } else {
-        next_in(m, w, report, 1, TRUE);
+        schedule_heartbeat(m, w, report, 1, TRUE);
       }
     }
   }
-  if (r->orders)
-    g_ptr_array_unref(r->orders);
+  if (r->commands)
+    g_ptr_array_unref(r->commands);
   g_free(r);
 }
 
-static void boots(Sim *m, gpointer p) {
-  Worker *w = p;
+static void worker_booted(Sim *m, gpointer p) {
+  SimWorker *w = p;
   if (w->gone)
     return;
   w->up = TRUE;
-  w->model.lease_base = m->now;
-  report_sent(m, w);
+  w->model.lease_start = m->now;
+  sim_worker_send_heartbeat(m, w);
 }
 
-Worker *new_worker(Sim *m, const char *zone, gboolean spot, double boot) {
-  Worker *w = g_new0(Worker, 1);
+SimWorker *sim_worker_new(Sim *m, const char *zone, gboolean spot, double boot) {
+  SimWorker *w = g_new0(SimWorker, 1);
   g_autofree char *id = g_strdup_printf("i-%06" G_GUINT64_FORMAT, ++m->next_machine);
-  fk_worker_model_init(&w->model, id, id, "box8", zone, spot, BOX_CPUS);
-  w->home = (guint)g_rand_int_range(m->rand, 0, m->n);
-  w->born = m->now;
-  w->sick = m->plan.deaths && chance(m, 0.1);
+  fk_worker_model_init(&w->model, id, id, "box8", zone, spot, MACHINE_CPUS);
+  w->controller = (guint)g_rand_int_range(m->rand, 0, m->controller_count);
+  w->created_at = m->now;
+  w->faulty = m->plan.deaths && sim_chance(m, 0.1);
   g_ptr_array_add(m->workers, w);
-  g_hash_table_insert(m->by_id, w->model.id, w);
-  if (boot < 0.6 || !chance(m, m->plan.stillborn))
-    after(m, boot, boots, w);
+  g_hash_table_insert(m->workers_by_id, w->model.id, w);
+  if (boot < 0.6 || !sim_chance(m, m->plan.boot_failure_chance))
+    sim_schedule(m, boot, worker_booted, w);
   return w;
 }
 
-static void restarted(Sim *m, gpointer p) {
-  Worker *w = p;
+static void worker_restarted(Sim *m, gpointer p) {
+  SimWorker *w = p;
   if (w->gone)
     return;
   w->up = TRUE;
-  w->model.session = 1;
-  w->model.seq = w->model.token = w->inflight = 0;
-  w->home = (guint)g_rand_int_range(m->rand, 0, m->n); /* it knows of nobody's claim */
-  w->model.lease_base = m->now;
-  report_sent(m, w);
+  w->model.incarnation = 1;
+  w->model.sequence = w->model.fencing_token = w->heartbeat_in_flight = 0;
+  w->controller = (guint)g_rand_int_range(m->rand, 0, m->controller_count); /* it knows of nobody's claim */
+  w->model.lease_start = m->now;
+  sim_worker_send_heartbeat(m, w);
 }
 
-void reboot(Sim *m, Worker *w) {
+void sim_worker_restart(Sim *m, SimWorker *w) {
   if (w->gone || !w->up)
     return;
   g_debug("WORLD %.3f %s begins anew", m->now / 1e6, w->model.id);
-  wipe(m, w);
+  clear_tasks(m, w);
   w->up = FALSE;
-  w->life++;
-  w->inflight = ++m->next_serial; /* no answer counts any more */
-  after(m, between(m, 0.05, 0.5), restarted, w);
+  w->incarnation++;
+  w->heartbeat_in_flight = ++m->next_serial; /* no answer counts any more */
+  sim_schedule(m, sim_uniform(m, 0.05, 0.5), worker_restarted, w);
 }
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -12,11 +12,11 @@
   const cJSON *list = fk_json_get(o, "builds"), *j;
   if (!cJSON_IsArray(list))
     return NULL;
-  GPtrArray *types = g_ptr_array_new_with_free_func(fk_type_free);
+  GPtrArray *types = g_ptr_array_new_with_free_func(fk_instance_type_free);
   cJSON_ArrayForEach(j, list) {
     if (!fk_json_str(j, "name"))
       continue;
-    FkType *t = g_new0(FkType, 1);
+    FkInstanceType *t = g_new0(FkInstanceType, 1);
     t->name = g_strdup(fk_json_str(j, "name"));
     t->cpus = fk_json_num_or(j, "cores", 0);
     t->gpus = fk_json_num_or(j, "cards", 0);
@@ -38,20 +38,20 @@
     return NULL;
   *more = FALSE;
   fk_json_bool(o, "truncated", more);
-  GPtrArray *machines = g_ptr_array_new_with_free_func(fk_listed_free);
+  GPtrArray *machines = g_ptr_array_new_with_free_func(fk_cloud_machine_free);
   cJSON_ArrayForEach(j, list) {
     const char *phase = fk_json_str(j, "phase");
     if (!fk_json_str(j, "ref") || !phase || !fk_json_str(j, "build") || !fk_json_str(j, "yard"))
       continue;
-    FkListed *l = g_new0(FkListed, 1);
+    FkCloudMachine *l = g_new0(FkCloudMachine, 1);
     l->id = g_strdup(fk_json_str(j, "ref"));
     l->addr = g_strdup(fk_json_str(j, "address"));
     l->type = g_strdup(fk_json_str(j, "build"));
     l->zone = g_strdup(fk_json_str(j, "yard"));
     fk_json_bool(j, "loaners", &l->spot);
-    l->state = g_str_equal(phase, "failed")     ? FK_MACHINE_FAILED
-               : g_str_equal(phase, "starting") ? FK_MACHINE_BOOTING
-                                                : FK_MACHINE_RUNNING;
+    l->state = g_str_equal(phase, "failed")     ? FK_CLOUD_MACHINE_FAILED
+               : g_str_equal(phase, "starting") ? FK_CLOUD_MACHINE_BOOTING
+                                                : FK_CLOUD_MACHINE_RUNNING;
     l->age_s = fk_json_num_or(j, "age_s", 0);
     g_ptr_array_add(machines, l);
   }
@@ -68,12 +68,12 @@
   return names;
 }
 
-gboolean fk_cloud_no_capacity(const char *body, gsize len) {
+gboolean fk_cloud_is_no_capacity(const char *body, gsize len) {
   g_autoptr(cJSON) o = fk_json_parse(body, len);
   return g_strcmp0(fk_json_str(o, "error"), "no capacity") == 0;
 }
 
-char *fk_cloud_print_rent(const FkOut *out) {
+char *fk_cloud_print_provision(const FkOutput *out) {
   g_autoptr(cJSON) o = cJSON_CreateObject();
   cJSON_AddStringToObject(o, "hire", out->name);
   cJSON_AddStringToObject(o, "build", out->type);
@@ -83,7 +83,7 @@
   return fk_json_print(o);
 }
 
-char *fk_cloud_print_return(const FkOut *out) {
+char *fk_cloud_print_terminate(const FkOutput *out) {
   g_autoptr(cJSON) o = cJSON_CreateObject();
   cJSON *list = cJSON_AddArrayToObject(o, "knotters");
   for (guint i = 0; i < out->names->len; i++)
@@ -93,22 +93,22 @@
 
 /* ------------------------------------------------------------------ the cloud's side */
 
-void fk_rental_free(FkRental *r) {
-  g_free(r->hire);
+void fk_instance_request_free(FkInstanceRequest *r) {
+  g_free(r->name);
   g_free(r->type);
   g_free(r->zone);
   g_free(r);
 }
 
-FkRental *fk_cloud_parse_rental(const char *body, gsize len) {
+FkInstanceRequest *fk_cloud_parse_instance_request(const char *body, gsize len) {
   g_autoptr(cJSON) o = fk_json_parse(body, len);
-  g_autoptr(FkRental) r = g_new0(FkRental, 1);
+  g_autoptr(FkInstanceRequest) r = g_new0(FkInstanceRequest, 1);
   guint64 count = 0;
-  r->hire = g_strdup(fk_json_str(o, "hire"));
+  r->name = g_strdup(fk_json_str(o, "hire"));
   r->type = g_strdup(fk_json_str(o, "build"));
   r->zone = g_strdup(fk_json_str(o, "yard"));
   fk_json_bool(o, "loaners", &r->spot);
-  if (!r->hire || !r->type || !r->zone || !fk_json_u64(o, "count", &count) || count < 1 || count > 50)
+  if (!r->name || !r->type || !r->zone || !fk_json_u64(o, "count", &count) || count < 1 || count > 50)
     return NULL;
   r->count = (guint)count;
   return g_steal_pointer(&r);
@@ -118,7 +118,7 @@
   g_autoptr(cJSON) o = cJSON_CreateObject();
   cJSON *list = cJSON_AddArrayToObject(o, "builds");
   for (guint i = 0; i < types->len; i++) {
-    const FkType *t = types->pdata[i];
+    const FkInstanceType *t = types->pdata[i];
     cJSON *j = cJSON_CreateObject(), *zones = cJSON_CreateArray();
     cJSON_AddStringToObject(j, "name", t->name);
     cJSON_AddNumberToObject(j, "cores", t->cpus);
@@ -149,7 +149,7 @@
   g_autoptr(cJSON) o = cJSON_CreateObject();
   cJSON *list = cJSON_AddArrayToObject(o, "knotters");
   for (guint i = 0; i < listed->len; i++) {
-    const FkListed *l = listed->pdata[i];
+    const FkCloudMachine *l = listed->pdata[i];
     cJSON *j = cJSON_CreateObject();
     cJSON_AddStringToObject(j, "ref", l->id);
     cJSON_AddStringToObject(j, "address", l->addr);
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -3,23 +3,23 @@
 #include "core/messages.h"
 #include "wire/json.h"
 
-GPtrArray *fk_cloud_parse_types(const char *body, gsize len);                    /* FkType */
-GPtrArray *fk_cloud_parse_machines(const char *body, gsize len, gboolean *more); /* FkListed */
+GPtrArray *fk_cloud_parse_types(const char *body, gsize len);                    /* FkInstanceType */
+GPtrArray *fk_cloud_parse_machines(const char *body, gsize len, gboolean *more); /* FkCloudMachine */
 GPtrArray *fk_cloud_parse_names(const char *body, gsize len);                    /* char* */
-gboolean fk_cloud_no_capacity(const char *body, gsize len);
-char *fk_cloud_print_rent(const FkOut *o);
-char *fk_cloud_print_return(const FkOut *o);
+gboolean fk_cloud_is_no_capacity(const char *body, gsize len);
+char *fk_cloud_print_provision(const FkOutput *o);
+char *fk_cloud_print_terminate(const FkOutput *o);
 
 /* The cloud's side. */
 typedef struct {
-  char *hire, *type, *zone;
+  char *name, *type, *zone;
   gboolean spot;
   guint count;
-} FkRental;
-void fk_rental_free(FkRental *r);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkRental, fk_rental_free)
-FkRental *fk_cloud_parse_rental(const char *body, gsize len);          /* NULL: malformed */
-char *fk_cloud_print_types(const GPtrArray *types);                    /* FkType */
-char *fk_cloud_print_names(const GPtrArray *names);                    /* char* */
-char *fk_cloud_print_machines(const GPtrArray *listed, gboolean more); /* FkListed */
+} FkInstanceRequest;
+void fk_instance_request_free(FkInstanceRequest *r);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkInstanceRequest, fk_instance_request_free)
+FkInstanceRequest *fk_cloud_parse_instance_request(const char *body, gsize len); /* NULL: malformed */
+char *fk_cloud_print_types(const GPtrArray *types);                              /* FkInstanceType */
+char *fk_cloud_print_names(const GPtrArray *names);                              /* char* */
+char *fk_cloud_print_machines(const GPtrArray *listed, gboolean more);           /* FkCloudMachine */
 char *fk_cloud_print_no_capacity(void);
--- a/src/wire/route.c
+++ b/src/wire/route.c
@@ -6,15 +6,15 @@
 #define CANCEL "/withdraw"
 
 static FkRoute by_method(const char *method, const char *needed, FkRoute route) {
-  return g_str_equal(method, needed) ? route : FK_ROUTE_METHOD;
+  return g_str_equal(method, needed) ? route : FK_ROUTE_WRONG_METHOD;
 }
 
-FkRoute fk_route(const char *method, const char *path, const char **job, gsize *job_len) {
+FkRoute fk_route_match(const char *method, const char *path, const char **job, gsize *job_len) {
   gsize len = strcspn(path, "?#"), jobs = strlen(JOBS), cancel = strlen(CANCEL);
   if (len == 3 && strncmp(path, "/up", len) == 0)
-    return by_method(method, "GET", FK_ROUTE_UP);
+    return by_method(method, "GET", FK_ROUTE_HEALTH);
   if (len == 6 && strncmp(path, "/hello", len) == 0)
-    return by_method(method, "POST", FK_ROUTE_REPORT);
+    return by_method(method, "POST", FK_ROUTE_HEARTBEAT);
   if (len < jobs || strncmp(path, JOBS, jobs) != 0)
     return FK_ROUTE_NONE;
   if (len == jobs)
@@ -33,19 +33,19 @@
   return withdraw ? by_method(method, "POST", FK_ROUTE_CANCEL) : by_method(method, "GET", FK_ROUTE_POLL);
 }
 
-FkAsk fk_route_ask(FkRoute route) {
+FkRequestClass fk_route_request_class(FkRoute route) {
   switch (route) {
-  case FK_ROUTE_UP:
-    return FK_ASK_HEALTH;
-  case FK_ROUTE_REPORT:
-    return FK_ASK_REPORT;
+  case FK_ROUTE_HEALTH:
+    return FK_REQUEST_CLASS_HEALTH;
+  case FK_ROUTE_HEARTBEAT:
+    return FK_REQUEST_CLASS_HEARTBEAT;
   case FK_ROUTE_CANCEL:
-    return FK_ASK_CANCEL;
+    return FK_REQUEST_CLASS_CANCEL;
   case FK_ROUTE_POLL:
-    return FK_ASK_POLL;
+    return FK_REQUEST_CLASS_POLL;
   case FK_ROUTE_SUBMIT:
-    return FK_ASK_SUBMIT;
+    return FK_REQUEST_CLASS_SUBMIT;
   default:
-    return FK_ASK_OTHER;
+    return FK_REQUEST_CLASS_OTHER;
   }
 }
--- a/src/wire/route.h
+++ b/src/wire/route.h
@@ -4,15 +4,15 @@
 #include "admission/limits.h"
 
 typedef enum {
-  FK_ROUTE_NONE,   /* 404 */
-  FK_ROUTE_METHOD, /* 405 */
-  FK_ROUTE_UP,
-  FK_ROUTE_REPORT,
+  FK_ROUTE_NONE,         /* 404 */
+  FK_ROUTE_WRONG_METHOD, /* 405 */
+  FK_ROUTE_HEALTH,
+  FK_ROUTE_HEARTBEAT,
   FK_ROUTE_SUBMIT,
   FK_ROUTE_POLL,
   FK_ROUTE_CANCEL
 } FkRoute;
 
 /* `job`: the part of the path that names it, for POLL and CANCEL; not ended by 0. May be NULL. */
-FkRoute fk_route(const char *method, const char *path, const char **job, gsize *job_len);
-FkAsk fk_route_ask(FkRoute route);
+FkRoute fk_route_match(const char *method, const char *path, const char **job, gsize *job_len);
+FkRequestClass fk_route_request_class(FkRoute route);
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -12,7 +12,7 @@
   return FALSE;
 }
 
-static gboolean take_str(const cJSON *o, const char *field, char **out, GError **error) {
+static gboolean parse_string(const cJSON *o, const char *field, char **out, GError **error) {
   const char *s = fk_json_str(o, field);
   if (!s || !*s)
     return fail(error, field, "a non-empty string is needed");
@@ -20,8 +20,8 @@
   return TRUE;
 }
 
-static gboolean take_addr(const cJSON *o, const char *field, char **out, GError **error) {
-  if (!take_str(o, field, out, error))
+static gboolean parse_address(const cJSON *o, const char *field, char **out, GError **error) {
+  if (!parse_string(o, field, out, error))
     return FALSE;
   g_autoptr(GInetSocketAddress) addr = NULL;
   const char *colon = strrchr(*out, ':');
@@ -35,7 +35,7 @@
 
 #define NUMBER_MAX 1e9 /* no resource, rate or time of ours is larger; all whole types hold it */
 
-static gboolean take_num(const cJSON *o, const char *field, double min, double *out, GError **error) {
+static gboolean parse_number(const cJSON *o, const char *field, double min, double *out, GError **error) {
   if (!fk_json_num(o, field, out) || !(*out >= min && *out <= NUMBER_MAX)) {
     g_set_error(error, fk_settings_error(), 1, "%s: a number from %g to %g is needed", field, min,
                 NUMBER_MAX);
@@ -45,10 +45,10 @@
 }
 
 /* One that may be missing. */
-static gboolean take_num_or(const cJSON *o, const char *field, double min, double other, double *out,
-                            GError **error) {
+static gboolean parse_number_or(const cJSON *o, const char *field, double min, double other, double *out,
+                                GError **error) {
   *out = other;
-  return !fk_json_get(o, field) || take_num(o, field, min, out, error);
+  return !fk_json_get(o, field) || parse_number(o, field, min, out, error);
 }
 
 static gboolean parse_teams(FkSettings *s, const cJSON *list, GError **error) {
@@ -58,12 +58,14 @@
   cJSON_ArrayForEach(j, list) {
     FkTeam *t = g_new0(FkTeam, 1);
     g_ptr_array_add(s->teams, t);
-    if (!take_str(j, "name", &t->name, error) || !take_num(j, "cpus", 0, &t->cpus, error) ||
-        !take_num(j, "cpus_max", 0, &t->cpus_max, error) || !take_num(j, "gpus", 0, &t->gpus, error) ||
-        !take_num(j, "gpus_max", 0, &t->gpus_max, error))
+    if (!parse_string(j, "name", &t->name, error) ||
+        !parse_number(j, "cpus", 0, &t->guaranteed_cpus, error) ||
+        !parse_number(j, "cpus_max", 0, &t->max_cpus, error) ||
+        !parse_number(j, "gpus", 0, &t->guaranteed_gpus, error) ||
+        !parse_number(j, "gpus_max", 0, &t->max_gpus, error))
       return FALSE;
-    t->cpus_max = fk_limit_of(t->cpus_max);
-    t->gpus_max = fk_limit_of(t->gpus_max);
+    t->max_cpus = fk_quota_from_setting(t->max_cpus);
+    t->max_gpus = fk_quota_from_setting(t->max_gpus);
   }
   return TRUE;
 }
@@ -75,33 +77,33 @@
   cJSON_ArrayForEach(j, list) {
     FkPeer *p = g_new0(FkPeer, 1);
     g_ptr_array_add(s->peers, p);
-    if (!take_str(j, "node", &p->name, error) || !take_str(j, "site", &p->zone, error) ||
-        !take_addr(j, "peer_addr", &p->addr, error))
+    if (!parse_string(j, "node", &p->name, error) || !parse_string(j, "site", &p->zone, error) ||
+        !parse_address(j, "peer_addr", &p->addr, error))
       return FALSE;
   }
   return TRUE;
 }
 
 /* The limits to come: what is written must fit them as well as those of now. */
-static gboolean parse_next(FkSettings *s, const cJSON *state, GError **error) {
+static gboolean parse_next_limits(FkSettings *s, const cJSON *state, GError **error) {
   const cJSON *next = fk_json_get(state, "next");
-  double ops = s->txn_ops, value_kb = s->value_kb;
-  s->next_rps = s->state_rps;
-  s->next_write_rps = s->state_write_rps;
-  s->now_value_kb = s->value_kb;
+  double ops = s->transaction_ops_max, value_kb = s->value_kb;
+  s->next_store_rps = s->store_rps;
+  s->next_store_write_rps = s->store_write_rps;
+  s->current_value_kb = s->value_kb;
   if (!next)
     return TRUE;
   if (!cJSON_IsObject(next))
     return fail(error, "deployment.state.next", "an object is needed");
-  if (!take_num_or(next, "rps", 1, s->state_rps, &s->next_rps, error) ||
-      !take_num_or(next, "write_rps", 1, s->state_write_rps, &s->next_write_rps, error) ||
-      !take_num_or(next, "value_kb", 1, s->value_kb, &value_kb, error) ||
-      !take_num_or(next, "txn_ops", 4, s->txn_ops, &ops, error))
+  if (!parse_number_or(next, "rps", 1, s->store_rps, &s->next_store_rps, error) ||
+      !parse_number_or(next, "write_rps", 1, s->store_write_rps, &s->next_store_write_rps, error) ||
+      !parse_number_or(next, "value_kb", 1, s->value_kb, &value_kb, error) ||
+      !parse_number_or(next, "txn_ops", 4, s->transaction_ops_max, &ops, error))
     return FALSE;
-  s->next_rps = MIN(s->next_rps, s->state_rps);
-  s->next_write_rps = MIN(s->next_write_rps, s->state_write_rps);
+  s->next_store_rps = MIN(s->next_store_rps, s->store_rps);
+  s->next_store_write_rps = MIN(s->next_store_write_rps, s->store_write_rps);
   s->value_kb = MIN(s->value_kb, value_kb);
-  s->txn_ops = (guint)MIN(s->txn_ops, ops);
+  s->transaction_ops_max = (guint)MIN(s->transaction_ops_max, ops);
   return TRUE;
 }
 
@@ -129,20 +131,21 @@
     o->share = fk_json_num_or(j, "share", 0);
     g_ptr_array_add(s->objectives, o);
   }
-  if (!take_num(w, "report_s", 0.01, &s->report_s, error) ||
-      !take_num(w, "lease_s", 0.1, &s->lease_s, error) ||
-      !take_num(w, "cancel_s", 0.1, &s->cancel_s, error) || !take_num(st, "rps", 1, &s->state_rps, error) ||
-      !take_num(st, "write_rps", 1, &s->state_write_rps, error) ||
-      !take_num(st, "value_kb", 1, &s->value_kb, error) || !take_num(st, "txn_ops", 4, &ops, error) ||
-      !take_num(cl, "rps", 0.1, &s->cloud_rps, error) ||
-      !take_num(cl, "list_lag_s", 0, &s->list_lag_s, error) ||
-      !take_num_or(res, "cpu", 0.001, 1, &s->cpu, error) ||
-      !take_num_or(res, "ram_mb", 1, 256, &s->ram_mb, error) ||
-      !take_num_or(res, "sockets", 50, 1000, &s->sockets, error) ||
-      !take_num_or(d, "clock_off_ms", 0, 1000, &s->clock_off_ms, error))
+  if (!parse_number(w, "report_s", 0.01, &s->heartbeat_interval_s, error) ||
+      !parse_number(w, "lease_s", 0.1, &s->worker_lease_s, error) ||
+      !parse_number(w, "cancel_s", 0.1, &s->cancellation_deadline_s, error) ||
+      !parse_number(st, "rps", 1, &s->store_rps, error) ||
+      !parse_number(st, "write_rps", 1, &s->store_write_rps, error) ||
+      !parse_number(st, "value_kb", 1, &s->value_kb, error) || !parse_number(st, "txn_ops", 4, &ops, error) ||
+      !parse_number(cl, "rps", 0.1, &s->cloud_rps, error) ||
+      !parse_number(cl, "list_lag_s", 0, &s->cloud_list_lag_s, error) ||
+      !parse_number_or(res, "cpu", 0.001, 1, &s->cpus, error) ||
+      !parse_number_or(res, "ram_mb", 1, 256, &s->ram_mb, error) ||
+      !parse_number_or(res, "sockets", 50, 1000, &s->sockets, error) ||
+      !parse_number_or(d, "clock_off_ms", 0, 1000, &s->clock_offset_ms, error))
     return FALSE;
-  s->txn_ops = (guint)ops;
-  return parse_next(s, st, error);
+  s->transaction_ops_max = (guint)ops;
+  return parse_next_limits(s, st, error);
 }
 
 FkSettings *fk_settings_parse(const char *body, gsize len, GError **error) {
@@ -153,10 +156,12 @@
     return NULL;
   }
   const cJSON *outside = fk_json_get(o, "outside");
-  if (!take_str(o, "node", &s->node, error) || !take_str(o, "site", &s->zone, error) ||
-      !take_addr(o, "serve_on", &s->listen, error) || !take_addr(o, "mesh_addr", &s->mesh, error) ||
-      !parse_peers(s, fk_json_get(o, "seeds"), error) || !take_addr(outside, "cloud", &s->cloud, error) ||
-      !take_addr(outside, "state", &s->state, error) ||
+  if (!parse_string(o, "node", &s->node, error) || !parse_string(o, "site", &s->zone, error) ||
+      !parse_address(o, "serve_on", &s->listen_addr, error) ||
+      !parse_address(o, "mesh_addr", &s->peer_listen_addr, error) ||
+      !parse_peers(s, fk_json_get(o, "seeds"), error) ||
+      !parse_address(outside, "cloud", &s->cloud_addr, error) ||
+      !parse_address(outside, "state", &s->store_addr, error) ||
       !parse_deployment(s, fk_json_get(o, "deployment"), error))
     return NULL;
   return g_steal_pointer(&s);
@@ -165,22 +170,22 @@
 static const FkTuningField fields[] = {
     {"window_s", offsetof(FkTuning, window_s), 1, 600},
     {"max_wait_s", offsetof(FkTuning, max_wait_s), 0.1, 10000},
-    {"span", offsetof(FkTuning, span), 0, 1},
-    {"cutoff_s", offsetof(FkTuning, cutoff_s), 0, 100000},
+    {"span", offsetof(FkTuning, short_partition_span), 0, 1},
+    {"cutoff_s", offsetof(FkTuning, short_cutoff_s), 0, 100000},
     {"probe_ratio", offsetof(FkTuning, probe_ratio), 1, 20},
     {"steal_after_s", offsetof(FkTuning, steal_after_s), 0, 600},
     {"idle_s", offsetof(FkTuning, idle_s), 1, 3600},
     {"headroom_s", offsetof(FkTuning, headroom_s), 0, 3600},
-    {"slack", offsetof(FkTuning, slack), 0, 100},
+    {"slack", offsetof(FkTuning, deadline_slack), 0, 100},
     {"spot_patience", offsetof(FkTuning, spot_patience), 0, 1},
-    {"silent_s", offsetof(FkTuning, silent_s), 2, 600},
-    {"tell_after_s", offsetof(FkTuning, tell_after_s), 0, 45},
-    {"door_connections", offsetof(FkTuning, door.connections), 2, 100000},
-    {"door_head_s", offsetof(FkTuning, door.head_s), 0.1, 600},
-    {"door_body_s", offsetof(FkTuning, door.body_s), 0.1, 600},
-    {"door_idle_s", offsetof(FkTuning, door.idle_s), 0.1, 3600},
-    {"door_send_s", offsetof(FkTuning, door.send_s), 0.1, 600},
-    {"door_memory_mb", offsetof(FkTuning, door.memory_mb), 0.5, 100000},
+    {"silent_s", offsetof(FkTuning, silent_after_s), 2, 600},
+    {"tell_after_s", offsetof(FkTuning, cancellation_barrier_s), 0, 45},
+    {"door_connections", offsetof(FkTuning, admission.connections), 2, 100000},
+    {"door_head_s", offsetof(FkTuning, admission.head_s), 0.1, 600},
+    {"door_body_s", offsetof(FkTuning, admission.body_s), 0.1, 600},
+    {"door_idle_s", offsetof(FkTuning, admission.idle_s), 0.1, 3600},
+    {"door_send_s", offsetof(FkTuning, admission.send_s), 0.1, 600},
+    {"door_memory_mb", offsetof(FkTuning, admission.memory_mb), 0.5, 100000},
 };
 
 const FkTuningField *fk_tuning_fields(guint *n) {
--- a/src/wire/store.c
+++ b/src/wire/store.c
@@ -9,7 +9,7 @@
   cJSON_AddStringToObject(o, "class", s->class_name);
   cJSON_AddStringToObject(o, "team", s->team);
   cJSON_AddNumberToObject(o, "shape", s->shape);
-  cJSON_AddNumberToObject(o, "rank", s->rank);
+  cJSON_AddNumberToObject(o, "rank", s->priority);
   cJSON_AddNumberToObject(o, "tasks", s->tasks);
   cJSON_AddNumberToObject(o, "cpus", s->cpus);
   cJSON_AddNumberToObject(o, "gpus", s->gpus);
@@ -33,11 +33,11 @@
     cJSON_AddNumberToObject(o, "deadline", s->deadline_s);
   cJSON_AddNumberToObject(o, "submitted", (double)s->submitted_ms);
   cJSON_AddStringToObject(o, "owner", s->owner ? s->owner : "");
-  cJSON_AddNumberToObject(o, "chunk", s->chunk);
-  if (s->needs) { /* a job without any keeps the form of before, byte by byte */
+  cJSON_AddNumberToObject(o, "chunk", s->chunk_tasks);
+  if (s->dependencies) { /* a job without any keeps the form of before, byte by byte */
     cJSON *list = cJSON_AddArrayToObject(o, "needs");
-    for (guint i = 0; s->needs[i]; i++)
-      cJSON_AddItemToArray(list, cJSON_CreateString(s->needs[i]));
+    for (guint i = 0; s->dependencies[i]; i++)
+      cJSON_AddItemToArray(list, cJSON_CreateString(s->dependencies[i]));
   }
   return o;
 }
@@ -47,16 +47,16 @@
   guint64 shape, rank, tasks, chunk;
   if (!fk_json_str(o, "class") || !fk_json_str(o, "team") || !fk_json_str(o, "image") ||
       !fk_json_u64(o, "shape", &shape) || shape > FK_SHAPE_GANG || !fk_json_u64(o, "rank", &rank) ||
-      rank > FK_RANK_LOW || !fk_json_u64(o, "tasks", &tasks) || tasks < 1 || tasks > 100000 ||
+      rank > FK_JOB_PRIORITY_LOW || !fk_json_u64(o, "tasks", &tasks) || tasks < 1 || tasks > 100000 ||
       !fk_json_u64(o, "chunk", &chunk) || chunk < 1 || chunk > 100000)
     return NULL;
   s->id = g_strdup(id);
   s->class_name = g_strdup(fk_json_str(o, "class"));
   s->team = g_strdup(fk_json_str(o, "team"));
   s->shape = (FkShape)shape;
-  s->rank = (FkRank)rank;
+  s->priority = (FkJobPriority)rank;
   s->tasks = (guint32)tasks;
-  s->chunk = (guint32)chunk;
+  s->chunk_tasks = (guint32)chunk;
   s->cpus = fk_json_num_or(o, "cpus", 0);
   s->gpus = fk_json_num_or(o, "gpus", 0);
   s->mem_gb = fk_json_num_or(o, "mem", 0);
@@ -86,7 +86,7 @@
         return NULL; /* it must not start as if it needed nobody */
       g_strv_builder_add(b, t->valuestring);
     }
-    s->needs = g_strv_builder_end(b);
+    s->dependencies = g_strv_builder_end(b);
   }
   return g_steal_pointer(&s);
 }
@@ -106,7 +106,7 @@
 static cJSON *page_to_json(const GPtrArray *members) {
   cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "m");
   for (guint i = 0; i < members->len; i++) {
-    const FkMachineRec *m = members->pdata[i];
+    const FkMachineRecord *m = members->pdata[i];
     cJSON *e = cJSON_CreateArray();
     if (!i)
       cJSON_AddStringToObject(o, "zone", m->zone);
@@ -114,8 +114,8 @@
     cJSON_AddItemToArray(e, cJSON_CreateString(m->type));
     cJSON_AddItemToArray(e, cJSON_CreateString(m->addr));
     cJSON_AddItemToArray(e, cJSON_CreateNumber(m->spot));
-    if (m->mark) {
-      cJSON_AddItemToArray(e, cJSON_CreateString(m->mark));
+    if (m->drain_reason) {
+      cJSON_AddItemToArray(e, cJSON_CreateString(m->drain_reason));
       cJSON_AddItemToArray(e, cJSON_CreateNumber(m->notice_s));
     }
     cJSON_AddItemToArray(list, e);
@@ -128,14 +128,14 @@
   const char *zone = fk_json_str(o, "zone");
   if (!cJSON_IsArray(list) || (!zone && cJSON_GetArraySize(list)))
     return NULL;
-  g_autoptr(GPtrArray) members = g_ptr_array_new_with_free_func(fk_machine_rec_free);
+  g_autoptr(GPtrArray) members = g_ptr_array_new_with_free_func(fk_machine_record_free);
   cJSON_ArrayForEach(e, list) {
     const cJSON *id = cJSON_GetArrayItem(e, 0), *type = id ? id->next : NULL,
                 *addr = type ? type->next : NULL, *spot = addr ? addr->next : NULL,
                 *mark = spot ? spot->next : NULL;
     if (!cJSON_IsString(id) || !cJSON_IsString(type) || !cJSON_IsString(addr) || !cJSON_IsNumber(spot))
       return NULL;
-    FkMachineRec *m = g_new0(FkMachineRec, 1);
+    FkMachineRecord *m = g_new0(FkMachineRecord, 1);
     m->id = g_strdup(id->valuestring);
     m->type = g_intern_string(type->valuestring);
     m->addr = g_strdup(addr->valuestring);
@@ -143,7 +143,7 @@
     m->spot = spot->valuedouble != 0;
     m->notice_s = -1;
     if (cJSON_IsString(mark)) {
-      m->mark = g_intern_string(mark->valuestring);
+      m->drain_reason = g_intern_string(mark->valuestring);
       if (cJSON_IsNumber(mark->next))
         m->notice_s = mark->next->valuedouble;
     }
@@ -152,10 +152,10 @@
   return g_steal_pointer(&members);
 }
 
-static cJSON *ends_to_json(const GPtrArray *ends) {
+static cJSON *completions_to_json(const GPtrArray *ends) {
   cJSON *o = cJSON_CreateObject();
   for (guint i = 0; i < ends->len; i++) {
-    const FkEnds *e = ends->pdata[i];
+    const FkCompletionRecord *e = ends->pdata[i];
     cJSON *j = cJSON_AddObjectToObject(o, e->chunk);
     if (e->done->len)
       add_bits(j, "d", e->done->data, e->done->len);
@@ -163,23 +163,23 @@
     cJSON *failed =
         NULL; /* again the attempts that failed: a version that doesn't know it still releases them */
     for (guint k = 0; k < e->released->len; k++) {
-      const FkTry *t = &g_array_index(e->released, FkTry, k);
+      const FkReleasedAttempt *t = &g_array_index(e->released, FkReleasedAttempt, k);
       cJSON_AddItemToArray(list, cJSON_CreateNumber(t->task));
       cJSON_AddItemToArray(list, fk_json_new_u64(t->attempt.n));
-      if (t->failed && !failed)
+      if (t->task_failed && !failed)
         failed = cJSON_AddArrayToObject(j, "f");
-      if (t->failed)
+      if (t->task_failed)
         cJSON_AddItemToArray(failed, fk_json_new_u64(t->attempt.n));
     }
   }
   return o;
 }
 
-static GPtrArray *ends_from_json(const cJSON *o) {
-  g_autoptr(GPtrArray) ends = g_ptr_array_new_with_free_func(fk_ends_free);
+static GPtrArray *completions_from_json(const cJSON *o) {
+  g_autoptr(GPtrArray) ends = g_ptr_array_new_with_free_func(fk_completion_record_free);
   const cJSON *j;
   cJSON_ArrayForEach(j, o) {
-    FkEnds *e = fk_ends_new(j->string);
+    FkCompletionRecord *e = fk_completion_record_new(j->string);
     g_ptr_array_add(ends, e);
     const char *bits = fk_json_str(j, "d");
     for (gsize i = 0; bits && bits[i]; i++)
@@ -192,7 +192,7 @@
       guint64 task, attempt;
       if (!fk_json_item_u64(n, &task) || !fk_json_item_u64(n->next, &attempt))
         return NULL;
-      FkTry t = {(guint32)task, FALSE, {attempt}};
+      FkReleasedAttempt t = {(guint32)task, FALSE, {attempt}};
       g_array_append_val(e->released, t);
     }
     cJSON_ArrayForEach(n, fk_json_get(j, "f")) {
@@ -200,15 +200,15 @@
       if (!fk_json_item_u64(n, &attempt))
         return NULL;
       for (guint k = 0; k < e->released->len; k++) {
-        FkTry *t = &g_array_index(e->released, FkTry, k);
-        t->failed |= t->attempt.n == attempt;
+        FkReleasedAttempt *t = &g_array_index(e->released, FkReleasedAttempt, k);
+        t->task_failed |= t->attempt.n == attempt;
       }
     }
   }
   return g_steal_pointer(&ends);
 }
 
-static cJSON *split_to_json(GHashTable *split) {
+static cJSON *partition_to_json(GHashTable *split) {
   cJSON *o = cJSON_CreateObject();
   GHashTableIter it;
   gpointer name, cpus;
@@ -218,7 +218,7 @@
   return o;
 }
 
-static GHashTable *split_from_json(const cJSON *o) {
+static GHashTable *partition_from_json(const cJSON *o) {
   if (!cJSON_IsObject(o))
     return NULL;
   GHashTable *split = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -230,20 +230,20 @@
 
 static cJSON *chunk_to_json(const FkChunk *c) {
   cJSON *o = cJSON_CreateObject();
-  cJSON_AddNumberToObject(o, "f", c->first);
-  cJSON_AddNumberToObject(o, "n", c->count);
+  cJSON_AddNumberToObject(o, "f", c->first_task);
+  cJSON_AddNumberToObject(o, "n", c->task_count);
   fk_json_add_u64(o, "a", c->next_attempt);
   if (c->done_count)
-    add_bits(o, "d", c->done, c->count);
+    add_bits(o, "d", c->done, c->task_count);
   cJSON *list = cJSON_AddArrayToObject(o, "b");
-  for (guint i = 0; i < c->bookings->len; i++) {
-    const FkBooking *b = &g_array_index(c->bookings, FkBooking, i);
+  for (guint i = 0; i < c->allocations->len; i++) {
+    const FkAllocation *b = &g_array_index(c->allocations, FkAllocation, i);
     cJSON *e = cJSON_CreateArray();
     cJSON_AddItemToArray(e, cJSON_CreateNumber(b->task));
     cJSON_AddItemToArray(e, fk_json_new_u64(b->attempt.n));
     cJSON_AddItemToArray(e, cJSON_CreateString(b->machine));
-    cJSON_AddItemToArray(e, cJSON_CreateString(b->by));
-    if (b->stop)
+    cJSON_AddItemToArray(e, cJSON_CreateString(b->launched_by));
+    if (b->stop_requested)
       cJSON_AddItemToArray(e, cJSON_CreateNumber(1));
     cJSON_AddItemToArray(list, e);
   }
@@ -258,7 +258,7 @@
   g_autoptr(FkChunk) c = fk_chunk_new((guint32)first, (guint32)count);
   c->next_attempt = next;
   const char *bits = fk_json_str(o, "d");
-  for (guint32 i = 0; bits && i < c->count && bits[i / 4]; i++)
+  for (guint32 i = 0; bits && i < c->task_count && bits[i / 4]; i++)
     if (g_ascii_xdigit_value(bits[i / 4]) >> (i % 4) & 1) {
       c->done[i] = 1;
       c->done_count++;
@@ -272,14 +272,14 @@
         !fk_json_item_u64(cJSON_GetArrayItem(e, 1), &attempt) || !machine || task < first ||
         task >= first + count)
       return NULL;
-    FkBooking b = {(guint32)task,
-                   {attempt},
-                   g_intern_string(machine),
-                   g_intern_string(by),
-                   cJSON_GetArrayItem(e, 4) != NULL,
-                   {0},
-                   FALSE};
-    g_array_append_val(c->bookings, b);
+    FkAllocation b = {(guint32)task,
+                      {attempt},
+                      g_intern_string(machine),
+                      g_intern_string(by),
+                      cJSON_GetArrayItem(e, 4) != NULL,
+                      {0},
+                      FALSE};
+    g_array_append_val(c->allocations, b);
   }
   return g_steal_pointer(&c);
 }
@@ -294,33 +294,33 @@
     return o;
   case FK_KEY_CHUNK:
     return chunk_to_json(r->chunk);
-  case FK_KEY_PAGE:
-    return page_to_json(r->members);
-  case FK_KEY_ENDS:
-    return ends_to_json(r->ends);
+  case FK_KEY_MACHINE_PAGE:
+    return page_to_json(r->machines);
+  case FK_KEY_COMPLETIONS:
+    return completions_to_json(r->completions);
   default:
     break;
   }
   o = cJSON_CreateObject();
   if (r->node)
     cJSON_AddStringToObject(o, "node", r->node);
-  if (r->life)
-    cJSON_AddStringToObject(o, "life", r->life);
-  if (r->kind == FK_KEY_TEAM && r->split) {
-    cJSON_AddItemToObject(o, "split", split_to_json(r->split));
-  } else if (r->kind == FK_KEY_FINAL) {
+  if (r->incarnation)
+    cJSON_AddStringToObject(o, "life", r->incarnation);
+  if (r->kind == FK_KEY_TEAM && r->partition) {
+    cJSON_AddItemToObject(o, "split", partition_to_json(r->partition));
+  } else if (r->kind == FK_KEY_TERMINAL_JOB) {
     cJSON_AddNumberToObject(o, "phase", r->phase);
     cJSON_AddNumberToObject(o, "tasks", r->tasks);
-    if (r->at_ms)
-      cJSON_AddNumberToObject(o, "at", (double)r->at_ms);
-  } else if (r->kind == FK_KEY_FENCE && r->chains) {
+    if (r->ended_at_ms)
+      cJSON_AddNumberToObject(o, "at", (double)r->ended_at_ms);
+  } else if (r->kind == FK_KEY_LAUNCH_FENCE && r->supports_dependencies) {
     cJSON_AddBoolToObject(o, "chains", TRUE);
-  } else if (r->kind == FK_KEY_WAITS) {
-    fk_json_add_u64(o, "window", r->waits.window);
-    cJSON_AddNumberToObject(o, "sum", r->waits.sum_s);
-    fk_json_add_u64(o, "count", r->waits.count);
-    cJSON_AddNumberToObject(o, "all_sum", r->waits.all_sum_s);
-    fk_json_add_u64(o, "all_count", r->waits.all_count);
+  } else if (r->kind == FK_KEY_WAIT_TIMES) {
+    fk_json_add_u64(o, "window", r->wait_times.window);
+    cJSON_AddNumberToObject(o, "sum", r->wait_times.capped_sum_s);
+    fk_json_add_u64(o, "count", r->wait_times.capped_count);
+    cJSON_AddNumberToObject(o, "all_sum", r->wait_times.sum_s);
+    fk_json_add_u64(o, "all_count", r->wait_times.count);
   }
   return o;
 }
@@ -342,43 +342,43 @@
     if (!(r->chunk = chunk_from_json(o)))
       return NULL;
     break;
-  case FK_KEY_PAGE:
-    if (!(r->members = page_from_json(o)))
+  case FK_KEY_MACHINE_PAGE:
+    if (!(r->machines = page_from_json(o)))
       return NULL;
     break;
-  case FK_KEY_ENDS:
-    if (!(r->ends = ends_from_json(o)))
+  case FK_KEY_COMPLETIONS:
+    if (!(r->completions = completions_from_json(o)))
       return NULL;
     break;
-  case FK_KEY_FINAL:
+  case FK_KEY_TERMINAL_JOB:
     if (!fk_json_u64(o, "phase", &n) || (n != FK_PHASE_DONE && n != FK_PHASE_CANCELLED))
       return NULL;
     r->phase = (FkPhase)n;
     r->tasks = fk_json_u64(o, "tasks", &n) ? (guint32)n : 0;
-    r->at_ms = (gint64)fk_json_num_or(o, "at", 0);
+    r->ended_at_ms = (gint64)fk_json_num_or(o, "at", 0);
     break;
-  case FK_KEY_WAITS:
-    fk_json_u64(o, "window", &r->waits.window);
-    r->waits.sum_s = fk_json_num_or(o, "sum", 0);
-    fk_json_u64(o, "count", &r->waits.count);
-    r->waits.all_sum_s = fk_json_num_or(o, "all_sum", r->waits.sum_s);
-    if (!fk_json_u64(o, "all_count", &r->waits.all_count))
-      r->waits.all_count = r->waits.count;
+  case FK_KEY_WAIT_TIMES:
+    fk_json_u64(o, "window", &r->wait_times.window);
+    r->wait_times.capped_sum_s = fk_json_num_or(o, "sum", 0);
+    fk_json_u64(o, "count", &r->wait_times.capped_count);
+    r->wait_times.sum_s = fk_json_num_or(o, "all_sum", r->wait_times.capped_sum_s);
+    if (!fk_json_u64(o, "all_count", &r->wait_times.count))
+      r->wait_times.count = r->wait_times.capped_count;
     break;
   case FK_KEY_NODE:
   case FK_KEY_LEADER:
-  case FK_KEY_GROUP:
+  case FK_KEY_SHARD:
     r->node = g_strdup(fk_json_str(o, "node"));
-    r->life = g_strdup(fk_json_str(o, "life"));
-    if (!r->life || (r->kind != FK_KEY_NODE && !r->node))
+    r->incarnation = g_strdup(fk_json_str(o, "life"));
+    if (!r->incarnation || (r->kind != FK_KEY_NODE && !r->node))
       return NULL;
     break;
   case FK_KEY_TEAM:
     r->node = g_strdup(fk_json_str(o, "node"));
-    r->split = split_from_json(fk_json_get(o, "split"));
+    r->partition = partition_from_json(fk_json_get(o, "split"));
     break;
-  case FK_KEY_FENCE:
-    fk_json_bool(o, "chains", &r->chains);
+  case FK_KEY_LAUNCH_FENCE:
+    fk_json_bool(o, "chains", &r->supports_dependencies);
     break;
   default:
     return NULL;
@@ -388,7 +388,7 @@
 
 /* ------------------------------------------------------------------ messages */
 
-char *fk_store_print_commit(const FkOut *out) {
+char *fk_store_print_commit(const FkOutput *out) {
   g_autoptr(cJSON) o = cJSON_CreateObject();
   cJSON *guards = cJSON_AddArrayToObject(o, "guards"), *writes = cJSON_AddArrayToObject(o, "writes");
   for (guint i = 0; i < out->guards->len; i++) {
@@ -404,8 +404,8 @@
     cJSON_AddStringToObject(j, w->record ? "put" : "delete", w->path);
     if (w->record)
       cJSON_AddItemToObject(j, "value", fk_store_record_to_json(w->record));
-    if (w->hold.n)
-      fk_json_add_u64(j, "tether", w->hold.n);
+    if (w->lease.n)
+      fk_json_add_u64(j, "tether", w->lease.n);
     cJSON_AddItemToArray(writes, j);
   }
   return fk_json_print(o);
@@ -424,18 +424,18 @@
   return failed;
 }
 
-static FkEvent *event_from(const cJSON *item, const char *path) {
-  FkEvent *e = g_new0(FkEvent, 1);
+static FkStoreEvent *event_from_json(const cJSON *item, const char *path) {
+  FkStoreEvent *e = g_new0(FkStoreEvent, 1);
   e->path = g_strdup(path);
   fk_json_u64(item, "stamp", &e->rev.n);
   return e;
 }
 
-FkEvent *fk_store_parse_item(const cJSON *item) {
+FkStoreEvent *fk_store_parse_item(const cJSON *item) {
   const char *path = fk_json_str(item, "path");
   if (!path)
     return NULL;
-  FkEvent *e = event_from(item, path);
+  FkStoreEvent *e = event_from_json(item, path);
   e->record = fk_store_record_from_json(path, fk_json_get(item, "value"));
   if (!e->record)
     g_warning("a record that isn't ours or is malformed: %s", path);
@@ -450,9 +450,9 @@
   *more = FALSE;
   fk_json_bool(o, "truncated", more);
   *epoch = fk_store_parse_epoch(o);
-  GPtrArray *events = g_ptr_array_new_with_free_func((GDestroyNotify)fk_event_free);
+  GPtrArray *events = g_ptr_array_new_with_free_func((GDestroyNotify)fk_store_event_free);
   cJSON_ArrayForEach(j, list) {
-    FkEvent *e = fk_store_parse_item(j);
+    FkStoreEvent *e = fk_store_parse_item(j);
     if (e)
       g_ptr_array_add(events, e);
   }
@@ -465,15 +465,15 @@
   if (!cJSON_IsArray(list))
     return NULL;
   *epoch = fk_store_parse_epoch(o);
-  GPtrArray *events = g_ptr_array_new_with_free_func((GDestroyNotify)fk_event_free);
+  GPtrArray *events = g_ptr_array_new_with_free_func((GDestroyNotify)fk_store_event_free);
   cJSON_ArrayForEach(j, list) {
     const char *put = fk_json_str(j, "put"), *gone = fk_json_str(j, "delete");
     if (!put && !gone)
       continue;
-    FkEvent *e = event_from(j, put ? put : gone);
+    FkStoreEvent *e = event_from_json(j, put ? put : gone);
     if (put && !(e->record = fk_store_record_from_json(put, fk_json_get(j, "value")))) {
       g_warning("a record that isn't ours or is malformed: %s", put);
-      fk_event_free(e);
+      fk_store_event_free(e);
       continue;
     }
     g_ptr_array_add(events, e);
@@ -486,7 +486,7 @@
 static void condition_clear(gpointer p) { g_free(((FkStoreCondition *)p)->path); }
 
 static void change_clear(gpointer p) {
-  FkStoreChangeAsked *c = p;
+  FkTransactionWrite *c = p;
   g_free(c->path);
   g_free(c->value);
 }
@@ -500,7 +500,7 @@
 static gboolean parse_condition(const cJSON *j, GArray *conditions) {
   FkStoreCondition c = {NULL, 0};
   const char *path = fk_json_str(j, "path");
-  if (!path || !fk_json_u64(j, "stamp", &c.stamp))
+  if (!path || !fk_json_u64(j, "stamp", &c.revision))
     return FALSE;
   c.path = g_strdup(path);
   g_array_append_val(conditions, c);
@@ -509,12 +509,12 @@
 }
 
 static gboolean parse_change(const cJSON *j, GArray *changes) {
-  FkStoreChangeAsked c = {NULL, NULL, 0};
+  FkTransactionWrite c = {NULL, NULL, 0};
   const char *put = fk_json_str(j, "put"), *gone = fk_json_str(j, "delete");
   const cJSON *value = fk_json_get(j, "value");
   if ((!put && !gone) || (put && !value))
     return FALSE;
-  fk_json_u64(j, "tether", &c.hold);
+  fk_json_u64(j, "tether", &c.lease);
   c.path = g_strdup(put ? put : gone);
   c.value = put ? fk_json_print(value) : NULL;
   g_array_append_val(changes, c);
@@ -527,7 +527,7 @@
   g_autoptr(FkStoreTransaction) t = g_new0(FkStoreTransaction, 1);
   t->conditions = g_array_new(FALSE, FALSE, sizeof(FkStoreCondition));
   g_array_set_clear_func(t->conditions, condition_clear);
-  t->changes = g_array_new(FALSE, FALSE, sizeof(FkStoreChangeAsked));
+  t->changes = g_array_new(FALSE, FALSE, sizeof(FkTransactionWrite));
   g_array_set_clear_func(t->changes, change_clear);
   if (!cJSON_IsObject(o))
     return NULL;
@@ -586,7 +586,7 @@
   return fk_json_print(o);
 }
 
-char *fk_store_print_hold(guint64 hold) {
+char *fk_store_print_lease(guint64 hold) {
   g_autoptr(cJSON) o = cJSON_CreateObject();
   fk_json_add_u64(o, "tether", hold);
   return fk_json_print(o);
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -7,8 +7,8 @@
 /* NULL when the value isn't one of ours. */
 FkRecord *fk_store_record_from_json(const char *path, const cJSON *value);
 
-char *fk_store_print_commit(const FkOut *o);
-FkEvent *fk_store_parse_item(const cJSON *item);
+char *fk_store_print_commit(const FkOutput *o);
+FkStoreEvent *fk_store_parse_item(const cJSON *item);
 GPtrArray *fk_store_parse_list(const char *body, gsize len, gboolean *more, FkRev *epoch);
 GPtrArray *fk_store_parse_watch(const char *body, gsize len, FkRev *epoch);
 FkRev fk_store_parse_epoch(const cJSON *o);
@@ -17,15 +17,15 @@
 /* The state service's side. Values pass through as JSON text. */
 typedef struct {
   char *path;
-  guint64 stamp;
+  guint64 revision;
 } FkStoreCondition;
 typedef struct {
   char *path, *value; /* `value` NULL: delete */
-  guint64 hold;
-} FkStoreChangeAsked;
+  guint64 lease;
+} FkTransactionWrite;
 typedef struct {
   GArray *conditions; /* FkStoreCondition */
-  GArray *changes;    /* FkStoreChangeAsked */
+  GArray *changes;    /* FkTransactionWrite */
 } FkStoreTransaction;
 void fk_store_transaction_free(FkStoreTransaction *t);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkStoreTransaction, fk_store_transaction_free)
@@ -38,5 +38,5 @@
 char *fk_store_print_events(cJSON *events /* taken */, guint64 epoch);
 char *fk_store_print_epoch(guint64 epoch);
 char *fk_store_print_conflict(const GPtrArray *failed /* char* */, guint64 epoch);
-char *fk_store_print_hold(guint64 hold);
+char *fk_store_print_lease(guint64 hold);
 gboolean fk_store_parse_ttl_s(const char *body, gsize len, double *out);
