--- a/test/test_teams.c
+++ b/test/test_teams.c
@@ -17,30 +17,30 @@
     gboolean allowed;
   } cases[] = {
       /* 422 for good to a whole guest team: a limit of 0 was read as nothing allowed */
-      {0, 0, FK_TEAM_GUEST, 0, 0.25, 25000, TRUE},
-      {0, 0, FK_TEAM_GUEST, 1e15, 1e9, 100000, TRUE},
+      {0, 0, FK_TEAM_BEST_EFFORT, 0, 0.25, 25000, TRUE},
+      {0, 0, FK_TEAM_BEST_EFFORT, 1e15, 1e9, 100000, TRUE},
       {8, 0, FK_TEAM_UNLIMITED, 1e6, 8, 1, TRUE},
-      {0, 16, FK_TEAM_BORROWER, 0, 16, 1, TRUE},
-      {0, 16, FK_TEAM_BORROWER, 0, 16.1, 1, FALSE},
+      {0, 16, FK_TEAM_WITHOUT_GUARANTEE, 0, 16, 1, TRUE},
+      {0, 16, FK_TEAM_WITHOUT_GUARANTEE, 0, 16.1, 1, FALSE},
       {8, 16, FK_TEAM_ORDINARY, 12, 4, 1, TRUE},
       {8, 16, FK_TEAM_ORDINARY, 12, 4, 2, FALSE},
-      {8, 4, FK_TEAM_NARROW, 0, 8, 1, FALSE},
-      {8, 4, FK_TEAM_NARROW, 0, 4, 1, TRUE},
+      {8, 4, FK_TEAM_QUOTA_BELOW_GUARANTEE, 0, 8, 1, FALSE},
+      {8, 4, FK_TEAM_QUOTA_BELOW_GUARANTEE, 0, 4, 1, TRUE},
       /* sums near 2^53: 9,000,000 tasks' worth of the largest setting, and one CPU more */
-      {0, 1e9, FK_TEAM_BORROWER, 0, 1e9, 9e6, FALSE},
-      {0, 1e9, FK_TEAM_BORROWER, 1e9 - 1, 1, 1, TRUE},
-      {0, 1e9, FK_TEAM_BORROWER, 1e9 - 1, 2, 1, FALSE},
+      {0, 1e9, FK_TEAM_WITHOUT_GUARANTEE, 0, 1e9, 9e6, FALSE},
+      {0, 1e9, FK_TEAM_WITHOUT_GUARANTEE, 1e9 - 1, 1, 1, TRUE},
+      {0, 1e9, FK_TEAM_WITHOUT_GUARANTEE, 1e9 - 1, 2, 1, FALSE},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    double most = fk_limit_of(cases[i].setting);
+    double most = fk_quota_from_setting(cases[i].setting);
     g_test_message("case %u", i);
     g_assert_cmpint(fk_team_kind(cases[i].guarantee, most), ==, cases[i].kind);
-    g_assert_cmpint(fk_limit_allows(most, cases[i].used, cases[i].each, cases[i].times), ==,
+    g_assert_cmpint(fk_quota_allows(most, cases[i].used, cases[i].each, cases[i].times), ==,
                     cases[i].allowed);
-    g_assert_cmpfloat(fk_limit_left(most, cases[i].used), >=, 0);
+    g_assert_cmpfloat(fk_quota_left(most, cases[i].used), >=, 0);
   }
-  g_assert_cmpfloat(fk_limit_left(fk_limit_of(4), 6), ==, 0);
-  g_assert_true(isinf(fk_limit_left(fk_limit_of(0), 1e15)));
+  g_assert_cmpfloat(fk_quota_left(fk_quota_from_setting(4), 6), ==, 0);
+  g_assert_true(isinf(fk_quota_left(fk_quota_from_setting(0), 1e15)));
 }
 
 /* A story of failures ('x': job a on machine m fails) and successes, and the verdicts at its end. Each event
@@ -81,38 +81,38 @@
     {"xa1 xa2 xa3 xb3 xb3 +b1 xb3", "a", "3"},
 };
 
-static void tell(FkBlame *b, const char *story, FkTime *now) {
+static void tell(FkFaultAttribution *b, const char *story, FkTime *now) {
   g_auto(GStrv) events = g_strsplit(story, " ", -1);
   for (guint i = 0; events[i] && *events[i]; i++) {
     char job[] = {events[i][1], 0}, machine[] = {events[i][2], 0};
     *now = fk_time_add(*now, 0.1);
     if (*events[i] == 'x')
-      fk_blame_failed(b, job, machine, 1, FALSE, *now);
+      fk_fault_attribution_task_failed(b, job, machine, 1, FALSE, *now);
     else if (*events[i] == '+')
-      fk_blame_succeeded(b, job, machine);
+      fk_fault_attribution_task_succeeded(b, job, machine);
     else
-      fk_blame_goes_on(b, job, 60);
+      fk_fault_attribution_task_survives(b, job, 60);
   }
 }
 
 static void test_blame(void) {
   for (guint i = 0; i < G_N_ELEMENTS(blame_cases); i++) {
     const BlameCase *k = &blame_cases[i];
-    FkBlame *b = fk_blame_new();
+    FkFaultAttribution *b = fk_fault_attribution_new();
     FkTime now = {1000000};
     g_test_message("%s", k->story);
     tell(b, k->story, &now);
     g_autoptr(GString) doubted = g_string_new(NULL);
     g_autoptr(GString) sick = g_string_new(NULL);
     for (char c = 'a'; c <= 'e'; c++)
-      if (fk_blame_doubted(b, (char[]){c, 0}))
+      if (fk_fault_attribution_job_is_failing(b, (char[]){c, 0}))
         g_string_append_c(doubted, c);
     for (char c = '1'; c <= '6'; c++)
-      if (fk_blame_sick(b, (char[]){c, 0}))
+      if (fk_fault_attribution_machine_is_faulty(b, (char[]){c, 0}))
         g_string_append_c(sick, c);
     g_assert_cmpstr(doubted->str, ==, k->doubted);
     g_assert_cmpstr(sick->str, ==, k->sick);
-    fk_blame_free(b);
+    fk_fault_attribution_free(b);
   }
 }
 
@@ -121,32 +121,32 @@
 static void test_blame_pauses(void) {
   GRand *rand = g_rand_new_with_seed(7);
   for (guint round = 0; round < 200; round++) {
-    FkBlame *b = fk_blame_new();
+    FkFaultAttribution *b = fk_fault_attribution_new();
     FkTime now = {1000000};
     double last = 0;
     guint n = (guint)g_rand_int_range(rand, 1, 60);
     for (guint i = 0; i < n; i++) {
       char machine[] = {(char)('0' + g_rand_int_range(rand, 0, 40)), 0};
-      fk_blame_failed(b, "j", machine, 1, FALSE, now);
-      double pause = fk_blame_pause_s(b, "j");
+      fk_fault_attribution_task_failed(b, "j", machine, 1, FALSE, now);
+      double pause = fk_fault_attribution_retry_delay_s(b, "j");
       g_assert_cmpfloat(pause, <=, 60);
-      if (fk_blame_doubted(b, "j")) {
+      if (fk_fault_attribution_job_is_failing(b, "j")) {
         g_assert_cmpfloat(pause, >=, last);
         last = pause;
       }
-      g_assert_true(fk_blame_avoids(b, "j", machine, now));
-      g_assert_false(fk_blame_avoids(b, "j", machine, fk_time_add(now, 61)));
+      g_assert_true(fk_fault_attribution_job_avoids(b, "j", machine, now));
+      g_assert_false(fk_fault_attribution_job_avoids(b, "j", machine, fk_time_add(now, 61)));
       now = fk_time_add(now, 0.5);
     }
-    g_assert_cmpuint(fk_blame_jobs(b), ==, 1);
-    fk_blame_succeeded(b, "j", "0");
-    g_assert_cmpfloat(fk_blame_pause_s(b, "j"), ==, 0);
-    g_assert_false(fk_blame_doubted(b, "j"));
-    fk_blame_job_gone(b, "j");
+    g_assert_cmpuint(fk_fault_attribution_job_count(b), ==, 1);
+    fk_fault_attribution_task_succeeded(b, "j", "0");
+    g_assert_cmpfloat(fk_fault_attribution_retry_delay_s(b, "j"), ==, 0);
+    g_assert_false(fk_fault_attribution_job_is_failing(b, "j"));
+    fk_fault_attribution_remove_job(b, "j");
     for (char c = '0'; c < '0' + 40; c++)
-      fk_blame_machine_gone(b, (char[]){c, 0});
-    g_assert_cmpuint(fk_blame_jobs(b) + fk_blame_machines(b), ==, 0);
-    fk_blame_free(b);
+      fk_fault_attribution_remove_machine(b, (char[]){c, 0});
+    g_assert_cmpuint(fk_fault_attribution_job_count(b) + fk_fault_attribution_machine_count(b), ==, 0);
+    fk_fault_attribution_free(b);
   }
   g_rand_free(rand);
 }
@@ -156,7 +156,7 @@
 static void test_share(void) {
   static const struct {
     double room;
-    FkClaimant claimants[3]; /* guarantee, limit, used, wanted, due */
+    FkFairShareDemand claimants[3]; /* guarantee, limit, used, wanted, due */
     FkStanding standing[3];
   } cases[] = {
       /* enough for all */
@@ -174,17 +174,17 @@
       {0, {{5, NONE, 0, 5, 0}, {0, NONE, 0, 5, 0}, {0, NONE, 0, 0, 0}}, {0, 2, 2}},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    FkClaimant c[3];
+    FkFairShareDemand c[3];
     memcpy(c, cases[i].claimants, sizeof c);
-    fk_share_out(c, 3, cases[i].room);
-    g_test_message("case %u: %.3f %.3f %.3f", i, c[0].due, c[1].due, c[2].due);
+    fk_fair_share_divide(c, 3, cases[i].room);
+    g_test_message("case %u: %.3f %.3f %.3f", i, c[0].share, c[1].share, c[2].share);
     for (guint k = 0; k < 3; k++) {
-      g_assert_cmpfloat_with_epsilon(c[k].due, cases[i].claimants[k].due, 0.01);
-      g_assert_cmpint(fk_share_standing(&c[k]), ==, cases[i].standing[k]);
+      g_assert_cmpfloat_with_epsilon(c[k].share, cases[i].claimants[k].share, 0.01);
+      g_assert_cmpint(fk_fair_share_standing(&c[k]), ==, cases[i].standing[k]);
     }
   }
-  g_assert_cmpfloat(fk_share_dominant(10, 0, 100, 0), ==, 10);
-  g_assert_cmpfloat(fk_share_dominant(10, 2, 100, 4), ==, 50);
+  g_assert_cmpfloat(fk_fair_share_dominant(10, 0, 100, 0), ==, 10);
+  g_assert_cmpfloat(fk_fair_share_dominant(10, 2, 100, 4), ==, 50);
 }
 
 /* Whatever the numbers: the sum fits the room; nobody gets more than it wants or may have; nobody who gets
@@ -193,30 +193,30 @@
 static void test_share_properties(void) {
   GRand *rand = g_rand_new_with_seed(11);
   for (guint round = 0; round < 3000; round++) {
-    FkClaimant c[6];
+    FkFairShareDemand c[6];
     guint n = (guint)g_rand_int_range(rand, 1, 7);
     double scale = pow(10, g_rand_int_range(rand, 0, 9)), room = scale * g_rand_double_range(rand, 0, 8),
            sum = 0, wanted = 0;
     for (guint i = 0; i < n; i++) {
       double most = g_rand_boolean(rand) ? NONE : scale * g_rand_double_range(rand, 0, 4);
-      c[i] = (FkClaimant){g_rand_boolean(rand) ? 0 : scale * g_rand_double_range(rand, 0, 3), most,
-                          scale * g_rand_double(rand), scale * g_rand_double_range(rand, 0, 5), -1};
+      c[i] = (FkFairShareDemand){g_rand_boolean(rand) ? 0 : scale * g_rand_double_range(rand, 0, 3), most,
+                                 scale * g_rand_double(rand), scale * g_rand_double_range(rand, 0, 5), -1};
     }
-    fk_share_out(c, n, room);
+    fk_fair_share_divide(c, n, room);
     double eps = 1e-6 * scale * 10;
     for (guint i = 0; i < n; i++) {
-      double demand = MIN(c[i].used + c[i].wanted, c[i].most), sure = MIN(c[i].guarantee, demand);
-      g_assert_cmpfloat(c[i].due, >=, 0);
-      g_assert_cmpfloat(c[i].due, <=, demand + eps);
-      sum += c[i].due;
+      double demand = MIN(c[i].used + c[i].wanted, c[i].quota), sure = MIN(c[i].guarantee, demand);
+      g_assert_cmpfloat(c[i].share, >=, 0);
+      g_assert_cmpfloat(c[i].share, <=, demand + eps);
+      sum += c[i].share;
       wanted += demand;
-      for (guint k = 0; k < n && c[i].due < sure - eps; k++)
-        g_assert_cmpfloat(c[k].due, <=, c[k].guarantee + eps);
+      for (guint k = 0; k < n && c[i].share < sure - eps; k++)
+        g_assert_cmpfloat(c[k].share, <=, c[k].guarantee + eps);
     }
     g_assert_cmpfloat(sum, <=, room + eps);
     double guaranteed = 0;
     for (guint i = 0; i < n; i++)
-      guaranteed += MIN(c[i].guarantee, MIN(c[i].used + c[i].wanted, c[i].most));
+      guaranteed += MIN(c[i].guarantee, MIN(c[i].used + c[i].wanted, c[i].quota));
     if (guaranteed < room)
       g_assert_cmpfloat(sum, >=, MIN(room, wanted) - eps * 10);
   }
@@ -226,7 +226,7 @@
 static void test_served(void) {
   static const struct {
     const char *what;
-    FkServedJob jobs[2];
+    FkServiceLevelJob jobs[2];
     guint ended;
     double share;
     gboolean starved;
@@ -248,99 +248,100 @@
       {"all run, late", {{"c", "t", 300, 2, 0, 2, 0, 4, 1}}, 0, 1, FALSE},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    FkServed *b = fk_served_new();
+    FkServiceLevel *b = fk_service_level_new();
     g_test_message("%s", cases[i].what);
     for (guint k = 0; k < cases[i].ended; k++)
-      fk_served_ended(b, "c", "t", 1);
+      fk_service_level_job_ended(b, "c", "t", 1);
     for (guint look = 0; look < 2; look++) { /* a second look counts nothing twice */
-      fk_served_begin(b);
+      fk_service_level_begin(b);
       for (guint k = 0; k < 2 && cases[i].jobs[k].tasks; k++)
-        fk_served_live(b, &cases[i].jobs[k]);
+        fk_service_level_add_live_job(b, &cases[i].jobs[k]);
     }
-    const FkServedRow *rows[] = {fk_served_class(b, "c"), fk_served_team(b, "t")};
+    const FkServiceLevelRow *rows[] = {fk_service_level_class(b, "c"), fk_service_level_team(b, "t")};
     for (guint k = 0; k < 2; k++) {
-      g_assert_cmpfloat_with_epsilon(fk_served_share(rows[k]), cases[i].share, 1e-9);
-      g_assert_cmpint(fk_served_starved(rows[k]), ==, cases[i].starved);
+      g_assert_cmpfloat_with_epsilon(fk_service_level_share(rows[k]), cases[i].share, 1e-9);
+      g_assert_cmpint(fk_service_level_is_starved(rows[k]), ==, cases[i].starved);
     }
-    g_autoptr(GPtrArray) all = fk_served_rows(b);
+    g_autoptr(GPtrArray) all = fk_service_level_rows(b);
     g_assert_cmpuint(all->len, ==, 2);
-    fk_served_free(b);
+    fk_service_level_free(b);
   }
 }
 
 /* Users invent names: what is kept of them is bounded, and those known are still counted. */
 static void test_served_bounded(void) {
-  FkServed *b = fk_served_new();
+  FkServiceLevel *b = fk_service_level_new();
   for (guint i = 0; i < 5000; i++) {
     g_autofree char *name = g_strdup_printf("class-%u", i);
-    fk_served_ended(b, name, "t", 1);
+    fk_service_level_job_ended(b, name, "t", 1);
   }
-  g_autoptr(GPtrArray) all = fk_served_rows(b);
+  g_autoptr(GPtrArray) all = fk_service_level_rows(b);
   g_assert_cmpuint(all->len, <=, 1001);
-  g_assert_cmpuint(fk_served_team(b, "t")->ended, ==, 5000);
-  fk_served_free(b);
+  g_assert_cmpuint(fk_service_level_team(b, "t")->ended, ==, 5000);
+  fk_service_level_free(b);
 }
 
 static void test_hold(void) {
   FkTime now = {1000000};
-  FkHold h;
-  fk_hold_init(&h, now);
-  g_assert_cmpfloat(fk_hold_times(&h, now), ==, 1);
+  FkIdleRetention h;
+  fk_idle_retention_init(&h, now);
+  g_assert_cmpfloat(fk_idle_retention_factor(&h, now), ==, 1);
   /* load falls: what goes isn't rented again, and nothing is kept longer */
   for (guint i = 0; i < 60; i++)
-    fk_hold_returned(&h, 40, now = fk_time_add(now, 1));
-  g_assert_cmpfloat(fk_hold_times(&h, now), ==, 1);
+    fk_idle_retention_terminated(&h, 40, now = fk_time_add(now, 1));
+  g_assert_cmpfloat(fk_idle_retention_factor(&h, now), ==, 1);
   /* it comes back within the minute: the more of it, the longer */
-  fk_hold_rented(&h, 300, now = fk_time_add(now, 20));
-  double some = fk_hold_times(&h, now);
+  fk_idle_retention_provisioned(&h, 300, now = fk_time_add(now, 20));
+  double some = fk_idle_retention_factor(&h, now);
   g_assert_cmpfloat(some, >, 1);
-  fk_hold_rented(&h, 1000, now);
-  g_assert_cmpfloat(fk_hold_times(&h, now), >, some);
-  g_assert_cmpfloat(fk_hold_times(&h, now), <=, FK_HOLD_MOST);
+  fk_idle_retention_provisioned(&h, 1000, now);
+  g_assert_cmpfloat(fk_idle_retention_factor(&h, now), >, some);
+  g_assert_cmpfloat(fk_idle_retention_factor(&h, now), <=, FK_IDLE_RETENTION_FACTOR_MAX);
   /* what went long ago isn't what is rented now; and what was learnt fades */
-  fk_hold_returned(&h, 1000, now = fk_time_add(now, 200));
-  double faded = fk_hold_times(&h, now);
-  fk_hold_rented(&h, 5000, now = fk_time_add(now, 100));
-  g_assert_cmpfloat(fk_hold_times(&h, now), <=, faded);
-  g_assert_cmpfloat(fk_hold_times(&h, fk_time_add(now, 1000)), ==, 1);
-  fk_hold_clear(&h);
+  fk_idle_retention_terminated(&h, 1000, now = fk_time_add(now, 200));
+  double faded = fk_idle_retention_factor(&h, now);
+  fk_idle_retention_provisioned(&h, 5000, now = fk_time_add(now, 100));
+  g_assert_cmpfloat(fk_idle_retention_factor(&h, now), <=, faded);
+  g_assert_cmpfloat(fk_idle_retention_factor(&h, fk_time_add(now, 1000)), ==, 1);
+  fk_idle_retention_clear(&h);
 }
 
 static void test_boots(void) {
-  FkBoots b;
-  fk_boots_init(&b);
+  FkBootTimeModel b;
+  fk_boot_time_init(&b);
   /* before anything is seen: a new one is as good as sure, one that is long overdue isn't */
-  g_assert_cmpfloat(fk_boots_chance(&b, 0, 1.5), >, 0.8);
-  g_assert_cmpfloat(fk_boots_chance(&b, 2.75, 1), >, 0.3); /* one three times as late is worth waiting for */
-  g_assert_cmpfloat(fk_boots_chance(&b, 3.8, 2), <, 0.1);
-  g_assert_cmpfloat_with_epsilon(fk_boots_left(&b, 0), 1.25, 0.35);
-  g_assert_cmpfloat(fk_boots_left(&b, 1.2), <, fk_boots_left(&b, 0));
+  g_assert_cmpfloat(fk_boot_time_probability(&b, 0, 1.5), >, 0.8);
+  g_assert_cmpfloat(fk_boot_time_probability(&b, 2.75, 1), >,
+                    0.3); /* one three times as late is worth waiting for */
+  g_assert_cmpfloat(fk_boot_time_probability(&b, 3.8, 2), <, 0.1);
+  g_assert_cmpfloat_with_epsilon(fk_boot_time_remaining(&b, 0), 1.25, 0.35);
+  g_assert_cmpfloat(fk_boot_time_remaining(&b, 1.2), <, fk_boot_time_remaining(&b, 0));
   /* machines come three times as late: one of twice the age is still awaited, and for how long is known */
-  FkBoots late = b;
+  FkBootTimeModel late = b;
   for (guint i = 0; i < 200; i++)
-    fk_boots_came(&late, 3);
-  g_assert_cmpfloat(fk_boots_chance(&late, 2, 1), >, fk_boots_chance(&b, 2, 1));
-  g_assert_cmpfloat(fk_boots_left(&late, 1), >, 1.5);
+    fk_boot_time_observe_joined(&late, 3);
+  g_assert_cmpfloat(fk_boot_time_probability(&late, 2, 1), >, fk_boot_time_probability(&b, 2, 1));
+  g_assert_cmpfloat(fk_boot_time_remaining(&late, 1), >, 1.5);
   /* many never come: one that is late is hardly reckoned with */
-  FkBoots never = b;
+  FkBootTimeModel never = b;
   for (guint i = 0; i < 200; i++) {
-    fk_boots_missed(&never, 3);
-    fk_boots_came(&never, 0.8);
+    fk_boot_time_observe_given_up(&never, 3);
+    fk_boot_time_observe_joined(&never, 0.8);
   }
-  g_assert_cmpfloat(fk_boots_chance(&never, 1.6, 1), <, 0.25);
-  g_assert_cmpfloat(fk_boots_chance(&never, 0, 1), >, 0.4);
+  g_assert_cmpfloat(fk_boot_time_probability(&never, 1.6, 1), <, 0.25);
+  g_assert_cmpfloat(fk_boot_time_probability(&never, 0, 1), >, 0.4);
   /* chances are chances, at any age, after any history */
   GRand *rand = g_rand_new_with_seed(3);
   for (guint i = 0; i < 2000; i++) {
     double age = g_rand_double_range(rand, 0, 20);
     if (g_rand_boolean(rand))
-      fk_boots_came(&b, g_rand_double_range(rand, 0, 8));
+      fk_boot_time_observe_joined(&b, g_rand_double_range(rand, 0, 8));
     else
-      fk_boots_missed(&b, g_rand_double_range(rand, 0, 8));
-    double chance = fk_boots_chance(&b, age, g_rand_double_range(rand, 0, 5));
+      fk_boot_time_observe_given_up(&b, g_rand_double_range(rand, 0, 8));
+    double chance = fk_boot_time_probability(&b, age, g_rand_double_range(rand, 0, 5));
     g_assert_true(chance >= 0 && chance <= 1 + 1e-9);
-    g_assert_cmpfloat(fk_boots_left(&b, age), >, 0);
-    g_assert_cmpfloat(fk_boots_chance(&b, age, 5), >=, fk_boots_chance(&b, age, 1) - 1e-9);
+    g_assert_cmpfloat(fk_boot_time_remaining(&b, age), >, 0);
+    g_assert_cmpfloat(fk_boot_time_probability(&b, age, 5), >=, fk_boot_time_probability(&b, age, 1) - 1e-9);
   }
   g_rand_free(rand);
 }
--- a/test/test_units.c
+++ b/test/test_units.c
@@ -23,12 +23,12 @@
       {400, 10, 20, 1, 10, 10, 0, 1, 1, 10, 10, 10},    /* never more than there are */
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    FkSizing s = {.short_share = cases[i].share_before};
-    guint n = fk_sizing_window(&s, cases[i].sum, cases[i].count, cases[i].bound, cases[i].span,
-                               cases[i].machines, cases[i].short_time, cases[i].long_time);
-    g_assert_cmpfloat_with_epsilon(s.p, cases[i].p, 1e-9);
+    FkElasticSizing s = {.short_share = cases[i].share_before};
+    guint n = fk_elastic_sizing_update(&s, cases[i].sum, cases[i].count, cases[i].bound, cases[i].span,
+                                       cases[i].machines, cases[i].short_time, cases[i].long_time);
+    g_assert_cmpfloat_with_epsilon(s.wait_ratio, cases[i].p, 1e-9);
     g_assert_cmpuint(s.floor, ==, cases[i].floor);
-    g_assert_cmpuint(s.barred, ==, cases[i].barred);
+    g_assert_cmpuint(s.blacklisted, ==, cases[i].barred);
     g_assert_cmpuint(n, ==, cases[i].total);
   }
 }
@@ -52,14 +52,14 @@
       {BOOK, 24, 0, FALSE},   {BOOK, 23, 0, TRUE},
   };
   for (guint i = 0; i < G_N_ELEMENTS(steps); i++) {
-    gboolean ok = steps[i].op == BOOK      ? fk_chunk_book(c, steps[i].task, "i-1", "c-0")
+    gboolean ok = steps[i].op == BOOK      ? fk_chunk_allocate(c, steps[i].task, "i-1", "c-0")
                   : steps[i].op == RELEASE ? fk_chunk_release(c, steps[i].task, (FkAttempt){steps[i].attempt})
                   : steps[i].op == FINISH  ? fk_chunk_finish(c, steps[i].task, (FkAttempt){steps[i].attempt})
-                                           : fk_chunk_stop(c, steps[i].task);
+                                           : fk_chunk_request_stop(c, steps[i].task);
     g_assert_cmpint(ok, ==, steps[i].legal);
   }
   g_assert_cmpuint(c->done_count, ==, 1);
-  g_assert_cmpuint(c->bookings->len, ==, 1);
+  g_assert_cmpuint(c->allocations->len, ==, 1);
 }
 
 int main(int argc, char **argv) {
--- a/test/test_unlisted.c
+++ b/test/test_unlisted.c
@@ -17,44 +17,46 @@
 }
 
 static guint64 claim_rev(Rig *r) {
-  g_autofree char *group = fk_group_id("north", "i-1");
-  return fk_view_group(fk_controller_view(r->c), group)->rev.n;
+  g_autofree char *group = fk_shard_id_for_machine("north", "i-1");
+  return fk_view_ensure_shard(fk_controller_view(r->c), group)->rev.n;
 }
 
-static guint orders_of(const FkOut *o, FkOrderOp op) {
+static guint orders_of(const FkOutput *o, FkCommandKind op) {
   guint n = 0;
-  for (guint i = 0; o && o->orders && i < o->orders->len; i++)
-    n += ((FkOrder *)o->orders->pdata[i])->op == op;
+  for (guint i = 0; o && o->commands && i < o->commands->len; i++)
+    n += ((FkCommand *)o->commands->pdata[i])->kind == op;
   return n;
 }
 
-static FkOut *latest(Rig *r, FkOutKind kind) { return find(r, kind, NULL); }
+static FkOutput *latest(Rig *r, FkOutputKind kind) { return find(r, kind, NULL); }
 
 static void forget_outs(Rig *r) { g_ptr_array_set_size(r->outs, 0); }
 
 /* A direct call comes back with what the machine says now. */
-static void answered(Rig *r, FkOutcome o, FkReport *says_now) {
-  FkOut *call = latest(r, FK_OUT_COMMANDS);
+static void answered(Rig *r, FkOutcome o, FkHeartbeat *says_now) {
+  FkOutput *call = latest(r, FK_OUTPUT_COMMANDS);
   g_assert_nonnull(call);
   guint64 id = call->call;
   forget_outs(r);
-  fk_controller_commanded(r->c, r->now, id, o, says_now);
+  fk_controller_command_reply_received(r->c, r->now, id, o, says_now);
   pump(r);
 }
 
-static FkReport *with_task(FkReport *r, FkTaskState state, FkWhy why) {
-  FkTaskReport *t = g_new0(FkTaskReport, 1);
-  *t = (FkTaskReport){g_strdup("run-1"), 0, {1}, state, why};
+static FkHeartbeat *with_task(FkHeartbeat *r, FkTaskState state, FkExitReason why) {
+  FkTaskStatus *t = g_new0(FkTaskStatus, 1);
+  *t = (FkTaskStatus){g_strdup("run-1"), 0, {1}, state, why};
   g_ptr_array_add(r->tasks, t);
   return r;
 }
 
-static void says_now(Rig *r, FkReport *report) {
-  fk_controller_report(r->c, r->now, (FkRequest){++r->tally}, report);
+static void says_now(Rig *r, FkHeartbeat *report) {
+  fk_controller_heartbeat_received(r->c, r->now, (FkRequestId){++r->tally}, report);
   pump(r);
 }
 
-static FkReport *i_1(Rig *r, guint64 session, guint64 seq) { return says(r, "i-1", "north", session, seq); }
+static FkHeartbeat *i_1(Rig *r, guint64 session, guint64 seq) {
+  return says(r, "i-1", "north", session, seq);
+}
 
 /* A start that was sent straight to the machine, and carried out, may be repeated by the network after its
  * attempt was forgotten: it would run again, while the task may run elsewhere (ran_twice), beyond its team's
@@ -65,22 +67,22 @@
   forget_outs(r);
   book(r);
   tick(r, 0.3);
-  g_assert_cmpuint(orders_of(latest(r, FK_OUT_COMMANDS), FK_ORDER_START), ==, 1);
-  answered(r, FK_OK, with_task(i_1(r, 1, 2), FK_TASK_RUNNING, FK_WHY_NONE));
-  says_now(r, with_task(i_1(r, 1, 3), FK_TASK_EXITED, FK_WHY_DONE));
+  g_assert_cmpuint(orders_of(latest(r, FK_OUTPUT_COMMANDS), FK_COMMAND_START), ==, 1);
+  answered(r, FK_OUTCOME_OK, with_task(i_1(r, 1, 2), FK_TASK_RUNNING, FK_EXIT_NONE));
+  says_now(r, with_task(i_1(r, 1, 3), FK_TASK_EXITED, FK_EXIT_DONE));
   tick(r, 0.6);
   /* its end is committed */
   watched(r,
           (const char *const[]){"fk/l/t/run-1/00000", "{\"f\":0,\"n\":4,\"a\":2,\"d\":[0],\"b\":[]}", NULL});
   forget_outs(r);
-  says_now(r, with_task(i_1(r, 1, 4), FK_TASK_EXITED, FK_WHY_DONE));
-  g_assert_cmpuint(orders_of(latest(r, FK_OUT_REPLY), FK_ORDER_FORGET), ==, 0);
+  says_now(r, with_task(i_1(r, 1, 4), FK_TASK_EXITED, FK_EXIT_DONE));
+  g_assert_cmpuint(orders_of(latest(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_FORGET), ==, 0);
   /* a later token makes it void wherever it is */
   g_autofree char *claim = group_key("g");
   watched(r, (const char *const[]){claim, "{\"node\":\"c-0\",\"life\":\"now\"}", NULL});
   forget_outs(r);
-  says_now(r, with_task(i_1(r, 1, 5), FK_TASK_EXITED, FK_WHY_DONE));
-  g_assert_cmpuint(orders_of(latest(r, FK_OUT_REPLY), FK_ORDER_FORGET), ==, 1);
+  says_now(r, with_task(i_1(r, 1, 5), FK_TASK_EXITED, FK_EXIT_DONE));
+  g_assert_cmpuint(orders_of(latest(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_FORGET), ==, 1);
   rig_free(r);
 }
 
@@ -89,7 +91,7 @@
   Rig *r = rig_new(TRUE);
   book(r);
   says_now(r, i_1(r, 1, 1));
-  g_assert_cmpuint(starts(latest(r, FK_OUT_REPLY)), ==, 1);
+  g_assert_cmpuint(starts(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)), ==, 1);
   rig_free(r);
 }
 
@@ -104,14 +106,14 @@
   guint refused = 0, asked = 0;
   for (guint k = 0; k < 200; k++) {
     says_now(r, i_1(r, 1, 1 + k % 6));
-    FkOut *o = latest(r, FK_OUT_REPLY);
+    FkOutput *o = latest(r, FK_OUTPUT_HEARTBEAT_REPLY);
     g_assert_cmpint(o->status, ==, 503);
-    g_assert_true(!o->orders);
+    g_assert_true(!o->commands);
     refused++;
-    FkOut *q = latest(r, FK_OUT_COMMANDS);
+    FkOutput *q = latest(r, FK_OUTPUT_COMMANDS);
     asked += q != NULL;
     if (q)
-      answered(r, FK_UNKNOWN, NULL);
+      answered(r, FK_OUTCOME_UNKNOWN, NULL);
     forget_outs(r);
     if (k % 20 == 19)
       tick(r, 0.1);
@@ -129,14 +131,14 @@
     g_autofree char *page = group_key("m");
     watched(r, (const char *const[]){page, "{\"zone\":\"north\",\"m\":[]}", NULL});
     forget_outs(r);
-    FkReport *copy = i_1(r, 1, 9);
-    copy->token.n--;
+    FkHeartbeat *copy = i_1(r, 1, 9);
+    copy->fencing_token.n--;
     says_now(r, copy);
-    g_assert_nonnull(latest(r, FK_OUT_COMMANDS));
-    answered(r, there ? FK_OK : FK_UNKNOWN, there ? i_1(r, 1, 10) : NULL);
+    g_assert_nonnull(latest(r, FK_OUTPUT_COMMANDS));
+    answered(r, there ? FK_OUTCOME_OK : FK_OUTCOME_UNKNOWN, there ? i_1(r, 1, 10) : NULL);
     tick(r, 2);
-    g_assert_cmpint(find(r, FK_OUT_COMMIT, page) != NULL, ==, there);
-    g_assert_null(find(r, FK_OUT_COMMIT, "fk/l/t/"));
+    g_assert_cmpint(find(r, FK_OUTPUT_COMMIT, page) != NULL, ==, there);
+    g_assert_null(find(r, FK_OUTPUT_COMMIT, "fk/l/t/"));
     rig_free(r);
   }
 }
@@ -154,28 +156,28 @@
     gboolean marked = FALSE;
     int last = 0;
     for (guint step = 0; step < 60 && !marked; step++) {
-      FkOut *call = latest(r, FK_OUT_COMMANDS);
+      FkOutput *call = latest(r, FK_OUTPUT_COMMANDS);
       if (call)
-        answered(r, FK_UNKNOWN, NULL);
+        answered(r, FK_OUTCOME_UNKNOWN, NULL);
       if (step % 5 == 4) {
-        FkReport *rep = i_1(r, 1, ++seq);
-        says_now(r, hears ? with_task(rep, FK_TASK_RUNNING, FK_WHY_NONE) : rep);
-        last = latest(r, FK_OUT_REPLY)->status;
+        FkHeartbeat *rep = i_1(r, 1, ++seq);
+        says_now(r, hears ? with_task(rep, FK_TASK_RUNNING, FK_EXIT_NONE) : rep);
+        last = latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status;
         g_assert_cmpint(last, ==, 200);
       }
       tick(r, 0.3);
-      marked = find(r, FK_OUT_COMMIT, page) != NULL;
+      marked = find(r, FK_OUTPUT_COMMIT, page) != NULL;
       watched(r, NULL);
     }
     g_assert_cmpint(marked, ==, !hears);
     if (!hears) {
-      FkMachine *m = fk_view_machine(fk_controller_view(r->c), "i-1");
-      g_assert_false(fk_machine_usable(r->c, m));
+      FkMachine *m = fk_view_find_machine(fk_controller_view(r->c), "i-1");
+      g_assert_false(fk_machine_is_usable(r->c, m));
       watched(
           r, (const char *const[]){
                  page, "{\"zone\":\"north\",\"m\":[[\"i-1\",\"box8\",\"127.0.0.1:9\",0,\"silent\"]]}", NULL});
       says_now(r, i_1(r, 1, ++seq));
-      g_assert_cmpint(latest(r, FK_OUT_REPLY)->status, ==, 503);
+      g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, 503);
     }
     rig_free(r);
   }
@@ -188,24 +190,24 @@
   Rig *r = rig_new(TRUE);
   says_now(r, i_1(r, 1, 40));
   book(r);
-  answered(r, FK_OK, with_task(i_1(r, 1, 41), FK_TASK_RUNNING, FK_WHY_NONE));
+  answered(r, FK_OUTCOME_OK, with_task(i_1(r, 1, 41), FK_TASK_RUNNING, FK_EXIT_NONE));
   tick(r, 1.5);
   forget_outs(r);
-  FkReport *fresh = i_1(r, 1, 1);
-  fresh->token.n = 0;
+  FkHeartbeat *fresh = i_1(r, 1, 1);
+  fresh->fencing_token.n = 0;
   says_now(r, fresh);
-  g_assert_cmpint(latest(r, FK_OUT_REPLY)->status, ==, 503);
-  answered(r, FK_OK, i_1(r, 1, 2));
+  g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, 503);
+  answered(r, FK_OUTCOME_OK, i_1(r, 1, 2));
   /* it is empty: the task is started again, and not taken for ended */
-  g_assert_cmpuint(starts(latest(r, FK_OUT_COMMANDS)), ==, 1);
-  g_assert_false(fk_home_heard(fk_view_machine(fk_controller_view(r->c), "i-1")));
-  answered(r, FK_OK, with_task(i_1(r, 1, 3), FK_TASK_RUNNING, FK_WHY_NONE));
+  g_assert_cmpuint(starts(latest(r, FK_OUTPUT_COMMANDS)), ==, 1);
+  g_assert_false(fk_worker_has_echoed_token(fk_view_find_machine(fk_controller_view(r->c), "i-1")));
+  answered(r, FK_OUTCOME_OK, with_task(i_1(r, 1, 3), FK_TASK_RUNNING, FK_EXIT_NONE));
   g_autofree char *claim = group_key("g");
   tick(r, 4);
-  g_assert_nonnull(find(r, FK_OUT_COMMIT, claim));
+  g_assert_nonnull(find(r, FK_OUTPUT_COMMIT, claim));
   watched(r, (const char *const[]){claim, "{\"node\":\"c-0\",\"life\":\"now\"}", NULL});
-  says_now(r, with_task(i_1(r, 1, 4), FK_TASK_RUNNING, FK_WHY_NONE));
-  g_assert_true(fk_home_heard(fk_view_machine(fk_controller_view(r->c), "i-1")));
+  says_now(r, with_task(i_1(r, 1, 4), FK_TASK_RUNNING, FK_EXIT_NONE));
+  g_assert_true(fk_worker_has_echoed_token(fk_view_find_machine(fk_controller_view(r->c), "i-1")));
   rig_free(r);
 }
 
@@ -221,22 +223,22 @@
     Rig *r = rig_new(TRUE);
     if (cases[i].stale)
       tick(r, 5);
-    FkReport *rep = i_1(r, 1, 1);
-    rep->token.n = claim_rev(r) + (cases[i].later ? 100 : 0);
+    FkHeartbeat *rep = i_1(r, 1, 1);
+    rep->fencing_token.n = claim_rev(r) + (cases[i].later ? 100 : 0);
     says_now(r, rep);
-    g_assert_cmpint(latest(r, FK_OUT_REPLY)->status, ==, cases[i].later ? 421 : 200);
-    g_autofree char *group = fk_group_id("north", "i-1"), *mate = NULL;
+    g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, cases[i].later ? 421 : 200);
+    g_autofree char *group = fk_shard_id_for_machine("north", "i-1"), *mate = NULL;
     for (guint k = 2; !mate; k++) {
-      g_autofree char *id = g_strdup_printf("i-%u", k), *of = fk_group_id("north", id);
+      g_autofree char *id = g_strdup_printf("i-%u", k), *of = fk_shard_id_for_machine("north", id);
       if (g_str_equal(of, group))
         mate = g_steal_pointer(&id);
     }
     says_now(r, says(r, mate, "north", 1, 1));
-    g_assert_cmpint(latest(r, FK_OUT_REPLY)->status, ==, cases[i].other);
+    g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, cases[i].other);
     /* a view that is fresh again would show such a claim: the group is ours, and answered */
     watched(r, NULL);
     says_now(r, says(r, mate, "north", 1, 2));
-    g_assert_cmpint(latest(r, FK_OUT_REPLY)->status, ==, 200);
+    g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, 200);
     rig_free(r);
   }
 }
@@ -246,13 +248,13 @@
 static void test_up(void) {
   for (guint peers = 0; peers < 2; peers++) {
     Rig *r = rig_new(TRUE);
-    g_assert_true(fk_controller_up(r->c, r->now));
+    g_assert_true(fk_controller_is_serving(r->c, r->now));
     for (guint k = 0; k < 20; k++) {
       tick(r, 0.5);
       if (peers)
-        fk_controller_peer(r->c, r->now, "c-1", "x", (FkRev){1}, (FkRev){1}, 9, r->now);
+        fk_controller_peer_progress_received(r->c, r->now, "c-1", "x", (FkRev){1}, (FkRev){1}, 9, r->now);
     }
-    g_assert_cmpint(fk_controller_up(r->c, r->now), ==, peers);
+    g_assert_cmpint(fk_controller_is_serving(r->c, r->now), ==, peers);
     rig_free(r);
   }
 }
@@ -261,34 +263,34 @@
 static void test_without_view(void) {
   Rig *r = rig_new(TRUE);
   g_autoptr(GPtrArray) none = g_ptr_array_new();
-  fk_controller_watched(r->c, r->now, FK_GONE, none, (FkRev){0}, r->now);
+  fk_controller_watch_received(r->c, r->now, FK_OUTCOME_GONE, none, (FkRev){0}, r->now);
   pump(r);
   forget_outs(r);
   for (guint k = 0; k < 40; k++)
-    fk_controller_get(r->c, r->now, (FkRequest){100 + k}, "run-7");
+    fk_controller_poll_received(r->c, r->now, (FkRequestId){100 + k}, "run-7");
   pump(r);
   guint reads = 0, refused = 0;
   guint64 call = 0;
   for (guint i = 0; i < r->outs->len; i++) {
-    const FkOut *o = r->outs->pdata[i];
-    reads += o->kind == FK_OUT_GET;
-    refused += o->kind == FK_OUT_ANSWER && o->status == 503;
-    call = o->kind == FK_OUT_GET && !call ? o->call : call;
+    const FkOutput *o = r->outs->pdata[i];
+    reads += o->kind == FK_OUTPUT_GET;
+    refused += o->kind == FK_OUTPUT_USER_REPLY && o->status == 503;
+    call = o->kind == FK_OUTPUT_GET && !call ? o->call : call;
   }
   g_assert_cmpuint(reads, ==, 16);
   g_assert_cmpuint(refused, ==, 24);
   /* neither live nor final: never accepted; and there is room for the next question */
   forget_outs(r);
-  fk_controller_got(r->c, r->now, call, FK_GONE, NULL);
+  fk_controller_get_received(r->c, r->now, call, FK_OUTCOME_GONE, NULL);
   pump(r);
-  call = latest(r, FK_OUT_GET)->call;
-  fk_controller_got(r->c, r->now, call, FK_GONE, NULL);
+  call = latest(r, FK_OUTPUT_GET)->call;
+  fk_controller_get_received(r->c, r->now, call, FK_OUTCOME_GONE, NULL);
   pump(r);
-  g_assert_cmpint(latest(r, FK_OUT_ANSWER)->status, ==, 404);
+  g_assert_cmpint(latest(r, FK_OUTPUT_USER_REPLY)->status, ==, 404);
   forget_outs(r);
-  fk_controller_get(r->c, r->now, (FkRequest){200}, "run-7");
+  fk_controller_poll_received(r->c, r->now, (FkRequestId){200}, "run-7");
   pump(r);
-  g_assert_nonnull(latest(r, FK_OUT_GET));
+  g_assert_nonnull(latest(r, FK_OUTPUT_GET));
   rig_free(r);
 }
 
@@ -305,23 +307,23 @@
 static void test_compared_then_cleared(void) {
   Rig *r = rig_new(TRUE);
   forget_outs(r);
-  fk_controller_get(r->c, r->now, (FkRequest){300}, "run-1");
+  fk_controller_poll_received(r->c, r->now, (FkRequestId){300}, "run-1");
   pump(r);
-  guint64 call = latest(r, FK_OUT_COMMIT)->call;
+  guint64 call = latest(r, FK_OUTPUT_COMMIT)->call;
   g_autoptr(GPtrArray) none = g_ptr_array_new();
-  fk_controller_watched(r->c, r->now, FK_GONE, none, (FkRev){0}, r->now);
+  fk_controller_watch_received(r->c, r->now, FK_OUTCOME_GONE, none, (FkRev){0}, r->now);
   pump(r);
   forget_outs(r);
-  fk_controller_committed(r->c, r->now, call, FK_OK, (FkRev){r->epoch}, none);
+  fk_controller_commit_received(r->c, r->now, call, FK_OUTCOME_OK, (FkRev){r->epoch}, none);
   pump(r);
-  g_assert_null(find(r, FK_OUT_ANSWER, NULL));
-  call = latest(r, FK_OUT_GET)->call;
-  FkEvent *e = g_new0(FkEvent, 1);
+  g_assert_null(find(r, FK_OUTPUT_USER_REPLY, NULL));
+  call = latest(r, FK_OUTPUT_GET)->call;
+  FkStoreEvent *e = g_new0(FkStoreEvent, 1);
   g_autoptr(cJSON) j = fk_json_parse(SPEC, strlen(SPEC));
-  *e = (FkEvent){g_strdup("fk/l/j/run-1"), fk_store_record_from_json("fk/l/j/run-1", j), {11}};
-  fk_controller_got(r->c, r->now, call, FK_OK, e);
+  *e = (FkStoreEvent){g_strdup("fk/l/j/run-1"), fk_store_record_from_json("fk/l/j/run-1", j), {11}};
+  fk_controller_get_received(r->c, r->now, call, FK_OUTCOME_OK, e);
   pump(r);
-  g_assert_cmpint(latest(r, FK_OUT_ANSWER)->status, ==, 200);
+  g_assert_cmpint(latest(r, FK_OUTPUT_USER_REPLY)->status, ==, 200);
   rig_free(r);
 }
 
@@ -332,26 +334,26 @@
   } cases[] = {{100, FALSE, FALSE}, {140, FALSE, TRUE}, {140, TRUE, FALSE}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
-    r->s->report_s = 1000;
-    ((FkTeam *)r->s->teams->pdata[0])->cpus_max = 100;
-    ((FkTeam *)r->s->teams->pdata[1])->cpus_max = 100;
+    r->s->heartbeat_interval_s = 1000;
+    ((FkTeam *)r->s->teams->pdata[0])->max_cpus = 100;
+    ((FkTeam *)r->s->teams->pdata[1])->max_cpus = 100;
     says_now(r, i_1(r, 1, 1));
     watched(r, (const char *const[]){"fk/l/j/run-2", WHOLE, "fk/l/t/run-1/00000",
                                      "{\"f\":0,\"n\":4,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}", NULL});
     r->now = r->c->now = fk_time_add(r->now, 3); /* the next look */
     FkView *v = fk_controller_view(r->c);
-    FkJob *big = fk_view_job(v, "run-2"), *small = fk_view_job(v, "run-1");
-    FkMachine *m = fk_view_machine(v, "i-1");
-    big->could_us = r->now.us - (gint64)(cases[i].waited_s * 1e6);
-    small->could_us = r->now.us;
-    big->booked += cases[i].begun;
-    g_autoptr(GPtrArray) jobs = fk_turn_waiting(r->c);
+    FkJob *big = fk_view_find_job(v, "run-2"), *small = fk_view_find_job(v, "run-1");
+    FkMachine *m = fk_view_find_machine(v, "i-1");
+    big->startable_us = r->now.us - (gint64)(cases[i].waited_s * 1e6);
+    small->startable_us = r->now.us;
+    big->allocated += cases[i].begun;
+    g_autoptr(GPtrArray) jobs = fk_scheduling_queue_select_jobs(r->c);
     g_assert_cmpint(big->urgent, ==, cases[i].urgent);
     g_assert_true(!cases[i].urgent || jobs->pdata[0] == big);
-    g_assert_cmpint(fk_overdue_keeps(r->c, small, m), ==, cases[i].urgent);
-    g_assert_false(fk_overdue_keeps(r->c, big, m));
-    g_assert_true(fk_overdue_for(r->c, m) == (cases[i].urgent ? big : NULL));
-    big->booked -= cases[i].begun;
+    g_assert_cmpint(fk_backfill_reservation_blocks(r->c, small, m), ==, cases[i].urgent);
+    g_assert_false(fk_backfill_reservation_blocks(r->c, big, m));
+    g_assert_true(fk_backfill_reservation_holder(r->c, m) == (cases[i].urgent ? big : NULL));
+    big->allocated -= cases[i].begun;
     rig_free(r);
   }
 }
@@ -371,11 +373,11 @@
     if (cases[i].old)
       tick(r, 5);
     forget_outs(r);
-    FkReport *rep = i_1(r, 1, 1);
-    rep->token.n = cases[i].token == 2 ? claim_rev(r) : cases[i].token;
+    FkHeartbeat *rep = i_1(r, 1, 1);
+    rep->fencing_token.n = cases[i].token == 2 ? claim_rev(r) : cases[i].token;
     says_now(r, rep);
-    g_assert_cmpint(latest(r, FK_OUT_REPLY)->status, ==, cases[i].status);
-    g_assert_cmpuint(starts(latest(r, FK_OUT_REPLY)), ==, cases[i].status == 200);
+    g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, cases[i].status);
+    g_assert_cmpuint(starts(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)), ==, cases[i].status == 200);
     rig_free(r);
   }
   /* it had shown our token, and is asked, since its reports look like copies */
@@ -383,14 +385,14 @@
     Rig *r = rig_new(TRUE);
     says_now(r, i_1(r, 1, 40));
     book(r);
-    answered(r, FK_OK, with_task(i_1(r, 1, 41), FK_TASK_RUNNING, FK_WHY_NONE));
+    answered(r, FK_OUTCOME_OK, with_task(i_1(r, 1, 41), FK_TASK_RUNNING, FK_EXIT_NONE));
     tick(r, old ? 5 : 1.5);
     forget_outs(r);
-    FkReport *fresh = i_1(r, 1, 1);
-    fresh->token.n = 0;
+    FkHeartbeat *fresh = i_1(r, 1, 1);
+    fresh->fencing_token.n = 0;
     says_now(r, fresh);
-    if (latest(r, FK_OUT_COMMANDS))
-      answered(r, FK_OK, i_1(r, 1, 2));
+    if (latest(r, FK_OUTPUT_COMMANDS))
+      answered(r, FK_OUTCOME_OK, i_1(r, 1, 2));
     for (guint k = 0; k < r->outs->len; k++)
       g_assert_cmpuint(starts(r->outs->pdata[k]), ==, old ? 0 : 1);
     rig_free(r);
@@ -402,22 +404,22 @@
 static void test_stops_first(void) {
   Rig *r = rig_new(TRUE);
   book(r);
-  FkReport *rep = i_1(r, 1, 1);
+  FkHeartbeat *rep = i_1(r, 1, 1);
   for (guint k = 0; k < 300; k++) {
-    FkTaskReport *t = g_new0(FkTaskReport, 1);
-    *t = (FkTaskReport){g_strdup("run-9"), k, {1}, FK_TASK_EXITED, FK_WHY_DONE};
+    FkTaskStatus *t = g_new0(FkTaskStatus, 1);
+    *t = (FkTaskStatus){g_strdup("run-9"), k, {1}, FK_TASK_EXITED, FK_EXIT_DONE};
     g_ptr_array_add(rep->tasks, t);
   }
-  with_task(rep, FK_TASK_RUNNING, FK_WHY_NONE);
+  with_task(rep, FK_TASK_RUNNING, FK_EXIT_NONE);
   g_autofree char *cancelled = g_strdup(SPEC);
   cancelled[strlen(cancelled) - 1] = 0;
   g_autofree char *record = g_strconcat(cancelled, ",\"cancelled\":true}", NULL);
   watched(r, (const char *const[]){"fk/l/j/run-1", record, NULL});
-  g_assert_true(fk_view_job(fk_controller_view(r->c), "run-1")->cancelled);
+  g_assert_true(fk_view_find_job(fk_controller_view(r->c), "run-1")->cancelled);
   forget_outs(r);
   says_now(r, rep);
-  g_assert_cmpuint(orders_of(latest(r, FK_OUT_REPLY), FK_ORDER_STOP), ==, 1);
-  g_assert_cmpuint(orders_of(latest(r, FK_OUT_REPLY), FK_ORDER_FORGET), >, 100);
+  g_assert_cmpuint(orders_of(latest(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_STOP), ==, 1);
+  g_assert_cmpuint(orders_of(latest(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_FORGET), >, 100);
   rig_free(r);
 }
 
@@ -425,8 +427,8 @@
 static guint sends_of(Rig *r, guint64 call) {
   guint n = 0;
   for (guint i = 0; i < r->outs->len; i++) {
-    const FkOut *o = r->outs->pdata[i];
-    n += o->kind == FK_OUT_COMMIT && o->call == call;
+    const FkOutput *o = r->outs->pdata[i];
+    n += o->kind == FK_OUTPUT_COMMIT && o->call == call;
   }
   return n;
 }
@@ -438,12 +440,15 @@
 static void test_asked_again(void) {
   static const struct {
     gboolean sent;
-    FkOutcome first, second; /* FK_UNKNOWN: none comes */
+    FkOutcome first, second; /* FK_OUTCOME_UNKNOWN: none comes */
     int status;              /* 0: the user still waits */
     guint most;              /* sends */
-  } cases[] = {{FALSE, FK_UNKNOWN, FK_UNKNOWN, 0, 1}, {TRUE, FK_UNKNOWN, FK_UNKNOWN, 0, 4},
-               {TRUE, FK_UNKNOWN, FK_OK, 201, 4},     {TRUE, FK_REFUSED, FK_UNKNOWN, 0, 4},
-               {TRUE, FK_REFUSED, FK_OK, 201, 4},     {TRUE, FK_REFUSED, FK_REFUSED, 503, 4}};
+  } cases[] = {{FALSE, FK_OUTCOME_UNKNOWN, FK_OUTCOME_UNKNOWN, 0, 1},
+               {TRUE, FK_OUTCOME_UNKNOWN, FK_OUTCOME_UNKNOWN, 0, 4},
+               {TRUE, FK_OUTCOME_UNKNOWN, FK_OUTCOME_OK, 201, 4},
+               {TRUE, FK_OUTCOME_REFUSED, FK_OUTCOME_UNKNOWN, 0, 4},
+               {TRUE, FK_OUTCOME_REFUSED, FK_OUTCOME_OK, 201, 4},
+               {TRUE, FK_OUTCOME_REFUSED, FK_OUTCOME_REFUSED, 503, 4}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
     forget_outs(r);
@@ -454,39 +459,39 @@
     spec->class_name = g_strdup("c");
     spec->tasks = 1;
     spec->cpus = spec->mem_gb = 1;
-    fk_controller_submit(r->c, r->now, (FkRequest){900}, spec);
+    fk_controller_submission_received(r->c, r->now, (FkRequestId){900}, spec);
     pump(r);
-    FkOut *t = find(r, FK_OUT_COMMIT, "fk/l/j/run-77");
+    FkOutput *t = find(r, FK_OUTPUT_COMMIT, "fk/l/j/run-77");
     g_assert_nonnull(t);
     g_assert_true(guarded(t, "fk/l/j/run-77") && guarded(t, "fk/d/run-77"));
     guint64 call = t->call;
     if (cases[i].sent)
-      fk_controller_sent(r->c, r->now, call);
+      fk_controller_transaction_sent(r->c, r->now, call);
     tick(r, 0.2);
     g_assert_cmpuint(sends_of(r, call), ==, 1); /* a slow answer is no lost one */
     tick(r, 0.4);
     g_assert_cmpuint(sends_of(r, call), ==, cases[i].sent ? 2 : 1);
-    if (cases[i].first != FK_UNKNOWN)
-      fk_controller_committed(r->c, r->now, call, cases[i].first, (FkRev){0}, NULL);
-    if (cases[i].second != FK_UNKNOWN)
-      fk_controller_committed(r->c, r->now, call, cases[i].second, (FkRev){r->epoch + 5}, NULL);
+    if (cases[i].first != FK_OUTCOME_UNKNOWN)
+      fk_controller_commit_received(r->c, r->now, call, cases[i].first, (FkRev){0}, NULL);
+    if (cases[i].second != FK_OUTCOME_UNKNOWN)
+      fk_controller_commit_received(r->c, r->now, call, cases[i].second, (FkRev){r->epoch + 5}, NULL);
     pump(r);
-    const FkOut *a = latest(r, FK_OUT_ANSWER);
+    const FkOutput *a = latest(r, FK_OUTPUT_USER_REPLY);
     g_assert_cmpint(a ? a->status : 0, ==, cases[i].status);
     for (guint k = 0; k < 5; k++) {
       if (cases[i].sent)
-        fk_controller_sent(r->c, r->now, call);
+        fk_controller_transaction_sent(r->c, r->now, call);
       tick(r, 2);
     }
     if (!cases[i].status)
       g_assert_cmpuint(sends_of(r, call), ==, cases[i].most);
     /* the deadline of the first ends it; nothing more is said to the user */
-    fk_controller_committed(r->c, r->now, call, FK_UNKNOWN, (FkRev){0}, NULL);
-    fk_controller_committed(r->c, r->now, call, FK_OK, (FkRev){r->epoch + 5}, NULL);
+    fk_controller_commit_received(r->c, r->now, call, FK_OUTCOME_UNKNOWN, (FkRev){0}, NULL);
+    fk_controller_commit_received(r->c, r->now, call, FK_OUTCOME_OK, (FkRev){r->epoch + 5}, NULL);
     pump(r);
     guint answers = 0;
     for (guint k = 0; k < r->outs->len; k++)
-      answers += ((FkOut *)r->outs->pdata[k])->kind == FK_OUT_ANSWER;
+      answers += ((FkOutput *)r->outs->pdata[k])->kind == FK_OUTPUT_USER_REPLY;
     g_assert_cmpuint(answers, ==, 1);
     rig_free(r);
   }
@@ -501,17 +506,17 @@
     for (guint k = 0; k < 12; k++) {
       forget_outs(r);
       g_autofree char *id = g_strdup_printf("run-%u", 100 + k);
-      fk_controller_get(r->c, r->now, (FkRequest){100 + k}, id);
+      fk_controller_poll_received(r->c, r->now, (FkRequestId){100 + k}, id);
       tick(r, 0.6); /* past the pace of the questions */
-      call = latest(r, FK_OUT_COMMIT)->call;
-      fk_controller_sent(r->c, r->now, call);
+      call = latest(r, FK_OUTPUT_COMMIT)->call;
+      fk_controller_transaction_sent(r->c, r->now, call);
       if (k == 11)
         break;
       if (lossy) {
         tick(r, 0.6);
-        fk_controller_sent(r->c, r->now, call);
+        fk_controller_transaction_sent(r->c, r->now, call);
       }
-      fk_controller_committed(r->c, r->now, call, FK_OK, (FkRev){r->epoch}, NULL);
+      fk_controller_commit_received(r->c, r->now, call, FK_OUTCOME_OK, (FkRev){r->epoch}, NULL);
     }
     tick(r, 0.2);
     g_assert_cmpuint(sends_of(r, call), ==, 1 + lossy);
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -125,7 +125,7 @@
       {"", -1},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    g_autoptr(FkReport) r = fk_worker_parse_report(cases[i].body, strlen(cases[i].body));
+    g_autoptr(FkHeartbeat) r = fk_worker_parse_heartbeat(cases[i].body, strlen(cases[i].body));
     g_assert_cmpint(r ? (int)r->tasks->len : -1, ==, cases[i].tasks);
   }
 }
@@ -144,13 +144,13 @@
     const char *why;
     FkRecord *r = fk_record_new(FK_KEY_JOB);
     r->spec = fk_user_parse_submission(body, strlen(body), &why);
-    r->spec->chunk = 8;
-    g_autofree char *needs = r->spec->needs ? g_strjoinv(" ", r->spec->needs) : NULL;
+    r->spec->chunk_tasks = 8;
+    g_autofree char *needs = r->spec->dependencies ? g_strjoinv(" ", r->spec->dependencies) : NULL;
     g_assert_cmpstr(needs, ==, cases[i].needs);
     g_autoptr(cJSON) j = fk_store_record_to_json(r);
     g_assert_cmpint(fk_json_get(j, "needs") != NULL, ==, cases[i].needs != NULL);
-    FkRecord *back = fk_store_record_from_json(FK_LIVE "j/run-1", j);
-    g_autofree char *again = back->spec->needs ? g_strjoinv(" ", back->spec->needs) : NULL;
+    FkRecord *back = fk_store_record_from_json(FK_STORE_LIVE_ROOT "j/run-1", j);
+    g_autofree char *again = back->spec->dependencies ? g_strjoinv(" ", back->spec->dependencies) : NULL;
     g_assert_cmpstr(again, ==, cases[i].needs);
     fk_record_free(back);
     fk_record_free(r);
@@ -158,7 +158,7 @@
     cJSON_AddItemToObject(j, "needs", cJSON_CreateRaw("[7]"));
     g_autofree char *text = fk_json_print(j);
     g_autoptr(cJSON) bad = fk_json_parse(text, strlen(text));
-    g_assert_null(fk_store_record_from_json(FK_LIVE "j/run-1", bad));
+    g_assert_null(fk_store_record_from_json(FK_STORE_LIVE_ROOT "j/run-1", bad));
   }
 }
 
@@ -198,9 +198,9 @@
     if (!s)
       continue;
     g_assert_cmpfloat(s->value_kb, ==, cases[i].value_kb);
-    g_assert_cmpfloat(s->now_value_kb, ==, 2);
-    g_assert_cmpfloat(s->next_write_rps, ==, cases[i].write_rps);
-    g_assert_cmpuint(s->txn_ops, ==, cases[i].ops);
+    g_assert_cmpfloat(s->current_value_kb, ==, 2);
+    g_assert_cmpfloat(s->next_store_write_rps, ==, cases[i].write_rps);
+    g_assert_cmpuint(s->transaction_ops_max, ==, cases[i].ops);
   }
 }
 
@@ -209,17 +209,17 @@
     FkRecord *r = fk_record_new(FK_KEY_CHUNK);
     r->chunk = fk_chunk_new(64, count);
     for (guint32 i = 0; i < count; i++) {
-      fk_chunk_book(r->chunk, 64 + i, "i-000000000231", "knotter-0");
+      fk_chunk_allocate(r->chunk, 64 + i, "i-000000000231", "knotter-0");
       if (i % 3 == 0)
         fk_chunk_finish(r->chunk, 64 + i, (FkAttempt){i + 1});
     }
     g_autoptr(cJSON) j = fk_store_record_to_json(r);
-    FkRecord *back = fk_store_record_from_json(FK_LIVE "t/run-1/00001", j);
+    FkRecord *back = fk_store_record_from_json(FK_STORE_LIVE_ROOT "t/run-1/00001", j);
     g_assert_nonnull(back);
     g_assert_cmpuint(back->chunk->next_attempt, ==, r->chunk->next_attempt);
     g_assert_cmpuint(back->chunk->done_count, ==, r->chunk->done_count);
     g_assert_cmpmem(back->chunk->done, count, r->chunk->done, count);
-    g_assert_cmpuint(back->chunk->bookings->len, ==, r->chunk->bookings->len);
+    g_assert_cmpuint(back->chunk->allocations->len, ==, r->chunk->allocations->len);
     fk_record_free(back);
     fk_record_free(r);
   }
@@ -230,14 +230,14 @@
 static void test_chunk_fits(void) {
   static const double limits[] = {1, 2, 8, 32};
   for (guint i = 0; i < G_N_ELEMENTS(limits); i++) {
-    guint32 n = fk_chunk_tasks_within(limits[i], "knotter-10");
+    guint32 n = fk_chunk_max_tasks(limits[i], "knotter-10");
     FkRecord *r = fk_record_new(FK_KEY_CHUNK);
     r->chunk = fk_chunk_new(99872, n + 60);
     r->chunk->next_attempt = 9000000;
     guint32 booked = 0;
     while (booked < n + 60 && fk_chunk_fits(r->chunk, limits[i], "i-0000000231", "knotter-10")) {
-      fk_chunk_book(r->chunk, 99872 + booked, "i-0000000231", "knotter-10");
-      fk_chunk_stop(r->chunk, 99872 + booked++);
+      fk_chunk_allocate(r->chunk, 99872 + booked, "i-0000000231", "knotter-10");
+      fk_chunk_request_stop(r->chunk, 99872 + booked++);
     }
     r->chunk->done_count = 1; /* so that its bits are written */
     g_assert_cmpuint(booked, >=, MIN(n, 128));
@@ -326,10 +326,10 @@
     g_autoptr(FkRecord) r = fk_store_record_from_json("fk/l/r/c-0/0", j);
     g_assert_cmpint(r != NULL, ==, cases[i].good);
     for (guint again = 0; r && again < 2; again++) {
-      const FkEnds *e = r->ends->pdata[0];
+      const FkCompletionRecord *e = r->completions->pdata[0];
       guint failed = 0;
       for (guint k = 0; k < e->released->len; k++)
-        failed += g_array_index(e->released, FkTry, k).failed != 0;
+        failed += g_array_index(e->released, FkReleasedAttempt, k).task_failed != 0;
       g_assert_cmpuint(e->released->len, ==, cases[i].released);
       g_assert_cmpuint(failed, ==, cases[i].failed);
       g_autoptr(cJSON) back = fk_store_record_to_json(r);
