--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -69,8 +69,12 @@
 #define FK_CLOCK_DRIFT 0.0012 /* two clocks, each off by 0.05%, and a little */
 #define FK_LEASE_MARGIN_S 2.0
 
+/* Why a machine should go, as it is written in the store. */
 #define FK_DRAIN_REASON_IDLE "idle"
-#define FK_DRAIN_REASON_DRAIN "drain" /* what runs there moves, then it goes */
+#define FK_DRAIN_REASON_DRAIN "drain"   /* what runs there moves, then it goes */
+#define FK_DRAIN_REASON_NOTICE "notice" /* the cloud has given notice of its termination */
+#define FK_DRAIN_REASON_SILENT "silent"
+#define FK_DRAIN_REASON_FAULTY "sick"
 
 typedef struct {
   const char *machine; /* interned */
@@ -243,6 +247,11 @@
   FkAutoscaling autoscaling;
 };
 
+/* When to try again after a write that failed, spread so that controllers don't collide. */
+static inline FkTime fk_write_retry_at(FkController *c) {
+  return fk_time_add(c->now, g_rand_double_range(c->rand, 0.2, 0.5));
+}
+
 /* state.c */
 FkOutput *fk_output_new(FkController *c, FkOutputKind kind);
 gboolean fk_controller_is_ready(FkController *c);
--- /dev/null
+++ b/src/core/workers/commands.c
@@ -0,0 +1,231 @@
+/* Commands: what a worker is told to start, to stop and to forget, in the reply to its heartbeat or by a
+ * direct call. They are computed afresh each time from the latest heartbeat and the allocations, so that a
+ * lost command needs no bookkeeping to be repeated. */
+#include "core/controller.h"
+#include "core/workers/workers_internal.h"
+
+#define COMMANDS_MAX 200 /* the line of a reply stays far below 64 KiB */
+#define SAVE_SLACK_S 1.0 /* beyond the time that a task needs to save its state */
+#define RETRY_REFUSED_S 0.2
+#define RETRY_UNANSWERED_S 1.0
+#define FIRST_INCARNATION 1 /* of a worker that hasn't been heard yet */
+
+static FkCommand *command_new(FkCommandKind kind, const char *job, guint32 task, FkAttempt attempt) {
+  FkCommand *command = g_new0(FkCommand, 1);
+  *command = (FkCommand){.kind = kind, .job = g_strdup(job), .task = task, .attempt = attempt};
+  return command;
+}
+
+static FkCommand *command_for_status(FkCommandKind kind, const FkTaskStatus *status) {
+  return command_new(kind, status->job, status->task, status->attempt);
+}
+
+static void command_free(gpointer data) {
+  FkCommand *command = data;
+  g_free(command->job);
+  g_free(command);
+}
+
+/* ---- which commands a worker needs ---- */
+
+static const FkAllocationRef *find_allocation(const FkMachine *machine, const FkTaskStatus *status) {
+  for (guint i = 0; i < machine->allocations->len; i++) {
+    const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
+    if (allocation->task == status->task && allocation->attempt.n == status->attempt.n &&
+        g_str_equal(allocation->job->spec->id, status->job))
+      return allocation;
+  }
+  return NULL;
+}
+
+static void add_stops(const FkMachine *machine, GPtrArray *commands) {
+  const GPtrArray *tasks = machine->worker->heartbeat->tasks;
+  for (guint i = 0; i < tasks->len && commands->len < COMMANDS_MAX; i++) {
+    const FkTaskStatus *status = tasks->pdata[i];
+    if (status->state == FK_TASK_EXITED)
+      continue;
+    const FkAllocationRef *allocation = find_allocation(machine, status);
+    if (!allocation || allocation->job->cancelled) {
+      g_ptr_array_add(commands, command_for_status(FK_COMMAND_STOP, status));
+    } else if (allocation->stop_requested && status->state != FK_TASK_SAVING) {
+      const FkSpec *spec = allocation->job->spec;
+      FkCommand *stop = command_for_status(FK_COMMAND_STOP, status);
+      stop->grace_s = spec->checkpoint_s > 0 ? spec->save_s + SAVE_SLACK_S : 0;
+      g_ptr_array_add(commands, stop);
+    }
+  }
+}
+
+/* Whether a start of the attempt may still arrive, or arrive again. */
+static gboolean start_may_arrive(const FkWorkerState *worker, const char *attempt_key) {
+  return g_hash_table_contains(worker->starts_in_doubt, attempt_key) ||
+         g_hash_table_contains(worker->starts_in_flight, attempt_key) ||
+         g_hash_table_contains(worker->starts_replied, attempt_key);
+}
+
+/* An attempt whose start may still arrive must not be forgotten: it would run again. */
+static void add_forgets(const FkMachine *machine, GPtrArray *commands) {
+  FkWorkerState *worker = machine->worker;
+  const GPtrArray *tasks = worker->heartbeat->tasks;
+  worker->lingering_attempts = 0;
+  for (guint i = 0; i < tasks->len && commands->len < COMMANDS_MAX; i++) {
+    const FkTaskStatus *status = tasks->pdata[i];
+    if (status->state != FK_TASK_EXITED || find_allocation(machine, status))
+      continue;
+    g_autofree char *key = fk_attempt_key(status->job, status->task, status->attempt);
+    if (start_may_arrive(worker, key))
+      worker->lingering_attempts++;
+    else
+      g_ptr_array_add(commands, command_for_status(FK_COMMAND_FORGET, status));
+  }
+}
+
+static void add_starts(FkController *c, const FkMachine *machine, GPtrArray *commands) {
+  for (guint i = 0; i < machine->allocations->len && commands->len < COMMANDS_MAX; i++) {
+    const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
+    if (!fk_allocation_is_leaving(allocation) && !fk_worker_find_task(machine, allocation) &&
+        !fk_completion_is_pending(c, machine, allocation))
+      g_ptr_array_add(commands, command_new(FK_COMMAND_START, allocation->job->spec->id, allocation->task,
+                                            allocation->attempt));
+  }
+}
+
+/* Stops come first: a reply renews the lease of all that it doesn't stop, and its length is bounded. */
+GPtrArray *fk_commands_for_worker(FkController *c, FkMachine *machine) {
+  GPtrArray *commands = g_ptr_array_new_with_free_func(command_free);
+  add_stops(machine, commands);
+  add_forgets(machine, commands);
+  add_starts(c, machine, commands);
+  return commands;
+}
+
+void fk_commands_remember_starts(GHashTable *attempts, const GPtrArray *commands) {
+  for (guint i = 0; i < commands->len; i++) {
+    const FkCommand *command = commands->pdata[i];
+    if (command->kind == FK_COMMAND_START)
+      g_hash_table_add(attempts, fk_attempt_key(command->job, command->task, command->attempt));
+  }
+}
+
+/* ---- direct calls ---- */
+
+static gboolean can_call(FkController *c, const FkMachine *machine) {
+  const FkWorkerState *worker = machine->worker;
+  gboolean address_known = machine->record || worker->heartbeat;
+  return !worker->command_call && address_known && fk_time_reached(c->now, worker->command_after) &&
+         fk_worker_view_is_current(c) && (!fk_worker_view_is_stale(c) || fk_worker_has_echoed_token(machine));
+}
+
+/* What is only to be forgotten can wait for the next heartbeat. */
+static gboolean has_urgent(const GPtrArray *commands) {
+  for (guint i = 0; i < commands->len; i++)
+    if (((FkCommand *)commands->pdata[i])->kind != FK_COMMAND_FORGET)
+      return TRUE;
+  return FALSE;
+}
+
+static void call_worker(FkController *c, FkMachine *machine, GPtrArray *commands /* taken */) {
+  FkWorkerState *worker = machine->worker;
+  const FkHeartbeat *heartbeat = worker->heartbeat;
+  FkOutput *output = fk_output_new(c, FK_OUTPUT_COMMANDS);
+  output->call = ++c->calls.last_id;
+  output->machine = g_strdup(machine->id);
+  output->addr = g_strdup(machine->record ? machine->record->addr : heartbeat->addr);
+  output->fencing_token = (FkFencingToken){machine->shard->rev.n};
+  output->incarnation = heartbeat ? heartbeat->incarnation : FIRST_INCARNATION;
+  output->commands = commands;
+  fk_commands_remember_starts(worker->starts_in_flight, commands);
+  g_debug("commands sent node=%s machine=%s incarnation=%" G_GUINT64_FORMAT " token=%" G_GUINT64_FORMAT
+          " commands=%u",
+          c->settings->node, machine->id, output->incarnation, output->fencing_token.n, commands->len);
+  worker->command_call = output->call;
+  worker->command_shard_rev = machine->shard->rev;
+  fk_failure_detector_probe_sent(&worker->failure_detector);
+  g_hash_table_insert(c->workers.commands, g_memdup2(&output->call, sizeof output->call),
+                      (gpointer)machine->id);
+}
+
+void fk_commands_send(FkController *c, FkMachine *machine, gboolean probe) {
+  FkWorkerState *worker = machine->worker;
+  worker->reconciled = FALSE;
+  if (!can_call(c, machine))
+    return;
+  /* A worker just acquired that hasn't been heard yet is called without commands: so it receives the new
+   * token, and we its state. */
+  g_autoptr(GPtrArray) commands =
+      worker->heartbeat ? fk_commands_for_worker(c, machine) : g_ptr_array_new_with_free_func(command_free);
+  if (worker->heartbeat && !has_urgent(commands) && fk_worker_has_echoed_token(machine) && !probe) {
+    worker->reconciled = TRUE;
+    return;
+  }
+  call_worker(c, machine, g_steal_pointer(&commands));
+}
+
+/* ---- replies to direct calls ---- */
+
+/* The worker that the call went to, if this is the call that it has under way. */
+static FkMachine *take_call(FkController *c, guint64 call) {
+  const char *id = g_hash_table_lookup(c->workers.commands, &call);
+  g_hash_table_remove(c->workers.commands, &call);
+  FkMachine *machine = id && fk_controller_is_ready(c) ? fk_view_find_machine(c->view, id) : NULL;
+  if (!machine || !machine->worker || machine->worker->command_call != call)
+    return NULL;
+  machine->worker->command_call = 0;
+  return machine;
+}
+
+/* Carried out or not, a call's starts may arrive at any later time, and those that were carried out may
+ * arrive again, as long as token and incarnation stand. What was refused is older than one of them for good.
+ */
+static void settle_starts_in_flight(FkWorkerState *worker, FkOutcome outcome) {
+  GHashTableIter iter;
+  gpointer key;
+  g_hash_table_iter_init(&iter, worker->starts_in_flight);
+  while (outcome != FK_OUTCOME_CONFLICT && g_hash_table_iter_next(&iter, &key, NULL))
+    g_hash_table_replace(worker->starts_in_doubt, g_strdup(key),
+                         g_memdup2(&worker->command_shard_rev.n, sizeof worker->command_shard_rev.n));
+  g_hash_table_remove_all(worker->starts_in_flight);
+}
+
+static void take_reply(FkController *c, FkMachine *machine, FkHeartbeat *heartbeat /* taken */) {
+  FkFailureDetector *detector = &machine->worker->failure_detector;
+  FkHeartbeatSequence sequence = fk_heartbeat_sequence(heartbeat);
+  switch (fk_failure_detector_probe_answered(detector, sequence, c->settings->worker_lease_s, c->now)) {
+  case FK_HEARTBEAT_RESTARTED:
+    fk_worker_state_restart(c, machine, heartbeat);
+    break;
+  case FK_HEARTBEAT_NEW:
+    fk_worker_state_set_heartbeat(c, machine, heartbeat);
+    break;
+  case FK_HEARTBEAT_STALE:
+  case FK_HEARTBEAT_DUPLICATE:
+    fk_heartbeat_free(heartbeat);
+    break;
+  }
+}
+
+void fk_controller_command_reply_received(FkController *c, FkTime now, guint64 call, FkOutcome outcome,
+                                          FkHeartbeat *taken) {
+  g_autoptr(FkHeartbeat) heartbeat = taken;
+  c->now = now;
+  FkMachine *machine = take_call(c, call);
+  if (!machine)
+    return;
+  FkWorkerState *worker = machine->worker;
+  gboolean answered = (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT) && heartbeat;
+  settle_starts_in_flight(worker, outcome);
+  if (outcome == FK_OUTCOME_CONFLICT)
+    worker->command_after = fk_time_add(now, RETRY_REFUSED_S);
+  if (!answered) {
+    worker->command_after = fk_time_add(now, RETRY_UNANSWERED_S);
+    fk_failure_detector_probe_missed(&worker->failure_detector, now);
+    return;
+  }
+  if (!fk_machine_is_owned(c, machine))
+    return;
+  fk_worker_note_token(c, machine->shard, heartbeat->fencing_token);
+  if (heartbeat->fencing_token.n > machine->shard->rev.n)
+    return;
+  take_reply(c, machine, g_steal_pointer(&heartbeat));
+  fk_reconciliation_run(c, machine);
+}
--- /dev/null
+++ b/src/core/workers/reconciliation.c
@@ -0,0 +1,167 @@
+/* Reconciliation: the worker's latest heartbeat is compared with its allocations. What has certainly ended
+ * becomes a completion; what differs otherwise becomes a command. Level-triggered: it runs again whenever a
+ * heartbeat, a command's reply or the view changes something, and needs no memory of what it did before. */
+#include "core/workers/workers_internal.h"
+
+#define RENEW_TOKEN_AFTER_S 3.0   /* workers must have had time to receive the latest token */
+#define LINGERING_ATTEMPTS_MAX 64 /* ended attempts that a worker reports before its token is renewed */
+#define RETRY_FULL_MACHINE_S 2.0  /* a machine that refused a start gets no others for so long */
+#define RETRY_UNKNOWN_JOB_S 1.0
+#define HEARD_AGAIN_S 1.0 /* a silent machine heard within this is no longer drained */
+
+gboolean fk_allocation_is_leaving(const FkAllocationRef *allocation) {
+  return allocation->stop_requested || allocation->job->cancelled;
+}
+
+/* ---- fencing tokens ---- */
+
+/* A new token fences off the starts that may still arrive. */
+static void request_new_token(FkController *c, FkMachine *machine) {
+  if (fk_time_between(machine->worker->shard_rev_since, c->now) > RENEW_TOKEN_AFTER_S)
+    machine->shard->acquire_wanted = TRUE;
+}
+
+void fk_reconciliation_renew_token(FkController *c, FkMachine *machine) {
+  const FkWorkerState *worker = machine->worker;
+  gboolean restarted =
+      worker->restarted_under.n && fk_rev_equal(worker->restarted_under, machine->shard->rev);
+  if (restarted || worker->lingering_attempts > LINGERING_ATTEMPTS_MAX)
+    request_new_token(c, machine);
+}
+
+/* ---- allocations that have ended ---- */
+
+typedef enum {
+  VERDICT_KEEP,     /* it runs, may still start, or can't be judged */
+  VERDICT_RELEASED, /* certainly ended without a result */
+  VERDICT_DONE,
+  VERDICT_NEEDS_TOKEN /* it has ended, but for a start that only a new token fences off */
+} Verdict;
+
+static Verdict verdict_by_status(const FkTaskStatus *status) {
+  if (status->state != FK_TASK_EXITED)
+    return VERDICT_KEEP;
+  return status->exit_reason == FK_EXIT_DONE ? VERDICT_DONE : VERDICT_RELEASED;
+}
+
+static Verdict allocation_verdict(const FkMachine *machine, const FkAllocationRef *allocation,
+                                  gboolean lease_expired) {
+  const FkWorkerState *worker = machine->worker;
+  if (lease_expired)
+    return VERDICT_RELEASED;
+  if (!worker || !worker->heartbeat || !fk_worker_has_echoed_token(machine))
+    return VERDICT_KEEP;
+  const FkTaskStatus *status = fk_worker_find_task(machine, allocation);
+  if (status)
+    return verdict_by_status(status);
+  if (!fk_allocation_is_leaving(allocation))
+    return VERDICT_KEEP;
+  /* Not reported, and to be stopped: proof only if no start of it can be under way. */
+  g_autofree char *key = fk_attempt_key(allocation->job->spec->id, allocation->task, allocation->attempt);
+  if (g_hash_table_contains(worker->starts_in_flight, key) ||
+      g_hash_table_contains(worker->starts_replied, key))
+    return VERDICT_KEEP;
+  return g_hash_table_contains(worker->starts_in_doubt, key) ? VERDICT_NEEDS_TOKEN : VERDICT_RELEASED;
+}
+
+static FkExitReason exit_reason(const FkMachine *machine, const FkAllocationRef *allocation) {
+  const FkTaskStatus *status = machine->worker ? fk_worker_find_task(machine, allocation) : NULL;
+  return status && status->state == FK_TASK_EXITED ? status->exit_reason : FK_EXIT_NONE;
+}
+
+/* A start that was refused says something of the machine, or of what it knows of the job, and nothing of how
+ * the task would have gone. */
+static void back_off_after_refusal(FkController *c, FkMachine *machine, const FkAllocationRef *allocation,
+                                   FkExitReason reason) {
+  if (reason == FK_EXIT_FULL || reason == FK_EXIT_BUSY)
+    machine->full_until = fk_time_add(c->now, RETRY_FULL_MACHINE_S);
+  else if (reason == FK_EXIT_UNKNOWN)
+    allocation->job->retry_at = fk_time_add(c->now, RETRY_UNKNOWN_JOB_S);
+}
+
+static FkCompletionKind completion_kind(Verdict verdict, FkExitReason reason, gboolean lease_expired) {
+  if (verdict == VERDICT_DONE)
+    return FK_COMPLETION_DONE;
+  return reason == FK_EXIT_ERROR && !lease_expired ? FK_COMPLETION_FAILED : FK_COMPLETION_RELEASED;
+}
+
+static void complete(FkController *c, FkMachine *machine, const FkAllocationRef *allocation, Verdict verdict,
+                     gboolean lease_expired) {
+  g_debug("allocation ended job=%s task=%u attempt=%" G_GUINT64_FORMAT " machine=%s outcome=%s%s",
+          allocation->job->spec->id, allocation->task, allocation->attempt.n, machine->id,
+          verdict == VERDICT_DONE ? "done" : "released", lease_expired ? " reason=lease_expired" : "");
+  FkExitReason reason = exit_reason(machine, allocation);
+  fk_completions_add(c, machine, allocation, completion_kind(verdict, reason, lease_expired), TRUE);
+  back_off_after_refusal(c, machine, allocation, reason);
+}
+
+void fk_reconciliation_complete_ended(FkController *c, FkMachine *machine, gboolean lease_expired) {
+  gboolean token_needed = FALSE;
+  for (guint i = 0; i < machine->allocations->len; i++) {
+    const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
+    if (fk_completion_is_pending(c, machine, allocation))
+      continue;
+    Verdict verdict = allocation_verdict(machine, allocation, lease_expired);
+    switch (verdict) {
+    case VERDICT_KEEP:
+      break;
+    case VERDICT_NEEDS_TOKEN:
+      token_needed = TRUE;
+      break;
+    case VERDICT_RELEASED:
+    case VERDICT_DONE:
+      complete(c, machine, allocation, verdict, lease_expired);
+      break;
+    }
+  }
+  if (token_needed)
+    request_new_token(c, machine);
+}
+
+/* ---- draining ---- */
+
+void fk_reconciliation_set_drain_reason(FkController *c, FkMachine *machine, const char *reason,
+                                        double notice_s) {
+  const char *present = machine->drain_reason;
+  if (!machine->record || g_strcmp0(present, reason) == 0)
+    return;
+  gboolean worse = present && reason && g_str_equal(present, FK_DRAIN_REASON_NOTICE) &&
+                   g_str_equal(reason, FK_DRAIN_REASON_SILENT);
+  if (present && reason && !worse)
+    return;
+  if (reason && g_strcmp0(machine->pending_drain_reason, reason) != 0)
+    g_message("machine to be drained machine=%s reason=%s", machine->id, reason);
+  fk_machine_registry_set_drain_reason(c, machine, reason, notice_s);
+}
+
+static gboolean is_drained_as_silent(const FkMachine *machine) {
+  return g_strcmp0(machine->drain_reason, FK_DRAIN_REASON_SILENT) == 0 ||
+         g_strcmp0(machine->pending_drain_reason, FK_DRAIN_REASON_SILENT) == 0;
+}
+
+static gboolean is_heard_again(FkController *c, const FkMachine *machine) {
+  const FkFailureDetector *detector = &machine->worker->failure_detector;
+  return fk_worker_has_echoed_token(machine) &&
+         fk_time_between(detector->last_heard_at, c->now) < HEARD_AGAIN_S &&
+         !fk_failure_detector_is_partitioned(detector, c->now);
+}
+
+static void update_drain_reason(FkController *c, FkMachine *machine) {
+  double notice_s = machine->worker->heartbeat->termination_notice_s;
+  if (notice_s >= 0)
+    fk_reconciliation_set_drain_reason(c, machine, FK_DRAIN_REASON_NOTICE, notice_s);
+  else if (fk_fault_attribution_machine_is_faulty(c->view->fault_attribution, machine->id))
+    fk_reconciliation_set_drain_reason(c, machine, FK_DRAIN_REASON_FAULTY, -1);
+  else if (is_drained_as_silent(machine) && is_heard_again(c, machine))
+    fk_machine_registry_set_drain_reason(c, machine, NULL, -1);
+}
+
+void fk_reconciliation_run(FkController *c, FkMachine *machine) {
+  if (!machine->worker || !machine->worker->heartbeat)
+    return;
+  fk_reconciliation_complete_ended(c, machine, FALSE);
+  fk_commands_send(c, machine, FALSE);
+  fk_reconciliation_renew_token(c, machine);
+  if (machine->record)
+    update_drain_reason(c, machine);
+}
--- a/src/core/workers/service_failover.c
+++ b/src/core/workers/service_failover.c
@@ -67,7 +67,7 @@
   g_hash_table_iter_init(&it, c->view->machines);
   while (g_hash_table_iter_next(&it, NULL, &p)) {
     const FkMachine *m = p;
-    if (!m->record || g_strcmp0(m->drain_reason, "silent") != 0)
+    if (!m->record || g_strcmp0(m->drain_reason, FK_DRAIN_REASON_SILENT) != 0)
       continue;
     for (guint i = 0; i < m->allocations->len; i++) {
       const FkAllocationRef *b = &g_array_index(m->allocations, FkAllocationRef, i);
--- /dev/null
+++ b/src/core/workers/workers.c
@@ -0,0 +1,177 @@
+/* The care for this controller's workers over time: leases that run out, silence, and changes of the view. */
+#include "core/workers/workers_internal.h"
+
+#define SCAN_SLICES 5             /* workers are checked in so many ticks */
+#define FULL_CHECK_ROUNDS 4       /* in every so many rounds, workers with nothing pending are checked too */
+#define TICK_LATE_S 0.7           /* a tick so much later than the last: this controller is behind */
+#define BEHIND_PAUSE_S 3.0        /* nobody is judged as silent for so long after that */
+#define UNREGISTERED_PROBES_MAX 2 /* probes of a machine that isn't registered */
+#define UNREGISTERED_HEARD_S 60.0 /* ... which is forgotten after so long */
+#define UNREGISTERED_ALLOCATION_S 1.0
+#define USABLE_HEARD_MIN_S 5.0 /* a machine not heard for so long gets nothing new ... */
+#define USABLE_HEARD_INTERVALS 2.0
+
+/* ---- changes of the view ---- */
+
+void fk_workers_view_changed(FkController *c) {
+  g_autoptr(GHashTable) changed = g_steal_pointer(&c->view->changed_machines);
+  c->view->changed_machines = g_hash_table_new(g_str_hash, g_str_equal);
+  GHashTableIter iter;
+  gpointer id;
+  g_hash_table_iter_init(&iter, changed);
+  while (g_hash_table_iter_next(&iter, &id, NULL)) {
+    FkMachine *machine = fk_view_find_machine(c->view, id);
+    if (!machine)
+      continue;
+    if (!fk_machine_is_owned(c, machine)) {
+      fk_worker_state_clear(machine);
+      g_clear_pointer(&machine->probes, g_ptr_array_unref);
+      continue;
+    }
+    fk_worker_state_refresh(c, machine);
+    fk_reconciliation_run(c, machine);
+  }
+  fk_heartbeats_retry_held(c);
+}
+
+/* ---- the check of one worker ---- */
+
+/* The moment after which the worker has certainly ended its tasks, unless somebody answers it meanwhile. */
+static FkTime lease_expires_at(FkController *c, const FkMachine *machine) {
+  FkTime from =
+      fk_failure_detector_lease_from(&machine->worker->failure_detector, fk_stale_view_trust_s(c->settings));
+  return fk_time_add(from, fk_lease_expiry_s(c->settings));
+}
+
+static void drain_if_unreachable(FkController *c, FkMachine *machine, const FkZoneReachability *zone) {
+  const FkFailureDetector *detector = &machine->worker->failure_detector;
+  if (fk_worker_is_silent(c, machine, zone))
+    fk_reconciliation_set_drain_reason(c, machine, FK_DRAIN_REASON_SILENT, -1);
+  if (machine->record && !machine->drain_reason && fk_worker_is_partitioned(c, machine, zone)) {
+    g_message("worker partitioned machine=%s missed_probes=%u lease_lapsed=%s", machine->id,
+              detector->missed_probes, detector->lease_lapsed ? "true" : "false");
+    fk_reconciliation_set_drain_reason(c, machine, FK_DRAIN_REASON_SILENT, -1);
+  }
+}
+
+/* Silence and the end of a lease come by themselves, and are looked for each time. All else comes with a
+ * heartbeat, a reply or a change of the view, and is dealt with then: a worker with nothing pending is
+ * checked `fully` only now and then. */
+static void check_worker(FkController *c, FkMachine *machine, const FkZoneReachability *zone,
+                         gboolean fully) {
+  FkWorkerState *worker = machine->worker;
+  const FkFailureDetector *detector = &worker->failure_detector;
+  double silent_s = fk_time_between(fk_worker_silent_since(machine), c->now);
+  drain_if_unreachable(c, machine, zone);
+  fk_reconciliation_renew_token(c, machine);
+  if (!machine->record && detector->missed_probes >= UNREGISTERED_PROBES_MAX)
+    return; /* only duplicates speak of it */
+  gboolean probe =
+      silent_s > fk_worker_probe_after_s(c, machine) || fk_failure_detector_is_suspected(detector);
+  if (fk_time_reached(c->now, lease_expires_at(c, machine)))
+    fk_reconciliation_complete_ended(c, machine, TRUE);
+  else if (worker->reconciled && !probe && !fully)
+    return;
+  else
+    fk_commands_send(c, machine, probe);
+  if (worker->heartbeat)
+    fk_reconciliation_complete_ended(c, machine, FALSE);
+}
+
+/* ---- machines that are gone ---- */
+
+/* A machine that isn't registered is gone for good, and so are its allocations: the leader releases them. */
+static void release_allocations(FkController *c, const FkMachine *machine) {
+  for (guint i = 0; i < machine->allocations->len; i++) {
+    const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
+    if (!fk_completion_is_pending(c, machine, allocation) &&
+        fk_time_between(allocation->first_seen_at, c->now) > UNREGISTERED_ALLOCATION_S)
+      fk_completions_add(c, machine, allocation, FK_COMPLETION_RELEASED, FALSE);
+  }
+}
+
+/* Forgets machines that aren't registered, have no allocations and aren't heard. */
+static void forget_gone_machines(FkController *c) {
+  g_autoptr(GPtrArray) gone = g_ptr_array_new();
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, c->view->machines);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    FkMachine *machine = value;
+    if (machine->record)
+      continue;
+    if (c->leader.is_leader)
+      release_allocations(c, machine);
+    gboolean heard =
+        machine->worker && fk_time_between(fk_worker_silent_since(machine), c->now) < UNREGISTERED_HEARD_S;
+    if (!machine->allocations->len && machine->reserved_cpus <= 0 && !heard)
+      g_ptr_array_add(gone, machine);
+  }
+  for (guint i = 0; i < gone->len; i++)
+    fk_view_remove_machine(c->view, gone->pdata[i]);
+}
+
+/* ---- the tick ---- */
+
+/* Shows a new fencing token to a worker or two of the shard at once, without waiting for a heartbeat. */
+static void announce_ownership(FkController *c, FkShard *shard) {
+  for (guint i = 0; i < shard->machines->len && shard->announcements_due; i++) {
+    FkMachine *machine = shard->machines->pdata[i];
+    if (!machine->record || !machine->worker || fk_worker_has_echoed_token(machine))
+      continue;
+    fk_commands_send(c, machine, TRUE);
+    shard->announcements_due--;
+  }
+  shard->announcements_due = 0;
+}
+
+static void note_lateness(FkController *c) {
+  FkTime last = c->workers.last_tick;
+  if (last.us && fk_time_between(last, c->now) > TICK_LATE_S)
+    c->workers.behind_until = fk_time_add(c->now, BEHIND_PAUSE_S);
+  c->workers.last_tick = c->now;
+}
+
+static void check_slice(FkController *c, FkShard *shard, const FkZoneReachability *zone) {
+  for (guint i = c->workers.slice; fk_shard_is_owned(c, shard) && i < shard->machines->len;
+       i += SCAN_SLICES) {
+    FkMachine *machine = shard->machines->pdata[i];
+    gboolean fully = (i / SCAN_SLICES + c->workers.round) % FULL_CHECK_ROUNDS == 0;
+    if (machine->worker)
+      check_worker(c, machine, zone, fully);
+  }
+}
+
+void fk_workers_tick(FkController *c) {
+  note_lateness(c);
+  fk_redirects_expire(c);
+  fk_heartbeats_retry_held(c);
+  c->workers.slice = (c->workers.slice + 1) % SCAN_SLICES;
+  if (!c->workers.slice) {
+    c->workers.round++;
+    forget_gone_machines(c);
+    fk_zone_reachability_update(c);
+  }
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, c->view->shards);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    FkShard *shard = value;
+    const FkZoneReachability *zone = fk_zone_reachability_find(c, shard->zone);
+    if (fk_shard_is_owned(c, shard))
+      announce_ownership(c, shard);
+    check_slice(c, shard, zone);
+  }
+}
+
+/* What isn't heard, or doesn't hear, is as good as gone: it gets nothing new until that is over. */
+gboolean fk_machine_is_usable(FkController *c, const FkMachine *machine) {
+  if (!machine->record || machine->drain_reason || !fk_time_reached(c->now, machine->full_until))
+    return FALSE;
+  if (!fk_machine_is_owned(c, machine) || !machine->worker)
+    return TRUE;
+  const FkFailureDetector *detector = &machine->worker->failure_detector;
+  double heard_s = MAX(USABLE_HEARD_MIN_S, USABLE_HEARD_INTERVALS * c->settings->heartbeat_interval_s);
+  return !fk_failure_detector_is_suspected(detector) &&
+         fk_time_between(detector->last_heard_at, c->now) < heard_s;
+}
