--- a/src/core/shards/completions.c
+++ b/src/core/shards/completions.c
@@ -1,52 +1,71 @@
-/* The ends of bookings, as this home has proof of them. They gather, and one put writes many of them down, in
- * a page of this controller's own: it alone writes there, so the ends of a hundred jobs' tasks cost one put
- * and no conflict. A page keeps an end until the chunk's own record says so, or the job is over. */
+/* Completions: the ends of allocations, as this owner has proof of them. They gather, and one write records
+ * many of them, in a page of this controller's own: it alone writes there, so the completions of a hundred
+ * jobs' tasks cost one write and no conflict. A page keeps a completion until the chunk's own record says so,
+ * or the job is over. */
 #include "core/controller_internal.h"
 
 #include <string.h>
 
 #define WRITE_SHARE 0.1 /* of the store's write budget, all controllers together */
 #define PAGES_MAX 64
-#define PAGE_FILL_SHARE 0.5 /* of a value's limit: the next page's turn */
+
+/* Sizes are estimates, in bytes; the limits are shares of a value's limit, which is in kilobytes. */
+#define PAGE_OPEN_BYTES_PER_KB 500.0  /* a page that is larger is left for the next one */
+#define PAGE_LIMIT_BYTES_PER_KB 900.0 /* ... and no page grows beyond this */
+#define PAGE_OVERHEAD_BYTES 2
+#define RECORD_OVERHEAD_BYTES 20
+#define DONE_TASKS_PER_BYTE 4
+#define RELEASED_ATTEMPT_BYTES 10
+
+#define GUARDS_PER_OP 4 /* a transaction may have so many conditions for each operation allowed */
+#define GUARDS_RESERVED 12
+#define FINALIZE_WRITES 2 /* besides the job's chunks */
 
 struct FkCompletion {
-  const char *machine; /* interned */
-  const char *group;   /* interned, NULL: no claim to guard */
-  FkRev rev;           /* the claim that the proof stands on */
+  const char *machine;  /* interned */
+  const char *shard_id; /* interned; NULL: no ownership to guard */
+  FkRev shard_rev;      /* the fencing token that the proof stands on */
   char *job;
   guint32 task;
   FkAttempt attempt;
-  FkCompletionKind how;
+  FkCompletionKind kind;
 };
 
-void fk_completion_free(gpointer p) {
-  FkCompletion *e = p;
-  g_free(e->job);
-  g_free(e);
+void fk_completion_free(gpointer data) {
+  FkCompletion *completion = data;
+  g_free(completion->job);
+  g_free(completion);
 }
 
 char *fk_attempt_key(const char *job, guint32 task, FkAttempt attempt) {
   return g_strdup_printf("%s/%u#%" G_GUINT64_FORMAT, job, task, attempt.n);
 }
 
-/* We have proof that this booking has ended, and will ask, or have asked, the store to end it: somebody may
- * have started the task elsewhere already, so it must not start here again, whatever our view still shows.
- * The end is guarded by our claim, so that the view of a later claim settles it. */
-gboolean fk_completion_is_pending(FkController *c, const FkMachine *m, const FkAllocationRef *b) {
-  /* asked of every booking, whenever a machine is looked at: hardly any machine has an end to be written */
-  if (!g_hash_table_contains(c->completions.pending_by_machine, m->id))
+/* ---- pending completions ---- */
+
+/* We have proof that this allocation has ended, and will ask, or have asked, the store to end it: somebody
+ * may have started the task elsewhere already, so it must not start here again, whatever our view still
+ * shows. The write is guarded by our ownership of the shard, so that the view of a later owner settles it. */
+gboolean fk_completion_is_pending(FkController *c, const FkMachine *machine,
+                                  const FkAllocationRef *allocation) {
+  /* This is asked of every allocation whenever a worker is checked; hardly any machine has a completion. */
+  if (!g_hash_table_contains(c->completions.pending_by_machine, machine->id))
+    return FALSE;
+  g_autofree char *key = fk_attempt_key(allocation->job->spec->id, allocation->task, allocation->attempt);
+  const FkCompletion *completion = g_hash_table_lookup(c->completions.pending, key);
+  if (!completion)
     return FALSE;
-  g_autofree char *key = fk_attempt_key(b->job->spec->id, b->task, b->attempt);
-  const FkCompletion *e = g_hash_table_lookup(c->completions.pending, key);
-  return e && (!e->group || (m->shard && fk_rev_equal(e->rev, m->shard->rev)));
+  return !completion->shard_id ||
+         (machine->shard && fk_rev_equal(completion->shard_rev, machine->shard->rev));
 }
 
-static void count_pending_on(FkController *c, const char *machine, int n) {
-  int now = GPOINTER_TO_INT(g_hash_table_lookup(c->completions.pending_by_machine, machine)) + n;
-  if (now > 0)
-    g_hash_table_insert(c->completions.pending_by_machine, (gpointer)machine, GINT_TO_POINTER(now));
+static void count_pending_on(FkController *c, const char *machine, int change) {
+  GHashTable *counts = c->completions.pending_by_machine;
+  int count = GPOINTER_TO_INT(g_hash_table_lookup(counts, machine)) + change;
+  if (count > 0)
+    g_hash_table_insert(counts, (gpointer)machine, GINT_TO_POINTER(count));
   else
-    g_hash_table_remove(c->completions.pending_by_machine, machine);
+    g_hash_table_remove(counts, machine);
 }
 
 void fk_completions_clear(FkController *c) {
@@ -54,76 +73,107 @@
   g_hash_table_remove_all(c->completions.pending_by_machine);
 }
 
-void fk_completions_add(FkController *c, const FkMachine *m, const FkAllocationRef *b, FkCompletionKind how,
-                        gboolean guarded) {
-  FkCompletion *e = g_new0(FkCompletion, 1);
-  *e = (FkCompletion){m->id,
-                      guarded ? m->shard->id : NULL,
-                      guarded ? m->shard->rev : (FkRev){0},
-                      g_strdup(b->job->spec->id),
-                      b->task,
-                      b->attempt,
-                      how};
-  char *key = fk_attempt_key(e->job, e->task, e->attempt);
-  const FkCompletion *before = g_hash_table_lookup(c->completions.pending, key);
-  if (before)
-    count_pending_on(c, before->machine, -1);
-  count_pending_on(c, e->machine, +1);
-  g_hash_table_replace(c->completions.pending, key, e);
-  if (how != FK_COMPLETION_DONE && !b->job->cancelled &&
-      (b->stop_requested || b->job->spec->shape == FK_SHAPE_SERVICE))
+/* Whether somebody waits for the task to be started elsewhere. */
+static gboolean is_urgent(const FkAllocationRef *allocation, FkCompletionKind kind) {
+  const FkJob *job = allocation->job;
+  return kind != FK_COMPLETION_DONE && !job->cancelled &&
+         (allocation->stop_requested || job->spec->shape == FK_SHAPE_SERVICE);
+}
+
+void fk_completions_add(FkController *c, const FkMachine *machine, const FkAllocationRef *allocation,
+                        FkCompletionKind kind, gboolean guarded) {
+  FkCompletion *completion = g_new0(FkCompletion, 1);
+  *completion = (FkCompletion){.machine = machine->id,
+                               .job = g_strdup(allocation->job->spec->id),
+                               .task = allocation->task,
+                               .attempt = allocation->attempt,
+                               .kind = kind};
+  if (guarded) {
+    completion->shard_id = machine->shard->id;
+    completion->shard_rev = machine->shard->rev;
+  }
+  char *key = fk_attempt_key(completion->job, completion->task, completion->attempt);
+  const FkCompletion *replaced = g_hash_table_lookup(c->completions.pending, key);
+  if (replaced)
+    count_pending_on(c, replaced->machine, -1);
+  count_pending_on(c, completion->machine, +1);
+  g_hash_table_replace(c->completions.pending, key, completion);
+  if (is_urgent(allocation, kind))
     c->completions.urgent = TRUE;
 }
 
-/* What a page must still say: ends that the chunks' own records don't show. */
-static void keep_unrecorded(FkController *c, GPtrArray *out, const FkCompletionRecord *e) {
-  const char *slash = strrchr(e->chunk, '/');
-  g_autofree char *id = g_strndup(e->chunk, slash ? slash - e->chunk : 0);
-  FkJob *j = slash ? fk_view_find_job(c->view, id) : NULL;
-  guint64 index = slash ? g_ascii_strtoull(slash + 1, NULL, 10) : 0;
-  if (!j || index >= j->chunk_count || !j->base_chunks[index])
+/* ---- the page to write ---- */
+
+static FkCompletionRecord *completion_record_new(const char *chunk, guint32 task_count) {
+  FkCompletionRecord *record = fk_completion_record_new(chunk);
+  g_byte_array_set_size(record->done, task_count);
+  memset(record->done->data, 0, task_count);
+  return record;
+}
+
+static gsize completion_record_size(const FkCompletionRecord *record) {
+  return strlen(record->chunk) + RECORD_OVERHEAD_BYTES + record->done->len / DONE_TASKS_PER_BYTE +
+         record->released->len * RELEASED_ATTEMPT_BYTES;
+}
+
+/* The chunk's own record in the view, or NULL if there is none. `path`: "job/index". */
+static const FkChunk *find_base_chunk(FkController *c, const char *path) {
+  const char *slash = strrchr(path, '/');
+  if (!slash)
+    return NULL;
+  g_autofree char *id = g_strndup(path, slash - path);
+  const FkJob *job = fk_view_find_job(c->view, id);
+  guint64 index = g_ascii_strtoull(slash + 1, NULL, 10);
+  return job && index < job->chunk_count ? job->base_chunks[index] : NULL;
+}
+
+/* Adds to `kept` what a page must still say of a chunk: completions that its own record doesn't show. */
+static void keep_unrecorded(FkController *c, GPtrArray *kept, const FkCompletionRecord *record) {
+  const FkChunk *base = find_base_chunk(c, record->chunk);
+  if (!base)
     return;
-  const FkChunk *base = j->base_chunks[index];
-  FkCompletionRecord *k = fk_completion_record_new(e->chunk);
+  FkCompletionRecord *left = completion_record_new(record->chunk, base->task_count);
   gboolean any = FALSE;
-  g_byte_array_set_size(k->done, base->task_count);
-  memset(k->done->data, 0, base->task_count);
-  for (guint i = 0; i < MIN(e->done->len, base->task_count); i++)
-    if (e->done->data[i] && !base->done[i] && fk_chunk_find_allocation(base, base->first_task + i))
-      any = k->done->data[i] = 1;
-  for (guint i = 0; i < e->released->len; i++) {
-    FkReleasedAttempt t = g_array_index(e->released, FkReleasedAttempt, i);
-    FkAllocation *b = fk_chunk_find_allocation(base, t.task);
-    if (b && b->attempt.n == t.attempt.n) {
-      g_array_append_val(k->released, t);
+  for (guint i = 0; i < MIN(record->done->len, base->task_count); i++)
+    if (record->done->data[i] && !base->done[i] && fk_chunk_find_allocation(base, base->first_task + i))
+      any = left->done->data[i] = 1;
+  for (guint i = 0; i < record->released->len; i++) {
+    FkReleasedAttempt released = g_array_index(record->released, FkReleasedAttempt, i);
+    const FkAllocation *allocation = fk_chunk_find_allocation(base, released.task);
+    if (allocation && allocation->attempt.n == released.attempt.n) {
+      g_array_append_val(left->released, released);
       any = TRUE;
     }
   }
   if (any)
-    g_ptr_array_add(out, k);
+    g_ptr_array_add(kept, left);
   else
-    fk_completion_record_free(k);
+    fk_completion_record_free(left);
 }
 
-static gsize completion_record_size(const FkCompletionRecord *e) {
-  return strlen(e->chunk) + 20 + e->done->len / 4 + e->released->len * 10;
+static char *page_name(FkController *c, guint page) {
+  return g_strdup_printf("%s/%u", c->settings->node, page);
 }
 
-static char *page_name(FkController *c, guint n) { return g_strdup_printf("%s/%u", c->settings->node, n); }
+/* What the page must still say, and its size. */
+static GPtrArray *read_page(FkController *c, guint number, gsize *size) {
+  g_autofree char *name = page_name(c, number);
+  const FkCompletionPage *page = g_hash_table_lookup(c->view->completion_pages, name);
+  GPtrArray *kept = g_ptr_array_new_with_free_func(fk_completion_record_free);
+  for (guint i = 0; page && i < page->ends->len; i++)
+    keep_unrecorded(c, kept, page->ends->pdata[i]);
+  *size = PAGE_OVERHEAD_BYTES;
+  for (guint i = 0; i < kept->len; i++)
+    *size += completion_record_size(kept->pdata[i]);
+  return kept;
+}
 
-/* The page to write next: the one written last, until it is half full. */
+/* The page to write next: the one written last, until it is half full; or NULL if all are. */
 static GPtrArray *open_page(FkController *c, gsize *size) {
   for (guint tries = 0; tries < PAGES_MAX; tries++) {
-    g_autofree char *name = page_name(c, c->completions.page);
-    FkCompletionPage *page = g_hash_table_lookup(c->view->completion_pages, name);
-    g_autoptr(GPtrArray) kept = g_ptr_array_new_with_free_func(fk_completion_record_free);
-    *size = 2;
-    for (guint i = 0; page && i < page->ends->len; i++)
-      keep_unrecorded(c, kept, page->ends->pdata[i]);
-    for (guint i = 0; i < kept->len; i++)
-      *size += completion_record_size(kept->pdata[i]);
-    if (*size < PAGE_FILL_SHARE * 1000 * c->settings->value_kb)
-      return g_steal_pointer(&kept);
+    g_autoptr(GPtrArray) page = read_page(c, c->completions.page, size);
+    if (*size < PAGE_OPEN_BYTES_PER_KB * c->settings->value_kb)
+      return g_steal_pointer(&page);
     /* a small page is likelier among the first */
     c->completions.page = tries || !c->completions.page ? c->completions.page + 1 : 0;
     if (c->completions.page >= PAGES_MAX)
@@ -132,125 +182,190 @@
   return NULL;
 }
 
-static FkCompletionRecord *completion_record_for(GPtrArray *page, const char *chunk, const FkChunk *base,
-                                                 gsize *size) {
-  for (guint i = 0; i < page->len; i++)
-    if (g_str_equal(((FkCompletionRecord *)page->pdata[i])->chunk, chunk))
-      return page->pdata[i];
-  FkCompletionRecord *e = fk_completion_record_new(chunk);
-  g_byte_array_set_size(e->done, base->task_count);
-  memset(e->done->data, 0, base->task_count);
-  *size += completion_record_size(e);
-  g_ptr_array_add(page, e);
-  return e;
+/* ---- one write ---- */
+
+/* A page, and the transaction that writes it. */
+typedef struct {
+  FkOutput *transaction; /* NULL: nothing is to be written yet */
+  GPtrArray *page;       /* FkCompletionRecord */
+  gsize size;            /* of the page */
+  GHashTable *jobs;      /* FkJob -> JobCount* */
+} Batch;
+
+/* What a batch says of one job: how many of its allocations have ended, and how many tasks are done so. */
+typedef struct {
+  guint ended, done;
+} JobCount;
+
+static void batch_clear(Batch *batch) {
+  g_clear_pointer(&batch->page, g_ptr_array_unref);
+  g_clear_pointer(&batch->jobs, g_hash_table_unref);
 }
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(Batch, batch_clear)
 
-static void completions_written(FkController *c, gpointer data, FkOutcome o, FkRev epoch, GPtrArray *failed) {
-  c->completions.writing = FALSE;
-  if (o == FK_OUTCOME_OK || o == FK_OUTCOME_CONFLICT)
-    c->completions.wait_rev = epoch;
-  else
-    c->completions.write_after = fk_time_add(c->now, g_rand_double_range(c->rand, 0.2, 0.5));
+static gboolean batch_open(FkController *c, Batch *batch) {
+  batch->page = open_page(c, &batch->size);
+  if (!batch->page)
+    return FALSE;
+  /* before launches: what ends makes room for them */
+  batch->transaction = fk_transaction_new(c, FK_PRIORITY_SHARD);
+  return TRUE;
 }
 
-/* Whether there is still something to write down about it. */
-static FkJob *job_of_pending(FkController *c, const FkCompletion *e) {
-  FkMachine *m = fk_view_find_machine(c->view, e->machine);
-  FkJob *j = fk_view_find_job(c->view, e->job);
-  if (!m || !j || (e->group && (!m->shard || !fk_rev_equal(e->rev, m->shard->rev))))
-    return NULL;
-  const FkChunk *ch = j->chunks[e->task / j->spec->chunk_tasks];
-  FkAllocation *b = ch ? fk_chunk_find_allocation(ch, e->task) : NULL;
-  return b && b->attempt.n == e->attempt.n && b->machine == e->machine ? j : NULL;
+static gboolean batch_is_full(FkController *c, const Batch *batch) {
+  gsize limit = (gsize)(PAGE_LIMIT_BYTES_PER_KB * c->settings->value_kb);
+  guint guards_max = GUARDS_PER_OP * c->settings->transaction_ops_max;
+  return batch->size > limit || batch->transaction->guards->len + GUARDS_RESERVED > guards_max;
 }
 
-/* What a transaction says of one job: how many of its bookings have ended, and how many tasks are done so. */
-typedef struct {
-  guint ended, done;
-} Count;
+static FkCompletionRecord *batch_record(Batch *batch, const char *chunk, const FkChunk *base) {
+  for (guint i = 0; i < batch->page->len; i++) {
+    FkCompletionRecord *record = batch->page->pdata[i];
+    if (g_str_equal(record->chunk, chunk))
+      return record;
+  }
+  FkCompletionRecord *record = completion_record_new(chunk, base->task_count);
+  batch->size += completion_record_size(record);
+  g_ptr_array_add(batch->page, record);
+  return record;
+}
 
-static Count *count_of(GHashTable *jobs, FkJob *j) {
-  Count *n = g_hash_table_lookup(jobs, j);
-  if (!n)
-    g_hash_table_insert(jobs, j, n = g_new0(Count, 1));
-  return n;
+static void batch_count(Batch *batch, FkJob *job, gboolean done) {
+  JobCount *count = g_hash_table_lookup(batch->jobs, job);
+  if (!count) {
+    count = g_new0(JobCount, 1);
+    g_hash_table_insert(batch->jobs, job, count);
+  }
+  count->ended++;
+  count->done += done;
 }
 
-/* The last ends of a job end it in the same transaction. */
-static void finalize_complete_jobs(FkController *c, FkOutput *t, GHashTable *jobs) {
-  GHashTableIter it;
-  gpointer job, count;
-  g_hash_table_iter_init(&it, jobs);
-  while (g_hash_table_iter_next(&it, &job, &count)) {
-    FkJob *j = job;
-    const Count *n = count;
-    /* a large transaction finds no room in a busy store's budget; the sweep takes what is left here. But
-     * nothing that needs the job starts before its final is there */
-    gboolean needed = fk_dependency_graph_has_dependents(c->view->dependencies, j->spec->id);
-    guint max = needed ? c->settings->transaction_ops_max
-                       : (guint)CLAMP(c->launches.write_room, 1, c->settings->transaction_ops_max);
-    guint left = max > t->writes->len ? max - t->writes->len : 0;
-    if (j->allocated == n->ended &&
-        (j->cancelled ? !fk_services_have_priority(c) : j->done + n->done == j->spec->tasks) &&
-        left >= 2 + j->chunk_count && t->guards->len + 1 < 4 * c->settings->transaction_ops_max)
-      fk_transaction_finalize_job(c, t, j, left);
+static void batch_add(Batch *batch, FkJob *job, const FkCompletion *completion) {
+  guint32 index = completion->task / job->spec->chunk_tasks;
+  const FkChunk *base = job->base_chunks[index];
+  g_autofree char *chunk = g_strdup_printf("%s/%u", completion->job, index);
+  FkCompletionRecord *record = batch_record(batch, chunk, base);
+  gboolean done = completion->kind == FK_COMPLETION_DONE;
+  if (done) {
+    record->done->data[completion->task - base->first_task] = 1;
+  } else {
+    FkReleasedAttempt released = {completion->task, completion->kind == FK_COMPLETION_FAILED,
+                                  completion->attempt};
+    g_array_append_val(record->released, released);
+    batch->size += RELEASED_ATTEMPT_BYTES;
   }
+  if (completion->shard_id)
+    fk_transaction_guard(batch->transaction, fk_key_path(FK_KEY_SHARD, completion->shard_id),
+                         completion->shard_rev);
+  batch_count(batch, job, done);
 }
 
-void fk_completions_tick(FkController *c) {
-  if (c->completions.writing || !g_hash_table_size(c->completions.pending) ||
-      c->view->applied.n < c->completions.wait_rev.n ||
-      (!fk_time_reached(c->now, c->completions.write_after) && !c->completions.urgent))
-    return;
-  gsize size = 0, limit = (gsize)(900 * c->settings->value_kb);
-  g_autoptr(GPtrArray) page = NULL;
-  g_autoptr(GHashTable) jobs = g_hash_table_new_full(fk_job_hash, g_direct_equal, NULL, g_free);
-  FkOutput *t = NULL;
-  GHashTableIter it;
-  gpointer p;
-  g_hash_table_iter_init(&it, c->completions.pending);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    FkCompletion *e = p;
-    FkJob *j = job_of_pending(c, e);
-    if (!j) {
-      count_pending_on(c, e->machine, -1);
-      g_hash_table_iter_remove(&it);
+static void batch_put_page(FkController *c, Batch *batch) {
+  g_autofree char *name = page_name(c, c->completions.page);
+  const FkCompletionPage *old = g_hash_table_lookup(c->view->completion_pages, name);
+  FkRecord *record = fk_record_new(FK_KEY_COMPLETIONS);
+  record->completions = g_steal_pointer(&batch->page);
+  fk_transaction_guard(batch->transaction, fk_key_path(FK_KEY_COMPLETIONS, name),
+                       old ? old->rev : (FkRev){0});
+  fk_transaction_put(batch->transaction, fk_key_path(FK_KEY_COMPLETIONS, name), record, (FkRev){0});
+}
+
+/* How many more writes the transaction may have to finalize this job. A large transaction finds no room in a
+ * busy store's budget; the sweep takes what is left here. But nothing that needs the job starts before its
+ * terminal state is there. */
+static guint writes_left(FkController *c, const FkOutput *transaction, const FkJob *job) {
+  guint max = c->settings->transaction_ops_max;
+  if (!fk_dependency_graph_has_dependents(c->view->dependencies, job->spec->id))
+    max = (guint)CLAMP(c->launches.write_room, 1, max);
+  return max > transaction->writes->len ? max - transaction->writes->len : 0;
+}
+
+/* Whether nothing of the job is left once the batch is written. */
+static gboolean completes_job(FkController *c, const FkJob *job, const JobCount *count) {
+  if (job->allocated != count->ended)
+    return FALSE;
+  return job->cancelled ? !fk_services_have_priority(c) : job->done + count->done == job->spec->tasks;
+}
+
+/* The last completions of a job finalize it in the same transaction. */
+static void batch_finalize_jobs(FkController *c, Batch *batch) {
+  FkOutput *transaction = batch->transaction;
+  guint guards_max = GUARDS_PER_OP * c->settings->transaction_ops_max;
+  GHashTableIter iter;
+  gpointer key, value;
+  g_hash_table_iter_init(&iter, batch->jobs);
+  while (g_hash_table_iter_next(&iter, &key, &value)) {
+    FkJob *job = key;
+    guint left = writes_left(c, transaction, job);
+    if (completes_job(c, job, value) && left >= FINALIZE_WRITES + job->chunk_count &&
+        transaction->guards->len + 1 < guards_max)
+      fk_transaction_finalize_job(c, transaction, job, left);
+  }
+}
+
+/* ---- the tick ---- */
+
+/* The job of a completion that is still to be written, or NULL. */
+static FkJob *job_to_complete(FkController *c, const FkCompletion *completion) {
+  const FkMachine *machine = fk_view_find_machine(c->view, completion->machine);
+  FkJob *job = fk_view_find_job(c->view, completion->job);
+  if (!machine || !job)
+    return NULL;
+  if (completion->shard_id && (!machine->shard || !fk_rev_equal(completion->shard_rev, machine->shard->rev)))
+    return NULL;
+  const FkChunk *chunk = job->chunks[completion->task / job->spec->chunk_tasks];
+  const FkAllocation *allocation = chunk ? fk_chunk_find_allocation(chunk, completion->task) : NULL;
+  gboolean stands = allocation && allocation->attempt.n == completion->attempt.n &&
+                    allocation->machine == completion->machine;
+  return stands ? job : NULL;
+}
+
+/* Adds what is pending, and drops what needn't be written any more. Returns FALSE when no page has room. */
+static gboolean batch_fill(FkController *c, Batch *batch) {
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, c->completions.pending);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const FkCompletion *completion = value;
+    FkJob *job = job_to_complete(c, completion);
+    if (!job) {
+      count_pending_on(c, completion->machine, -1);
+      g_hash_table_iter_remove(&iter);
       continue;
     }
-    if (!page && !(page = open_page(c, &size)))
-      return;
-    if (!t)
-      t = fk_transaction_new(c, FK_PRIORITY_SHARD); /* before launches: what ends makes room for them */
-    if (size > limit || t->guards->len + 12 > 4 * c->settings->transaction_ops_max)
-      break;
-    guint32 index = e->task / j->spec->chunk_tasks;
-    const FkChunk *base = j->base_chunks[index];
-    g_autofree char *chunk = g_strdup_printf("%s/%u", e->job, index);
-    FkCompletionRecord *ends = completion_record_for(page, chunk, base, &size);
-    if (e->how == FK_COMPLETION_DONE) {
-      ends->done->data[e->task - base->first_task] = 1;
-    } else {
-      FkReleasedAttempt try = {e->task, e->how == FK_COMPLETION_FAILED, e->attempt};
-      g_array_append_val(ends->released, try);
-      size += 10;
-    }
-    if (e->group)
-      fk_transaction_guard(t, fk_key_path(FK_KEY_SHARD, e->group), e->rev);
-    Count *n = count_of(jobs, j);
-    n->ended++;
-    n->done += e->how == FK_COMPLETION_DONE;
+    if (!batch->transaction && !batch_open(c, batch))
+      return FALSE;
+    if (batch_is_full(c, batch))
+      return TRUE;
+    batch_add(batch, job, completion);
   }
-  if (!t)
+  return TRUE;
+}
+
+static void page_written(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch, GPtrArray *failed) {
+  c->completions.writing = FALSE;
+  if (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT)
+    c->completions.wait_rev = epoch;
+  else
+    c->completions.write_after = fk_write_retry_at(c);
+}
+
+static gboolean is_due(FkController *c) {
+  return !c->completions.writing && g_hash_table_size(c->completions.pending) &&
+         c->view->applied.n >= c->completions.wait_rev.n &&
+         (fk_time_reached(c->now, c->completions.write_after) || c->completions.urgent);
+}
+
+void fk_completions_tick(FkController *c) {
+  if (!is_due(c))
     return;
-  g_autofree char *name = page_name(c, c->completions.page);
-  FkCompletionPage *old = g_hash_table_lookup(c->view->completion_pages, name);
-  FkRecord *r = fk_record_new(FK_KEY_COMPLETIONS);
-  r->completions = g_steal_pointer(&page);
-  fk_transaction_guard(t, fk_key_path(FK_KEY_COMPLETIONS, name), old ? old->rev : (FkRev){0});
-  fk_transaction_put(t, fk_key_path(FK_KEY_COMPLETIONS, name), r, (FkRev){0});
-  finalize_complete_jobs(c, t, jobs);
+  g_auto(Batch) batch = {.jobs = g_hash_table_new_full(fk_job_hash, g_direct_equal, NULL, g_free)};
+  if (!batch_fill(c, &batch) || !batch.transaction)
+    return;
+  batch_put_page(c, &batch);
+  batch_finalize_jobs(c, &batch);
   c->completions.write_after = fk_time_add(c->now, fk_write_pace_s(c, 1, WRITE_SHARE));
   c->completions.urgent = FALSE;
   c->completions.writing = TRUE;
-  fk_transaction_send(c, t, completions_written, NULL, NULL);
+  fk_transaction_send(c, batch.transaction, page_written, NULL, NULL);
 }
--- /dev/null
+++ b/src/core/shards/machine_pages.c
@@ -0,0 +1,121 @@
+/* The pages of the machine registry: a shard's machines are described in one record while a value holds them,
+ * then in several, each machine in one of them. */
+#include "core/shards/machine_pages.h"
+
+void fk_machine_pages_clear(FkMachinePages *pages) {
+  for (guint i = 0; i < FK_SHARD_PAGES_MAX; i++)
+    g_clear_pointer(&pages->machines[i], g_ptr_array_unref);
+}
+
+guint fk_machine_pages_changed_bytes(const FkMachinePages *pages) {
+  guint bytes = 0;
+  for (guint i = 0; i < FK_SHARD_PAGES_MAX; i++)
+    bytes += pages->changed[i] ? pages->bytes[i] : 0;
+  return bytes;
+}
+
+/* ---- building ---- */
+
+/* The page that the machine is described in: its present one while that has room, else the first that has.
+ * Until all controllers can read several pages there is one, which may be as large as the present limits
+ * allow. FK_SHARD_PAGES_MAX: there is no room. */
+static guint page_for(FkController *c, const FkMachinePages *pages, const FkMachine *machine, guint size) {
+  gboolean several = fk_job_dependencies_are_supported(c);
+  guint limit = FK_MACHINE_PAGE_MAX_BYTES(several ? c->settings->value_kb : c->settings->current_value_kb);
+  if (machine->record && pages->bytes[machine->page_part] + size <= limit)
+    return machine->page_part;
+  for (guint i = 0; i < (several ? FK_SHARD_PAGES_MAX : 1); i++)
+    if (pages->bytes[i] + size <= limit)
+      return i;
+  return machine->record && !several ? machine->page_part : FK_SHARD_PAGES_MAX;
+}
+
+static void add_record(FkMachinePages *pages, guint page, FkMachineRecord *record /* taken */, guint size) {
+  if (!pages->machines[page])
+    pages->machines[page] = g_ptr_array_new_with_free_func(fk_machine_record_free);
+  g_ptr_array_add(pages->machines[page], record);
+  pages->bytes[page] += size;
+}
+
+/* Whether another drain reason is to be written than the one that is there. Requests that are met by now are
+ * dropped. */
+static gboolean drain_reason_changes(FkMachine *machine) {
+  if (machine->pending_drain_reason == machine->drain_reason)
+    machine->pending_drain_reason = NULL;
+  if (!machine->drain_reason)
+    machine->pending_clear = FALSE;
+  return machine->pending_drain_reason || machine->pending_clear;
+}
+
+/* Returns whether the machine changes a page. */
+static gboolean add_machine(FkController *c, const FkShard *shard, FkMachine *machine,
+                            FkMachinePages *pages) {
+  const FkMachineRecord *present = machine->record ? machine->record : machine->pending_record;
+  guint size = fk_machine_record_bytes(present);
+  if (machine->pending_removal && machine->record && !machine->allocations->len) {
+    pages->changed[machine->page_part] = TRUE;
+    return TRUE;
+  }
+  guint page = page_for(c, pages, machine, size);
+  if (page == FK_SHARD_PAGES_MAX && !machine->record) {
+    g_warning("machine not registered reason=shard_full shard=%s machine=%s", shard->id, machine->id);
+    return FALSE;
+  }
+  page = MIN(page, FK_SHARD_PAGES_MAX - 1);
+  gboolean drain_changes = drain_reason_changes(machine);
+  FkMachineRecord *record = fk_machine_record_copy(present);
+  record->drain_reason = drain_changes ? machine->pending_drain_reason : machine->drain_reason;
+  record->notice_s = drain_changes ? machine->pending_notice_s : machine->notice_s;
+  add_record(pages, page, record, size);
+  gboolean moves = page != machine->page_part;
+  if (machine->record && !drain_changes && !moves)
+    return FALSE;
+  pages->changed[page] = TRUE;
+  if (machine->record && moves)
+    pages->changed[machine->page_part] = TRUE;
+  return TRUE;
+}
+
+/* What was written under larger limits is divided on the way: a machine that has no room in its page any more
+ * moves to another, by the same transaction. */
+gboolean fk_machine_pages_build(FkController *c, FkShard *shard, FkMachinePages *pages) {
+  gboolean owned = fk_shard_is_owned(c, shard), any_change = FALSE;
+  for (guint i = 0; i < FK_SHARD_PAGES_MAX; i++)
+    pages->bytes[i] = FK_MACHINE_PAGE_OVERHEAD_BYTES;
+  for (guint i = 0; i < shard->machines->len; i++) {
+    FkMachine *machine = shard->machines->pdata[i];
+    if (machine->pending_record && (machine->record || !owned))
+      g_clear_pointer(&machine->pending_record, fk_machine_record_free);
+    if (machine->record || machine->pending_record)
+      any_change |= add_machine(c, shard, machine, pages);
+  }
+  return any_change;
+}
+
+/* ---- writing ---- */
+
+static guint changed_count(const FkMachinePages *pages) {
+  guint count = 0;
+  for (guint i = 0; i < FK_SHARD_PAGES_MAX; i++)
+    count += pages->changed[i];
+  return count;
+}
+
+gboolean fk_machine_pages_write(FkController *c, FkOutput *transaction, const FkShard *shard,
+                                FkMachinePages *pages, guint writes_max) {
+  guint written = transaction->writes->len;
+  if (written && written + changed_count(pages) > writes_max)
+    return FALSE;
+  if (fk_shard_is_owned(c, shard))
+    fk_transaction_guard(transaction, fk_key_path(FK_KEY_SHARD, shard->id), shard->rev);
+  for (guint i = 0; i < FK_SHARD_PAGES_MAX; i++) {
+    if (!pages->changed[i])
+      continue;
+    FkRecord *record = fk_record_new(FK_KEY_MACHINE_PAGE);
+    record->machines = pages->machines[i] ? g_steal_pointer(&pages->machines[i])
+                                          : g_ptr_array_new_with_free_func(fk_machine_record_free);
+    fk_transaction_guard(transaction, fk_key_machine_page_path(shard->id, i), shard->page_revs[i]);
+    fk_transaction_put(transaction, fk_key_machine_page_path(shard->id, i), record, (FkRev){0});
+  }
+  return TRUE;
+}
