--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -3,59 +3,14 @@
 #include "core/cpu_profile.h"
 #include "core/messages.h"
 #include "core/scheduling/elastic_sizing.h"
-#include "core/workers/failure_detector.h"
+#include "core/shards/shards.h"
+#include "core/workers/workers.h"
 
 typedef void (*FkTransactionCallback)(FkController *c, gpointer data, FkOutcome o, FkRev epoch,
                                       GPtrArray *failed);
 typedef void (*FkReadCallback)(FkController *c, gpointer data, FkOutcome o, FkStoreEvent *e);
 
-/* A machine in this home's care. */
-struct FkWorkerState {
-  gboolean owned; /* the view has shown our claim */
-  FkFailureDetector failure_detector;
-  FkHeartbeat *heartbeat; /* the latest by (session, seq) */
-  FkRev restarted_under;  /* the claim under which it began anew: that token proves nothing of its new life */
-  guint64 command_call;   /* the direct call under way, or 0 */
-  FkRev command_shard_rev;      /* and its token */
-  GHashTable *starts_in_doubt;  /* starts that may arrive, or arrive again: "job/task#attempt" -> the token
-                          that they  were  sent under */
-  GHashTable *starts_in_flight; /* starts in the direct call under way */
-  GHashTable *starts_replied;   /* starts in the answer to the latest report */
-  FkHeartbeatSequence starts_replied_to;
-  guint lingering_attempts; /* ended attempts that must not be forgotten yet */
-  FkTime command_after;
-  gboolean
-      reconciled;  /* nothing pressing was found when it was looked at last, and its report shows our token */
-  FkRev shard_rev; /* the claim, and since when */
-  FkTime shard_rev_since;
-};
-
-typedef struct {
-  FkRequestId request;
-  FkHeartbeat *heartbeat;
-  FkTime received_at;
-  FkRev shard_rev; /* the claim when it came */
-} FkHeldHeartbeat;
-
-typedef struct {
-  FkTime sent_at;
-  char *target;
-} FkRedirect;
-
-/* This home's machines of one zone, and how many of them were heard lately. */
-typedef struct {
-  const char *zone; /* interned */
-  guint heard_lately, machines;
-  guint heard_just_now;     /* heard in the last moment ... */
-  double expected_just_now; /* ... and how many should have been */
-  FkTime outage_seen_at;    /* the last moment at which so few were heard that it may be we who are cut off */
-  FkTime outage_began;      /* when that began */
-  FkTime all_silent_at;     /* ... at which none were */
-  guint partitioned;        /* speak, and don't hear us */
-} FkZoneReachability;
-
 typedef struct FkAutoscaler FkAutoscaler;
-typedef struct FkCompletion FkCompletion;
 typedef struct FkCancellationBarrier FkCancellationBarrier;
 typedef struct FkCostAccounting FkCostAccounting;
 typedef struct FkSchedulingQueue FkSchedulingQueue;
@@ -69,13 +24,6 @@
 #define FK_CLOCK_DRIFT 0.0012 /* two clocks, each off by 0.05%, and a little */
 #define FK_LEASE_MARGIN_S 2.0
 
-/* Why a machine should go, as it is written in the store. */
-#define FK_DRAIN_REASON_IDLE "idle"
-#define FK_DRAIN_REASON_DRAIN "drain"   /* what runs there moves, then it goes */
-#define FK_DRAIN_REASON_NOTICE "notice" /* the cloud has given notice of its termination */
-#define FK_DRAIN_REASON_SILENT "silent"
-#define FK_DRAIN_REASON_FAULTY "sick"
-
 typedef struct {
   const char *machine; /* interned */
   const char *team;    /* interned */
@@ -138,39 +86,6 @@
   gboolean inheriting;            /* and whether any did */
 } FkPendingRequests;
 
-/* Heartbeats and direct commands of the workers that this controller owns. */
-typedef struct {
-  GQueue *held_heartbeats;        /* FkHeldHeartbeat: waiting for a shard to be acquired */
-  guint duplicate_heartbeats;     /* refused in this window: copies */
-  guint impossible_tokens;        /* refused in this window: with a token that no shard has */
-  GHashTable *redirects;          /* machine -> FkRedirect */
-  GHashTable *commands;           /* call -> machine id (interned) */
-  FkTime last_tick, behind_until; /* we were too slow lately to tell who is silent */
-  guint slice, round;             /* of the machines, to be looked through next; how often all were */
-  GArray *zones;                  /* FkZoneReachability, counted once in all slices */
-} FkWorkerPool;
-
-/* Completions that are proven and not committed yet. */
-typedef struct {
-  GHashTable *pending;            /* attempt -> FkCompletion: proven, to be written down */
-  GHashTable *pending_by_machine; /* machine (interned) -> how many of them are there */
-  gboolean writing;
-  guint page;
-  FkRev wait_rev;
-  gboolean urgent; /* a service waits to be started elsewhere: not for the pace */
-  FkTime write_after;
-} FkCompletions;
-
-/* Acquiring shards, and writing their machine registry's pages. */
-typedef struct {
-  gboolean acquiring;
-  FkRev acquire_wait_rev;
-  FkTime acquire_after, handback_after;
-  gboolean page_writing;
-  FkRev page_wait_rev;
-  FkTime page_write_after;
-} FkShardOwnership;
-
 /* Launches: their fence, the one under way and what it reserves. */
 typedef struct {
   GHashTable *hindrances;              /* why nothing was launched -> cycles, in this window */
@@ -247,11 +162,6 @@
   FkAutoscaling autoscaling;
 };
 
-/* When to try again after a write that failed, spread so that controllers don't collide. */
-static inline FkTime fk_write_retry_at(FkController *c) {
-  return fk_time_add(c->now, g_rand_double_range(c->rand, 0.2, 0.5));
-}
-
 /* state.c */
 FkOutput *fk_output_new(FkController *c, FkOutputKind kind);
 gboolean fk_controller_is_ready(FkController *c);
@@ -318,28 +228,6 @@
  */
 FkRev fk_requests_awaited_rev(FkController *c);
 
-/* claims.c */
-gboolean fk_shard_is_owned(FkController *c, const FkShard *g);
-const char *fk_shard_preferred_owner(FkController *c, const FkShard *g);
-void fk_shard_ownership_tick(FkController *c);
-
-/* roster.c */
-/* Seconds that so many writes must last, when all controllers together may use `share` of the budget. */
-double fk_write_pace_s(FkController *c, guint writes, double share);
-void fk_machine_registry_add(FkController *c, FkMachine *m, const FkHeartbeat *r);
-void fk_machine_registry_set_drain_reason(FkController *c, FkMachine *m, const char *why, double notice_s);
-void fk_machine_registry_remove(FkController *c, FkMachine *m);
-void fk_machine_registry_tick(FkController *c);
-
-/* ends.c */
-char *fk_attempt_key(const char *job, guint32 task, FkAttempt attempt);
-gboolean fk_completion_is_pending(FkController *c, const FkMachine *m, const FkAllocationRef *b);
-void fk_completions_add(FkController *c, const FkMachine *m, const FkAllocationRef *b, FkCompletionKind how,
-                        gboolean guarded);
-void fk_completions_tick(FkController *c);
-void fk_completions_clear(FkController *c);
-void fk_completion_free(gpointer e);
-
 /* quota.c */
 void fk_quota_partition_tick(FkController *c);
 
@@ -368,14 +256,6 @@
 /* Whether a user may hear that the job, cancelled in our view, is so. */
 gboolean fk_cancellation_barrier_is_passed(FkController *c, const FkJob *j);
 
-/* home.c */
-/* A report at our present token has come: older tokens' commands and answers are void. */
-gboolean fk_worker_has_echoed_token(const FkMachine *m);
-void fk_workers_tick(FkController *c);
-void fk_workers_view_changed(FkController *c);
-gboolean fk_machine_is_owned(FkController *c, const FkMachine *m);
-gboolean fk_machine_is_usable(FkController *c, const FkMachine *m);
-
 /* place.c */
 void fk_scheduling_cycle_run(FkController *c);
 gboolean fk_placement_fits_type(const FkSpec *s, const FkInstanceType *t);
@@ -418,13 +298,3 @@
 void fk_cost_accounting_tick(FkController *c);
 /* Logs the accounts since the last time, and starts them anew. */
 void fk_cost_accounting_log(FkController *c);
-
-/* recover.c */
-/* Tasks of services booked there that nobody has cancelled. */
-guint fk_machine_service_tasks(const FkMachine *m);
-/* Adds to `names`, up to `most_names`, the ids of those of the silent machines `serving` (with services,
- * sorted here) whose turn it is to be returned. */
-void fk_service_failover_select(FkController *c, GPtrArray *serving, GPtrArray *names, guint most_names);
-/* FkJob, borrowed from the view, one for each task of a service on a silent machine: room for them is wanted.
- */
-GPtrArray *fk_service_failover_demand(FkController *c);
--- a/src/core/controller_status.c
+++ b/src/core/controller_status.c
@@ -63,17 +63,3 @@
   return fk_controller_is_ready(c) && g_hash_table_size(c->autoscaling.instance_types) > 0 && !alone &&
          !cut_off;
 }
-
-gboolean fk_shard_is_owned(FkController *c, const FkShard *g) {
-  return g->owner && g_str_equal(g->owner, c->settings->node) &&
-         g_str_equal(g->owner_incarnation, c->incarnation);
-}
-
-gboolean fk_machine_is_owned(FkController *c, const FkMachine *m) {
-  return m->shard && fk_shard_is_owned(c, m->shard);
-}
-
-gboolean fk_worker_has_echoed_token(const FkMachine *m) {
-  return m->worker && m->worker->failure_detector.token_echoed.n &&
-         m->worker->failure_detector.token_echoed.n == m->shard->rev.n;
-}
--- a/src/core/shards/machine_registry.c
+++ b/src/core/shards/machine_registry.c
@@ -14,6 +14,14 @@
 #define PLENTY_SECONDS 0.4
 #define PACE_WITH_PLENTY_S 0.15
 
+/* After a write that failed. */
+#define RETRY_MIN_S 0.2
+#define RETRY_MAX_S 0.5
+
+FkTime fk_write_retry_at(FkController *c) {
+  return fk_time_add(c->now, g_rand_double_range(c->rand, RETRY_MIN_S, RETRY_MAX_S));
+}
+
 double fk_write_pace_s(FkController *c, guint writes, double share) {
   double pace_s = writes * (double)fk_controller_live_count(c) / (share * c->settings->store_write_rps);
   double plenty = PLENTY_SECONDS * fk_store_write_share(c) * c->settings->store_write_rps;
--- a/src/core/shards/shard_ownership.c
+++ b/src/core/shards/shard_ownership.c
@@ -15,6 +15,15 @@
 #define HANDBACKS_MAX 2 /* shards taken back from live controllers at a time */
 #define HANDBACK_PAUSE_S 2.0
 
+gboolean fk_shard_is_owned(FkController *c, const FkShard *shard) {
+  return shard->owner && g_str_equal(shard->owner, c->settings->node) &&
+         g_str_equal(shard->owner_incarnation, c->incarnation);
+}
+
+gboolean fk_machine_is_owned(FkController *c, const FkMachine *machine) {
+  return machine->shard && fk_shard_is_owned(c, machine->shard);
+}
+
 /* ---- the preferred owner ---- */
 
 static gboolean controller_is_alive(FkController *c, const char *node) {
--- a/src/core/workers/worker_state.c
+++ b/src/core/workers/worker_state.c
@@ -54,6 +54,13 @@
 
 /* ---- the state of a worker ---- */
 
+gboolean fk_worker_has_echoed_token(const FkMachine *machine) {
+  if (!machine->worker)
+    return FALSE;
+  FkRev echoed = machine->worker->failure_detector.token_echoed;
+  return echoed.n && echoed.n == machine->shard->rev.n;
+}
+
 static FkWorkerState *worker_state_new(void) {
   FkWorkerState *worker = g_new0(FkWorkerState, 1);
   worker->starts_in_doubt = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
