--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -1,14 +1,17 @@
 /* Shared between the core's own files; not for the shell. */
 #pragma once
+#include "core/api/cancellation_barrier.h"
+#include "core/api/requests.h"
+#include "core/controller_status.h"
 #include "core/cpu_profile.h"
 #include "core/messages.h"
 #include "core/scheduling/elastic_sizing.h"
+#include "core/state/job_dependencies.h"
+#include "core/store_session/calls.h"
+#include "core/store_session/read_freshness.h"
+#include "core/store_session/session.h"
 #include "core/workers/failure_detector.h"
 
-typedef void (*FkTransactionCallback)(FkController *c, gpointer data, FkOutcome o, FkRev epoch,
-                                      GPtrArray *failed);
-typedef void (*FkReadCallback)(FkController *c, gpointer data, FkOutcome o, FkStoreEvent *e);
-
 /* A machine in this home's care. */
 struct FkWorkerState {
   gboolean owned; /* the view has shown our claim */
@@ -56,7 +59,6 @@
 
 typedef struct FkAutoscaler FkAutoscaler;
 typedef struct FkCompletion FkCompletion;
-typedef struct FkCancellationBarrier FkCancellationBarrier;
 typedef struct FkCostAccounting FkCostAccounting;
 typedef struct FkSchedulingQueue FkSchedulingQueue;
 typedef struct FkCapacityIndex FkCapacityIndex;
@@ -243,71 +245,8 @@
   FkAutoscaling autoscaling;
 };
 
-/* state.c */
-FkOutput *fk_output_new(FkController *c, FkOutputKind kind);
-gboolean fk_controller_is_ready(FkController *c);
-guint fk_controller_live_count(FkController *c); /* how many live */
-/* Its part of the store's writes, by what the view says of the others. */
-double fk_store_write_share(FkController *c);
-/* It can take requests: it isn't the one that is cut off. */
-gboolean fk_controller_can_serve(FkController *c, FkTime now);
-gboolean fk_node_is_alive(FkController *c, const char *node);
-gboolean fk_spec_is_long(FkController *c, const FkSpec *s);
-/* Services wait, and the store's writes are what they wait for: what nobody waits for comes later. */
-gboolean fk_services_have_priority(FkController *c);
-FkRecord *fk_job_record_new(const FkJob *j, gboolean cancelled);
-/* Ends a job whose tasks are all done, or that is cancelled with none left, in `t`. */
-gboolean fk_transaction_finalize_job(FkController *c, FkOutput *t, FkJob *j, guint writes_left);
-
 /* Does it with its processor time charged to that purpose. */
 void fk_cpu_profile_run(FkController *c, FkCpuPurpose what, void (*fn)(FkController *));
-/* The store has answered, or hasn't. */
-void fk_store_session_note_outcome(FkController *c, FkOutcome o);
-
-/* calls.c */
-void fk_call_free(gpointer call);
-/* Sends again what has had no answer for too long. */
-void fk_calls_retry_overdue(FkController *c);
-FkOutput *fk_transaction_new(FkController *c, FkTransactionPriority prio);
-void fk_transaction_guard(FkOutput *t, char *path /* taken */, FkRev rev);
-void fk_transaction_put(FkOutput *t, char *path /* taken */, FkRecord *r /* taken */, FkRev hold);
-void fk_transaction_delete(FkOutput *t, char *path /* taken */);
-void fk_transaction_send(FkController *c, FkOutput *t, FkTransactionCallback done, gpointer data,
-                         GDestroyNotify free_data);
-void fk_read_send(FkController *c, char *path /* taken */, FkReadCallback done, gpointer data,
-                  GDestroyNotify free_data);
-/* session.c */
-void fk_store_session_tick(FkController *c);
-/* A watch was answered, or failed: what it tells is applied. */
-void fk_store_session_watch_received(FkController *c, FkOutcome o, GPtrArray *events, FkRev epoch,
-                                     FkTime sent);
-
-/* chains.c */
-/* Every controller of the settings was started last in a version that knows of jobs that need others. What
- * such a version alone can read is written from then on only. */
-gboolean fk_job_dependencies_are_supported(FkController *c);
-void fk_job_dependencies_tick(FkController *c);
-
-/* proof.c */
-#define FK_PEER_QUERY_AFTER_S 2.5 /* without a look at the store, the others are asked */
-/* Asks the others what they know; `needed`: the revision that somebody waits for them to have, or 0. */
-void fk_read_freshness_tick(FkController *c, FkRev needed);
-/* Another controller has answered. */
-void fk_read_freshness_peer_received(FkController *c, const char *peer, const char *life, FkRev seen,
-                                     double store_age_s, FkTime sent);
-/* The latest moment at which nothing can have been decided that our view doesn't show. */
-FkTime fk_read_freshness_confirmed_at(FkController *c);
-
-/* users.c */
-void fk_pending_request_free(gpointer ask);
-/* Polls are checked in batches, by transactions that only compare: one batch is under way, the next gathers.
- */
-void fk_requests_send_read_checks(FkController *c);
-void fk_requests_reply_cancelled(FkController *c);
-void fk_requests_pass_read_barrier(FkController *c);
-/* The latest revision that somebody who waits to hear of a cancellation needs all to have applied; 0: none.
- */
-FkRev fk_requests_awaited_rev(FkController *c);
 
 /* claims.c */
 gboolean fk_shard_is_owned(FkController *c, const FkShard *g);
@@ -346,19 +285,6 @@
  * `room` (CPUs) yet. */
 gboolean fk_starvation_lifts(FkController *c, const FkJob *j, double room);
 
-/* tell.c */
-FkCancellationBarrier *fk_cancellation_barrier_new(void);
-void fk_cancellation_barrier_free(FkCancellationBarrier *t);
-/* A lease that nobody renews is over after this, by any clock, in seconds. */
-double fk_lease_expiry_s(const FkSettings *s);
-/* How long a home may answer for without a fresh look at the store, in seconds. */
-double fk_stale_view_trust_s(const FkSettings *s);
-/* A controller says that its view has reached the revision. */
-void fk_cancellation_barrier_note_applied(FkCancellationBarrier *t, const char *peer, FkRev applied);
-gboolean fk_cancellation_barrier_has_applied(const FkCancellationBarrier *t, const char *peer, FkRev rev);
-/* Whether a user may hear that the job, cancelled in our view, is so. */
-gboolean fk_cancellation_barrier_is_passed(FkController *c, const FkJob *j);
-
 /* home.c */
 /* A report at our present token has come: older tokens' commands and answers are void. */
 gboolean fk_worker_has_echoed_token(const FkMachine *m);
