--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -2,8 +2,9 @@
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
-#define COMMIT_CONFLICTS_MAX 4 /* a job's record changes seldom: after so many conflicts the client retries  \
-                                */
+#define COMMIT_CONFLICTS_MAX                                                                                 \
+  4 /* a job's record changes seldom: after so many conflicts the client retries                             \
+     */
 
 static void cancellation_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                                    GPtrArray *failed) {
--- a/src/core/state/job_dependencies.c
+++ b/src/core/state/job_dependencies.c
@@ -1,15 +1,14 @@
-/* Job chains, as far as the store and the other controllers are needed: whether all of them know of chains,
- * the ends that the view hasn't seen, and what the queue takes over from a job's dependents. */
+/* Dependencies between jobs: whether all controllers support them, the terminal states that the view has not
+ * seen, and the priorities and deadlines that a job inherits from its dependents. */
 #include "core/controller_internal.h"
 
-#define READS_PER_TICK                                                                                       \
-  2 /* finals asked for: a start with thousands of waiting jobs must leave requests to users */
+#define READS_PER_TICK 2 /* a start with thousands of blocked jobs must leave requests to users */
 #define READS_MAX 8
 #define INHERIT_INTERVAL_S 1.0
 
 static gboolean node_supports_dependencies(FkController *c, const char *node) {
-  const FkLaunchFence *f = g_hash_table_lookup(c->view->launch_fences, node);
-  return f && f->supports_dependencies;
+  const FkLaunchFence *fence = g_hash_table_lookup(c->view->launch_fences, node);
+  return fence && fence->supports_dependencies;
 }
 
 gboolean fk_job_dependencies_are_supported(FkController *c) {
@@ -21,10 +20,11 @@
   return TRUE;
 }
 
-static void terminal_record_received(FkController *c, gpointer data, FkOutcome o, FkStoreEvent *e) {
+static void terminal_record_received(FkController *c, gpointer data, FkOutcome outcome, FkStoreEvent *event) {
   g_hash_table_remove(c->requests.terminal_states_requested, data);
-  if (o == FK_OUTCOME_OK && e && e->record && e->record->kind == FK_KEY_TERMINAL_JOB)
-    fk_view_add_terminal_job(c->view, data, e->record->phase, e->record->tasks, e->record->ended_at_ms);
+  if (outcome == FK_OUTCOME_OK && event && event->record && event->record->kind == FK_KEY_TERMINAL_JOB)
+    fk_view_add_terminal_job(c->view, data, event->record->phase, event->record->tasks,
+                             event->record->ended_at_ms);
 }
 
 static void request_terminal_record(gpointer data, const char *id) {
@@ -36,32 +36,31 @@
   fk_read_send(c, fk_key_path(FK_KEY_TERMINAL_JOB, id), terminal_record_received, g_strdup(id), g_free);
 }
 
-/* The view is complete: who is needed and isn't live has ended, whether or not we saw it. Each is read once.
- */
+/* The view is complete: a dependency that is not live is terminal. Each is read once. */
 static void request_terminal_records(FkController *c) {
   fk_dependency_graph_for_each_unknown(c->view->dependencies, request_terminal_record, c, READS_PER_TICK);
 }
 
-/* ------------------------------------------------------------------ what dependents ask of a job */
+/* ------------------------------------------------------------------ inheritance */
 
-static gboolean own_priority(gpointer data, const char *id, int *rank, gint64 *due_us, gint64 *run_us) {
+static gboolean own_priority(gpointer data, const char *id, int *priority, gint64 *due_us, gint64 *run_us) {
   FkController *c = data;
-  const FkJob *j = fk_view_find_job(c->view, id);
-  if (!j || j->cancelled)
+  const FkJob *job = fk_view_find_job(c->view, id);
+  if (!job || job->cancelled)
     return FALSE;
-  *rank = (int)j->spec->priority;
-  *due_us = fk_job_own_deadline_us(j);
-  *run_us = (gint64)(1e6 * c->settings->tuning.deadline_slack * fk_view_expected_run_s(c->view, j->spec));
+  *priority = (int)job->spec->priority;
+  *due_us = fk_job_own_deadline_us(job);
+  *run_us = (gint64)(1e6 * c->settings->tuning.deadline_slack * fk_view_expected_run_s(c->view, job->spec));
   return TRUE;
 }
 
-static void set_inherited_priority(gpointer data, const char *id, FkInheritedPriority inherit_priorities) {
+static void set_inherited_priority(gpointer data, const char *id, FkInheritedPriority inherited) {
   FkController *c = data;
-  FkJob *j = fk_view_find_job(c->view, id);
-  if (!j)
+  FkJob *job = fk_view_find_job(c->view, id);
+  if (!job)
     return;
-  j->inherited_priority = (FkJobPriority)MIN((int)j->spec->priority, inherit_priorities.rank);
-  j->deadline_us = MIN(fk_job_own_deadline_us(j), inherit_priorities.due_us);
+  job->inherited_priority = (FkJobPriority)MIN((int)job->spec->priority, inherited.rank);
+  job->deadline_us = MIN(fk_job_own_deadline_us(job), inherited.due_us);
 }
 
 static void inherit_priorities(FkController *c) {
@@ -71,14 +70,14 @@
     return;
   c->requests.inherited_at = c->now;
   c->requests.inheriting = any;
-  /* whoever needed a job may be gone */
+  /* the dependents of a job may be gone: inheritance starts from its own values */
   GHashTableIter it;
-  gpointer p;
+  gpointer value;
   g_hash_table_iter_init(&it, c->view->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    FkJob *j = p;
-    j->inherited_priority = j->spec->priority;
-    j->deadline_us = fk_job_own_deadline_us(j);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    FkJob *job = value;
+    job->inherited_priority = job->spec->priority;
+    job->deadline_us = fk_job_own_deadline_us(job);
   }
   fk_dependency_graph_inherit_priorities(c->view->dependencies, own_priority, set_inherited_priority, c);
 }
--- a/src/core/store_session/read_freshness.c
+++ b/src/core/store_session/read_freshness.c
@@ -1,9 +1,13 @@
-/* Proof that our view is current though the store can't be reached, and what the other controllers know. */
+/* Freshness of the view. It is confirmed up to the moment at which the latest answered watch was sent. While
+ * the store cannot be reached, it is also confirmed by the other controllers: if every one of them, in the
+ * incarnation that the view shows, has seen no later revision than the view has, then nobody has decided
+ * anything that the view lacks. A controller that has restarted confirms nothing: its last incarnation may
+ * have acknowledged a cancellation. */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 
 #define PEER_QUERY_INTERVAL_S 1.0
-#define BARRIER_QUERY_INTERVAL_S 0.15 /* while somebody waits to hear of a cancellation */
+#define BARRIER_QUERY_INTERVAL_S 0.15 /* while a cancellation waits for the others */
 
 const char *fk_controller_store_progress(FkController *c, FkTime now, FkRev *seen, FkRev *applied,
                                          double *store_age_s) {
@@ -13,35 +17,33 @@
   return c->incarnation;
 }
 
-/* While the store can't be reached, work may go on where it's proven that nobody has decided anything that we
- * don't know of: every other controller, in the life that our view knows, has seen no later revision than our
- * view has. A controller that started anew proves nothing: its last life may have told a user of a
- * cancellation. */
-void fk_read_freshness_peer_received(FkController *c, const char *peer, const char *life, FkRev seen,
+void fk_read_freshness_peer_received(FkController *c, const char *peer, const char *incarnation, FkRev seen,
                                      double store_age_s, FkTime sent) {
-  FkTime ok = fk_time_add(sent, -store_age_s);
-  if (ok.us > c->store_session.peer_store_answered_at.us)
-    c->store_session.peer_store_answered_at = ok;
-  FkControllerNode *n = g_hash_table_lookup(c->view->nodes, peer);
-  if (!fk_controller_is_ready(c) || !n || g_strcmp0(n->incarnation, life) != 0 || seen.n > c->view->applied.n)
+  FkTime store_answered_at = fk_time_add(sent, -store_age_s);
+  if (store_answered_at.us > c->store_session.peer_store_answered_at.us)
+    c->store_session.peer_store_answered_at = store_answered_at;
+  FkControllerNode *node = g_hash_table_lookup(c->view->nodes, peer);
+  if (!fk_controller_is_ready(c) || !node || g_strcmp0(node->incarnation, incarnation) != 0 ||
+      seen.n > c->view->applied.n)
     return;
   g_hash_table_replace(c->store_session.peer_confirmed_at, g_strdup(peer), g_memdup2(&sent, sizeof sent));
 }
 
 FkTime fk_read_freshness_confirmed_at(FkController *c) {
-  FkTime proof = c->now;
+  FkTime confirmed_at = c->now;
   for (guint i = 0; i < c->settings->peers->len; i++) {
-    FkTime *t = g_hash_table_lookup(c->store_session.peer_confirmed_at,
-                                    ((FkPeer *)c->settings->peers->pdata[i])->name);
-    if (!t)
+    FkTime *peer_confirmed_at = g_hash_table_lookup(c->store_session.peer_confirmed_at,
+                                                    ((FkPeer *)c->settings->peers->pdata[i])->name);
+    if (!peer_confirmed_at)
       return c->store_session.confirmed_at;
-    if (t->us < proof.us)
-      proof = *t;
+    if (peer_confirmed_at->us < confirmed_at.us)
+      confirmed_at = *peer_confirmed_at;
   }
-  /* what we have committed ourselves counts as well */
-  if (c->store_session.latest_rev_seen.n > c->view->applied.n || proof.us < c->store_session.confirmed_at.us)
+  /* a commit of our own that the view lacks counts as well */
+  if (c->store_session.latest_rev_seen.n > c->view->applied.n ||
+      confirmed_at.us < c->store_session.confirmed_at.us)
     return c->store_session.confirmed_at;
-  return proof;
+  return confirmed_at;
 }
 
 void fk_read_freshness_tick(FkController *c, FkRev needed) {
@@ -52,11 +54,11 @@
   c->store_session.next_peer_query =
       fk_time_add(c->now, needed.n ? BARRIER_QUERY_INTERVAL_S : PEER_QUERY_INTERVAL_S);
   for (guint i = 0; i < c->settings->peers->len; i++) {
-    FkPeer *p = c->settings->peers->pdata[i];
-    if (!behind && fk_cancellation_barrier_has_applied(c->requests.cancellation_barrier, p->name, needed))
+    FkPeer *peer = c->settings->peers->pdata[i];
+    if (!behind && fk_cancellation_barrier_has_applied(c->requests.cancellation_barrier, peer->name, needed))
       continue;
-    FkOutput *o = fk_output_new(c, FK_OUTPUT_PEER_QUERY);
-    o->name = g_strdup(p->name);
-    o->addr = g_strdup(p->addr);
+    FkOutput *query = fk_output_new(c, FK_OUTPUT_PEER_QUERY);
+    query->name = g_strdup(peer->name);
+    query->addr = g_strdup(peer->addr);
   }
 }
--- a/src/core/store_session/session.c
+++ b/src/core/store_session/session.c
@@ -1,27 +1,39 @@
-/* The session with the store: its hold, the list that a start reads, the watch that moves the view. */
+/* The session with the store: the lease that keeps the controller's node key, the list that a start reads,
+ * and the watch that moves the view from there on. The list's pages may be of different moments: the watch
+ * replays everything after the first page's revision, and the view is ready once it has caught up with the
+ * last. */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 #include "core/scheduling/capacity_index.h"
 #include "core/scheduling/scheduling_queue.h"
 
 #define STORE_LEASE_S 6.0
+#define KEEPALIVE_INTERVAL_S (STORE_LEASE_S / 4)
+#define LEASE_RETRY_MIN_S 0.2
+#define LEASE_RETRY_MAX_S 0.6
+#define NODE_KEY_RETRY_S 0.3
+#define LIST_RETRY_STEP_S 0.2 /* longer by this after each failure in a row ... */
+#define LIST_RETRY_MAX_S 2.0  /* ... up to this */
 #define WATCH_S 2.0
+#define WATCH_RETRY_MIN_S 0.1
+#define WATCH_RETRY_MAX_S 0.4
+#define WATCH_PAUSE_MIN_S 0.02
 #define WATCH_REQUEST_SHARE 0.35 /* of the store's requests, all controllers together */
 
 static void send_list(FkController *c) {
-  FkOutput *o = fk_output_new(c, FK_OUTPUT_LIST);
-  o->path = g_strdup(FK_STORE_LIVE_ROOT);
-  o->after = g_strdup(c->store_session.list_after);
+  FkOutput *output = fk_output_new(c, FK_OUTPUT_LIST);
+  output->path = g_strdup(FK_STORE_LIVE_ROOT);
+  output->after = g_strdup(c->store_session.list_after);
   c->store_session.listing = TRUE;
 }
 
 static void start_sync(FkController *c) {
   if (fk_controller_is_ready(c)) {
-    /* What we knew of starts under way goes with the view: a new life claims every machine again, and the new
-     * tokens make the old starts void. */
-    char *life = g_strdup_printf("%s+%u", c->incarnation, g_rand_int_range(c->rand, 0, 1 << 30));
+    /* What is known of starts in flight goes with the view. A new incarnation acquires every shard again, and
+     * the new fencing tokens make the old starts void. */
+    char *incarnation = g_strdup_printf("%s+%u", c->incarnation, g_rand_int_range(c->rand, 0, 1 << 30));
     g_free(c->incarnation);
-    c->incarnation = life;
+    c->incarnation = incarnation;
   }
   fk_view_clear(c->view);
   fk_scheduling_queue_reset(c->leader.scheduling_queue);
@@ -41,11 +53,11 @@
 }
 
 static void send_watch(FkController *c, double delay_s) {
-  FkOutput *o = fk_output_new(c, FK_OUTPUT_WATCH);
-  o->path = g_strdup(FK_STORE_ROOT);
-  o->rev = c->view->applied;
-  o->seconds = c->store_session.sync == FK_SYNC_READY ? WATCH_S : 0;
-  o->delay_s = delay_s;
+  FkOutput *output = fk_output_new(c, FK_OUTPUT_WATCH);
+  output->path = g_strdup(FK_STORE_ROOT);
+  output->rev = c->view->applied;
+  output->seconds = c->store_session.sync == FK_SYNC_READY ? WATCH_S : 0;
+  output->delay_s = delay_s;
   c->store_session.watching = TRUE;
 }
 
@@ -53,27 +65,27 @@
   FkCpuPurpose before = fk_cpu_profile_enter(&c->cpu_profile, FK_CPU_APPLY);
   c->view->now = c->now;
   for (guint i = 0; i < events->len; i++) {
-    FkStoreEvent *e = events->pdata[i];
-    fk_view_apply(c->view, e->path, g_steal_pointer(&e->record), e->rev);
+    FkStoreEvent *event = events->pdata[i];
+    fk_view_apply(c->view, event->path, g_steal_pointer(&event->record), event->rev);
   }
   fk_cpu_profile_leave(&c->cpu_profile, before);
 }
 
-void fk_controller_list_received(FkController *c, FkTime now, FkOutcome o, GPtrArray *events, gboolean more,
-                                 FkRev epoch) {
+void fk_controller_list_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
+                                 gboolean more, FkRev epoch) {
   c->now = now;
   c->store_session.listing = FALSE;
-  fk_store_session_note_outcome(c, o);
+  fk_store_session_note_outcome(c, outcome);
   if (c->store_session.sync != FK_SYNC_LISTING)
     return;
-  if (o != FK_OUTCOME_OK) {
+  if (outcome != FK_OUTCOME_OK) {
     c->store_session.failures++;
     c->store_session.retry_at =
-        fk_time_add(now, MIN(2.0, 0.2 * c->store_session.failures) * g_rand_double_range(c->rand, 0.7, 1.3));
+        fk_time_add(now, MIN(LIST_RETRY_MAX_S, LIST_RETRY_STEP_S * c->store_session.failures) *
+                             g_rand_double_range(c->rand, 0.7, 1.3));
     return;
   }
   c->store_session.failures = 0;
-  /* Pages may be of different moments: everything after the first page's is replayed by the watch. */
   if (!c->store_session.list_epoch.n)
     c->store_session.list_epoch = epoch;
   if (epoch.n > c->store_session.catch_up_rev.n)
@@ -94,23 +106,23 @@
   c->store_session.sync = FK_SYNC_READY;
   c->view->caught_up = TRUE;
   c->store_session.ready_since = c->now;
-  g_info("view ready at revision %" G_GUINT64_FORMAT ": %u jobs, %u machines", c->view->applied.n,
+  g_info("view ready rev=%" G_GUINT64_FORMAT " jobs=%u machines=%u", c->view->applied.n,
          g_hash_table_size(c->view->jobs), g_hash_table_size(c->view->machines));
 }
 
-void fk_store_session_watch_received(FkController *c, FkOutcome o, GPtrArray *events, FkRev epoch,
+void fk_store_session_watch_received(FkController *c, FkOutcome outcome, GPtrArray *events, FkRev epoch,
                                      FkTime sent) {
   c->store_session.watching = FALSE;
-  fk_store_session_note_outcome(c, o);
+  fk_store_session_note_outcome(c, outcome);
   if (c->store_session.sync != FK_SYNC_READY && c->store_session.sync != FK_SYNC_CATCHING_UP)
     return;
-  if (o == FK_OUTCOME_GONE) {
-    g_message("the store no longer has our place in its history: reading all again");
+  if (outcome == FK_OUTCOME_GONE) {
+    g_message("watch position compacted: listing again rev=%" G_GUINT64_FORMAT, c->view->applied.n);
     start_sync(c);
     return;
   }
-  if (o != FK_OUTCOME_OK) {
-    send_watch(c, g_rand_double_range(c->rand, 0.1, 0.4));
+  if (outcome != FK_OUTCOME_OK) {
+    send_watch(c, g_rand_double_range(c->rand, WATCH_RETRY_MIN_S, WATCH_RETRY_MAX_S));
     return;
   }
   apply_events(c, events);
@@ -125,78 +137,92 @@
   fk_requests_reply_cancelled(c);
   fk_requests_pass_read_barrier(c);
   fk_calls_retry_overdue(c);
-  /* A short pause lets several changes come in one answer: the watch's share of the request budget stays
-   * small. */
-  send_watch(c, events->len
-                    ? MAX(0.02, fk_controller_live_count(c) / (WATCH_REQUEST_SHARE * c->settings->store_rps))
-                    : 0);
+  /* a short pause lets several changes come in one answer, which keeps the watch's request share small */
+  send_watch(c, events->len ? MAX(WATCH_PAUSE_MIN_S, fk_controller_live_count(c) /
+                                                         (WATCH_REQUEST_SHARE * c->settings->store_rps))
+                            : 0);
 }
 
-void fk_controller_lease_grant_received(FkController *c, FkTime now, FkOutcome o, FkRev hold, FkTime sent) {
+static double lease_retry_s(FkController *c) {
+  return g_rand_double_range(c->rand, LEASE_RETRY_MIN_S, LEASE_RETRY_MAX_S);
+}
+
+void fk_controller_lease_grant_received(FkController *c, FkTime now, FkOutcome outcome, FkRev lease,
+                                        FkTime sent) {
   c->now = now;
-  fk_store_session_note_outcome(c, o);
+  fk_store_session_note_outcome(c, outcome);
   c->store_session.lease_pending = FALSE;
-  if (o == FK_OUTCOME_OK) {
-    c->store_session.lease = hold;
-    c->store_session.next_keepalive = fk_time_add(now, STORE_LEASE_S / 4);
+  if (outcome == FK_OUTCOME_OK) {
+    c->store_session.lease = lease;
+    c->store_session.next_keepalive = fk_time_add(now, KEEPALIVE_INTERVAL_S);
     c->store_session.node_wait_rev.n = 0;
   } else {
-    c->store_session.next_keepalive = fk_time_add(now, g_rand_double_range(c->rand, 0.2, 0.6));
+    c->store_session.next_keepalive = fk_time_add(now, lease_retry_s(c));
   }
 }
 
-void fk_controller_lease_keepalive_received(FkController *c, FkTime now, FkOutcome o, FkTime sent) {
+void fk_controller_lease_keepalive_received(FkController *c, FkTime now, FkOutcome outcome, FkTime sent) {
   c->now = now;
-  fk_store_session_note_outcome(c, o);
+  fk_store_session_note_outcome(c, outcome);
   c->store_session.lease_pending = FALSE;
   c->store_session.next_keepalive =
-      fk_time_add(now, o == FK_OUTCOME_OK ? STORE_LEASE_S / 4 : g_rand_double_range(c->rand, 0.2, 0.6));
-  if (o == FK_OUTCOME_GONE) {
-    g_message("our hold %" G_GUINT64_FORMAT " has ended", c->store_session.lease.n);
+      fk_time_add(now, outcome == FK_OUTCOME_OK ? KEEPALIVE_INTERVAL_S : lease_retry_s(c));
+  if (outcome == FK_OUTCOME_GONE) {
+    g_message("store lease expired lease=%" G_GUINT64_FORMAT, c->store_session.lease.n);
     c->store_session.lease.n = 0;
     c->store_session.next_keepalive = now;
   }
 }
 
-static void node_key_committed(FkController *c, gpointer data, FkOutcome o, FkRev epoch, GPtrArray *failed) {
+static void node_key_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                               GPtrArray *failed) {
   c->store_session.node_pending = FALSE;
-  if (o == FK_OUTCOME_OK || o == FK_OUTCOME_CONFLICT)
+  if (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT)
     c->store_session.node_wait_rev = epoch;
   else
-    c->store_session.node_retry_at = fk_time_add(c->now, 0.3);
-  if (o == FK_OUTCOME_INVALID) {
-    /* the hold is gone */
+    c->store_session.node_retry_at = fk_time_add(c->now, NODE_KEY_RETRY_S);
+  if (outcome == FK_OUTCOME_INVALID) {
+    /* the lease has expired */
     c->store_session.lease.n = 0;
     c->store_session.next_keepalive = c->now;
   }
 }
 
+static void send_keepalive(FkController *c) {
+  FkOutput *output =
+      fk_output_new(c, c->store_session.lease.n ? FK_OUTPUT_LEASE_KEEPALIVE : FK_OUTPUT_LEASE_GRANT);
+  output->rev = c->store_session.lease;
+  output->seconds = STORE_LEASE_S;
+  c->store_session.lease_pending = TRUE;
+}
+
+/* Writes the node key if the view does not show it with this incarnation. */
+static void put_node_key(FkController *c) {
+  FkControllerNode *node = g_hash_table_lookup(c->view->nodes, c->settings->node);
+  if (node && g_str_equal(node->incarnation, c->incarnation))
+    return;
+  FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_LEASE);
+  FkRecord *record = fk_record_new(FK_KEY_NODE);
+  record->incarnation = g_strdup(c->incarnation);
+  /* A retry by an earlier incarnation, whose lease may last for seconds yet, must not undo this. */
+  fk_transaction_guard(transaction, fk_key_path(FK_KEY_NODE, c->settings->node),
+                       node ? node->rev : (FkRev){0});
+  fk_transaction_put(transaction, fk_key_path(FK_KEY_NODE, c->settings->node), record,
+                     c->store_session.lease);
+  c->store_session.node_pending = TRUE;
+  fk_transaction_send(c, transaction, node_key_committed, NULL, NULL);
+}
+
 void fk_store_session_tick(FkController *c) {
   if (c->store_session.sync == FK_SYNC_IDLE)
     start_sync(c);
   else if (c->store_session.sync == FK_SYNC_LISTING && !c->store_session.listing &&
            fk_time_reached(c->now, c->store_session.retry_at))
     send_list(c);
-  if (!c->store_session.lease_pending && fk_time_reached(c->now, c->store_session.next_keepalive)) {
-    FkOutput *o =
-        fk_output_new(c, c->store_session.lease.n ? FK_OUTPUT_LEASE_KEEPALIVE : FK_OUTPUT_LEASE_GRANT);
-    o->rev = c->store_session.lease;
-    o->seconds = STORE_LEASE_S;
-    c->store_session.lease_pending = TRUE;
-  }
-  if (!fk_controller_is_ready(c) || !c->store_session.lease.n || c->store_session.node_pending ||
-      c->view->applied.n < c->store_session.node_wait_rev.n ||
-      !fk_time_reached(c->now, c->store_session.node_retry_at))
-    return;
-  FkControllerNode *n = g_hash_table_lookup(c->view->nodes, c->settings->node);
-  if (n && g_str_equal(n->incarnation, c->incarnation))
-    return;
-  FkOutput *t = fk_transaction_new(c, FK_PRIORITY_LEASE);
-  FkRecord *r = fk_record_new(FK_KEY_NODE);
-  r->incarnation = g_strdup(c->incarnation);
-  /* A repeat of an earlier life's, whose hold may last for seconds yet, must not undo this. */
-  fk_transaction_guard(t, fk_key_path(FK_KEY_NODE, c->settings->node), n ? n->rev : (FkRev){0});
-  fk_transaction_put(t, fk_key_path(FK_KEY_NODE, c->settings->node), r, c->store_session.lease);
-  c->store_session.node_pending = TRUE;
-  fk_transaction_send(c, t, node_key_committed, NULL, NULL);
+  if (!c->store_session.lease_pending && fk_time_reached(c->now, c->store_session.next_keepalive))
+    send_keepalive(c);
+  gboolean view_has_latest = c->view->applied.n >= c->store_session.node_wait_rev.n;
+  if (fk_controller_is_ready(c) && c->store_session.lease.n && !c->store_session.node_pending &&
+      view_has_latest && fk_time_reached(c->now, c->store_session.node_retry_at))
+    put_node_key(c);
 }
