--- a/src/core/api/requests.c
+++ b/src/core/api/requests.c
@@ -3,6 +3,7 @@
 
 #include "core/controller.h"
 #include "core/controller_internal.h"
+#include "core/scheduling/placement.h"
 #include "fair_share/quota.h"
 
 #define READ_CHECK_REQUEST_SHARE 0.15 /* the same, for checking what polls are told */
--- a/src/core/autoscaler/cost_accounting.c
+++ b/src/core/autoscaler/cost_accounting.c
@@ -1,6 +1,7 @@
 /* Where each unit of money goes, as the leader sees it: what the machines cost is counted up by what they
  * were doing at each look, and told once a window. */
 #include "core/controller_internal.h"
+#include "core/scheduling/placement.h"
 
 #define SAMPLE_INTERVAL_S 2.0
 
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -1,6 +1,7 @@
 /* Machines that go back: returned by the cloud's word, idle, or dearer than what runs there needs. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/controller.h"
+#include "core/scheduling/placement.h"
 
 #include <string.h>
 
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -1,5 +1,6 @@
 /* The plan of renting: what waits, played through in thought over the room that there is and will be. */
 #include "core/autoscaler/autoscaler_internal.h"
+#include "core/scheduling/placement.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -3,7 +3,10 @@
 #include "core/controller_internal.h"
 #include "core/scheduling/backfill_reservation.h"
 #include "core/scheduling/capacity_index.h"
+#include "core/scheduling/quota_partition.h"
+#include "core/scheduling/scheduling_cycle.h"
 #include "core/scheduling/scheduling_queue.h"
+#include "core/scheduling/starvation.h"
 
 /* ------------------------------------------------------------------ shares, and whether it serves */
 
--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -331,21 +331,6 @@
 void fk_completions_clear(FkController *c);
 void fk_completion_free(gpointer e);
 
-/* quota.c */
-void fk_quota_partition_tick(FkController *c);
-
-/* serving.c */
-void fk_starvation_tick(FkController *c);
-/* A line for each class and team; those of which less than half is served as a warning. */
-void fk_starvation_log(FkController *c);
-/* The job is one of the largest of its class, of which less than half is served. */
-gboolean fk_starvation_affects_largest(FkController *c, const FkJob *j);
-/* The job's class is hardly served. */
-gboolean fk_starvation_affects_class(FkController *c, const FkJob *j);
-/* The job is of a class or team of which less than half is served, and which hasn't a floor of the fleet's
- * `room` (CPUs) yet. */
-gboolean fk_starvation_lifts(FkController *c, const FkJob *j, double room);
-
 /* tell.c */
 FkCancellationBarrier *fk_cancellation_barrier_new(void);
 void fk_cancellation_barrier_free(FkCancellationBarrier *t);
@@ -367,19 +352,6 @@
 gboolean fk_machine_is_owned(FkController *c, const FkMachine *m);
 gboolean fk_machine_is_usable(FkController *c, const FkMachine *m);
 
-/* place.c */
-void fk_scheduling_cycle_run(FkController *c);
-gboolean fk_placement_fits_type(const FkSpec *s, const FkInstanceType *t);
-gboolean fk_placement_is_allowed(FkController *c, const FkJob *j, const FkMachine *m);
-gboolean fk_placement_fits_machine(FkController *c, const FkMachine *m, const FkSpec *s);
-/* Seconds from now until a waiting task must start for the tightest aim of its class that can still be met,
- * leaving `slack` times its run time; G_MAXDOUBLE when none can. */
-double fk_job_latest_start(FkController *c, const FkJob *j, double slack);
-gboolean fk_team_quota_allows_task(FkController *c, const FkSpec *s);
-/* Where a long task would go now; `zone` NULL: anywhere. */
-FkMachine *fk_long_path_best_machine(FkController *c, const FkJob *j, GPtrArray *machines, const char *zone);
-const FkInstanceType *fk_machine_type(FkController *c, const FkMachine *m);
-
 /* leader.c */
 /* After the view has changed and launches were tried. */
 void fk_leader_view_changed(FkController *c);
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -2,8 +2,12 @@
  * Nothing is unsafe when two controllers think they lead: every decision is guarded by itself. */
 #include "core/scheduling/backfill_reservation.h"
 #include "core/scheduling/capacity_index.h"
-#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/long_path.h"
+#include "core/scheduling/preemption.h"
+#include "core/scheduling/preemption_cost.h"
+#include "core/scheduling/starvation.h"
 #include "core/scheduling/stop_transaction.h"
+#include "core/scheduling/team_quota.h"
 
 #include <string.h>
 
--- a/src/core/scheduling/backfill_reservation.c
+++ b/src/core/scheduling/backfill_reservation.c
@@ -1,211 +1,256 @@
 #include "core/scheduling/backfill_reservation.h"
 
-#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/team_quota.h"
 
-#define START_DEADLINE_S 240.0 /* a job must have begun by then, whatever else waits (the operators' check)  \
+#define START_DEADLINE_S 240.0 /* by then a job must have started, whatever else waits (the service check)   \
                                 */
-#define AGED_SHARE 0.55        /* of it: what is left is enough for a machine to run empty */
+#define AGED_SHARE 0.55        /* of that time: the rest is enough for a machine to run empty */
 #define REFRESH_INTERVAL_S 2.0
-#define RESERVING_JOBS_MAX 3    /* that room is kept for at a time, the first in the order */
-#define MACHINES_PER_JOB_MAX 32 /* machines kept for one job at the most: a gang's */
-#define RUN_TIME_MARGIN 1.5     /* times its estimate: by then what runs here has mostly ended */
+#define RESERVING_JOBS_MAX 3 /* at a time, the first of the queue */
+#define MACHINES_PER_JOB_MAX 32
+#define RUN_TIME_MARGIN 1.5 /* times the expected run time: by then a task has mostly ended */
+#define STOPPING_S 1.0      /* until a task that was asked to stop has, and the least for any other */
 #define LOGGED_JOBS_MAX 5
 
 typedef struct {
-  char *job;
-  FkJobPriority rank;
-  guint place;
-  FkTime free_at;
+  char *job; /* id */
+  FkJobPriority priority;
+  guint queue_position;
+  FkTime available_at; /* when the job could start there */
 } Reservation;
 
 struct FkBackfillReservations {
-  GHashTable *by_machine; /* machine id (interned) -> Kept */
+  GHashTable *by_machine; /* machine id (interned) -> Reservation */
   FkTime refreshed_at;
 };
 
-static void reservation_free(gpointer p) {
-  g_free(((Reservation *)p)->job);
-  g_free(p);
+static void reservation_free(gpointer reservation) {
+  g_free(((Reservation *)reservation)->job);
+  g_free(reservation);
 }
 
 FkBackfillReservations *fk_backfill_reservation_new(void) {
-  FkBackfillReservations *o = g_new0(FkBackfillReservations, 1);
-  o->by_machine = g_hash_table_new_full(g_str_hash, g_direct_equal, NULL, reservation_free);
-  return o;
+  FkBackfillReservations *reservations = g_new0(FkBackfillReservations, 1);
+  reservations->by_machine = g_hash_table_new_full(g_str_hash, g_direct_equal, NULL, reservation_free);
+  return reservations;
 }
 
-void fk_backfill_reservation_free(FkBackfillReservations *o) {
-  g_hash_table_unref(o->by_machine);
-  g_free(o);
+void fk_backfill_reservation_free(FkBackfillReservations *reservations) {
+  g_hash_table_unref(reservations->by_machine);
+  g_free(reservations);
 }
 
-static double waited_s(FkController *c, const FkJob *j) {
-  return fk_time_between((FkTime){j->startable_us}, c->now);
+/* ------------------------------------------------------------------ aging */
+
+static double waited_s(FkController *c, const FkJob *job) {
+  return fk_time_between((FkTime){job->startable_us}, c->now);
 }
 
-double fk_backfill_reservation_aged_s(FkController *c, const FkJob *j) {
-  return j->allocated || j->done || j->failing ? -1 : waited_s(c, j) - AGED_SHARE * START_DEADLINE_S;
+double fk_backfill_reservation_aged_s(FkController *c, const FkJob *job) {
+  return job->allocated || job->done || job->failing ? -1 : waited_s(c, job) - AGED_SHARE * START_DEADLINE_S;
 }
 
-gboolean fk_backfill_reservation_is_aged(FkController *c, const FkJob *j) {
-  return fk_backfill_reservation_aged_s(c, j) > 0;
+gboolean fk_backfill_reservation_is_aged(FkController *c, const FkJob *job) {
+  return fk_backfill_reservation_aged_s(c, job) > 0;
 }
 
-/* ------------------------------------------------------------------ where room comes soonest */
+/* ------------------------------------------------------------------ where capacity becomes free soonest */
 
+/* Capacity that becomes free, and in how many seconds. */
 typedef struct {
-  double at, cpus, gpus, mem_gb;
+  double in_s, cpus, gpus, mem_gb;
 } Release;
 
 static int compare_by_time(gconstpointer a, gconstpointer b) {
   const Release *x = a, *y = b;
-  return x->at < y->at ? -1 : x->at > y->at;
+  return x->in_s < y->in_s ? -1 : x->in_s > y->in_s;
 }
 
-static gboolean fits(const FkInstanceType *t, const FkMachine *m, const Release *left, const FkSpec *s) {
-  return m->allocated_cpus + m->reserved_cpus - left->cpus + s->cpus <= t->cpus + FK_AMOUNT_EPSILON &&
-         m->allocated_gpus + m->reserved_gpus - left->gpus + s->gpus <= t->gpus + FK_AMOUNT_EPSILON &&
-         m->allocated_mem_gb + m->reserved_mem_gb - left->mem_gb + s->mem_gb <= t->mem_gb + FK_AMOUNT_EPSILON;
+/* Whether a task fits once so much has become free. */
+static gboolean fits(const FkInstanceType *type, const FkMachine *machine, const Release *released,
+                     const FkSpec *spec) {
+  return machine->allocated_cpus + machine->reserved_cpus - released->cpus + spec->cpus <=
+             type->cpus + FK_AMOUNT_EPSILON &&
+         machine->allocated_gpus + machine->reserved_gpus - released->gpus + spec->gpus <=
+             type->gpus + FK_AMOUNT_EPSILON &&
+         machine->allocated_mem_gb + machine->reserved_mem_gb - released->mem_gb + spec->mem_gb <=
+             type->mem_gb + FK_AMOUNT_EPSILON;
 }
 
-/* Seconds until the machine has room for such a task if nothing more is placed there; G_MAXDOUBLE: never. */
-static double available_in_s(FkController *c, const FkMachine *m, const FkSpec *s) {
-  const FkInstanceType *t = fk_machine_type(c, m);
-  Release gone = {0};
-  if (fits(t, m, &gone, s))
-    return 0;
-  g_autoptr(GArray) ends = g_array_new(FALSE, FALSE, sizeof(Release));
-  for (guint i = 0; i < m->allocations->len; i++) {
-    const FkAllocationRef *b = &g_array_index(m->allocations, FkAllocationRef, i);
-    const FkSpec *o = b->job->spec;
-    gboolean leaving = b->stop_requested || b->job->cancelled;
-    if (o->shape == FK_SHAPE_SERVICE && !leaving)
+/* Release: what the machine's tasks will free, the soonest first. Services run until they are stopped. */
+static GArray *expected_releases(FkController *c, const FkMachine *machine) {
+  GArray *releases = g_array_new(FALSE, FALSE, sizeof(Release));
+  for (guint i = 0; i < machine->allocations->len; i++) {
+    const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
+    const FkSpec *spec = allocation->job->spec;
+    gboolean stopping = allocation->stop_requested || allocation->job->cancelled;
+    if (spec->shape == FK_SHAPE_SERVICE && !stopping)
       continue;
-    double left = leaving ? 1
-                          : MAX(1, RUN_TIME_MARGIN * fk_view_expected_run_s(c->view, o) -
-                                       fk_time_between(b->first_seen_at, c->now));
-    Release l = {left, o->cpus, o->gpus, o->mem_gb};
-    g_array_append_val(ends, l);
+    double in_s = STOPPING_S;
+    if (!stopping)
+      in_s = MAX(STOPPING_S, RUN_TIME_MARGIN * fk_view_expected_run_s(c->view, spec) -
+                                 fk_time_between(allocation->first_seen_at, c->now));
+    Release release = {in_s, spec->cpus, spec->gpus, spec->mem_gb};
+    g_array_append_val(releases, release);
   }
-  g_array_sort(ends, compare_by_time);
-  for (guint i = 0; i < ends->len; i++) {
-    const Release *l = &g_array_index(ends, Release, i);
-    gone.cpus += l->cpus;
-    gone.gpus += l->gpus;
-    gone.mem_gb += l->mem_gb;
-    if (fits(t, m, &gone, s))
-      return l->at;
+  g_array_sort(releases, compare_by_time);
+  return releases;
+}
+
+/* Seconds until the machine has room for such a task if nothing more is placed there; G_MAXDOUBLE: never. */
+static double available_in_s(FkController *c, const FkMachine *machine, const FkSpec *spec) {
+  const FkInstanceType *type = fk_machine_type(c, machine);
+  Release total = {0};
+  if (fits(type, machine, &total, spec))
+    return 0;
+  g_autoptr(GArray) releases = expected_releases(c, machine);
+  for (guint i = 0; i < releases->len; i++) {
+    const Release *release = &g_array_index(releases, Release, i);
+    total.cpus += release->cpus;
+    total.gpus += release->gpus;
+    total.mem_gb += release->mem_gb;
+    if (fits(type, machine, &total, spec))
+      return release->in_s;
   }
   return G_MAXDOUBLE;
 }
 
 typedef struct {
   const FkMachine *machine;
-  double in_s;
+  double available_in_s;
 } Candidate;
 
 static int compare_by_availability(gconstpointer a, gconstpointer b) {
   const Candidate *x = a, *y = b;
-  return x->in_s != y->in_s ? (x->in_s < y->in_s ? -1 : 1) : g_strcmp0(x->machine->id, y->machine->id);
+  if (x->available_in_s != y->available_in_s)
+    return x->available_in_s < y->available_in_s ? -1 : 1;
+  return g_strcmp0(x->machine->id, y->machine->id);
 }
 
-/* Where the job could begin, the soonest first; in one zone, or in any (NULL). */
-static GArray *find_candidates(FkController *c, const FkJob *j, const char *zone) {
-  GArray *all = g_array_new(FALSE, FALSE, sizeof(Candidate));
+static gboolean can_be_reserved(FkController *c, const FkMachine *machine, const char *zone) {
+  return machine->record && !machine->drain_reason &&
+         !g_hash_table_contains(c->leader.backfill_reservations->by_machine, machine->id) &&
+         (!zone || g_str_equal(zone, machine->record->zone));
+}
+
+/* Candidate: where the job could start, the soonest first; in the zone (NULL: any). */
+static GArray *find_candidates(FkController *c, const FkJob *job, const char *zone) {
+  GArray *candidates = g_array_new(FALSE, FALSE, sizeof(Candidate));
   GHashTableIter it;
-  gpointer p;
+  gpointer value;
   g_hash_table_iter_init(&it, c->view->machines);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    const FkMachine *m = p;
-    if (!m->record || m->drain_reason ||
-        g_hash_table_contains(c->leader.backfill_reservations->by_machine, m->id) ||
-        (zone && !g_str_equal(zone, m->record->zone)) || !fk_placement_is_allowed(c, j, m))
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    const FkMachine *machine = value;
+    if (!can_be_reserved(c, machine, zone) || !fk_placement_is_allowed(c, job, machine))
       continue;
-    Candidate at = {m, available_in_s(c, m, j->spec)};
-    if (at.in_s < G_MAXDOUBLE)
-      g_array_append_val(all, at);
+    Candidate candidate = {machine, available_in_s(c, machine, job->spec)};
+    if (candidate.available_in_s < G_MAXDOUBLE)
+      g_array_append_val(candidates, candidate);
   }
-  g_array_sort(all, compare_by_availability);
-  return all;
+  g_array_sort(candidates, compare_by_availability);
+  return candidates;
 }
 
-/* Machines that must be there together for the job to begin: one for each of a gang's tasks, else one. */
-static guint machines_needed(const FkJob *j) {
-  return j->spec->shape == FK_SHAPE_GANG ? MIN(j->spec->tasks, MACHINES_PER_JOB_MAX) : 1;
+/* Machines that the job needs at the same time to start: one for each of a gang's tasks, else one. */
+static guint machines_needed(const FkJob *job) {
+  return job->spec->shape == FK_SHAPE_GANG ? MIN(job->spec->tasks, MACHINES_PER_JOB_MAX) : 1;
 }
 
-/* A job that must be in one zone gets all in the one where the last of them comes soonest. */
-static GArray *best_candidates(FkController *c, const FkJob *j) {
-  if (!j->spec->one_zone)
-    return find_candidates(c, j, NULL);
-  GArray *best = NULL;
-  guint n = machines_needed(j);
-  for (guint z = 0; z < c->settings->zones->len; z++) {
-    GArray *in = find_candidates(c, j, c->settings->zones->pdata[z]);
-    if (in->len >= n &&
-        (!best || g_array_index(in, Candidate, n - 1).in_s < g_array_index(best, Candidate, n - 1).in_s)) {
+/* For a job that must run in one zone, the zone where the last machine that it needs is available soonest. */
+static GArray *best_candidates(FkController *c, const FkJob *job) {
+  if (!job->spec->one_zone)
+    return find_candidates(c, job, NULL);
+  g_autoptr(GArray) best = NULL;
+  guint last = machines_needed(job) - 1;
+  for (guint i = 0; i < c->settings->zones->len; i++) {
+    g_autoptr(GArray) in_zone = find_candidates(c, job, c->settings->zones->pdata[i]);
+    if (in_zone->len <= last)
+      continue;
+    if (!best || g_array_index(in_zone, Candidate, last).available_in_s <
+                     g_array_index(best, Candidate, last).available_in_s) {
       g_clear_pointer(&best, g_array_unref);
-      best = g_array_ref(in);
+      best = g_steal_pointer(&in_zone);
     }
-    g_array_unref(in);
   }
-  return best ? best : g_array_new(FALSE, FALSE, sizeof(Candidate));
+  return best ? g_steal_pointer(&best) : g_array_new(FALSE, FALSE, sizeof(Candidate));
 }
 
-static void reserve_for(FkController *c, const FkJob *j) {
-  g_autoptr(GArray) at = best_candidates(c, j);
-  g_autoptr(GHashTable) zones = g_hash_table_new(g_direct_hash, g_direct_equal);
-  guint n = machines_needed(j), half = (j->spec->tasks + 1) / 2;
-  for (guint i = 0; i < at->len && n; i++) {
-    const Candidate *p = &g_array_index(at, Candidate, i);
-    guint here = GPOINTER_TO_UINT(g_hash_table_lookup(zones, p->machine->record->zone));
-    if (j->spec->spread && here >= half)
+/* ------------------------------------------------------------------ reservations */
+
+static void reserve_machine(FkController *c, const FkJob *job, const Candidate *candidate) {
+  Reservation *reservation = g_new0(Reservation, 1);
+  reservation->job = g_strdup(job->spec->id);
+  reservation->priority = job->effective_priority;
+  reservation->queue_position = job->queue_position;
+  reservation->available_at = fk_time_add(c->now, candidate->available_in_s);
+  g_hash_table_insert(c->leader.backfill_reservations->by_machine, (gpointer)candidate->machine->id,
+                      reservation);
+}
+
+static void reserve_for_job(FkController *c, const FkJob *job) {
+  g_autoptr(GArray) candidates = best_candidates(c, job);
+  g_autoptr(GHashTable) by_zone = g_hash_table_new(g_direct_hash, g_direct_equal);
+  guint needed = machines_needed(job), half = (job->spec->tasks + 1) / 2;
+  for (guint i = 0; i < candidates->len && needed; i++) {
+    const Candidate *candidate = &g_array_index(candidates, Candidate, i);
+    const char *zone = candidate->machine->record->zone;
+    guint in_zone = GPOINTER_TO_UINT(g_hash_table_lookup(by_zone, zone));
+    if (job->spec->spread && in_zone >= half)
       continue;
-    g_hash_table_insert(zones, (gpointer)p->machine->record->zone, GUINT_TO_POINTER(here + 1));
-    Reservation *k = g_new0(Reservation, 1);
-    *k = (Reservation){g_strdup(j->spec->id), j->effective_priority, j->queue_position,
-                       fk_time_add(c->now, p->in_s)};
-    g_hash_table_insert(c->leader.backfill_reservations->by_machine, (gpointer)p->machine->id, k);
-    n--;
+    g_hash_table_insert(by_zone, (gpointer)zone, GUINT_TO_POINTER(in_zone + 1));
+    reserve_machine(c, job, candidate);
+    needed--;
   }
 }
 
+/* Whether the team's quota allows the tasks that must start together. */
+static gboolean quota_allows_start(FkController *c, const FkSpec *spec) {
+  return fk_team_quota_allows_tasks(c, spec, spec->shape == FK_SHAPE_GANG ? spec->tasks : 1);
+}
+
 void fk_backfill_reservation_refresh(FkController *c, GPtrArray *jobs) {
-  FkBackfillReservations *o = c->leader.backfill_reservations;
-  if (fk_time_between(o->refreshed_at, c->now) < REFRESH_INTERVAL_S)
+  FkBackfillReservations *reservations = c->leader.backfill_reservations;
+  if (fk_time_between(reservations->refreshed_at, c->now) < REFRESH_INTERVAL_S)
     return;
-  o->refreshed_at = c->now;
-  g_hash_table_remove_all(o->by_machine);
-  guint left = RESERVING_JOBS_MAX;
-  for (guint i = 0; i < jobs->len && left; i++) {
-    const FkJob *j = jobs->pdata[i];
-    if (!j->urgent ||
-        !fk_team_quota_allows_tasks(c, j->spec, j->spec->shape == FK_SHAPE_GANG ? j->spec->tasks : 1))
+  reservations->refreshed_at = c->now;
+  g_hash_table_remove_all(reservations->by_machine);
+  guint jobs_left = RESERVING_JOBS_MAX;
+  for (guint i = 0; i < jobs->len && jobs_left; i++) {
+    const FkJob *job = jobs->pdata[i];
+    if (!job->urgent || !quota_allows_start(c, job->spec))
       continue;
-    reserve_for(c, j);
-    left--;
+    reserve_for_job(c, job);
+    jobs_left--;
   }
 }
 
-/* Asked of every job and machine that are looked at: mostly none is kept. */
-static const Reservation *reservation_on(FkController *c, const FkMachine *m) {
-  return g_hash_table_size(c->leader.backfill_reservations->by_machine)
-             ? g_hash_table_lookup(c->leader.backfill_reservations->by_machine, m->id)
-             : NULL;
+/* Asked for every job and machine of a cycle, while mostly no machine is reserved. */
+static const Reservation *find_reservation(FkController *c, const FkMachine *machine) {
+  GHashTable *by_machine = c->leader.backfill_reservations->by_machine;
+  return g_hash_table_size(by_machine) ? g_hash_table_lookup(by_machine, machine->id) : NULL;
 }
 
-static FkJob *waiting_holder(FkController *c, const Reservation *k) {
-  FkJob *j = fk_view_find_job(c->view, k->job);
-  return j && fk_job_waiting_tasks(j) && j->urgent ? j : NULL;
+/* The job that the reservation is for, while it still waits. */
+static FkJob *waiting_holder(FkController *c, const Reservation *reservation) {
+  FkJob *job = fk_view_find_job(c->view, reservation->job);
+  return job && fk_job_waiting_tasks(job) && job->urgent ? job : NULL;
 }
 
-gboolean fk_backfill_reservation_blocks(FkController *c, const FkJob *j, const FkMachine *m) {
-  const Reservation *k = reservation_on(c, m);
-  if (!k || g_str_equal(k->job, j->spec->id) || j->effective_priority < k->rank ||
-      (j->effective_priority == k->rank && j->queue_position < k->place) || !waiting_holder(c, k))
+static gboolean comes_before(const FkJob *job, const Reservation *reservation) {
+  return job->effective_priority < reservation->priority ||
+         (job->effective_priority == reservation->priority &&
+          job->queue_position < reservation->queue_position);
+}
+
+gboolean fk_backfill_reservation_blocks(FkController *c, const FkJob *job, const FkMachine *machine) {
+  const Reservation *reservation = find_reservation(c, machine);
+  if (!reservation || g_str_equal(reservation->job, job->spec->id) || comes_before(job, reservation) ||
+      !waiting_holder(c, reservation))
     return FALSE;
-  double run_s = RUN_TIME_MARGIN * fk_view_expected_run_s(c->view, j->spec);
-  return j->spec->shape != FK_SHAPE_ARRAY || !fk_time_reached(k->free_at, fk_time_add(c->now, run_s));
+  double run_s = RUN_TIME_MARGIN * fk_view_expected_run_s(c->view, job->spec);
+  return job->spec->shape != FK_SHAPE_ARRAY ||
+         !fk_time_reached(reservation->available_at, fk_time_add(c->now, run_s));
 }
 
 GPtrArray *fk_backfill_reservation_machines(FkController *c) {
@@ -214,44 +259,51 @@
   gpointer id;
   g_hash_table_iter_init(&it, c->leader.backfill_reservations->by_machine);
   while (g_hash_table_iter_next(&it, &id, NULL)) {
-    FkMachine *m = fk_view_find_machine(c->view, id);
-    if (m)
-      g_ptr_array_add(machines, m);
+    FkMachine *machine = fk_view_find_machine(c->view, id);
+    if (machine)
+      g_ptr_array_add(machines, machine);
   }
   return machines;
 }
 
-FkJob *fk_backfill_reservation_holder(FkController *c, const FkMachine *m) {
-  const Reservation *k = reservation_on(c, m);
-  return k ? waiting_holder(c, k) : NULL;
+FkJob *fk_backfill_reservation_holder(FkController *c, const FkMachine *machine) {
+  const Reservation *reservation = find_reservation(c, machine);
+  return reservation ? waiting_holder(c, reservation) : NULL;
 }
 
-static const char *blocking_reason(FkController *c, const FkJob *j) {
-  if (!fk_settings_find_team(c->settings, j->spec->team))
-    return "its team is gone";
-  if (!fk_team_quota_allows_tasks(c, j->spec, j->spec->shape == FK_SHAPE_GANG ? j->spec->tasks : 1))
-    return "its team's limit";
+/* ------------------------------------------------------------------ log */
+
+static gboolean has_reservation(FkController *c, const FkJob *job) {
   GHashTableIter it;
-  gpointer k;
+  gpointer value;
   g_hash_table_iter_init(&it, c->leader.backfill_reservations->by_machine);
-  while (g_hash_table_iter_next(&it, NULL, &k))
-    if (g_str_equal(((Reservation *)k)->job, j->spec->id))
-      return "room, which is kept for it";
-  return "room";
+  while (g_hash_table_iter_next(&it, NULL, &value))
+    if (g_str_equal(((Reservation *)value)->job, job->spec->id))
+      return TRUE;
+  return FALSE;
+}
+
+static const char *blocking_reason(FkController *c, const FkJob *job) {
+  if (!fk_settings_find_team(c->settings, job->spec->team))
+    return "team_removed";
+  if (!quota_allows_start(c, job->spec))
+    return "team_quota";
+  return has_reservation(c, job) ? "capacity_reserved_for_it" : "capacity";
 }
 
 void fk_backfill_reservation_log(FkController *c) {
-  guint n = 0;
+  guint aged = 0;
   GHashTableIter it;
-  gpointer p;
+  gpointer value;
   g_hash_table_iter_init(&it, c->view->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    const FkJob *j = p;
-    if (!fk_job_waiting_tasks(j) || !fk_backfill_reservation_is_aged(c, j) || n++ >= LOGGED_JOBS_MAX)
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    const FkJob *job = value;
+    if (!fk_job_waiting_tasks(job) || !fk_backfill_reservation_is_aged(c, job) || aged++ >= LOGGED_JOBS_MAX)
       continue;
-    g_message("%s (class %s, team %s, %u tasks) has waited for %.0f s to begin, for want of %s", j->spec->id,
-              j->spec->class_name, j->spec->team, j->spec->tasks, waited_s(c, j), blocking_reason(c, j));
+    g_message("job start overdue job=%s class=%s team=%s tasks=%u wait_s=%.0f blocked_by=%s", job->spec->id,
+              job->spec->class_name, job->spec->team, job->spec->tasks, waited_s(c, job),
+              blocking_reason(c, job));
   }
-  if (n > LOGGED_JOBS_MAX)
-    g_message("%u jobs have waited for more than %.0f s to begin", n, AGED_SHARE * START_DEADLINE_S);
+  if (aged > LOGGED_JOBS_MAX)
+    g_message("job starts overdue jobs=%u after_s=%.0f", aged, AGED_SHARE * START_DEADLINE_S);
 }
--- a/src/core/scheduling/capacity_index.c
+++ b/src/core/scheduling/capacity_index.c
@@ -1,53 +1,55 @@
 #include "core/scheduling/capacity_index.h"
 
-#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/placement.h"
 #include "scheduling_queue/capacity_buckets.h"
 
-#define FREE_CPUS_MIN 0.25 /* CPUs: with less a machine counts as full */
+#define FREE_CPUS_MIN 0.25 /* with less a machine counts as full */
 
 struct FkCapacityIndex {
-  FkCapacityBuckets *all, *owned;
+  FkCapacityBuckets *all, *owned; /* FkMachine by free CPUs; reservations aren't subtracted */
   guint64 examined_count;
 };
 
 FkCapacityIndex *fk_capacity_index_new(void) {
-  FkCapacityIndex *r = g_new0(FkCapacityIndex, 1);
-  r->all = fk_capacity_buckets_new();
-  r->owned = fk_capacity_buckets_new();
-  return r;
+  FkCapacityIndex *index = g_new0(FkCapacityIndex, 1);
+  index->all = fk_capacity_buckets_new();
+  index->owned = fk_capacity_buckets_new();
+  return index;
 }
 
-void fk_capacity_index_free(FkCapacityIndex *r) {
-  if (!r)
+void fk_capacity_index_free(FkCapacityIndex *index) {
+  if (!index)
     return;
-  fk_capacity_buckets_free(r->all);
-  fk_capacity_buckets_free(r->owned);
-  g_free(r);
+  fk_capacity_buckets_free(index->all);
+  fk_capacity_buckets_free(index->owned);
+  g_free(index);
 }
 
-void fk_capacity_index_reset(FkCapacityIndex *r) {
-  fk_capacity_buckets_clear(r->all);
-  fk_capacity_buckets_clear(r->owned);
+void fk_capacity_index_reset(FkCapacityIndex *index) {
+  fk_capacity_buckets_clear(index->all);
+  fk_capacity_buckets_clear(index->owned);
 }
 
-static void remove_machine(FkCapacityIndex *r, gpointer machine) {
-  fk_capacity_buckets_remove(r->all, machine);
-  fk_capacity_buckets_remove(r->owned, machine);
+static void remove_machine(FkCapacityIndex *index, gpointer machine) {
+  fk_capacity_buckets_remove(index->all, machine);
+  fk_capacity_buckets_remove(index->owned, machine);
 }
 
-/* FALSE: its type isn't known yet, so that it must be looked at again. */
-static gboolean update_machine(FkController *c, FkMachine *m) {
-  const FkInstanceType *t = fk_machine_type(c, m);
-  c->leader.capacity_index->examined_count++;
-  if (!m->record || !t) {
-    remove_machine(c->leader.capacity_index, m);
-    return !m->record;
+/* FALSE: its type isn't known yet, so that it must be updated again. */
+static gboolean update_machine(FkController *c, FkMachine *machine) {
+  FkCapacityIndex *index = c->leader.capacity_index;
+  const FkInstanceType *type = fk_machine_type(c, machine);
+  index->examined_count++;
+  if (!machine->record || !type) {
+    remove_machine(index, machine);
+    return !machine->record;
   }
-  fk_capacity_buckets_put(c->leader.capacity_index->all, m, t->cpus - m->allocated_cpus);
-  if (m->shard && fk_shard_is_owned(c, m->shard))
-    fk_capacity_buckets_put(c->leader.capacity_index->owned, m, t->cpus - m->allocated_cpus);
+  double free_cpus = type->cpus - machine->allocated_cpus;
+  fk_capacity_buckets_put(index->all, machine, free_cpus);
+  if (machine->shard && fk_shard_is_owned(c, machine->shard))
+    fk_capacity_buckets_put(index->owned, machine, free_cpus);
   else
-    fk_capacity_buckets_remove(c->leader.capacity_index->owned, m);
+    fk_capacity_buckets_remove(index->owned, machine);
   return TRUE;
 }
 
@@ -61,31 +63,36 @@
   gpointer id;
   g_hash_table_iter_init(&it, changed);
   while (g_hash_table_iter_next(&it, &id, NULL)) {
-    FkMachine *m = fk_view_find_machine(c->view, id);
-    if (m && !update_machine(c, m))
+    FkMachine *machine = fk_view_find_machine(c->view, id);
+    if (machine && !update_machine(c, machine))
       g_hash_table_add(c->view->capacity_changed, id);
   }
 }
 
 typedef struct {
-  FkController *c;
+  FkController *controller;
   double cpus, mem_gb;
 } Requirement;
 
-static gboolean is_open(gpointer machine, gpointer wanted) {
-  const Requirement *w = wanted;
-  return fk_placement_has_capacity(w->c, machine, w->cpus, w->mem_gb) && fk_machine_is_usable(w->c, machine);
+static gboolean is_open(gpointer machine, gpointer data) {
+  const Requirement *required = data;
+  return fk_placement_has_capacity(required->controller, machine, required->cpus, required->mem_gb) &&
+         fk_machine_is_usable(required->controller, machine);
 }
 
-/* No look leaves out a machine with room: as many as there are may be taken. */
-static guint as_many(const FkCapacityBuckets *rooms) { return fk_capacity_buckets_items(rooms)->len; }
+/* Appends all machines with so many free CPUs that are wanted. */
+static void find_machines(FkCapacityIndex *index, const FkCapacityBuckets *buckets, double cpus,
+                          gboolean (*wanted)(gpointer machine, gpointer data), gpointer data,
+                          GPtrArray *machines) {
+  guint count = fk_capacity_buckets_items(buckets)->len;
+  index->examined_count += fk_capacity_buckets_find(buckets, cpus, count, wanted, data, machines);
+}
 
-GPtrArray *fk_capacity_index_find_open(FkController *c, gboolean ours, double cpus, double mem_gb) {
+GPtrArray *fk_capacity_index_find_open(FkController *c, gboolean owned_only, double cpus, double mem_gb) {
+  FkCapacityIndex *index = c->leader.capacity_index;
   GPtrArray *open = g_ptr_array_new();
-  Requirement w = {c, cpus, mem_gb};
-  const FkCapacityBuckets *rooms = ours ? c->leader.capacity_index->owned : c->leader.capacity_index->all;
-  c->leader.capacity_index->examined_count +=
-      fk_capacity_buckets_find(rooms, cpus, as_many(rooms), is_open, &w, open);
+  Requirement required = {c, cpus, mem_gb};
+  find_machines(index, owned_only ? index->owned : index->all, cpus, is_open, &required, open);
   return open;
 }
 
@@ -93,33 +100,32 @@
   return fk_capacity_buckets_items(c->leader.capacity_index->owned);
 }
 
-static gboolean is_spot(gpointer machine, gpointer unused) {
-  const FkMachine *m = machine;
-  return m->record->spot && !m->drain_reason;
+static gboolean is_spot(gpointer item, gpointer unused) {
+  const FkMachine *machine = item;
+  return machine->record->spot && !machine->drain_reason;
 }
 
 double fk_capacity_index_spot_cpus(FkController *c, double needed) {
+  FkCapacityIndex *index = c->leader.capacity_index;
   g_autoptr(GPtrArray) spot = g_ptr_array_new();
-  c->leader.capacity_index->examined_count +=
-      fk_capacity_buckets_find(c->leader.capacity_index->all, FREE_CPUS_MIN,
-                               as_many(c->leader.capacity_index->all), is_spot, NULL, spot);
-  double room = 0;
-  for (guint i = 0; i < spot->len && room < needed; i++) {
-    const FkMachine *m = spot->pdata[i];
-    room += MAX(0, m->type->cpus - m->allocated_cpus - m->reserved_cpus);
+  find_machines(index, index->all, FREE_CPUS_MIN, is_spot, NULL, spot);
+  double cpus = 0;
+  for (guint i = 0; i < spot->len && cpus < needed; i++) {
+    const FkMachine *machine = spot->pdata[i];
+    cpus += MAX(0, machine->type->cpus - machine->allocated_cpus - machine->reserved_cpus);
   }
-  return room;
+  return cpus;
 }
 
-guint64 fk_capacity_index_examined_count(const FkCapacityIndex *r) { return r->examined_count; }
+guint64 fk_capacity_index_examined_count(const FkCapacityIndex *index) { return index->examined_count; }
 
 GPtrArray *fk_capacity_index_usable_machines(FkController *c) {
-  GPtrArray *all = g_ptr_array_new();
+  GPtrArray *machines = g_ptr_array_new();
   GHashTableIter it;
-  gpointer p;
+  gpointer machine;
   g_hash_table_iter_init(&it, c->view->machines);
-  while (g_hash_table_iter_next(&it, NULL, &p))
-    if (fk_machine_is_usable(c, p))
-      g_ptr_array_add(all, p);
-  return all;
+  while (g_hash_table_iter_next(&it, NULL, &machine))
+    if (fk_machine_is_usable(c, machine))
+      g_ptr_array_add(machines, machine);
+  return machines;
 }
--- a/src/core/scheduling/capacity_index.h
+++ b/src/core/scheduling/capacity_index.h
@@ -1,20 +1,24 @@
-/* Which machines have room, kept from change to change: a look at placement begins with those alone. */
+/* The capacity index: machines by their free capacity, updated incrementally, so that a scheduling cycle only
+ * goes through machines with room. */
 #pragma once
 #include "core/controller_internal.h"
 
 FkCapacityIndex *fk_capacity_index_new(void);
-void fk_capacity_index_free(FkCapacityIndex *r);
-/* The view is read anew. */
-void fk_capacity_index_reset(FkCapacityIndex *r);
-/* Takes over what has changed in the view since the last time. */
+void fk_capacity_index_free(FkCapacityIndex *index);
+/* Empties the index: the view is going to be read again. */
+void fk_capacity_index_reset(FkCapacityIndex *index);
+
+/* Applies what has changed in the view since the last call. */
 void fk_capacity_index_refresh(FkController *c);
-/* Usable machines with room for that much, FkMachine: those of this home, or of all. */
-GPtrArray *fk_capacity_index_find_open(FkController *c, gboolean ours, double cpus, double mem_gb);
-/* All usable machines, FkMachine, with or without room. */
+/* Usable machines with so much free (FkMachine, borrowed; free the array): those that this controller owns,
+ * or all. */
+GPtrArray *fk_capacity_index_find_open(FkController *c, gboolean owned_only, double cpus, double mem_gb);
+/* All usable machines, with or without free capacity; the same ownership. */
 GPtrArray *fk_capacity_index_usable_machines(FkController *c);
-/* All machines of this home, FkMachine, usable or not; borrowed until the next refresh. */
+/* All machines that this controller owns, usable or not; borrowed until the next refresh. */
 const GPtrArray *fk_capacity_index_owned_machines(FkController *c);
-/* Room on spot machines that may be used, in CPUs, as far as it is needed. */
+/* Free CPUs of spot machines that aren't draining; counted up to `needed` at least, where there are so many.
+ */
 double fk_capacity_index_spot_cpus(FkController *c, double needed);
-/* Machines looked at so far: what looks have cost. */
-guint64 fk_capacity_index_examined_count(const FkCapacityIndex *r);
+/* How many machines were examined so far: what the cycles have cost. */
+guint64 fk_capacity_index_examined_count(const FkCapacityIndex *index);
--- a/src/core/scheduling/long_path.c
+++ b/src/core/scheduling/long_path.c
@@ -1,269 +1,326 @@
-/* The long path: the leader places services, gangs and long arrays, each task on the best machine that isn't
- * barred; and the other controllers leave it the room that it would take. */
+#include "core/scheduling/long_path.h"
+
 #include "core/scheduling/backfill_reservation.h"
 #include "core/scheduling/capacity_index.h"
-#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/preemption_cost.h"
+#include "core/scheduling/reservation.h"
 #include "core/scheduling/scheduling_queue.h"
+#include "core/scheduling/service_reserve.h"
+#include "core/scheduling/team_quota.h"
+
+#define GANG_LAUNCH_S 8.0         /* for all transactions of one gang's launch */
+#define IMAGE_FETCH_LONG_S 1.0    /* a service that must wait for so long is late */
+#define WORK_LOST_MAX_CORE_S 60.0 /* that a service may cost others rather than wait for its image */
+#define PREEMPTION_SEARCHES_MAX 3 /* in a cycle: each goes through all machines and what they run */
+#define RESERVED_TASKS_MAX 24     /* in a cycle, of services and gangs */
+#define GANG_RESERVES_QUOTA_S 60.0
+#define FETCH_GB_PER_S_MIN 0.01
 
-#define GANG_LAUNCH_S 8.0 /* all transactions of one gang's launch */
+/* Weights of the cost of a machine. */
+#define FETCH_NOTICEABLE_S 0.3
+#define FETCH_COST 10.0
+#define FETCH_COST_PER_S 0.5
+#define PRICE_WEIGHT 3.0
+#define LONG_TASKS_BONUS 0.5
+#define BLACKLISTED_COST 1000.0
 
-/* ------------------------------------------------------------------ the long path */
+/* ------------------------------------------------------------------ the best machine */
 
-/* How long the task's image takes to be there. */
-static double image_fetch_s(FkController *c, const FkJob *j, const FkMachine *m) {
-  if (g_hash_table_contains(m->images, j->spec->image))
+static double image_fetch_s(FkController *c, const FkJob *job, const FkMachine *machine) {
+  if (g_hash_table_contains(machine->images, job->spec->image))
     return 0;
-  return j->spec->image_gb / MAX(0.01, fk_machine_type(c, m)->fetch_gb_per_s);
+  return job->spec->image_gb / MAX(FETCH_GB_PER_S_MIN, fk_machine_type(c, machine)->fetch_gb_per_s);
 }
 
-/* Lower is better. */
-static double long_cost(FkController *c, const FkJob *j, const FkMachine *m) {
-  const FkInstanceType *t = fk_machine_type(c, m);
-  double fetch = image_fetch_s(c, j, m);
-  double price = fk_instance_type_price(t, m->record->spot);
-  double left = (t->cpus - m->allocated_cpus - m->reserved_cpus - j->spec->cpus) / t->cpus;
-  /* Whether it must fetch at all counts most, then what it costs to keep the machine for as long as the task
-   * runs there: a few replicas must not hold the largest machine. Last, the fuller machine. */
-  return (fetch > 0.3 ? 10 : 0) + fetch * 0.5 + price * 3 + left - (m->allocated_long_cpus > 0 ? 0.5 : 0);
+/* Lower is better. Whether the image must be fetched at all counts most, then what it costs to keep the
+ * machine for as long as the task runs there: a few replicas must not hold the largest machine. Last, the
+ * fuller machine. */
+static double machine_cost(FkController *c, const FkJob *job, const FkMachine *machine) {
+  const FkInstanceType *type = fk_machine_type(c, machine);
+  double fetch_s = image_fetch_s(c, job, machine);
+  double price = fk_instance_type_price(type, machine->record->spot);
+  double free_share =
+      (type->cpus - machine->allocated_cpus - machine->reserved_cpus - job->spec->cpus) / type->cpus;
+  return (fetch_s > FETCH_NOTICEABLE_S ? FETCH_COST : 0) + fetch_s * FETCH_COST_PER_S + price * PRICE_WEIGHT +
+         free_share - (machine->allocated_long_cpus > 0 ? LONG_TASKS_BONUS : 0);
 }
 
-/* The blacklist protects short tasks from newly arrived long ones of their own rank or below. Live services
- * of a higher rank would wait behind work that they may preempt, and a long job that has itself waited for
- * longer than the bound on short waits is no longer newly arrived: for both a barred machine is the last
+/* The blacklist protects short tasks from newly arrived long ones of their own priority or below. Services of
+ * a higher priority would wait behind work that they may preempt, and a long job that has itself waited for
+ * longer than the bound on short waits is no longer newly arrived: for both a blacklisted machine is the last
  * choice. */
-static gboolean ignores_blacklist(FkController *c, const FkJob *j) {
-  return j->spec->priority < FK_JOB_PRIORITY_NORMAL ||
-         fk_time_between((FkTime){j->startable_us}, c->now) > c->settings->tuning.max_wait_s;
+static gboolean ignores_blacklist(FkController *c, const FkJob *job) {
+  return job->spec->priority < FK_JOB_PRIORITY_NORMAL ||
+         fk_time_between((FkTime){job->startable_us}, c->now) > c->settings->tuning.max_wait_s;
 }
 
-FkMachine *fk_long_path_best_machine(FkController *c, const FkJob *j, GPtrArray *machines, const char *zone) {
+FkMachine *fk_long_path_best_machine(FkController *c, const FkJob *job, GPtrArray *machines,
+                                     const char *zone) {
   FkMachine *best = NULL;
   double best_cost = 0;
-  for (guint k = 0; k < machines->len; k++) {
-    FkMachine *m = machines->pdata[k];
-    if ((m->blacklisted && !ignores_blacklist(c, j)) || (zone && !g_str_equal(zone, m->record->zone)) ||
-        !fk_placement_fits_machine(c, m, j->spec) || !fk_placement_is_allowed(c, j, m) ||
-        fk_backfill_reservation_blocks(c, j, m))
+  for (guint i = 0; i < machines->len; i++) {
+    FkMachine *machine = machines->pdata[i];
+    if ((machine->blacklisted && !ignores_blacklist(c, job)) ||
+        (zone && !g_str_equal(zone, machine->record->zone)) ||
+        !fk_placement_fits_machine(c, machine, job->spec) || !fk_placement_is_allowed(c, job, machine) ||
+        fk_backfill_reservation_blocks(c, job, machine))
       continue;
-    double cost = long_cost(c, j, m) + (m->blacklisted ? 1000 : 0);
+    double cost = machine_cost(c, job, machine) + (machine->blacklisted ? BLACKLISTED_COST : 0);
     if (!best || cost < best_cost) {
-      best = m;
+      best = machine;
       best_cost = cost;
     }
   }
   return best;
 }
 
-/* Where all waiting tasks of a gang could go, at this moment; NULL when there isn't room for all of them. */
-static GPtrArray *gang_plan(FkController *c, FkJob *j, GPtrArray *machines, const char *zone) {
+/* ------------------------------------------------------------------ gangs */
+
+static guint zone_count(GHashTable *zones, const char *zone) {
+  return GPOINTER_TO_UINT(g_hash_table_lookup(zones, zone));
+}
+
+static void count_in_zone(GHashTable *zones, const char *zone) {
+  g_hash_table_insert(zones, (gpointer)zone, GUINT_TO_POINTER(zone_count(zones, zone) + 1));
+}
+
+/* zone -> how many tasks of the job are allocated there. */
+static GHashTable *tasks_by_zone(FkController *c, const FkJob *job) {
+  GHashTable *zones = g_hash_table_new(g_str_hash, g_str_equal);
+  for (guint32 i = 0; i < job->chunk_count; i++)
+    for (guint k = 0; job->chunks[i] && k < job->chunks[i]->allocations->len; k++) {
+      const FkAllocation *allocation = &g_array_index(job->chunks[i]->allocations, FkAllocation, k);
+      const FkMachine *machine = fk_view_find_machine(c->view, allocation->machine);
+      if (machine && machine->record)
+        count_in_zone(zones, machine->record->zone);
+    }
+  return zones;
+}
+
+/* A machine for each waiting task of the gang, in the zone (NULL: any); NULL: not all of them find one now.
+ */
+static GPtrArray *plan_gang_in_zone(FkController *c, FkJob *job, GPtrArray *machines, const char *zone) {
   g_autoptr(GPtrArray) plan = g_ptr_array_new();
-  g_autoptr(GHashTable) zones = g_hash_table_new(g_str_hash, g_str_equal);
-  guint32 waiting = fk_job_waiting_tasks(j), half = (j->spec->tasks + 1) / 2;
+  g_autoptr(GHashTable) zones = tasks_by_zone(c, job);
   g_autoptr(GPtrArray) open = g_ptr_array_copy(machines, NULL, NULL);
-  for (guint32 i = 0; i < j->chunk_count; i++)
-    for (guint k = 0; j->chunks[i] && k < j->chunks[i]->allocations->len; k++) {
-      FkMachine *m =
-          fk_view_find_machine(c->view, g_array_index(j->chunks[i]->allocations, FkAllocation, k).machine);
-      if (m && m->record)
-        g_hash_table_insert(
-            zones, (gpointer)m->record->zone,
-            GUINT_TO_POINTER(GPOINTER_TO_UINT(g_hash_table_lookup(zones, m->record->zone)) + 1));
-    }
+  guint32 waiting = fk_job_waiting_tasks(job), half = (job->spec->tasks + 1) / 2;
   while (plan->len < waiting) {
-    FkMachine *m = fk_long_path_best_machine(c, j, open, zone);
-    if (!m)
+    FkMachine *machine = fk_long_path_best_machine(c, job, open, zone);
+    if (!machine)
       break;
-    guint in_zone = GPOINTER_TO_UINT(g_hash_table_lookup(zones, m->record->zone));
-    if (j->spec->spread && in_zone >= half) {
-      g_ptr_array_remove_fast(open, m);
+    if (job->spec->spread && zone_count(zones, machine->record->zone) >= half) {
+      g_ptr_array_remove_fast(open, machine);
       continue;
     }
-    g_hash_table_insert(zones, (gpointer)m->record->zone, GUINT_TO_POINTER(in_zone + 1));
-    fk_reservation_apply(m, j->spec, 1);
-    g_ptr_array_add(plan, m);
+    count_in_zone(zones, machine->record->zone);
+    fk_reservation_apply(machine, job->spec, 1);
+    g_ptr_array_add(plan, machine);
   }
   for (guint i = 0; i < plan->len; i++)
-    fk_reservation_apply(plan->pdata[i], j->spec, -1);
+    fk_reservation_apply(plan->pdata[i], job->spec, -1);
   return plan->len == waiting ? g_steal_pointer(&plan) : NULL;
 }
 
-/* The same in any zone, or in the first one that has room for all where one zone must hold them. */
-static GPtrArray *gang_plan_anywhere(FkController *c, FkJob *j, GPtrArray *machines) {
-  if (!j->spec->one_zone)
-    return gang_plan(c, j, machines, NULL);
+/* The same in any zone, or in the first with room for all where one zone must hold them. */
+static GPtrArray *plan_gang(FkController *c, FkJob *job, GPtrArray *machines) {
+  if (!job->spec->one_zone)
+    return plan_gang_in_zone(c, job, machines, NULL);
   GPtrArray *plan = NULL;
-  for (guint z = 0; !plan && z < c->settings->zones->len; z++)
-    plan = gang_plan(c, j, machines, c->settings->zones->pdata[z]);
+  for (guint i = 0; !plan && i < c->settings->zones->len; i++)
+    plan = plan_gang_in_zone(c, job, machines, c->settings->zones->pdata[i]);
   return plan;
 }
 
-/* A gang is placed whole: a part of it would only wait on its machines. */
-static void place_gang(FkController *c, FkLaunchBatch *b, FkJob *j, GPtrArray *machines) {
-  guint32 waiting = fk_job_waiting_tasks(j);
-  /* A launch goes on only while every task that it has booked still is: a task that has left since must not
-   * get the same attempt number again. */
-  if ((j->allocated && (fk_time_reached(c->now, j->gang_until) || j->allocated != j->gang_allocated)) ||
-      !fk_team_quota_allows_tasks(c, j->spec, waiting))
+/* All tasks of a launch get the same attempt number, above those of all earlier ones. */
+static void begin_gang_launch(FkController *c, FkJob *job) {
+  job->gang_until = fk_time_add(c->now, GANG_LAUNCH_S);
+  job->gang_attempt.n = 1;
+  job->gang_allocated = 0;
+  for (guint32 i = 0; i < job->chunk_count; i++)
+    if (job->chunks[i])
+      job->gang_attempt.n = MAX(job->gang_attempt.n, job->chunks[i]->next_attempt);
+}
+
+/* A gang is placed as a whole: some of its tasks alone would only wait on their machines. */
+static void place_gang(FkController *c, FkLaunchBatch *batch, FkJob *job, GPtrArray *machines) {
+  /* A launch in several transactions goes on only while everything that it has allocated still is: a task
+   * that has left since must not get the same attempt number again. */
+  if (job->allocated && (fk_time_reached(c->now, job->gang_until) || job->allocated != job->gang_allocated))
+    return;
+  if (!fk_team_quota_allows_tasks(c, job->spec, fk_job_waiting_tasks(job)))
     return;
-  g_autoptr(GPtrArray) plan = gang_plan_anywhere(c, j, machines);
+  g_autoptr(GPtrArray) plan = plan_gang(c, job, machines);
   if (!plan)
     return;
-  if (!j->allocated) {
-    j->gang_until = fk_time_add(c->now, GANG_LAUNCH_S);
-    j->gang_attempt.n = 1;
-    j->gang_allocated = 0;
-    for (guint32 i = 0; i < j->chunk_count; i++)
-      if (j->chunks[i])
-        j->gang_attempt.n = MAX(j->gang_attempt.n, j->chunks[i]->next_attempt);
-  }
+  if (!job->allocated)
+    begin_gang_launch(c, job);
   for (guint i = 0; i < plan->len; i++) {
-    if (!fk_launch_batch_allocate(c, b, j, plan->pdata[i]))
+    if (!fk_launch_batch_allocate(c, batch, job, plan->pdata[i]))
       return;
-    j->gang_allocated++;
+    job->gang_allocated++;
   }
 }
 
-#define IMAGE_FETCH_LONG_S 1.0    /* of an image: a service that must wait so long is late */
-#define WORK_LOST_MAX_CORE_S 60.0 /* core-seconds that a service may cost rather than wait for an image */
-#define PREEMPTION_SEARCHES_MAX 3 /* a look: each goes through all machines and what they run */
+/* ------------------------------------------------------------------ services and long arrays */
 
-/* A service needn't wait for an image, or for room, where it is at hand but for tasks of a lower rank that
- * end at once when they are told. */
-static gboolean preempt_for_service(FkController *c, FkLaunchBatch *b, FkJob *j, GPtrArray **usable,
-                                    double most) {
-  g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(FkAllocationRef));
-  if (!*usable)
-    *usable = fk_capacity_index_usable_machines(c);
-  FkMachine *m = fk_preemption_best_machine(c, j, *usable, TRUE, most, victims);
-  if (!m || !fk_launch_batch_preempt(c, b, j, m, victims))
-    return FALSE;
-  /* who leaves it for this one must not be counted on twice */
-  g_ptr_array_remove_fast(*usable, m);
-  return TRUE;
-}
+/* What one cycle of the long path keeps track of. */
+typedef struct {
+  GPtrArray *machines; /* FkMachine with free capacity, borrowed */
+  GPtrArray *usable;   /* all usable machines but those that preemption has used; NULL: not looked up yet */
+  GPtrArray *unplaceable; /* FkSpec, borrowed: no capacity for them, and none to be made */
+  guint searches_left;    /* for victims */
+  double spare_slots;     /* see service_reserve.h */
+} Cycle;
 
-/* Two jobs that want the same: where one finds nothing, the other won't. */
+/* Where one of two jobs finds nothing, the other won't either. */
 static gboolean has_same_demand(const FkSpec *a, const FkSpec *b) {
   return a->cpus == b->cpus && a->gpus == b->gpus && a->mem_gb == b->mem_gb && a->priority == b->priority &&
          a->spot == b->spot && g_strcmp0(a->zone, b->zone) == 0 && !a->types && !b->types &&
          g_str_equal(a->image, b->image) && !a->one_zone && !b->one_zone && !a->spread && !b->spread;
 }
 
-static gboolean is_unplaceable(const GPtrArray *unplaceable, const FkSpec *s) {
-  for (guint i = 0; i < unplaceable->len; i++)
-    if (has_same_demand(unplaceable->pdata[i], s))
+static gboolean is_unplaceable(const Cycle *cycle, const FkSpec *spec) {
+  for (guint i = 0; i < cycle->unplaceable->len; i++)
+    if (has_same_demand(cycle->unplaceable->pdata[i], spec))
       return TRUE;
   return FALSE;
 }
 
-void fk_long_path_place(FkController *c, FkLaunchBatch *b, GPtrArray *jobs, GPtrArray *machines) {
-  g_autoptr(GPtrArray) usable = NULL;
-  g_autoptr(GPtrArray) unplaceable = g_ptr_array_new(); /* FkSpec, borrowed: no room, and none to be made */
-  guint searches = PREEMPTION_SEARCHES_MAX;
-  double spare = fk_service_reserve_spare_slots(c, machines, g_hash_table_size(c->view->machines), 1);
-  /* Each job needs a chunk of its own: once the writes are used up, a look at all machines for each of
-   * hundreds of jobs that wait would be for nothing. */
-  for (guint i = 0;
-       i < jobs->len && !fk_launch_batch_is_full(c, b) && !fk_launch_batch_is_out_of_chunks(c, b); i++) {
-    FkJob *j = jobs->pdata[i];
-    if (!fk_spec_is_long(c, j->spec) || is_unplaceable(unplaceable, j->spec))
-      continue;
-    if (j->spec->shape == FK_SHAPE_GANG) {
-      place_gang(c, b, j, machines);
-      continue;
-    }
-    guint32 waiting = fk_job_waiting_tasks(j);
-    while (waiting-- && fk_team_quota_allows_task(c, j->spec)) {
-      FkMachine *best = fk_long_path_best_machine(c, j, machines, NULL);
-      if (searches && j->spec->priority < FK_JOB_PRIORITY_NORMAL &&
-          (!best || image_fetch_s(c, j, best) > IMAGE_FETCH_LONG_S)) {
-        searches--;
-        if (preempt_for_service(c, b, j, &usable, best ? WORK_LOST_MAX_CORE_S : G_MAXDOUBLE))
-          continue;
-        if (!best && !j->has_failed)
-          g_ptr_array_add(unplaceable, j->spec);
-      }
-      if (!best || fk_scheduling_queue_must_back_off(c, j, best) ||
-          !(j->urgent || fk_service_reserve_permits(c, best, j->spec, &spare)) ||
-          !fk_launch_batch_allocate(c, b, j, best))
-        break;
-    }
-  }
+/* Places one task by preemption: a service needn't wait for capacity, or for its image, where only tasks of a
+ * lower priority that stop at once are in its way. FALSE: nothing was placed. */
+static gboolean preempt(FkController *c, FkLaunchBatch *batch, Cycle *cycle, FkJob *job, double cost_max) {
+  g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(FkAllocationRef));
+  if (!cycle->usable)
+    cycle->usable = fk_capacity_index_usable_machines(c);
+  FkMachine *machine = fk_preemption_best_machine(c, job, cycle->usable, TRUE, cost_max, victims);
+  if (!machine || !fk_launch_batch_preempt(c, batch, job, machine, victims))
+    return FALSE;
+  /* the same victims must not be counted on twice */
+  g_ptr_array_remove_fast(cycle->usable, machine);
+  return TRUE;
 }
 
-/* ------------------------------------------------------------------ room kept for the long path */
+/* Places one waiting task. FALSE: no further task of the job can be placed. */
+static gboolean place_task(FkController *c, FkLaunchBatch *batch, Cycle *cycle, FkJob *job) {
+  FkMachine *best = fk_long_path_best_machine(c, job, cycle->machines, NULL);
+  if (cycle->searches_left && job->spec->priority < FK_JOB_PRIORITY_NORMAL &&
+      (!best || image_fetch_s(c, job, best) > IMAGE_FETCH_LONG_S)) {
+    cycle->searches_left--;
+    if (preempt(c, batch, cycle, job, best ? WORK_LOST_MAX_CORE_S : G_MAXDOUBLE))
+      return TRUE;
+    if (!best && !job->has_failed)
+      g_ptr_array_add(cycle->unplaceable, job->spec);
+  }
+  return best && !fk_scheduling_queue_must_back_off(c, job, best) &&
+         (job->urgent || fk_service_reserve_permits(c, best, job->spec, &cycle->spare_slots)) &&
+         fk_launch_batch_allocate(c, batch, job, best);
+}
 
-static void reserve(FkController *c, GArray *reserved, FkMachine *m, const FkSpec *s) {
-  FkReservation p = {m ? m->id : NULL, g_intern_string(s->team), s->cpus, s->gpus, s->mem_gb, s->cpus};
-  g_array_append_val(reserved, p);
-  if (m)
-    fk_reservation_apply(m, s, 1);
-  FkTeamUsage *use = fk_view_ensure_team(c->view, s->team);
-  if (use->partition && s->shape != FK_SHAPE_GANG) {
-    /* it will be paid from the leader's share, not from ours */
-    g_array_index(reserved, FkReservation, reserved->len - 1).quota_cpus = 0;
+static void place_job(FkController *c, FkLaunchBatch *batch, Cycle *cycle, FkJob *job) {
+  if (!fk_spec_is_long(c, job->spec) || is_unplaceable(cycle, job->spec))
+    return;
+  if (job->spec->shape == FK_SHAPE_GANG) {
+    place_gang(c, batch, job, cycle->machines);
     return;
   }
-  use->reserved_cpus += s->cpus;
-  use->reserved_gpus += s->gpus;
+  guint32 waiting = fk_job_waiting_tasks(job);
+  while (waiting-- && fk_team_quota_allows_task(c, job->spec))
+    if (!place_task(c, batch, cycle, job))
+      return;
+}
+
+void fk_long_path_place(FkController *c, FkLaunchBatch *batch, GPtrArray *jobs, GPtrArray *machines) {
+  g_autoptr(GPtrArray) unplaceable = g_ptr_array_new();
+  Cycle cycle = {.machines = machines,
+                 .unplaceable = unplaceable,
+                 .searches_left = PREEMPTION_SEARCHES_MAX,
+                 .spare_slots =
+                     fk_service_reserve_spare_slots(c, machines, g_hash_table_size(c->view->machines), 1)};
+  /* Each job needs a chunk of its own: once the writes are used up, going through all machines for each of
+   * hundreds of waiting jobs would be for nothing. */
+  for (guint i = 0; i < jobs->len; i++) {
+    if (fk_launch_batch_is_full(c, batch) || fk_launch_batch_is_out_of_chunks(c, batch))
+      break;
+    place_job(c, batch, &cycle, jobs->pdata[i]);
+  }
+  g_clear_pointer(&cycle.usable, g_ptr_array_unref);
+}
+
+/* ------------------------------------------------------------------ capacity reserved for the long path */
+
+/* Reserves quota for one task, and capacity on the machine (NULL: quota only). */
+static void reserve(FkController *c, GArray *reserved, FkMachine *machine, const FkSpec *spec) {
+  FkReservation reservation = {machine ? machine->id : NULL,
+                               g_intern_string(spec->team),
+                               spec->cpus,
+                               spec->gpus,
+                               spec->mem_gb,
+                               spec->cpus};
+  FkTeamUsage *usage = fk_view_ensure_team(c->view, spec->team);
+  if (machine)
+    fk_reservation_apply(machine, spec, 1);
+  if (usage->partition && spec->shape != FK_SHAPE_GANG) {
+    /* the leader's share of the quota pays for it, not this controller's */
+    reservation.quota_cpus = 0;
+  } else {
+    usage->reserved_cpus += spec->cpus;
+    usage->reserved_gpus += spec->gpus;
+  }
+  g_array_append_val(reserved, reservation);
 }
 
 void fk_long_path_release(FkController *c, GArray *reserved) {
   for (guint i = 0; i < reserved->len; i++) {
-    FkReservation *p = &g_array_index(reserved, FkReservation, i);
-    FkMachine *m = p->machine ? fk_view_find_machine(c->view, p->machine) : NULL;
-    FkTeamUsage *use = fk_view_ensure_team(c->view, p->team);
-    if (m) {
-      m->reserved_cpus -= p->cpus;
-      m->reserved_gpus -= p->gpus;
-      m->reserved_mem_gb -= p->mem_gb;
+    const FkReservation *reservation = &g_array_index(reserved, FkReservation, i);
+    FkMachine *machine = reservation->machine ? fk_view_find_machine(c->view, reservation->machine) : NULL;
+    FkTeamUsage *usage = fk_view_ensure_team(c->view, reservation->team);
+    if (machine) {
+      machine->reserved_cpus -= reservation->cpus;
+      machine->reserved_gpus -= reservation->gpus;
+      machine->reserved_mem_gb -= reservation->mem_gb;
     }
-    use->reserved_cpus -= p->quota_cpus;
-    use->reserved_gpus -= p->quota_cpus > 0 ? p->gpus : 0;
+    usage->reserved_cpus -= reservation->quota_cpus;
+    usage->reserved_gpus -= reservation->quota_cpus > 0 ? reservation->gpus : 0;
   }
 }
 
-#define RESERVED_TASKS_MAX 24      /* services' and gangs' tasks that room is kept for in one look */
-#define GANG_RESERVES_QUOTA_S 60.0 /* of its team's limit, from when it is overdue */
-
-/* A gang that waits for its team's limit keeps what ends of it: tasks that come one by one would else keep it
- * waiting for ever. One that waits for machines instead must not: with a spread gang in a fleet that had lost
- * all of one zone's machines, nothing else of its team could start beside idle ones. An overdue gang may keep
- * the limit for a while all the same, so that room can be made for it. */
-static gboolean gang_reserves_quota(FkController *c, const FkJob *j, gboolean has_machines) {
-  double overdue_s = fk_backfill_reservation_aged_s(c, j);
-  return has_machines || (overdue_s >= 0 && overdue_s < GANG_RESERVES_QUOTA_S);
+/* A gang that waits for its team's quota reserves what becomes free of it: tasks that start one by one would
+ * else keep it waiting for ever. One that waits for machines must not: with a spread gang in a fleet that had
+ * lost all machines of a zone, nothing else of its team could start beside idle ones. A gang that has waited
+ * too long to start reserves the quota for a while all the same, so that capacity can be made for it. */
+static gboolean gang_reserves_quota(FkController *c, const FkJob *job, gboolean has_machines) {
+  double aged_s = fk_backfill_reservation_aged_s(c, job);
+  return has_machines || (aged_s >= 0 && aged_s < GANG_RESERVES_QUOTA_S);
 }
 
-static void reserve_for_gang(FkController *c, FkJob *j, GPtrArray *machines, GArray *reserved,
-                             guint *budget) {
-  g_autoptr(GPtrArray) plan = gang_plan_anywhere(c, j, machines);
-  if (!gang_reserves_quota(c, j, plan != NULL))
+static void reserve_for_gang(FkController *c, FkJob *job, GPtrArray *machines, GArray *reserved,
+                             guint *tasks_left) {
+  g_autoptr(GPtrArray) plan = plan_gang(c, job, machines);
+  if (!gang_reserves_quota(c, job, plan != NULL))
     return;
-  guint tasks = MIN(fk_job_waiting_tasks(j), *budget);
+  guint tasks = MIN(fk_job_waiting_tasks(job), *tasks_left);
   for (guint i = 0; i < tasks; i++)
-    reserve(c, reserved, plan && !c->leader.is_leader ? plan->pdata[i] : NULL, j->spec);
-  *budget -= tasks;
+    reserve(c, reserved, plan && !c->leader.is_leader ? plan->pdata[i] : NULL, job->spec);
+  *tasks_left -= tasks;
 }
 
-static void reserve_for_service(FkController *c, FkJob *j, GPtrArray *machines, GArray *reserved,
-                                guint *budget) {
-  for (guint32 left = fk_job_waiting_tasks(j); left && *budget; left--, (*budget)--) {
-    FkMachine *m = c->leader.is_leader ? NULL : fk_long_path_best_machine(c, j, machines, NULL);
-    if (m)
-      reserve(c, reserved, m, j->spec);
+static void reserve_for_service(FkController *c, FkJob *job, GPtrArray *machines, GArray *reserved,
+                                guint *tasks_left) {
+  for (guint32 left = fk_job_waiting_tasks(job); left && *tasks_left; left--, (*tasks_left)--) {
+    FkMachine *machine = c->leader.is_leader ? NULL : fk_long_path_best_machine(c, job, machines, NULL);
+    if (machine)
+      reserve(c, reserved, machine, job->spec);
   }
 }
 
-/* The leader places services and gangs from the same view at the same moment: the short path leaves them the
- * room that they would take, or both would book it and the worker would refuse one ("full"). */
 void fk_long_path_reserve(FkController *c, GPtrArray *jobs, GPtrArray *machines, GArray *reserved) {
-  guint budget = RESERVED_TASKS_MAX;
-  for (guint i = 0; i < jobs->len && budget; i++) {
-    FkJob *j = jobs->pdata[i];
-    if (j->spec->shape == FK_SHAPE_GANG)
-      reserve_for_gang(c, j, machines, reserved, &budget);
-    else if (j->spec->shape == FK_SHAPE_SERVICE)
-      reserve_for_service(c, j, machines, reserved, &budget);
+  guint tasks_left = RESERVED_TASKS_MAX;
+  for (guint i = 0; i < jobs->len && tasks_left; i++) {
+    FkJob *job = jobs->pdata[i];
+    if (job->spec->shape == FK_SHAPE_GANG)
+      reserve_for_gang(c, job, machines, reserved, &tasks_left);
+    else if (job->spec->shape == FK_SHAPE_SERVICE)
+      reserve_for_service(c, job, machines, reserved, &tasks_left);
   }
 }
--- a/src/core/scheduling/preemption_cost.c
+++ b/src/core/scheduling/preemption_cost.c
@@ -1,101 +1,136 @@
-/* Room for a task where tasks of a lower rank run: whom it would cost how much, and where the least. */
-#include "core/scheduling/launch_batch.h"
+#include "core/scheduling/preemption_cost.h"
 
-#define VICTIMS_MAX 3 /* of one service */
-#define LAUNCHING_JOB_COST_CORE_S                                                                            \
-  20.0 /* core-seconds: a job that is still being launched changes its chunks all the time                   \
-        */
+#include "core/scheduling/placement.h"
+
+#define IMMEDIATE_VICTIMS_MAX 3
+#define LAUNCHING_JOB_COST_CORE_S 20.0 /* a job that still launches tasks writes its chunks all the time */
 #define IMAGE_FETCH_COST_CORE_S 1000.0
 
-static gboolean stops_immediately(const FkAllocationRef *b) {
-  return b->job->cancelled || b->job->spec->checkpoint_s <= 0;
+typedef struct {
+  double cpus, gpus, mem_gb;
+} Capacity;
+
+static void capacity_add(Capacity *capacity, const FkSpec *spec) {
+  capacity->cpus += spec->cpus;
+  capacity->gpus += spec->gpus;
+  capacity->mem_gb += spec->mem_gb;
+}
+
+static gboolean capacity_fits(const Capacity *capacity, const FkSpec *spec) {
+  return capacity->cpus >= spec->cpus - FK_AMOUNT_EPSILON &&
+         capacity->gpus >= spec->gpus - FK_AMOUNT_EPSILON &&
+         capacity->mem_gb >= spec->mem_gb - FK_AMOUNT_EPSILON;
+}
+
+static gboolean stops_immediately(const FkAllocationRef *allocation) {
+  return allocation->job->cancelled || allocation->job->spec->checkpoint_s <= 0;
 }
 
-static gboolean is_victim(const GArray *victims, const FkAllocationRef *b) {
-  for (guint k = 0; k < victims->len; k++) {
-    const FkAllocationRef *v = &g_array_index(victims, FkAllocationRef, k);
-    if (v->job == b->job && v->task == b->task)
+static gboolean is_stopping(const FkAllocationRef *allocation) {
+  return allocation->stop_requested || allocation->job->cancelled;
+}
+
+static gboolean is_victim(const GArray *victims, const FkAllocationRef *allocation) {
+  for (guint i = 0; i < victims->len; i++) {
+    const FkAllocationRef *victim = &g_array_index(victims, FkAllocationRef, i);
+    if (victim->job == allocation->job && victim->task == allocation->task)
       return TRUE;
   }
   return FALSE;
 }
 
-double fk_preemption_work_lost(FkController *c, const FkSpec *s, FkTime since) {
-  double ran = fk_time_between(since, c->now);
-  return (s->checkpoint_s > 0 ? MIN(ran, s->checkpoint_s) : ran) * s->cpus;
+double fk_preemption_work_lost(FkController *c, const FkSpec *spec, FkTime since) {
+  double ran_s = fk_time_between(since, c->now);
+  return (spec->checkpoint_s > 0 ? MIN(ran_s, spec->checkpoint_s) : ran_s) * spec->cpus;
 }
 
-/* Its chunk can be written; one that is larger than the limits allow can't, before some of it has ended. */
-static gboolean can_be_stopped(FkController *c, const FkAllocationRef *b) {
-  const FkChunk *ch = b->job->chunks[b->task / b->job->spec->chunk_tasks];
-  return ch && fk_chunk_fits(ch, c->settings->value_kb, NULL, NULL);
+/* A chunk that is larger than the limits allow can't be written before some of its tasks have ended. */
+static gboolean can_be_stopped(FkController *c, const FkAllocationRef *allocation) {
+  const FkJob *job = allocation->job;
+  const FkChunk *chunk = job->chunks[allocation->task / job->spec->chunk_tasks];
+  return chunk && fk_chunk_fits(chunk, c->settings->value_kb, NULL, NULL);
 }
 
-/* What stopping it would cost, in core-seconds. */
-static double preemption_loss(FkController *c, const FkAllocationRef *b) {
-  return fk_preemption_work_lost(c, b->job->spec, b->first_seen_at) +
-         (fk_job_waiting_tasks(b->job) ? LAUNCHING_JOB_COST_CORE_S : 0);
+static double stop_cost(FkController *c, const FkAllocationRef *allocation) {
+  return fk_preemption_work_lost(c, allocation->job->spec, allocation->first_seen_at) +
+         (fk_job_waiting_tasks(allocation->job) ? LAUNCHING_JOB_COST_CORE_S : 0);
 }
 
-double fk_preemption_cost(FkController *c, const FkSpec *s, const FkMachine *m, gboolean at_once,
-                          GArray *victims) {
-  const FkInstanceType *t = fk_machine_type(c, m);
-  double cpus = t->cpus - m->allocated_cpus - m->reserved_cpus,
-         gpus = t->gpus - m->allocated_gpus - m->reserved_gpus,
-         mem = t->mem_gb - m->allocated_mem_gb - m->reserved_mem_gb, lost = 0;
-  g_array_set_size(victims, 0);
-  for (guint i = 0; i < m->allocations->len; i++) {
-    const FkAllocationRef *b = &g_array_index(m->allocations, FkAllocationRef, i);
-    if ((b->stop_requested || b->job->cancelled) && (!at_once || stops_immediately(b))) {
-      /* leaves already */
-      cpus += b->job->spec->cpus;
-      gpus += b->job->spec->gpus;
-      mem += b->job->spec->mem_gb;
-    }
+/* What is free, and what tasks that stop already will free. */
+static Capacity available_capacity(FkController *c, const FkMachine *machine, gboolean immediate_only) {
+  const FkInstanceType *type = fk_machine_type(c, machine);
+  Capacity available = {type->cpus - machine->allocated_cpus - machine->reserved_cpus,
+                        type->gpus - machine->allocated_gpus - machine->reserved_gpus,
+                        type->mem_gb - machine->allocated_mem_gb - machine->reserved_mem_gb};
+  for (guint i = 0; i < machine->allocations->len; i++) {
+    const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
+    if (is_stopping(allocation) && (!immediate_only || stops_immediately(allocation)))
+      capacity_add(&available, allocation->job->spec);
   }
-  while (cpus < s->cpus - FK_AMOUNT_EPSILON || gpus < s->gpus - FK_AMOUNT_EPSILON ||
-         mem < s->mem_gb - FK_AMOUNT_EPSILON) {
-    const FkAllocationRef *best = NULL;
-    double best_lost = 0;
-    for (guint i = 0; i < m->allocations->len; i++) {
-      const FkAllocationRef *b = &g_array_index(m->allocations, FkAllocationRef, i);
-      if (b->stop_requested || b->job->cancelled || b->job->spec->priority <= s->priority ||
-          (at_once && (!stops_immediately(b) || b->job->spec->shape != FK_SHAPE_ARRAY)))
-        continue;
-      double l = preemption_loss(c, b);
-      /* the dearest question last: it goes through all that the job has running */
-      if ((best && l >= best_lost) || is_victim(victims, b) || !can_be_stopped(c, b))
-        continue;
-      best = b;
-      best_lost = l;
-    }
-    if (!best || (at_once && victims->len >= VICTIMS_MAX))
-      return -1;
-    cpus += best->job->spec->cpus;
-    gpus += best->job->spec->gpus;
-    mem += best->job->spec->mem_gb;
-    lost += best_lost;
-    g_array_append_val(victims, *best);
+  return available;
+}
+
+static gboolean is_preemptible(const FkAllocationRef *allocation, const FkSpec *spec,
+                               gboolean immediate_only) {
+  const FkSpec *running = allocation->job->spec;
+  if (is_stopping(allocation) || running->priority <= spec->priority)
+    return FALSE;
+  return !immediate_only || (stops_immediately(allocation) && running->shape == FK_SHAPE_ARRAY);
+}
+
+/* The task that costs least to stop and isn't a victim yet, or NULL. */
+static const FkAllocationRef *cheapest_victim(FkController *c, const FkSpec *spec, const FkMachine *machine,
+                                              gboolean immediate_only, const GArray *victims, double *cost) {
+  const FkAllocationRef *best = NULL;
+  for (guint i = 0; i < machine->allocations->len; i++) {
+    const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
+    if (!is_preemptible(allocation, spec, immediate_only))
+      continue;
+    double own_cost = stop_cost(c, allocation);
+    /* the most expensive check last: it goes through all that the job has running */
+    if ((best && own_cost >= *cost) || is_victim(victims, allocation) || !can_be_stopped(c, allocation))
+      continue;
+    best = allocation;
+    *cost = own_cost;
+  }
+  return best;
+}
+
+/* Whom to stop so that a task fits the machine, and what that costs. FALSE: it can't be made to fit. */
+static gboolean find_victims(FkController *c, const FkSpec *spec, const FkMachine *machine,
+                             gboolean immediate_only, GArray *victims, double *cost) {
+  Capacity available = available_capacity(c, machine, immediate_only);
+  g_array_set_size(victims, 0);
+  *cost = 0;
+  while (!capacity_fits(&available, spec)) {
+    double victim_cost = 0;
+    const FkAllocationRef *victim = cheapest_victim(c, spec, machine, immediate_only, victims, &victim_cost);
+    if (!victim || (immediate_only && victims->len >= IMMEDIATE_VICTIMS_MAX))
+      return FALSE;
+    capacity_add(&available, victim->job->spec);
+    *cost += victim_cost;
+    g_array_append_val(victims, *victim);
   }
-  return lost;
+  return TRUE;
 }
 
-FkMachine *fk_preemption_best_machine(FkController *c, const FkJob *j, GPtrArray *machines, gboolean at_once,
-                                      double most, GArray *victims) {
+FkMachine *fk_preemption_best_machine(FkController *c, const FkJob *job, GPtrArray *machines,
+                                      gboolean immediate_only, double cost_max, GArray *victims) {
   FkMachine *best = NULL;
-  double best_cost = most;
+  double best_cost = cost_max, victims_cost;
   for (guint i = 0; i < machines->len; i++) {
-    FkMachine *m = machines->pdata[i];
-    double cost = g_hash_table_contains(m->images, j->spec->image) ? 0 : IMAGE_FETCH_COST_CORE_S;
-    if (cost >= best_cost || !fk_placement_is_allowed(c, j, m))
+    FkMachine *machine = machines->pdata[i];
+    double image_cost =
+        g_hash_table_contains(machine->images, job->spec->image) ? 0 : IMAGE_FETCH_COST_CORE_S;
+    if (image_cost >= best_cost || !fk_placement_is_allowed(c, job, machine))
       continue;
-    double lost = fk_preemption_cost(c, j->spec, m, at_once, victims);
-    if (lost >= 0 && cost + lost < best_cost) {
-      best = m;
-      best_cost = cost + lost;
+    if (find_victims(c, job->spec, machine, immediate_only, victims, &victims_cost) &&
+        image_cost + victims_cost < best_cost) {
+      best = machine;
+      best_cost = image_cost + victims_cost;
     }
   }
   if (best)
-    fk_preemption_cost(c, j->spec, best, at_once, victims);
+    find_victims(c, job->spec, best, immediate_only, victims, &victims_cost);
   return best;
 }
--- a/src/core/scheduling/stop_transaction.h
+++ b/src/core/scheduling/stop_transaction.h
@@ -1,18 +1,17 @@
-/* A transaction that asks booked tasks to leave; their bookings stay until they have. */
+/* A transaction that asks running tasks to stop. Their allocations stay until they have stopped. */
 #pragma once
 #include "core/controller_internal.h"
 
+/* Start with all members zero. */
 typedef struct {
-  FkOutput *txn;      /* NULL: nobody is asked yet */
-  GHashTable *chunks; /* path -> FkChunk, the transaction's */
+  FkOutput *txn;      /* NULL while it is empty */
+  GHashTable *chunks; /* path -> FkChunk as it will be written, owned by the transaction */
 } FkStopTransaction;
 
-/* FALSE: it has no room for another chunk. */
-gboolean fk_stop_transaction_add(FkController *c, FkStopTransaction *s, FkJob *j, guint32 task);
-void fk_stop_transaction_add_job(FkController *c, FkStopTransaction *s, FkJob *j);
-/* Sends what there is, and clears it. */
-void fk_stop_transaction_send(FkController *c, FkStopTransaction *s);
-
-/* reclaim.c: borrowed room is given back to who has a better claim and waits, where the least work is lost.
- */
-void fk_preemption_reclaim(FkController *c, FkStopTransaction *s);
+/* Asks one task to stop. FALSE: the transaction has no room for another chunk. A task whose chunk can't be
+ * written at present is passed over. */
+gboolean fk_stop_transaction_add(FkController *c, FkStopTransaction *stops, FkJob *job, guint32 task);
+/* The same for all tasks of the job that run, as far as there is room. */
+void fk_stop_transaction_add_job(FkController *c, FkStopTransaction *stops, FkJob *job);
+/* Sends the transaction, unless it is empty, and clears it. */
+void fk_stop_transaction_send(FkController *c, FkStopTransaction *stops);
--- a/test/test_core.c
+++ b/test/test_core.c
@@ -1,8 +1,11 @@
 /* One controller core, fed by hand: what its transactions are guarded by, and what it takes for proof. */
 #include <string.h>
 
+#include "core/scheduling/preemption.h"
 #include "core/scheduling/scheduling_queue.h"
+#include "core/scheduling/starvation.h"
 #include "core/scheduling/stop_transaction.h"
+#include "core/scheduling/team_quota.h"
 #include "daemon/rate_limiter.h"
 #include "rig.h"
 #include "wire/settings.h"
--- a/test/test_looks.c
+++ b/test/test_looks.c
@@ -5,6 +5,7 @@
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/capacity_index.h"
 #include "core/scheduling/launch_batch.h"
+#include "core/scheduling/scheduling_cycle.h"
 #include "core/scheduling/scheduling_queue.h"
 #include "rig.h"
 #include "scheduling_queue/capacity_buckets.h"
