--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -167,34 +167,6 @@
 /* Does it with its processor time charged to that purpose. */
 void fk_cpu_profile_run(FkController *c, FkCpuPurpose what, void (*fn)(FkController *));
 
-/* quota.c */
-void fk_quota_partition_tick(FkController *c);
-
-/* serving.c */
-void fk_starvation_tick(FkController *c);
-/* A line for each class and team; those of which less than half is served as a warning. */
-void fk_starvation_log(FkController *c);
-/* The job is one of the largest of its class, of which less than half is served. */
-gboolean fk_starvation_affects_largest(FkController *c, const FkJob *j);
-/* The job's class is hardly served. */
-gboolean fk_starvation_affects_class(FkController *c, const FkJob *j);
-/* The job is of a class or team of which less than half is served, and which hasn't a floor of the fleet's
- * `room` (CPUs) yet. */
-gboolean fk_starvation_lifts(FkController *c, const FkJob *j, double room);
-
-
-/* place.c */
-void fk_scheduling_cycle_run(FkController *c);
-gboolean fk_placement_fits_type(const FkSpec *s, const FkInstanceType *t);
-gboolean fk_placement_is_allowed(FkController *c, const FkJob *j, const FkMachine *m);
-gboolean fk_placement_fits_machine(FkController *c, const FkMachine *m, const FkSpec *s);
-/* Seconds from now until a waiting task must start for the tightest aim of its class that can still be met,
- * leaving `slack` times its run time; G_MAXDOUBLE when none can. */
-double fk_job_latest_start(FkController *c, const FkJob *j, double slack);
-gboolean fk_team_quota_allows_task(FkController *c, const FkSpec *s);
-/* Where a long task would go now; `zone` NULL: anywhere. */
-FkMachine *fk_long_path_best_machine(FkController *c, const FkJob *j, GPtrArray *machines, const char *zone);
-const FkInstanceType *fk_machine_type(FkController *c, const FkMachine *m);
 
 /* leader.c */
 /* After the view has changed and launches were tried. */
