--- /dev/null
+++ b/src/core/leader/window.c
@@ -0,0 +1,254 @@
+/* The periodic window: every controller writes the wait times of its short tasks, and logs its statistics.
+ * The leader adds the waits of all controllers up and sizes the short partition (Elastic Sizing). */
+#include "core/leader/leader_internal.h"
+
+#include <string.h>
+
+#include "core/scheduling/backfill_reservation.h"
+
+void fk_window_clear_blacklist(FkController *c) {
+  GHashTableIter it;
+  gpointer machine;
+  g_hash_table_iter_init(&it, c->view->machines);
+  while (g_hash_table_iter_next(&it, NULL, &machine))
+    ((FkMachine *)machine)->blacklisted = FALSE;
+}
+
+/* ------------------------------------------------------------------ sizing */
+
+/* Machines with the least long work first; of equal ones, spot machines. */
+static int compare_by_long_work(gconstpointer a, gconstpointer b) {
+  const FkMachine *x = *(FkMachine *const *)a, *y = *(FkMachine *const *)b;
+  if (x->allocated_long_cpus != y->allocated_long_cpus)
+    return x->allocated_long_cpus < y->allocated_long_cpus ? -1 : 1;
+  if (x->record->spot != y->record->spot)
+    return x->record->spot ? -1 : 1;
+  return g_strcmp0(x->id, y->id);
+}
+
+/* CPUs of short and long work, allocated or waiting. */
+typedef struct {
+  double short_cpus, long_cpus;
+} Demand;
+
+/* FkMachine, borrowed: all that can take tasks. Adds what is allocated there to `demand`. */
+static GPtrArray *usable_machines(FkController *c, Demand *demand) {
+  GPtrArray *machines = g_ptr_array_new();
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, c->view->machines);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    FkMachine *machine = value;
+    if (!fk_machine_is_usable(c, machine))
+      continue;
+    g_ptr_array_add(machines, machine);
+    demand->long_cpus += machine->allocated_long_cpus;
+    demand->short_cpus += machine->allocated_cpus - machine->allocated_long_cpus;
+  }
+  return machines;
+}
+
+/* Waiting work counts like allocated work: a floor that has closed all machines to long jobs would otherwise
+ * never see any. */
+static void add_waiting(FkController *c, Demand *demand) {
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, c->view->jobs);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    const FkJob *job = value;
+    double cpus = fk_job_waiting_tasks(job) * job->spec->cpus;
+    if (fk_spec_is_long(c, job->spec))
+      demand->long_cpus += cpus;
+    else
+      demand->short_cpus += cpus;
+  }
+}
+
+static FkWaitTimes total_wait_times(FkController *c) {
+  FkWaitTimes total = {0};
+  GHashTableIter it;
+  gpointer wait_times;
+  g_hash_table_iter_init(&it, c->view->wait_times);
+  while (g_hash_table_iter_next(&it, NULL, &wait_times))
+    fk_wait_times_add(&total, wait_times);
+  return total;
+}
+
+static void size_short_partition(FkController *c) {
+  const FkTuning *tuning = &c->settings->tuning;
+  FkElasticSizing *sizing = &c->leader.sizing;
+  FkWaitTimes waits = total_wait_times(c);
+  Demand demand = {0};
+  g_autoptr(GPtrArray) machines = usable_machines(c, &demand);
+  add_waiting(c, &demand);
+  guint partition = fk_elastic_sizing_update(sizing, waits.capped_sum_s, waits.capped_count,
+                                             tuning->max_wait_s, tuning->short_partition_span, machines->len,
+                                             demand.short_cpus, demand.long_cpus);
+  fk_window_clear_blacklist(c);
+  g_ptr_array_sort(machines, compare_by_long_work);
+  for (guint i = 0; i < partition && i < machines->len; i++)
+    ((FkMachine *)machines->pdata[i])->blacklisted = TRUE;
+  g_info("short partition sized starts=%" G_GUINT64_FORMAT " mean_wait_s=%.2f all_starts=%" G_GUINT64_FORMAT
+         " all_mean_wait_s=%.2f wait_ratio=%.3f floor=%u blacklisted_above_floor=%u machines=%u",
+         waits.capped_count, sizing->mean_wait_s, waits.count,
+         waits.count ? waits.sum_s / (double)waits.count : 0, sizing->wait_ratio, sizing->floor,
+         sizing->blacklisted, machines->len);
+}
+
+/* ------------------------------------------------------------------ logs */
+
+/* Machines of one type and purchase option, with what is allocated there. */
+static void log_machine_type(FkController *c, const FkInstanceType *type, gboolean spot) {
+  guint machines = 0;
+  double allocated_cpus = 0, long_cpus = 0;
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, c->view->machines);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    const FkMachine *machine = value;
+    if (!machine->record || machine->record->spot != spot || !g_str_equal(machine->record->type, type->name))
+      continue;
+    machines++;
+    allocated_cpus += machine->allocated_cpus;
+    long_cpus += machine->allocated_long_cpus;
+  }
+  if (machines)
+    g_info("machines type=%s spot=%s machines=%u cpus=%.0f allocated_cpus=%.0f long_cpus=%.0f", type->name,
+           spot ? "yes" : "no", machines, machines * type->cpus, allocated_cpus, long_cpus);
+}
+
+static void log_cluster(FkController *c) {
+  GHashTableIter it;
+  gpointer type;
+  g_hash_table_iter_init(&it, c->autoscaling.instance_types);
+  while (g_hash_table_iter_next(&it, NULL, &type)) {
+    log_machine_type(c, type, FALSE);
+    log_machine_type(c, type, TRUE);
+  }
+  FkView *view = c->view;
+  double mean_run_s = view->finished_count ? view->finished_run_s / view->finished_count : 0;
+  g_info("throughput tasks_done=%u mean_run_s=%.1f services_per_s=%.2f idle_retention_factor=%.1f "
+         "idle_retention_factor_spot=%.1f",
+         view->finished_count, mean_run_s, view->service_rate, fk_autoscaler_retention_factor(c, FALSE),
+         fk_autoscaler_retention_factor(c, TRUE));
+  view->finished_run_s = 0;
+  view->finished_count = 0;
+}
+
+/* The window's processor time by purpose: milliseconds, and how often each was entered. The simulation's
+ * `slopes` reads this line. */
+static void log_cpu_profile(FkController *c) {
+  FkCpuProfile *profile = &c->cpu_profile;
+  if (!profile->clock_ns)
+    return;
+  /* charges what is being done now up to this moment */
+  fk_cpu_profile_leave(profile, fk_cpu_profile_enter(profile, FK_CPU_LOOP));
+  g_autoptr(GString) line = g_string_new(NULL);
+  double total_ms = 0;
+  for (guint i = 0; i < FK_CPU_PURPOSES; i++) {
+    double spent_ms = (double)profile->spent_ns[i] / 1e6;
+    total_ms += i == FK_CPU_IDLE ? 0 : spent_ms;
+    g_string_append_printf(line, "%s %s %.0f/%u", i ? "," : "", fk_cpu_purpose_name(i), spent_ms,
+                           profile->entries[i]);
+    profile->spent_ns[i] = 0;
+    profile->entries[i] = 0;
+  }
+  g_info("cpu profile total_ms=%.0f, ms and entries by purpose:%s", total_ms, line->str);
+}
+
+/* The tables that grow with the load or with time. */
+static void log_table_sizes(FkController *c) {
+  FkView *view = c->view;
+  guint owned = 0, allocations = 0, probes = 0;
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, view->machines);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    const FkMachine *machine = value;
+    owned += machine->worker != NULL;
+    allocations += machine->allocations->len;
+    probes += machine->probes ? machine->probes->len : 0;
+  }
+  guint calls = g_hash_table_size(c->calls.pending_transactions) + g_hash_table_size(c->calls.pending_reads);
+  g_info("view sizes jobs=%u machines=%u owned=%u allocations=%u terminal=%u chunks_with_completions=%u "
+         "failing_jobs=%u failing_machines=%u",
+         g_hash_table_size(view->jobs), g_hash_table_size(view->machines), owned, allocations,
+         g_hash_table_size(view->terminal_phases), g_hash_table_size(view->completions_by_chunk),
+         fk_fault_attribution_job_count(view->fault_attribution),
+         fk_fault_attribution_machine_count(view->fault_attribution));
+  g_info("controller sizes pending_completions=%u probes=%u held_heartbeats=%u redirects=%u calls=%u",
+         g_hash_table_size(c->completions.pending), probes, c->workers.held_heartbeats->length,
+         g_hash_table_size(c->workers.redirects), calls);
+  g_info("heartbeats rejected duplicates=%u impossible_tokens=%u", c->workers.duplicate_heartbeats,
+         c->workers.impossible_tokens);
+  c->workers.duplicate_heartbeats = c->workers.impossible_tokens = 0;
+}
+
+/* Why scheduling cycles launched nothing, and how launches went. */
+static void log_launches(FkController *c) {
+  g_autoptr(GString) reasons = g_string_new(NULL);
+  GHashTableIter it;
+  gpointer reason, cycles;
+  g_hash_table_iter_init(&it, c->launches.hindrances);
+  while (g_hash_table_iter_next(&it, &reason, &cycles))
+    g_string_append_printf(reasons, "; %s: %u", (char *)reason, GPOINTER_TO_UINT(cycles));
+  g_info("cycles without a launch%s", reasons->str);
+  g_hash_table_remove_all(c->launches.hindrances);
+  g_info("launches launched=%u conflicts=%u failures=%u", c->launches.launched, c->launches.conflicts,
+         c->launches.failures);
+  c->launches.launched = c->launches.conflicts = c->launches.failures = 0;
+}
+
+/* Transactions and their writes, by priority. */
+static void log_store_use(FkController *c) {
+  const guint *transactions = c->calls.transactions, *writes = c->calls.transaction_writes;
+  g_info("store transactions/writes lease=%u/%u user=%u/%u shard=%u/%u launch=%u/%u result=%u/%u resent=%u "
+         "usual_delay_ms=%.0f",
+         transactions[FK_PRIORITY_LEASE], writes[FK_PRIORITY_LEASE], transactions[FK_PRIORITY_USER],
+         writes[FK_PRIORITY_USER], transactions[FK_PRIORITY_SHARD], writes[FK_PRIORITY_SHARD],
+         transactions[FK_PRIORITY_LAUNCH], writes[FK_PRIORITY_LAUNCH], transactions[FK_PRIORITY_RESULT],
+         writes[FK_PRIORITY_RESULT], c->calls.resent, 1e3 * c->calls.usual_delay_s);
+  c->calls.resent = 0;
+  memset(c->calls.transactions, 0, sizeof c->calls.transactions);
+  memset(c->calls.transaction_writes, 0, sizeof c->calls.transaction_writes);
+}
+
+/* ------------------------------------------------------------------ windows */
+
+/* A lost write costs one window's sample: there is nothing to retry. */
+static void on_waits_written(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                             GPtrArray *failed) {}
+
+/* Writes the window's sums, unless they are zero and were so before. */
+static void write_wait_times(FkController *c) {
+  const FkWaitTimes *written = g_hash_table_lookup(c->view->wait_times, c->settings->node);
+  if (!c->store_session.lease.n || (!c->window.waits.count && !(written && written->count)))
+    return;
+  FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_RESULT);
+  FkRecord *record = fk_record_new(FK_KEY_WAIT_TIMES);
+  record->wait_times = c->window.waits;
+  record->wait_times.window = c->window.index;
+  fk_transaction_put(transaction, fk_key_path(FK_KEY_WAIT_TIMES, c->settings->node), record,
+                     c->store_session.lease);
+  fk_transaction_send(c, transaction, on_waits_written, NULL, NULL);
+}
+
+void fk_windows_tick(FkController *c) {
+  if (!fk_time_reached(c->now, c->window.end))
+    return;
+  c->window.end = fk_time_add(c->now, c->settings->tuning.window_s);
+  c->window.index++;
+  write_wait_times(c);
+  log_launches(c);
+  log_store_use(c);
+  log_cpu_profile(c);
+  log_table_sizes(c);
+  c->window.waits = (FkWaitTimes){0};
+  if (!c->leader.is_leader)
+    return;
+  size_short_partition(c);
+  log_cluster(c);
+  fk_cost_accounting_log(c);
+  fk_starvation_log(c);
+  fk_backfill_reservation_log(c);
+}
