--- a/src/instance_models/boot_time.h
+++ b/src/instance_models/boot_time.h
@@ -1,24 +1,30 @@
-/* When a rented machine will be up, learnt from those that came: most within one and a half boot times, some
- * late, a few never. Times are in boot times of the machine's type, so that all types teach together. Pure.
- */
+/* A model of boot times: how likely a requested instance is to join, and when. It learns from the instances
+ * that joined; most do within one and a half boot times, some are late, a few never come.
+ *
+ * Times are in multiples of the boot time that the cloud states for the instance's type, so that all types
+ * teach one model. Pure. */
 #pragma once
 #include <glib.h>
 
 #define FK_BOOT_TIME_BINS 16
 
-/* How many came at which age, and how many were still awaited then; both fade as new ones come. */
+/* By age: how many instances joined, and how many were still awaited. Both decay as new ones are observed. */
 typedef struct {
   double joined[FK_BOOT_TIME_BINS];
   double at_risk[FK_BOOT_TIME_BINS];
 } FkBootTimeModel;
 
-/* What PROTOCOL says of boots, worth a few machines' experience. */
-void fk_boot_time_init(FkBootTimeModel *b);
-/* One came `ratio` boot times after it was rented. */
-void fk_boot_time_observe_joined(FkBootTimeModel *b, double ratio);
-/* One was given up, or is waited for no longer, at that age. */
-void fk_boot_time_observe_given_up(FkBootTimeModel *b, double ratio);
-/* The chance that one of this age comes within so many boot times more. */
-double fk_boot_time_probability(const FkBootTimeModel *b, double age, double within);
-/* How much longer one of this age takes, if it comes, in boot times. */
-double fk_boot_time_remaining(const FkBootTimeModel *b, double age);
+/* Starts with the distribution that the protocol describes, at the weight of a few instances. */
+void fk_boot_time_init(FkBootTimeModel *model);
+
+/* An instance joined at the age of `age` boot times. */
+void fk_boot_time_observe_joined(FkBootTimeModel *model, double age);
+
+/* An instance was given up, or is no longer awaited, at that age. */
+void fk_boot_time_observe_given_up(FkBootTimeModel *model, double age);
+
+/* The probability that an instance of this age joins within so many boot times more. */
+double fk_boot_time_probability(const FkBootTimeModel *model, double age, double within);
+
+/* The expected remaining time of an instance of this age, in boot times, if it joins at all. */
+double fk_boot_time_remaining(const FkBootTimeModel *model, double age);
--- a/src/instance_models/idle_retention.c
+++ b/src/instance_models/idle_retention.c
@@ -2,67 +2,81 @@
 
 #include <math.h>
 
-#define REPROVISION_WINDOW_S 90.0   /* a machine rented again within this had better been kept */
-#define DECAY_TIME_CONSTANT_S 120.0 /* what was learnt fades with this time constant */
-#define SATURATION_SHARE 0.5        /* of what went being rented again is as bad as all of it */
-#define SAMPLE_CPUS_MIN 16.0        /* CPUs: of so little given back nothing is learnt */
+#define REPROVISION_WINDOW_S 90.0 /* provisioned again within this: it had better been kept */
+#define DECAY_TIME_CONSTANT_S 120.0
+#define DECAY_INTERVAL_S 1.0
+#define TERMINATION_MERGE_S 1.0 /* one entry a second bounds the list by the time that it covers */
+#define SATURATION_SHARE 0.5    /* reprovisioned: as bad as all of it */
+#define SAMPLE_CPUS_MIN 16.0    /* nothing is learnt from fewer terminated CPUs */
 
 typedef struct {
   FkTime at;
   double cpus;
 } Termination;
 
-void fk_idle_retention_init(FkIdleRetention *h, FkTime now) {
-  *h = (FkIdleRetention){.recent = g_array_new(FALSE, FALSE, sizeof(Termination)), .decayed_at = now};
+void fk_idle_retention_init(FkIdleRetention *retention, FkTime now) {
+  *retention = (FkIdleRetention){.recent = g_array_new(FALSE, FALSE, sizeof(Termination)), .decayed_at = now};
 }
 
-void fk_idle_retention_clear(FkIdleRetention *h) { g_clear_pointer(&h->recent, g_array_unref); }
+void fk_idle_retention_clear(FkIdleRetention *retention) {
+  g_clear_pointer(&retention->recent, g_array_unref);
+}
 
-static void decay(FkIdleRetention *h, FkTime now) {
-  double s = fk_time_between(h->decayed_at, now);
-  if (s < 1)
-    return;
-  h->decayed_at = now;
-  h->terminated_cpus *= exp(-s / DECAY_TIME_CONSTANT_S);
-  h->reprovisioned_cpus *= exp(-s / DECAY_TIME_CONSTANT_S);
+static Termination *latest_termination(FkIdleRetention *retention) {
+  GArray *recent = retention->recent;
+  return recent->len ? &g_array_index(recent, Termination, recent->len - 1) : NULL;
+}
+
+static void drop_old_terminations(FkIdleRetention *retention, FkTime now) {
+  GArray *recent = retention->recent;
   guint old = 0;
-  while (old < h->recent->len &&
-         fk_time_between(g_array_index(h->recent, Termination, old).at, now) > REPROVISION_WINDOW_S)
+  while (old < recent->len &&
+         fk_time_between(g_array_index(recent, Termination, old).at, now) > REPROVISION_WINDOW_S)
     old++;
   if (old)
-    g_array_remove_range(h->recent, 0, old);
+    g_array_remove_range(recent, 0, old);
+}
+
+static void decay(FkIdleRetention *retention, FkTime now) {
+  double elapsed_s = fk_time_between(retention->decayed_at, now);
+  if (elapsed_s < DECAY_INTERVAL_S)
+    return;
+  retention->decayed_at = now;
+  retention->terminated_cpus *= exp(-elapsed_s / DECAY_TIME_CONSTANT_S);
+  retention->reprovisioned_cpus *= exp(-elapsed_s / DECAY_TIME_CONSTANT_S);
+  drop_old_terminations(retention, now);
 }
 
-void fk_idle_retention_terminated(FkIdleRetention *h, double cpus, FkTime now) {
-  decay(h, now);
-  h->terminated_cpus += cpus;
-  /* one entry a second is enough: the list is bounded by the time that it covers */
-  Termination *last = h->recent->len ? &g_array_index(h->recent, Termination, h->recent->len - 1) : NULL;
-  if (last && fk_time_between(last->at, now) < 1) {
-    last->cpus += cpus;
+void fk_idle_retention_terminated(FkIdleRetention *retention, double cpus, FkTime now) {
+  decay(retention, now);
+  retention->terminated_cpus += cpus;
+  Termination *latest = latest_termination(retention);
+  if (latest && fk_time_between(latest->at, now) < TERMINATION_MERGE_S) {
+    latest->cpus += cpus;
     return;
   }
-  Termination w = {now, cpus};
-  g_array_append_val(h->recent, w);
+  Termination termination = {now, cpus};
+  g_array_append_val(retention->recent, termination);
 }
 
-void fk_idle_retention_provisioned(FkIdleRetention *h, double cpus, FkTime now) {
-  decay(h, now);
-  while (cpus > 0 && h->recent->len) {
-    Termination *last = &g_array_index(h->recent, Termination, h->recent->len - 1);
-    double n = MIN(cpus, last->cpus);
-    h->reprovisioned_cpus += n;
-    cpus -= n;
-    last->cpus -= n;
-    if (last->cpus <= 0)
-      g_array_set_size(h->recent, h->recent->len - 1);
+/* Set against the latest terminations first. */
+void fk_idle_retention_provisioned(FkIdleRetention *retention, double cpus, FkTime now) {
+  decay(retention, now);
+  Termination *latest;
+  while (cpus > 0 && (latest = latest_termination(retention))) {
+    double matched = MIN(cpus, latest->cpus);
+    retention->reprovisioned_cpus += matched;
+    cpus -= matched;
+    latest->cpus -= matched;
+    if (latest->cpus <= 0)
+      g_array_set_size(retention->recent, retention->recent->len - 1);
   }
 }
 
-double fk_idle_retention_factor(FkIdleRetention *h, FkTime now) {
-  decay(h, now);
-  if (h->terminated_cpus < SAMPLE_CPUS_MIN)
+double fk_idle_retention_factor(FkIdleRetention *retention, FkTime now) {
+  decay(retention, now);
+  if (retention->terminated_cpus < SAMPLE_CPUS_MIN)
     return 1;
-  return 1 + (FK_IDLE_RETENTION_FACTOR_MAX - 1) *
-                 CLAMP(h->reprovisioned_cpus / h->terminated_cpus / SATURATION_SHARE, 0, 1);
+  double share = retention->reprovisioned_cpus / retention->terminated_cpus;
+  return 1 + (FK_IDLE_RETENTION_FACTOR_MAX - 1) * CLAMP(share / SATURATION_SHARE, 0, 1);
 }
--- a/src/instance_models/idle_retention.h
+++ b/src/instance_models/idle_retention.h
@@ -1,19 +1,26 @@
-/* How long an idle machine is worth keeping, learnt from what came of giving others back: where much of what
- * goes is rented again soon, the next one is kept longer (the renter's problem: keep paying, or pay the boot
- * again). Pure; amounts are CPUs. Ways weighed: docs/guests.md, "Idle machines". */
+/* How long an idle machine is worth keeping, learnt from what followed earlier terminations: where much of
+ * what is terminated is provisioned again soon, the next machine is kept longer (the ski-rental problem: keep
+ * paying, or pay the boot again). Pure; amounts are CPUs. Alternatives: docs/guests.md, "Idle machines". */
 #pragma once
 #include "core/types.h"
 
+#define FK_IDLE_RETENTION_FACTOR_MAX 8.0
+
 typedef struct {
-  double terminated_cpus, reprovisioned_cpus; /* CPUs given back, and of them rented again soon; both fade */
-  GArray *recent;                             /* what was given back in the last while, the oldest first */
+  double terminated_cpus;    /* decays */
+  double reprovisioned_cpus; /* of those, provisioned again soon; decays */
+  GArray *recent;            /* terminations of the last while, the oldest first */
   FkTime decayed_at;
 } FkIdleRetention;
 
-void fk_idle_retention_init(FkIdleRetention *h, FkTime now);
-void fk_idle_retention_clear(FkIdleRetention *h);
-void fk_idle_retention_terminated(FkIdleRetention *h, double cpus, FkTime now);
-void fk_idle_retention_provisioned(FkIdleRetention *h, double cpus, FkTime now);
-/* How many times as long as usual an idle machine is kept: 1 to FK_IDLE_RETENTION_FACTOR_MAX. */
-double fk_idle_retention_factor(FkIdleRetention *h, FkTime now);
-#define FK_IDLE_RETENTION_FACTOR_MAX 8.0
+void fk_idle_retention_init(FkIdleRetention *retention, FkTime now);
+void fk_idle_retention_clear(FkIdleRetention *retention);
+
+/* So many CPUs of idle machines were terminated. */
+void fk_idle_retention_terminated(FkIdleRetention *retention, double cpus, FkTime now);
+
+/* So many CPUs were provisioned. */
+void fk_idle_retention_provisioned(FkIdleRetention *retention, double cpus, FkTime now);
+
+/* In how many times the configured idle time a machine is terminated: 1 to FK_IDLE_RETENTION_FACTOR_MAX. */
+double fk_idle_retention_factor(FkIdleRetention *retention, FkTime now);
