--- /dev/null
+++ b/src/core/autoscaler/arrival_rates.c
@@ -0,0 +1,51 @@
+/* How often services of each class arrive: headroom is provisioned for those that are expected. */
+#include "core/autoscaler/autoscaler_internal.h"
+
+#define TIME_CONSTANT_S 30.0
+#define INITIAL_PER_S 0.02
+#define GROWTH_MAX 2.0     /* an update: a burst at the start isn't taken for the rate to come */
+#define LEADER_SETTLED_S 1 /* what a new leader sees until then has waited for long: no arrivals */
+
+static FkArrivalRate *rate_of_class(FkAutoscaler *a, const FkJob *job) {
+  FkArrivalRate *rate = g_hash_table_lookup(a->arrival_rates, job->spec->class_name);
+  if (!rate) {
+    rate = g_new0(FkArrivalRate, 1);
+    rate->spec = fk_spec_ref(job->spec);
+    rate->per_s = INITIAL_PER_S;
+    g_hash_table_insert(a->arrival_rates, g_strdup(job->spec->class_name), rate);
+  }
+  return rate;
+}
+
+static void count_arrivals(FkController *c) {
+  FkAutoscaler *a = c->autoscaling.autoscaler;
+  gint64 settled_us = c->leader.since.us + LEADER_SETTLED_S * G_USEC_PER_SEC;
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, c->view->jobs);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    const FkJob *job = value;
+    if (job->spec->shape != FK_SHAPE_SERVICE || job->first_seen_at.us <= a->arrivals_counted_at.us)
+      continue;
+    FkArrivalRate *rate = rate_of_class(a, job);
+    if (job->first_seen_at.us <= settled_us)
+      continue;
+    rate->arrivals++;
+    fk_spec_unref(rate->spec);
+    rate->spec = fk_spec_ref(job->spec);
+  }
+  a->arrivals_counted_at = c->now;
+}
+
+void fk_autoscaler_update_arrival_rates(FkController *c, double interval_s) {
+  count_arrivals(c);
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, c->autoscaling.autoscaler->arrival_rates);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    FkArrivalRate *rate = value;
+    double measured = MIN(rate->arrivals / interval_s, GROWTH_MAX * rate->per_s + 1);
+    rate->per_s += (measured - rate->per_s) * MIN(1, interval_s / TIME_CONSTANT_S);
+    rate->arrivals = 0;
+  }
+}
--- /dev/null
+++ b/src/core/autoscaler/consolidation.c
@@ -0,0 +1,156 @@
+/* Consolidation: a machine that costs far more than what runs there needs is drained, one at a time, when
+ * nothing waits and its tasks fit on cheaper machines that are in use. What its tasks have done is lost,
+ * which costs less than keeping the machine for them. */
+#include "core/autoscaler/autoscaler_internal.h"
+
+#define PRICE_RATIO_MIN 4.0 /* of the machine to the cheapest machines that its tasks could have */
+#define CONSOLIDATION_INTERVAL_S 0.5
+#define ROOM_RATIO 2            /* room elsewhere, in times the machine's tasks */
+#define RESTART_MARGIN_S 5.0    /* for a task to start again */
+#define RUN_TIME_MAX_RATIO 1.6  /* of its expected run time, that a task may take */
+#define REMAINING_MIN_RATIO 0.6 /* of its expected remaining time, that a task may end after */
+#define SERVICE_SETTLED_S 30.0
+
+/* Where a task stands, in seconds. */
+typedef struct {
+  double waited_s; /* since it could start */
+  double run_s;    /* expected, in all */
+  double left_s;   /* expected, from now */
+} TaskProgress;
+
+/* Whether a deadline that may be met where the task is will be met as well if it starts again. */
+static gboolean deadline_allows_restart(double deadline_s, const TaskProgress *task) {
+  return deadline_s < task->waited_s + REMAINING_MIN_RATIO * task->left_s ||
+         deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s + RESTART_MARGIN_S;
+}
+
+static gboolean deadline_has_slack(double deadline_s, const TaskProgress *task) {
+  return deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s;
+}
+
+/* All deadlines allow a restart, and at least one of them is far off. */
+static gboolean deadlines_allow_restart(FkController *c, const FkJob *job, const TaskProgress *task) {
+  double own_s = fk_job_allowed_s(job);
+  if (own_s >= 0 && !deadline_allows_restart(own_s, task))
+    return FALSE;
+  gboolean has_slack = own_s >= 0 && deadline_has_slack(own_s, task);
+  for (guint i = 0; i < c->settings->objectives->len; i++) {
+    const FkObjective *objective = c->settings->objectives->pdata[i];
+    if (g_strcmp0(objective->kind, "finished") != 0 ||
+        g_strcmp0(objective->class_name, job->spec->class_name) != 0)
+      continue;
+    if (!deadline_allows_restart(objective->within_s, task))
+      return FALSE;
+    has_slack |= deadline_has_slack(objective->within_s, task);
+  }
+  return has_slack;
+}
+
+/* Whether the task can start again elsewhere without harm: a service that has settled, or a task of an array
+ * with time to spare. */
+static gboolean task_can_move(FkController *c, const FkAllocationRef *allocation) {
+  const FkJob *job = allocation->job;
+  if (allocation->stop_requested || job->cancelled || job->spec->shape == FK_SHAPE_GANG)
+    return FALSE;
+  double ran_s = fk_time_between(allocation->first_seen_at, c->now);
+  if (job->spec->shape == FK_SHAPE_SERVICE)
+    return ran_s >= SERVICE_SETTLED_S;
+  TaskProgress task = {.waited_s = fk_time_between((FkTime){job->startable_us}, c->now),
+                       .run_s = fk_view_expected_run_s(c->view, job->spec)};
+  task.left_s = MAX(0, task.run_s - ran_s);
+  return deadlines_allow_restart(c, job, &task);
+}
+
+/* The machine's price in times what its tasks would cost on the cheapest machines; 0: it must not be drained.
+ */
+static double price_ratio(FkController *c, const FkMachine *machine) {
+  const FkInstanceType *type = fk_machine_type(c, machine);
+  if (!type || machine->drain_reason || !machine->allocations->len)
+    return 0;
+  double needed_price = 0;
+  for (guint i = 0; i < machine->allocations->len; i++) {
+    const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
+    if (!task_can_move(c, allocation))
+      return 0;
+    needed_price += fk_autoscaler_cheapest_price(c, allocation->job->spec);
+  }
+  return fk_instance_type_price(type, machine->record->spot) / needed_price;
+}
+
+static gboolean any_task_waits(FkController *c) {
+  GHashTableIter it;
+  gpointer job;
+  g_hash_table_iter_init(&it, c->view->jobs);
+  while (g_hash_table_iter_next(&it, NULL, &job))
+    if (fk_job_waiting_tasks(job))
+      return TRUE;
+  return FALSE;
+}
+
+/* The machine with the highest price ratio; NULL: all are below the least. */
+static FkMachine *most_overpriced_machine(FkController *c, double *ratio) {
+  FkMachine *worst = NULL;
+  *ratio = PRICE_RATIO_MIN;
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, c->view->machines);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    FkMachine *machine = value;
+    double machine_ratio = machine->record ? price_ratio(c, machine) : 0;
+    if (machine_ratio > *ratio) {
+      worst = machine;
+      *ratio = machine_ratio;
+    }
+  }
+  return worst;
+}
+
+/* The task that is hardest to place stands for all of them. */
+static const FkSpec *hardest_to_place(const FkMachine *machine) {
+  const FkSpec *hardest = g_array_index(machine->allocations, FkAllocationRef, 0).job->spec;
+  for (guint i = 1; i < machine->allocations->len; i++) {
+    const FkSpec *spec = g_array_index(machine->allocations, FkAllocationRef, i).job->spec;
+    if (spec->cpus > hardest->cpus || (spec->cpus == hardest->cpus && !spec->spot))
+      hardest = spec;
+  }
+  return hardest;
+}
+
+/* Slots for such tasks on cheaper machines that are in use. */
+static guint slots_elsewhere(FkController *c, const FkMachine *left, const FkSpec *spec) {
+  double price = fk_instance_type_price(left->type, left->record->spot);
+  guint slots = 0;
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, c->view->machines);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    FkMachine *machine = value;
+    const FkInstanceType *type = fk_machine_type(c, machine);
+    if (!type || machine == left || machine->drain_reason || !machine->allocations->len ||
+        (machine->record->spot && !spec->spot) || !fk_placement_fits_type(spec, type) ||
+        fk_instance_type_price(type, machine->record->spot) >= price)
+      continue;
+    const FkCapacity free = {type->cpus - machine->allocated_cpus, type->gpus - machine->allocated_gpus,
+                             type->mem_gb - machine->allocated_mem_gb};
+    slots += fk_capacity_task_slots(free, spec);
+  }
+  return slots;
+}
+
+void fk_autoscaler_consolidate(FkController *c) {
+  FkAutoscaler *a = c->autoscaling.autoscaler;
+  if (!fk_time_reached(c->now, a->next_consolidation))
+    return;
+  a->next_consolidation = fk_time_add(c->now, CONSOLIDATION_INTERVAL_S);
+  if (any_task_waits(c))
+    return;
+  double ratio;
+  FkMachine *machine = most_overpriced_machine(c, &ratio);
+  if (!machine)
+    return;
+  if (slots_elsewhere(c, machine, hardest_to_place(machine)) < ROOM_RATIO * machine->allocations->len)
+    return;
+  g_info("machine drained reason=consolidation machine=%s type=%s tasks=%u price_ratio=%.1f", machine->id,
+         machine->record->type, machine->allocations->len, ratio);
+  fk_machine_registry_set_drain_reason(c, machine, FK_DRAIN_REASON_DRAIN, -1);
+}
--- a/src/core/autoscaler/cost_accounting.c
+++ b/src/core/autoscaler/cost_accounting.c
@@ -1,79 +1,84 @@
-/* Where each unit of money goes, as the leader sees it: what the machines cost is counted up by what they
- * were doing at each look, and told once a window. */
+/* Cost accounting: what the machines cost, by what they were doing when the leader sampled them. Logged once
+ * a window. */
 #include "core/controller_internal.h"
 
 #define SAMPLE_INTERVAL_S 2.0
+#define S_PER_HOUR 3600
 
-/* In the price's unit (money an hour) times seconds, since the last line. */
+/* Since the last log line, in the unit of prices (money an hour) times seconds. */
 struct FkCostAccounting {
-  double booting;     /* rented, not up yet */
-  double terminating; /* on their way out, and what still runs there */
-  double idle;        /* nothing booked */
+  double booting;     /* requested, not joined yet */
+  double terminating; /* drained or lost, with what still runs there */
+  double idle;        /* nothing allocated */
   double unused;      /* the free part of machines in use */
-  double needed;      /* what the tasks that are booked would cost on the cheapest machines they may have */
+  double needed;      /* what the allocated tasks would cost on the cheapest machines that they may have */
   double overpriced;  /* ... and what they cost above that */
   FkTime sampled_at;
 };
 
 FkCostAccounting *fk_cost_accounting_new(void) { return g_new0(FkCostAccounting, 1); }
 
-void fk_cost_accounting_free(FkCostAccounting *m) { g_free(m); }
+void fk_cost_accounting_free(FkCostAccounting *accounting) { g_free(accounting); }
 
-static void account_tasks(FkController *c, FkCostAccounting *a, const FkMachine *m, double price, double s) {
-  const FkInstanceType *t = m->type;
-  double part = 0;
-  for (guint i = 0; i < m->allocations->len; i++) {
-    const FkSpec *spec = g_array_index(m->allocations, FkAllocationRef, i).job->spec;
-    double share = t->cpus > 0 ? spec->cpus / t->cpus : 0;
-    double need = MIN(fk_autoscaler_cheapest_price(c, spec), share * price);
-    part += share;
-    a->needed += need * s;
-    a->overpriced += (share * price - need) * s;
+/* Divides a machine's cost of `interval_s` seconds between its tasks. */
+static void account_tasks(FkController *c, const FkMachine *machine, double price, double interval_s) {
+  FkCostAccounting *accounting = c->autoscaling.cost_accounting;
+  const FkInstanceType *type = machine->type;
+  double used_share = 0;
+  for (guint i = 0; i < machine->allocations->len; i++) {
+    const FkSpec *spec = g_array_index(machine->allocations, FkAllocationRef, i).job->spec;
+    double share = type->cpus > 0 ? spec->cpus / type->cpus : 0;
+    double needed_price = MIN(fk_autoscaler_cheapest_price(c, spec), share * price);
+    used_share += share;
+    accounting->needed += needed_price * interval_s;
+    accounting->overpriced += (share * price - needed_price) * interval_s;
   }
-  a->unused += MAX(0, 1 - part) * price * s;
+  accounting->unused += MAX(0, 1 - used_share) * price * interval_s;
 }
 
-static void take_sample(FkController *c, double s) {
-  FkCostAccounting *a = c->autoscaling.cost_accounting;
+static void account_machine(FkController *c, FkMachine *machine, double interval_s) {
+  FkCostAccounting *accounting = c->autoscaling.cost_accounting;
+  const FkInstanceType *type = machine->record ? fk_machine_type(c, machine) : NULL;
+  if (!type)
+    return;
+  double price = fk_instance_type_price(type, machine->record->spot);
+  if (machine->drain_reason)
+    accounting->terminating += price * interval_s;
+  else if (!machine->allocations->len)
+    accounting->idle += price * interval_s;
+  else
+    account_tasks(c, machine, price, interval_s);
+}
+
+static void take_sample(FkController *c, double interval_s) {
+  c->autoscaling.cost_accounting->booting += fk_autoscaler_booting_price(c) * interval_s;
   GHashTableIter it;
-  gpointer p;
-  a->booting += fk_autoscaler_booting_price(c) * s;
+  gpointer machine;
   g_hash_table_iter_init(&it, c->view->machines);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    const FkMachine *m = p;
-    const FkInstanceType *t = m->record ? fk_machine_type(c, m) : NULL;
-    if (!t)
-      continue;
-    double price = fk_instance_type_price(t, m->record->spot);
-    if (m->drain_reason)
-      a->terminating += price * s;
-    else if (!m->allocations->len)
-      a->idle += price * s;
-    else
-      account_tasks(c, a, m, price, s);
-  }
+  while (g_hash_table_iter_next(&it, NULL, &machine))
+    account_machine(c, machine, interval_s);
 }
 
 void fk_cost_accounting_tick(FkController *c) {
-  FkCostAccounting *a = c->autoscaling.cost_accounting;
-  double s = fk_time_between(a->sampled_at, c->now);
-  if (s < SAMPLE_INTERVAL_S)
+  FkCostAccounting *accounting = c->autoscaling.cost_accounting;
+  double interval_s = fk_time_between(accounting->sampled_at, c->now);
+  if (interval_s < SAMPLE_INTERVAL_S)
     return;
-  a->sampled_at = c->now;
-  if (s < 2 * SAMPLE_INTERVAL_S) /* longer: we weren't leading meanwhile */
-    take_sample(c, s);
+  accounting->sampled_at = c->now;
+  if (interval_s < 2 * SAMPLE_INTERVAL_S) /* longer: this controller wasn't the leader meanwhile */
+    take_sample(c, interval_s);
 }
 
 void fk_cost_accounting_log(FkController *c) {
-  FkCostAccounting *a = c->autoscaling.cost_accounting;
-  double all = a->booting + a->terminating + a->idle + a->unused + a->needed + a->overpriced,
-         per = all > 0 ? 100 / all : 0;
-  FkView *v = c->view;
-  g_info(
-      "money: %.3f; needed %.0f%%, dearer machines %.0f%%, partly empty %.0f%%, idle %.0f%%, booting %.0f%%, "
-      "going %.0f%%; %.0f core-seconds were lost",
-      all / 3600, a->needed * per, a->overpriced * per, a->unused * per, a->idle * per, a->booting * per,
-      a->terminating * per, v->lost_cpu_s);
-  v->lost_cpu_s = 0;
-  *a = (FkCostAccounting){.sampled_at = a->sampled_at};
+  FkCostAccounting *accounting = c->autoscaling.cost_accounting;
+  double total = accounting->booting + accounting->terminating + accounting->idle + accounting->unused +
+                 accounting->needed + accounting->overpriced;
+  double percent = total > 0 ? 100 / total : 0;
+  g_info("cost total=%.3f needed=%.0f%% overpriced=%.0f%% unused=%.0f%% idle=%.0f%% booting=%.0f%% "
+         "terminating=%.0f%% lost_core_s=%.0f",
+         total / S_PER_HOUR, accounting->needed * percent, accounting->overpriced * percent,
+         accounting->unused * percent, accounting->idle * percent, accounting->booting * percent,
+         accounting->terminating * percent, c->view->lost_cpu_s);
+  c->view->lost_cpu_s = 0;
+  *accounting = (FkCostAccounting){.sampled_at = accounting->sampled_at};
 }
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -1,386 +1,353 @@
-/* The plan of renting: what waits, played through in thought over the room that there is and will be. */
+/* What to provision: a simulation of placing all that waits on what is free now, will be released by running
+ * tasks, or is booting. Only work that would wait for longer than it has patience is provisioned for. */
 #include "core/autoscaler/autoscaler_internal.h"
 
 #include <math.h>
-#include <string.h>
 
 #include "fair_share/quota.h"
 
-#define PLAN_JOBS_MAX 2000 /* looked at, or as many as there are machines; more wait their turn */
+#define PLANNED_JOBS_MIN 2000        /* at least so many are looked at; more wait for a later plan */
+#define PLANNED_BOOT_PROBABILITY 0.3 /* to join within a boot time: below it a replacement is planned */
+#define AMOUNT_EPSILON 1e-6
 
-guint fk_capacity_bin_hash(gconstpointer k) {
-  const guint8 *p = k;
-  guint h = 2166136261u;
-  for (gsize i = 0; i < sizeof(FkCapacityBinKey); i++)
-    h = (h ^ p[i]) * 16777619u;
-  return h;
-}
+#define SERVICE_COST_RUN_S 200.0 /* a service's run time, for the share of its cost that is booting */
+#define TASK_COST_RUN_MIN_S 5.0
+#define FETCH_GB_PER_S_MIN 0.01
+#define UNKNOWN_READY_S 60.0 /* where nothing is offered */
 
-gboolean fk_capacity_bin_equal(gconstpointer a, gconstpointer b) {
-  return memcmp(a, b, sizeof(FkCapacityBinKey)) == 0;
-}
+#define LATE_JOB_PATIENCE_S 45.0 /* of work that no machine provisioned now would finish in time */
+#define NO_DEADLINE_RUNS 3.0     /* work without a deadline waits for so many of its run times, ... */
+#define NO_DEADLINE_S 30.0       /* ... and so long beside */
 
-/* Room that is there counts a little short, room that will be left a little long: what leaves it fits in
- * again. */
-static void plan_add_bin(FkCapacityPlan *b, FkCapacityBinKind kind, const FkInstanceType *type,
-                         const char *zone, gboolean spot, guint count, double cpus, double gpus, double mem,
-                         double at) {
-  if (!count || (cpus < 0.25 && gpus < 0.25) || mem < 0.25)
-    return;
-  double up = kind == FK_CAPACITY_BIN_RELEASED ? 1 : 1e-6;
-  FkCapacityBinKey k;
-  memset(&k, 0, sizeof k);
-  k.type = type;
-  k.zone = g_intern_string(zone);
-  k.spot = (guint32)spot;
-  k.kind = kind;
-  k.cpu_steps = (gint64)floor(cpus * 4 + MIN(up, 0.9999));
-  k.gpu_steps = (gint64)floor(gpus * 4 + MIN(up, 0.9999));
-  k.mem_steps = (gint64)floor(mem * 2 + MIN(up, 0.9999));
-  k.time_steps = at <= 0 ? 0 : 1 + (gint64)(at / 2);
-  guint i = GPOINTER_TO_UINT(g_hash_table_lookup(b->index, &k));
-  if (i) {
-    g_array_index(b->bins, FkCapacityBin, i - 1).count += count;
-    return;
-  }
-  FkCapacityBin bin = {k, count, k.cpu_steps / 4.0, k.gpu_steps / 4.0, k.mem_steps / 2.0, MAX(0, at)};
-  g_array_append_val(b->bins, bin);
-  g_hash_table_insert(b->index, g_memdup2(&k, sizeof k), GUINT_TO_POINTER(b->bins->len));
-}
+#define OVERDUE_TASK_MIN_S 2.0  /* until a task past its expected run time is taken to end */
+#define OVERDUE_TASK_MAX_S 60.0 /* ... at most so much longer */
+#define CANCELLED_TASK_S 1.0
+#define BOOTING_MIN_S 2.0
 
-guint fk_autoscaler_task_slots(double cpus, double gpus, double mem, const FkSpec *s) {
-  double n = s->cpus > 0 ? floor(cpus / s->cpus + 1e-6) : 1e6;
-  if (s->gpus > 0)
-    n = MIN(n, floor(gpus / s->gpus + 1e-6));
-  if (s->mem_gb > 0)
-    n = MIN(n, floor(mem / s->mem_gb + 1e-6));
-  return (guint)CLAMP(n, 0, 100000);
-}
+#define HEADROOM_ARRIVALS_MAX 2000
+#define HEADROOM_TASKS_MAX 8 /* of one service */
 
-/* How many such tasks one machine of the bin has room for. */
-static guint capacity_bin_slots(const FkCapacityBin *b, const FkSpec *s) {
-  if ((b->key.spot && !s->spot) || (s->zone && !g_str_equal(s->zone, b->key.zone)) ||
-      !fk_placement_fits_type(s, b->key.type))
-    return 0;
-  return fk_autoscaler_task_slots(b->cpus, b->gpus, b->mem_gb, s);
+/* ------------------------------------------------------------------ capacity */
+
+/* Seconds until the task releases what it has allocated. */
+static double remaining_run_s(FkController *c, const FkAllocationRef *allocation) {
+  const FkJob *job = allocation->job;
+  double left_s = job->cancelled ? CANCELLED_TASK_S
+                                 : fk_view_expected_run_s(c->view, job->spec) -
+                                       fk_time_between(allocation->first_seen_at, c->now);
+  /* a task that is late may take as long again as it's late */
+  return left_s < OVERDUE_TASK_MIN_S ? OVERDUE_TASK_MIN_S + MIN(OVERDUE_TASK_MAX_S, -left_s) : left_s;
 }
 
-/* The earliest room for a task, on machines in use before idle ones; -1: none. */
-static int plan_earliest_bin(const FkCapacityPlan *bins, const FkSpec *s) {
-  int best = -1;
-  for (guint i = 0; i < bins->bins->len; i++) {
-    const FkCapacityBin *b = &g_array_index(bins->bins, FkCapacityBin, i),
-                        *x = best < 0 ? NULL : &g_array_index(bins->bins, FkCapacityBin, best);
-    if (!b->count || (x && (b->available_s > x->available_s ||
-                            (b->available_s == x->available_s && (b->key.kind != FK_CAPACITY_BIN_IN_USE ||
-                                                                  x->key.kind == FK_CAPACITY_BIN_IN_USE)))))
+static void add_machine(FkController *c, FkCapacityPlan *plan, const FkMachine *machine,
+                        const FkInstanceType *type) {
+  const FkOffer offer = {type, machine->record->zone, machine->record->spot};
+  const FkCapacity free = {type->cpus - machine->allocated_cpus, type->gpus - machine->allocated_gpus,
+                           type->mem_gb - machine->allocated_mem_gb};
+  fk_capacity_plan_add(plan, machine->allocations->len ? FK_CAPACITY_BIN_IN_USE : FK_CAPACITY_BIN_IDLE,
+                       &offer, 1, free, 0);
+  for (guint i = 0; i < machine->allocations->len; i++) {
+    const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
+    const FkSpec *spec = allocation->job->spec;
+    if (spec->shape == FK_SHAPE_SERVICE && !allocation->job->cancelled)
       continue;
-    if (capacity_bin_slots(b, s))
-      best = (int)i;
+    fk_capacity_plan_add(plan, FK_CAPACITY_BIN_RELEASED, &offer, 1,
+                         (FkCapacity){spec->cpus, spec->gpus, spec->mem_gb}, remaining_run_s(c, allocation));
+  }
+}
+
+static void add_machines(FkController *c, FkCapacityPlan *plan) {
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, c->view->machines);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    FkMachine *machine = value;
+    const FkInstanceType *type = fk_machine_type(c, machine);
+    if (type && !machine->drain_reason && !machine->pending_drain_reason)
+      add_machine(c, plan, machine, type);
   }
-  return best;
 }
 
-/* Up to `tasks` go into machines of the bin, each machine filled before the next. Returns how many did. */
-static guint plan_allocate(FkCapacityPlan *bins, int at, const FkSpec *s, guint tasks, double run_s) {
-  FkCapacityBin b = g_array_index(bins->bins, FkCapacityBin, at);
-  guint slots = capacity_bin_slots(&b, s), n = (guint)MIN((guint64)tasks, (guint64)slots * b.count),
-        full = n / slots, rest = n % slots;
-  FkCapacityBinKind kind = b.key.kind == FK_CAPACITY_BIN_IDLE ? FK_CAPACITY_BIN_IN_USE : b.key.kind;
-  g_array_index(bins->bins, FkCapacityBin, at).count -= full + (rest > 0);
-  plan_add_bin(bins, kind, b.key.type, b.key.zone, b.key.spot, full, b.cpus - slots * s->cpus,
-               b.gpus - slots * s->gpus, b.mem_gb - slots * s->mem_gb, b.available_s);
-  plan_add_bin(bins, kind, b.key.type, b.key.zone, b.key.spot, rest > 0, b.cpus - rest * s->cpus,
-               b.gpus - rest * s->gpus, b.mem_gb - rest * s->mem_gb, b.available_s);
-  if (s->shape != FK_SHAPE_SERVICE)
-    plan_add_bin(bins, FK_CAPACITY_BIN_RELEASED, b.key.type, b.key.zone, b.key.spot, n, s->cpus, s->gpus,
-                 s->mem_gb, b.available_s + run_s);
-  return n;
+static FkCapacity type_capacity(const FkInstanceType *type) {
+  return (FkCapacity){type->cpus, type->gpus, type->mem_gb};
 }
 
-typedef struct {
-  const FkInstanceType *type;
-  const char *zone;
-  gboolean spot;
-  guint slots;
-  double ready_s;
-} Offer;
-
-/* The cheapest way to get room for up to `tasks` more tasks like this: price a task that fits. */
-static gboolean cheapest_offer(FkController *c, const FkSpec *s, guint tasks, gboolean spot_only,
-                               Offer *offer) {
+/* Instances that will probably join soon. The remaining boot time is taken relative to that of a new
+ * instance, which the plan expects after one boot time: otherwise those under way would look later than any
+ * other. */
+static void add_booting_instances(FkController *c, FkCapacityPlan *plan) {
+  const FkAutoscaler *a = c->autoscaling.autoscaler;
   GHashTableIter it;
-  gpointer p;
-  double best_cost = G_MAXDOUBLE;
-  double run_s = s->shape == FK_SHAPE_SERVICE ? 200 : MAX(5, fk_view_expected_run_s(c->view, s));
-  g_hash_table_iter_init(&it, c->autoscaling.instance_types);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    FkInstanceType *t = p;
-    if (!fk_placement_fits_type(s, t))
+  gpointer value;
+  g_hash_table_iter_init(&it, a->booting);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    const FkBootingInstance *instance = value;
+    const FkInstanceType *type = g_hash_table_lookup(c->autoscaling.instance_types, instance->type);
+    double age = type ? fk_autoscaler_boot_age(c, instance, type) : 0;
+    if (!type || instance->failed || g_hash_table_contains(a->terminating, instance->id) ||
+        fk_boot_time_probability(&a->boot_times, age, 1) < PLANNED_BOOT_PROBABILITY)
       continue;
-    for (guint z = 0; t->zones[z]; z++)
-      for (int spot = spot_only; spot <= (s->spot ? 1 : 0); spot++) {
-        if (s->zone && !g_str_equal(s->zone, t->zones[z]))
-          continue;
-        g_autofree char *key = fk_autoscaler_offer_key(t->name, t->zones[z], spot);
-        FkCapacityShortage *cl = g_hash_table_lookup(c->autoscaling.autoscaler->shortages, key);
-        if (cl && !fk_time_reached(c->now, cl->until))
-          continue;
-        guint slots = fk_autoscaler_task_slots(t->cpus, t->gpus, t->mem_gb, s);
-        if (!slots)
-          continue;
-        /* booting and fetching are paid for as well */
-        double ready = t->boot_s + s->image_gb / MAX(0.01, t->fetch_gb_per_s);
-        double cost = fk_instance_type_price(t, spot) * (1 + ready / (2 * run_s)) / MIN(slots, tasks);
-        if (cost < best_cost) {
-          best_cost = cost;
-          *offer = (Offer){t, t->zones[z], spot, slots, ready};
-        }
-      }
+    double ready_s = fk_boot_time_remaining(&a->boot_times, age) / fk_boot_time_remaining(&a->boot_times, 0) *
+                     type->boot_s;
+    const FkOffer offer = {type, instance->zone, instance->spot};
+    fk_capacity_plan_add(plan, FK_CAPACITY_BIN_BOOTING, &offer, 1, type_capacity(type),
+                         MAX(BOOTING_MIN_S, ready_s));
   }
-  return best_cost < G_MAXDOUBLE;
 }
 
-#define LATE_JOB_PATIENCE_S 45.0 /* for work that no machine rented now would bring in on time */
-
-/* How long a task of the job may wait from now before it's worth money to start it sooner, if a machine
- * rented now is ready after `ready_s`. */
-static double patience_s(FkController *c, const FkJob *j, double ready_s) {
-  const FkSpec *s = j->spec;
-  double run_s = fk_view_expected_run_s(c->view, s);
-  double waited = fk_time_between((FkTime){j->startable_us}, c->now);
-  double within = G_MAXDOUBLE;
-  double due = fk_job_allowed_s(j);
-  gboolean aims = due >= 0;
-  if (s->shape == FK_SHAPE_SERVICE)
-    return 0;
-  /* the tightest aim that renting can still meet */
-  if (due >= waited + ready_s + run_s)
-    within = due;
-  for (guint i = 0; i < c->settings->objectives->len; i++) {
-    const FkObjective *o = c->settings->objectives->pdata[i];
-    if (g_strcmp0(o->kind, "finished") != 0 || g_strcmp0(o->class_name, s->class_name) != 0)
+static void add_requested_instances(FkController *c, FkCapacityPlan *plan) {
+  const GPtrArray *requests = c->autoscaling.autoscaler->requests;
+  for (guint i = 0; i < requests->len; i++) {
+    const FkProvisionRequest *request = requests->pdata[i];
+    const FkInstanceType *type = g_hash_table_lookup(c->autoscaling.instance_types, request->type);
+    if (!type)
       continue;
-    aims = TRUE;
-    if (o->within_s >= waited + ready_s + run_s)
-      within = MIN(within, o->within_s);
+    const FkOffer offer = {type, request->zone, request->spot};
+    fk_capacity_plan_add(plan, FK_CAPACITY_BIN_BOOTING, &offer, request->count, type_capacity(type),
+                         type->boot_s);
   }
-  if (within == G_MAXDOUBLE && aims)
-    return LATE_JOB_PATIENCE_S;
-  if (within == G_MAXDOUBLE)
-    within = 3 * run_s + 30;
-  /* the last task is the one that counts, and tasks spread round their estimate */
-  return MAX(0, within - waited - c->settings->tuning.deadline_slack * run_s);
 }
 
-static int compare_by_rank(gconstpointer a, gconstpointer b) {
-  const FkJob *x = *(FkJob *const *)a, *y = *(FkJob *const *)b;
-  if (x->inherited_priority != y->inherited_priority)
-    return (int)x->inherited_priority - (int)y->inherited_priority;
-  return x->startable_us < y->startable_us ? -1 : 1;
+/* ------------------------------------------------------------------ offers */
+
+/* An offer, as seen by a task. */
+typedef struct {
+  FkOffer offer;
+  guint slots;    /* tasks a machine */
+  double ready_s; /* boot and fetch of the image */
+  double cost;    /* a task */
+} RankedOffer;
+
+static gboolean offer_is_short(FkController *c, const FkOffer *offer) {
+  g_autofree char *key = fk_autoscaler_offer_key(offer);
+  const FkCapacityShortage *shortage = g_hash_table_lookup(c->autoscaling.autoscaler->shortages, key);
+  return shortage && !fk_time_reached(c->now, shortage->until);
 }
 
-#define ARRIVAL_RATE_TIME_CONSTANT_S 30.0
-#define ARRIVAL_RATE_GROWTH_MAX 2.0 /* a crowd at the start isn't taken for the way things will go on */
+/* Price a task, where up to `tasks` share a machine and the time until it is ready is paid for as well. */
+static RankedOffer rank_offer(const FkOffer *offer, const FkSpec *spec, guint tasks, double run_s) {
+  const FkInstanceType *type = offer->type;
+  RankedOffer ranked = {.offer = *offer};
+  ranked.slots = fk_capacity_task_slots(type_capacity(type), spec);
+  ranked.ready_s = type->boot_s + spec->image_gb / MAX(FETCH_GB_PER_S_MIN, type->fetch_gb_per_s);
+  if (ranked.slots)
+    ranked.cost = fk_instance_type_price(type, offer->spot) * (1 + ranked.ready_s / (2 * run_s)) /
+                  MIN(ranked.slots, tasks);
+  return ranked;
+}
 
-/* Arrivals of services are learnt, so that some room is up when the next one comes. */
-void fk_autoscaler_update_arrival_rates(FkController *c, double dt) {
-  FkAutoscaler *f = c->autoscaling.autoscaler;
-  GHashTableIter it;
-  gpointer p;
-  g_hash_table_iter_init(&it, c->view->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    FkJob *j = p;
-    if (j->spec->shape != FK_SHAPE_SERVICE || j->first_seen_at.us <= f->arrivals_counted_at.us)
+/* Replaces `best` where an offer of the type in the zone is cheaper. */
+static void consider_zone(FkController *c, const FkSpec *spec, guint tasks, double run_s, gboolean spot_only,
+                          FkOffer offer, RankedOffer *best) {
+  for (int spot = spot_only; spot <= (spec->spot ? 1 : 0); spot++) {
+    offer.spot = spot;
+    if (offer_is_short(c, &offer))
       continue;
-    FkArrivalRate *r = g_hash_table_lookup(f->arrival_rates, j->spec->class_name);
-    if (!r) {
-      r = g_new0(FkArrivalRate, 1);
-      r->spec = fk_spec_ref(j->spec);
-      r->per_s = 0.02;
-      g_hash_table_insert(f->arrival_rates, g_strdup(j->spec->class_name), r);
-    }
-    if (j->first_seen_at.us > c->leader.since.us + 1000000) {
-      r->arrivals++;
-      fk_spec_unref(r->spec);
-      r->spec = fk_spec_ref(j->spec);
-    }
-  }
-  f->arrivals_counted_at = c->now;
-  g_hash_table_iter_init(&it, f->arrival_rates);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    FkArrivalRate *r = p;
-    double seen = MIN(r->arrivals / dt, ARRIVAL_RATE_GROWTH_MAX * r->per_s + 1);
-    r->per_s += (seen - r->per_s) * MIN(1, dt / ARRIVAL_RATE_TIME_CONSTANT_S);
-    r->arrivals = 0;
+    RankedOffer ranked = rank_offer(&offer, spec, tasks, run_s);
+    if (ranked.slots && ranked.cost < best->cost)
+      *best = ranked;
   }
 }
 
-double fk_autoscaler_boot_age(FkController *c, const FkBootingInstance *b, const FkInstanceType *t) {
-  return fk_time_between(b->requested_at, c->now) / MAX(1, t->boot_s);
-}
-
-static void plan_add_machines(FkController *c, FkCapacityPlan *bins) {
-  FkAutoscaler *f = c->autoscaling.autoscaler;
+/* The cheapest way to get room for up to `tasks` more tasks like this. FALSE: nothing is offered. */
+static gboolean cheapest_offer(FkController *c, const FkSpec *spec, guint tasks, gboolean spot_only,
+                               RankedOffer *best) {
+  double run_s = spec->shape == FK_SHAPE_SERVICE
+                     ? SERVICE_COST_RUN_S
+                     : MAX(TASK_COST_RUN_MIN_S, fk_view_expected_run_s(c->view, spec));
+  *best = (RankedOffer){.cost = G_MAXDOUBLE};
   GHashTableIter it;
-  gpointer p;
-  g_hash_table_iter_init(&it, c->view->machines);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    FkMachine *m = p;
-    const FkInstanceType *t = fk_machine_type(c, m);
-    if (!t || m->drain_reason || m->pending_drain_reason)
+  gpointer value;
+  g_hash_table_iter_init(&it, c->autoscaling.instance_types);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    const FkInstanceType *type = value;
+    if (!fk_placement_fits_type(spec, type))
       continue;
-    plan_add_bin(bins, m->allocations->len ? FK_CAPACITY_BIN_IN_USE : FK_CAPACITY_BIN_IDLE, t,
-                 m->record->zone, m->record->spot, 1, t->cpus - m->allocated_cpus,
-                 t->gpus - m->allocated_gpus, t->mem_gb - m->allocated_mem_gb, 0);
-    for (guint i = 0; i < m->allocations->len; i++) {
-      FkAllocationRef *r = &g_array_index(m->allocations, FkAllocationRef, i);
-      const FkSpec *s = r->job->spec;
-      if (s->shape == FK_SHAPE_SERVICE && !r->job->cancelled)
-        continue;
-      double left = r->job->cancelled
-                        ? 1
-                        : fk_view_expected_run_s(c->view, s) - fk_time_between(r->first_seen_at, c->now);
-      /* a task past its estimate may take as long again as it's late */
-      if (left < 2)
-        left = 2 + MIN(60, -left);
-      plan_add_bin(bins, FK_CAPACITY_BIN_RELEASED, t, m->record->zone, m->record->spot, 1, s->cpus, s->gpus,
-                   s->mem_gb, left);
-    }
+    for (guint i = 0; type->zones[i]; i++)
+      if (!spec->zone || g_str_equal(spec->zone, type->zones[i]))
+        consider_zone(c, spec, tasks, run_s, spot_only, (FkOffer){.type = type, .zone = type->zones[i]},
+                      best);
   }
-  g_hash_table_iter_init(&it, f->booting);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    FkBootingInstance *bt = p;
-    FkInstanceType *t = g_hash_table_lookup(c->autoscaling.instance_types, bt->type);
-    double age = t ? fk_autoscaler_boot_age(c, bt, t) : 0;
-    /* Not to be reckoned with any more: something else is rented for what waits. Against a new one, which the
-     * plan takes to be up after a boot time: else those that are on their way would look later than any
-     * other. */
-    if (!t || bt->failed || g_hash_table_contains(f->terminating, bt->id) ||
-        fk_boot_time_probability(&f->boot_times, age, 1) < BOOT_PROBABILITY_PLANNED_MIN)
+  return best->cost < G_MAXDOUBLE;
+}
+
+/* Enough machines for so many tasks. */
+static void plan_provision(FkCapacityPlan *plan, const RankedOffer *ranked, guint tasks) {
+  guint machines = (tasks + ranked->slots - 1) / ranked->slots;
+  fk_capacity_plan_provision(plan, &ranked->offer, machines, ranked->ready_s);
+}
+
+/* ------------------------------------------------------------------ patience */
+
+/* The tightest deadline, in seconds from the submission, that a task can meet if it starts at `start_s`;
+ * G_MAXDOUBLE: none. `has_deadline` says whether there is any at all. */
+static double tightest_deadline_s(FkController *c, const FkJob *job, double start_s, gboolean *has_deadline) {
+  double run_s = fk_view_expected_run_s(c->view, job->spec);
+  double deadline_s = G_MAXDOUBLE;
+  double own_s = fk_job_allowed_s(job);
+  *has_deadline = own_s >= 0;
+  if (own_s >= start_s + run_s)
+    deadline_s = own_s;
+  for (guint i = 0; i < c->settings->objectives->len; i++) {
+    const FkObjective *objective = c->settings->objectives->pdata[i];
+    if (g_strcmp0(objective->kind, "finished") != 0 ||
+        g_strcmp0(objective->class_name, job->spec->class_name) != 0)
       continue;
-    plan_add_bin(bins, FK_CAPACITY_BIN_BOOTING, t, bt->zone, bt->spot, 1, t->cpus, t->gpus, t->mem_gb,
-                 MAX(2, fk_boot_time_remaining(&f->boot_times, age) /
-                            fk_boot_time_remaining(&f->boot_times, 0) * t->boot_s));
-  }
-  for (guint i = 0; i < f->requests->len; i++) {
-    FkInstanceRequest *h = f->requests->pdata[i];
-    FkInstanceType *t = g_hash_table_lookup(c->autoscaling.instance_types, h->type);
-    if (t)
-      plan_add_bin(bins, FK_CAPACITY_BIN_BOOTING, t, h->zone, h->spot, h->count, t->cpus, t->gpus, t->mem_gb,
-                   t->boot_s);
+    *has_deadline = TRUE;
+    if (objective->within_s >= start_s + run_s)
+      deadline_s = MIN(deadline_s, objective->within_s);
   }
+  return deadline_s;
 }
 
-/* Machines to be rented for so many tasks; they go into the plan as if they were on their way. */
-static void plan_provision(FkCapacityPlan *bins, const Offer *o, guint tasks) {
-  guint n = (tasks + o->slots - 1) / o->slots;
-  plan_add_bin(bins, FK_CAPACITY_BIN_BOOTING, o->type, o->zone, o->spot, n, o->type->cpus, o->type->gpus,
-               o->type->mem_gb, o->ready_s);
-  for (guint i = 0; i < bins->to_provision->len; i++) {
-    FkCapacityBin *h = &g_array_index(bins->to_provision, FkCapacityBin, i);
-    if (h->key.type == o->type && h->key.spot == (guint32)o->spot && g_str_equal(h->key.zone, o->zone)) {
-      h->count += n;
-      return;
-    }
-  }
-  FkCapacityBin h = {.key = {.type = o->type, .zone = o->zone, .spot = (guint32)o->spot}, .count = n};
-  g_array_append_val(bins->to_provision, h);
+/* How long a task of the job may wait from now before it's worth money to start it sooner, if a machine
+ * provisioned now is ready after `ready_s`. */
+static double patience_s(FkController *c, const FkJob *job, double ready_s) {
+  if (job->spec->shape == FK_SHAPE_SERVICE)
+    return 0;
+  double run_s = fk_view_expected_run_s(c->view, job->spec);
+  double waited_s = fk_time_between((FkTime){job->startable_us}, c->now);
+  gboolean has_deadline;
+  double deadline_s = tightest_deadline_s(c, job, waited_s + ready_s, &has_deadline);
+  if (deadline_s == G_MAXDOUBLE && has_deadline)
+    return LATE_JOB_PATIENCE_S;
+  if (deadline_s == G_MAXDOUBLE)
+    deadline_s = NO_DEADLINE_RUNS * run_s + NO_DEADLINE_S;
+  /* the last task is the one that counts, and run times spread round their estimate */
+  return MAX(0, deadline_s - waited_s - c->settings->tuning.deadline_slack * run_s);
 }
 
-/* Room for so many tasks like this at once, hired where there is none. */
-static void plan_capacity(FkController *c, FkCapacityPlan *bins, const FkSpec *s, guint want) {
-  while (want) {
-    int at = plan_earliest_bin(bins, s);
-    Offer offer;
-    if (at < 0) {
-      if (!cheapest_offer(c, s, want, FALSE, &offer))
+/* ------------------------------------------------------------------ demand */
+
+/* Room for so many tasks at once, provisioned where there is none. */
+static void plan_tasks(FkController *c, FkCapacityPlan *plan, const FkSpec *spec, guint tasks) {
+  while (tasks) {
+    int bin = fk_capacity_plan_earliest(plan, spec);
+    if (bin < 0) {
+      RankedOffer cheapest;
+      if (!cheapest_offer(c, spec, tasks, FALSE, &cheapest))
         return;
-      plan_provision(bins, &offer, want);
-      if ((at = plan_earliest_bin(bins, s)) < 0)
+      plan_provision(plan, &cheapest, tasks);
+      bin = fk_capacity_plan_earliest(plan, spec);
+      if (bin < 0)
         return;
     }
-    want -= plan_allocate(bins, at, s, want, 0);
+    tasks -= fk_capacity_plan_allocate(plan, bin, spec, tasks, 0);
   }
 }
 
-/* Headroom for services: room for the next ones, or work there that they may displace. */
-static void plan_headroom(FkController *c, FkCapacityPlan *bins) {
+/* Services that run on lost machines. */
+static void plan_failover(FkController *c, FkCapacityPlan *plan) {
+  g_autoptr(GPtrArray) jobs = fk_service_failover_demand(c);
+  for (guint i = 0; i < jobs->len; i++)
+    plan_tasks(c, plan, ((FkJob *)jobs->pdata[i])->spec, 1);
+}
+
+/* Headroom for the services that are expected next. */
+static void plan_headroom(FkController *c, FkCapacityPlan *plan) {
   GHashTableIter it;
-  gpointer p;
+  gpointer value;
   g_hash_table_iter_init(&it, c->autoscaling.autoscaler->arrival_rates);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    FkArrivalRate *r = p;
-    plan_capacity(c, bins, r->spec,
-                  (guint)CLAMP(ceil(r->per_s * c->settings->tuning.headroom_s), 1, 2000) *
-                      MAX(1, MIN(r->spec->tasks, 8)));
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    const FkArrivalRate *rate = value;
+    double arrivals = ceil(rate->per_s * c->settings->tuning.headroom_s);
+    guint tasks = MAX(1, MIN(rate->spec->tasks, HEADROOM_TASKS_MAX));
+    plan_tasks(c, plan, rate->spec, (guint)CLAMP(arrivals, 1, HEADROOM_ARRIVALS_MAX) * tasks);
   }
 }
 
-static void plan_recovery(FkController *c, FkCapacityPlan *bins) {
-  g_autoptr(GPtrArray) jobs = fk_service_failover_demand(c);
-  for (guint i = 0; i < jobs->len; i++)
-    plan_capacity(c, bins, ((FkJob *)jobs->pdata[i])->spec, 1);
+/* Waiting tasks that the team's quota allows, of which `used_cpus` are used. */
+static guint32 allowed_tasks(FkController *c, const FkJob *job, double used_cpus) {
+  const FkSpec *spec = job->spec;
+  guint32 waiting = fk_job_waiting_tasks(job);
+  if (spec->cpus <= 0)
+    return waiting;
+  const FkTeam *team = fk_settings_find_team(c->settings, spec->team);
+  double allowed = floor(fk_quota_left(team->max_cpus, used_cpus) / spec->cpus + AMOUNT_EPSILON);
+  return (guint32)MIN((double)waiting, allowed);
 }
 
-static void plan_job(FkController *c, FkCapacityPlan *bins, FkJob *j, double *used) {
-  const FkSpec *s = j->spec;
-  FkTeam *team = fk_settings_find_team(c->settings, s->team);
-  guint32 waiting = fk_job_waiting_tasks(j);
-  if (s->cpus > 0)
-    waiting = (guint32)MIN((double)waiting, floor(fk_quota_left(team->max_cpus, *used) / s->cpus + 1e-6));
-  Offer soonest;
-  double ready = cheapest_offer(c, s, fk_job_waiting_tasks(j), FALSE, &soonest) ? soonest.ready_s : 60;
-  double patience = patience_s(c, j, ready), run_s = fk_view_expected_run_s(c->view, s);
-  gboolean frugal = s->spot && fk_scheduling_queue_is_low_cost_only(c, j);
+/* Plans the job's waiting tasks. `used_cpus`: of its team, added to. */
+static void plan_job(FkController *c, FkCapacityPlan *plan, FkJob *job, double *used_cpus) {
+  const FkSpec *spec = job->spec;
+  guint32 waiting = allowed_tasks(c, job, *used_cpus);
+  RankedOffer cheapest;
+  gboolean offered = cheapest_offer(c, spec, fk_job_waiting_tasks(job), FALSE, &cheapest);
+  double patience = patience_s(c, job, offered ? cheapest.ready_s : UNKNOWN_READY_S);
+  double run_s = fk_view_expected_run_s(c->view, spec);
+  gboolean low_cost_only = spec->spot && fk_scheduling_queue_is_low_cost_only(c, job);
   while (waiting) {
-    int b = plan_earliest_bin(bins, s);
-    double at = b >= 0 ? g_array_index(bins->bins, FkCapacityBin, b).available_s : G_MAXDOUBLE;
-    /* spot is cheap: not so much patience there */
-    gboolean dear = at > patience && !frugal, cheap = at > patience * c->settings->tuning.spot_patience;
-    Offer offer;
-    if ((dear || (cheap && s->spot)) && cheapest_offer(c, s, waiting, !dear, &offer) && offer.ready_s < at) {
-      plan_provision(bins, &offer, waiting);
-      b = plan_earliest_bin(bins, s);
+    int bin = fk_capacity_plan_earliest(plan, spec);
+    double wait_s = bin >= 0 ? g_array_index(plan->bins, FkCapacityBin, bin).available_s : G_MAXDOUBLE;
+    gboolean worth_any = wait_s > patience && !low_cost_only;
+    /* spot machines are cheap: there is less patience before those are provisioned */
+    gboolean worth_spot = spec->spot && wait_s > patience * c->settings->tuning.spot_patience;
+    if ((worth_any || worth_spot) && cheapest_offer(c, spec, waiting, !worth_any, &cheapest) &&
+        cheapest.ready_s < wait_s) {
+      plan_provision(plan, &cheapest, waiting);
+      bin = fk_capacity_plan_earliest(plan, spec);
     }
-    if (b < 0)
+    if (bin < 0)
       break;
-    guint n = plan_allocate(bins, b, s, waiting, run_s);
-    waiting -= n;
-    *used += n * s->cpus;
+    guint planned = fk_capacity_plan_allocate(plan, bin, spec, waiting, run_s);
+    waiting -= planned;
+    *used_cpus += planned * spec->cpus;
   }
 }
 
-/* As many jobs are planned for as there are machines, up or on their way: each may want one of its own, and a
- * machine that nothing is planned for counts as idle. */
-static guint jobs_planned(FkController *c) {
-  return MAX(PLAN_JOBS_MAX,
-             g_hash_table_size(c->view->machines) + g_hash_table_size(c->autoscaling.autoscaler->booting));
+/* By priority, then by how long they have been startable. */
+static int compare_by_priority(gconstpointer a, gconstpointer b) {
+  const FkJob *x = *(FkJob *const *)a, *y = *(FkJob *const *)b;
+  if (x->inherited_priority != y->inherited_priority)
+    return (int)x->inherited_priority - (int)y->inherited_priority;
+  return x->startable_us < y->startable_us ? -1 : 1;
 }
 
-void fk_autoscaler_plan_demand(FkController *c, FkCapacityPlan *bins) {
+/* FkJob, borrowed: those with waiting tasks, in the order in which they are planned. */
+static GPtrArray *waiting_jobs(FkController *c) {
+  GPtrArray *jobs = g_ptr_array_new();
   GHashTableIter it;
-  gpointer p;
-  plan_add_machines(c, bins);
-  g_autoptr(GPtrArray) jobs = g_ptr_array_new();
+  gpointer value;
   g_hash_table_iter_init(&it, c->view->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &p))
-    if (fk_job_waiting_tasks(p) && fk_settings_find_team(c->settings, ((FkJob *)p)->spec->team))
-      g_ptr_array_add(jobs, p);
-  g_ptr_array_sort(jobs, compare_by_rank);
-  plan_recovery(c, bins);
-  plan_headroom(c, bins);
-  g_autoptr(GHashTable) planned =
-      g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free); /* team -> cpus */
-  guint most = jobs_planned(c);
-  for (guint i = 0; i < jobs->len && i < most; i++) {
-    FkJob *j = jobs->pdata[i];
-    double *used = g_hash_table_lookup(planned, j->spec->team);
-    if (!used) {
-      used = g_new(double, 1);
-      *used = fk_view_ensure_team(c->view, j->spec->team)->cpus;
-      g_hash_table_insert(planned, j->spec->team, used);
-    }
-    plan_job(c, bins, j, used);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    FkJob *job = value;
+    if (fk_job_waiting_tasks(job) && fk_settings_find_team(c->settings, job->spec->team))
+      g_ptr_array_add(jobs, job);
+  }
+  g_ptr_array_sort(jobs, compare_by_priority);
+  return jobs;
+}
+
+/* As many jobs are planned as there are machines, up or on their way: each may want one of its own, and a
+ * machine that nothing is planned for counts as idle. */
+static guint planned_jobs_max(FkController *c) {
+  guint machines =
+      g_hash_table_size(c->view->machines) + g_hash_table_size(c->autoscaling.autoscaler->booting);
+  return MAX(PLANNED_JOBS_MIN, machines);
+}
+
+/* CPUs that the team's planned tasks use. */
+static double *planned_team_cpus(FkController *c, GHashTable *by_team, const char *team) {
+  double *cpus = g_hash_table_lookup(by_team, team);
+  if (!cpus) {
+    cpus = g_new(double, 1);
+    *cpus = fk_view_ensure_team(c->view, team)->cpus;
+    g_hash_table_insert(by_team, (gpointer)team, cpus);
+  }
+  return cpus;
+}
+
+void fk_autoscaler_plan_demand(FkController *c, FkCapacityPlan *plan) {
+  add_machines(c, plan);
+  add_booting_instances(c, plan);
+  add_requested_instances(c, plan);
+  g_autoptr(GPtrArray) jobs = waiting_jobs(c);
+  plan_failover(c, plan);
+  plan_headroom(c, plan);
+  g_autoptr(GHashTable) team_cpus = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+  guint jobs_max = planned_jobs_max(c);
+  for (guint i = 0; i < jobs->len && i < jobs_max; i++) {
+    FkJob *job = jobs->pdata[i];
+    plan_job(c, plan, job, planned_team_cpus(c, team_cpus, job->spec->team));
   }
 }
--- a/test/test_looks.c
+++ b/test/test_looks.c
@@ -207,23 +207,18 @@
       add_line(lines, g_strdup_printf("fk/l/j/run-%u", 100000 + k), g_strdup(WHOLE));
     g_ptr_array_add(lines, NULL);
     watched(r, (const char *const *)lines->pdata);
-    FkCapacityPlan bins = {g_array_new(FALSE, TRUE, sizeof(FkCapacityBin)),
-                           g_hash_table_new_full(fk_capacity_bin_hash, fk_capacity_bin_equal, g_free, NULL),
-                           g_array_new(FALSE, TRUE, sizeof(FkCapacityBin))};
+    g_autoptr(FkCapacityPlan) plan = fk_capacity_plan_new();
     gint64 began_us = g_get_monotonic_time();
-    fk_autoscaler_plan_demand(r->c, &bins);
+    fk_autoscaler_plan_demand(r->c, plan);
     double took_ms = (double)(g_get_monotonic_time() - began_us) / 1e3;
     guint idle = 0;
-    for (guint k = 0; k < bins.bins->len; k++) {
-      const FkCapacityBin *b = &g_array_index(bins.bins, FkCapacityBin, k);
+    for (guint k = 0; k < plan->bins->len; k++) {
+      const FkCapacityBin *b = &g_array_index(plan->bins, FkCapacityBin, k);
       idle += b->key.kind == FK_CAPACITY_BIN_IDLE ? b->count : 0;
     }
     g_test_message("%u machines, %u jobs: %u idle, planned in %.1f ms", cases[i].machines, cases[i].jobs,
                    idle, took_ms);
     g_assert_cmpuint(idle, ==, cases[i].idle);
-    g_array_unref(bins.bins);
-    g_array_unref(bins.to_provision);
-    g_hash_table_unref(bins.index);
     rig_free(r);
   }
 }
