--- a/src/simulation/cloud.c
+++ b/src/simulation/cloud.c
@@ -9,10 +9,10 @@
   return FALSE;
 }
 
-void sim_cloud_handle(Sim *m, gpointer p) {
+void sim_cloud_handle(Sim *sim, gpointer p) {
   SimCall *c = p;
-  FkOutput *o = c->out;
-  if (m->now < m->cloud_outage_until) {
+  FkOutput *o = c->output;
+  if (sim->now < sim->cloud_outage_until) {
     sim_call_reply(c, FK_OUTCOME_REFUSED, (FkRev){0}, NULL, FALSE, NULL);
     return;
   }
@@ -31,44 +31,45 @@
     break;
   }
   case FK_OUTPUT_PROVISION: {
-    m->result.recovery.provision_calls += m->machines_lost_at > 0;
-    GPtrArray *names = g_hash_table_lookup(m->provisioned, o->name);
+    sim->result.recovery.provision_calls += sim->machines_lost_at > 0;
+    GPtrArray *names = g_hash_table_lookup(sim->provisioned, o->name);
     if (!names) {
       guint here = 0;
-      for (guint i = 0; i < m->workers->len; i++)
-        here += !((SimWorker *)m->workers->pdata[i])->gone;
-      if (here >= MAX(m->plan.machines, m->plan.up)) {
+      for (guint i = 0; i < sim->workers->len; i++)
+        here += !((SimWorker *)sim->workers->pdata[i])->gone;
+      if (here >= MAX(sim->plan.machines, sim->plan.up)) {
         sim_call_reply(c, FK_OUTCOME_CONFLICT, (FkRev){0}, NULL, FALSE, NULL);
         return;
       }
       names = g_ptr_array_new_with_free_func(g_free);
-      for (guint i = 0; i < o->count && here + i < MAX(m->plan.machines, m->plan.up); i++) {
-        double boot_s = m->plan.boot_s > 0 ? sim_uniform(m, 0.6, m->plan.boot_s) : sim_uniform(m, 1, 8);
-        g_ptr_array_add(names, g_strdup(sim_worker_new(m, o->zone, o->spot, boot_s)->model.id));
+      for (guint i = 0; i < o->count && here + i < MAX(sim->plan.machines, sim->plan.up); i++) {
+        double boot_s =
+            sim->plan.boot_s > 0 ? sim_uniform(sim, 0.6, sim->plan.boot_s) : sim_uniform(sim, 1, 8);
+        g_ptr_array_add(names, g_strdup(sim_worker_new(sim, o->zone, o->spot, boot_s)->model.id));
       }
-      g_hash_table_insert(m->provisioned, g_strdup(o->name), names);
+      g_hash_table_insert(sim->provisioned, g_strdup(o->name), names);
     }
     sim_call_reply(c, FK_OUTCOME_OK, (FkRev){0}, g_ptr_array_ref(names), FALSE, NULL);
     break;
   }
   case FK_OUTPUT_TERMINATE:
-    m->result.recovery.terminate_calls += m->machines_lost_at > 0;
+    sim->result.recovery.terminate_calls += sim->machines_lost_at > 0;
     for (guint i = 0; i < o->names->len; i++) {
-      SimWorker *w = sim_worker_find(m, o->names->pdata[i]);
+      SimWorker *w = sim_worker_find(sim, o->names->pdata[i]);
       if (w && !w->gone) {
         /* what runs there runs well, and is lost for nothing */
-        m->result.healthy_terminated +=
-            w->up && !w->faulty && !m->plan.deaths && !m->plan.hangs && at_work(w);
-        sim_worker_lose(m, w);
+        sim->result.healthy_terminated +=
+            w->up && !w->faulty && !sim->plan.deaths && !sim->plan.hangs && at_work(w);
+        sim_worker_lose(sim, w);
       }
     }
     sim_call_reply(c, FK_OUTCOME_OK, (FkRev){0}, NULL, FALSE, NULL);
     break;
   default: {
     GPtrArray *list = g_ptr_array_new_with_free_func(fk_cloud_machine_free);
-    for (guint i = 0; i < m->workers->len; i++) {
-      SimWorker *w = m->workers->pdata[i];
-      if (w->gone || m->now - w->created_at < 4000000)
+    for (guint i = 0; i < sim->workers->len; i++) {
+      SimWorker *w = sim->workers->pdata[i];
+      if (w->gone || sim->now - w->created_at < 4000000)
         continue; /* the list lags */
       FkCloudMachine *l = g_new0(FkCloudMachine, 1);
       *l = (FkCloudMachine){g_strdup(w->model.id),
@@ -77,7 +78,7 @@
                             g_strdup(w->model.zone),
                             w->model.spot,
                             w->up ? FK_CLOUD_MACHINE_RUNNING : FK_CLOUD_MACHINE_BOOTING,
-                            (m->now - w->created_at) / 1e6};
+                            (sim->now - w->created_at) / 1e6};
       g_ptr_array_add(list, l);
     }
     sim_call_reply(c, FK_OUTCOME_OK, (FkRev){0}, list, FALSE, NULL);
--- a/src/simulation/planned_faults.c
+++ b/src/simulation/planned_faults.c
@@ -5,9 +5,9 @@
 #include "simulation/simulation_internal.h"
 #include "wire/store.h"
 
-static int current_leader(Sim *m) {
+static int current_leader(Sim *sim) {
   g_autofree char *path = fk_key_path(FK_KEY_LEADER, "");
-  const FkStoreItem *it = fk_store_model_get(m->store, path);
+  const FkStoreItem *it = fk_store_model_get(sim->store, path);
   if (!it)
     return -1;
   g_autoptr(cJSON) j = fk_json_parse(it->value, strlen(it->value));
@@ -17,49 +17,51 @@
   return i;
 }
 
-static gint64 fault_end(const Sim *m, const SimFault *f) { return m->now + (gint64)(f->duration_s * 1e6); }
+static gint64 fault_end(const Sim *sim, const SimFault *f) {
+  return sim->now + (gint64)(f->duration_s * 1e6);
+}
 
-static void fault_controller(Sim *m, const SimFault *f, int i) {
-  SimController *c = &m->controllers[i];
-  g_debug("WORLD %.3f fault %d of c-%d for %.1f s", m->now / 1e6, f->kind, i, f->duration_s);
+static void fault_controller(Sim *sim, const SimFault *f, int i) {
+  SimController *c = &sim->controllers[i];
+  g_debug("WORLD %.3f fault %d of c-%d for %.1f s", sim->now / 1e6, f->kind, i, f->duration_s);
   switch (f->kind) {
   case SIM_FAULT_CRASH:
-    sim_crash_controller(m, i);
+    sim_crash_controller(sim, i);
     break;
   case SIM_FAULT_PAUSE:
-    c->paused_until = fault_end(m, f);
+    c->paused_until = fault_end(sim, f);
     break;
   case SIM_FAULT_STORE_REFUSAL:
-    m->store_refusal_until[i] = fault_end(m, f);
+    sim->store_refusal_until[i] = fault_end(sim, f);
     break;
   case SIM_FAULT_STORE_PARTITION:
-    c->store_partition_until = fault_end(m, f);
+    c->store_partition_until = fault_end(sim, f);
     break;
   case SIM_FAULT_WORKER_PARTITION:
-    c->worker_partition_until = fault_end(m, f);
+    c->worker_partition_until = fault_end(sim, f);
     break;
   default:
-    c->store_partition_until = c->peer_partition_until = fault_end(m, f);
+    c->store_partition_until = c->peer_partition_until = fault_end(sim, f);
   }
 }
 
-static void fault_machines(Sim *m, const SimFault *f, double share) {
-  guint one = (guint)g_rand_int_range(m->rand, 0, (gint)MAX(1, m->workers->len));
-  for (guint i = 0; i < m->workers->len; i++) {
-    SimWorker *w = m->workers->pdata[i];
-    if (w->gone || (i != one && !sim_chance(m, share)))
+static void fault_machines(Sim *sim, const SimFault *f, double share) {
+  guint one = (guint)g_rand_int_range(sim->rand, 0, (gint)MAX(1, sim->workers->len));
+  for (guint i = 0; i < sim->workers->len; i++) {
+    SimWorker *w = sim->workers->pdata[i];
+    if (w->gone || (i != one && !sim_chance(sim, share)))
       continue;
     if (f->kind == SIM_FAULT_MACHINE_HANG)
-      w->hung_until = fault_end(m, f);
+      w->hung_until = fault_end(sim, f);
     else if (f->kind == SIM_FAULT_MACHINE_DEATH)
-      sim_worker_lose(m, w);
+      sim_worker_lose(sim, w);
     else if (f->kind == SIM_FAULT_MACHINE_RESTART)
-      sim_worker_restart(m, w);
+      sim_worker_restart(sim, w);
     else if (f->kind == SIM_FAULT_OUTBOUND_PARTITION)
-      w->outbound_partition_until = fault_end(m, f);
+      w->outbound_partition_until = fault_end(sim, f);
     else {
-      w->inbound_partition_until = fault_end(m, f);
-      w->inbound_held = sim_chance(m, 0.5);
+      w->inbound_partition_until = fault_end(sim, f);
+      w->inbound_held = sim_chance(sim, 0.5);
     }
   }
 }
@@ -67,18 +69,18 @@
 #define HUNG_MACHINES_MAX 8
 
 /* Called off within a fifth of a second: jobs that run. */
-static void cancel_running_jobs(Sim *m, const SimFault *f, double share) {
+static void cancel_running_jobs(Sim *sim, const SimFault *f, double share) {
   guint hang = f->duration_s > 0 ? HUNG_MACHINES_MAX : 0;
-  for (guint i = 0; i < m->jobs->len; i++) {
-    SimJob *j = m->jobs->pdata[i];
-    if (j->started_at && !j->large && !j->cancel_requested && sim_chance(m, share)) {
-      sim_schedule(m, sim_uniform(m, 0, 0.2), sim_user_cancel, j);
-      for (guint k = 0; hang && k < m->workers->len; k++) {
-        SimWorker *w = m->workers->pdata[k];
-        for (guint n = 0; !w->gone && m->now >= w->hung_until && n < w->model.tasks->len; n++)
+  for (guint i = 0; i < sim->jobs->len; i++) {
+    SimJob *j = sim->jobs->pdata[i];
+    if (j->started_at && !j->large && !j->cancel_requested && sim_chance(sim, share)) {
+      sim_schedule(sim, sim_uniform(sim, 0, 0.2), sim_user_cancel, j);
+      for (guint k = 0; hang && k < sim->workers->len; k++) {
+        SimWorker *w = sim->workers->pdata[k];
+        for (guint n = 0; !w->gone && sim->now >= w->hung_until && n < w->model.tasks->len; n++)
           if (((FkWorkerTask *)w->model.tasks->pdata[n])->resident &&
               g_str_equal(((FkWorkerTask *)w->model.tasks->pdata[n])->job, j->id)) {
-            w->hung_until = fault_end(m, f);
+            w->hung_until = fault_end(sim, f);
             hang--;
             break;
           }
@@ -87,95 +89,95 @@
   }
 }
 
-void sim_begin_store_outage(Sim *m, double s) {
-  m->outage_until = m->now + (gint64)(s * 1e6);
-  fk_store_model_extend_leases(m->store, m->outage_until);
+void sim_begin_store_outage(Sim *sim, double s) {
+  sim->outage_until = sim->now + (gint64)(s * 1e6);
+  fk_store_model_extend_leases(sim->store, sim->outage_until);
 }
 
-static void begin_fault(Sim *m, gpointer p) {
+static void begin_fault(Sim *sim, gpointer p) {
   const SimFault *f = p;
   double share = f->share > 0 ? f->share : 1.0 / 3;
-  int leader = current_leader(m), one = leader;
+  int leader = current_leader(sim), one = leader;
   switch (f->kind) {
   case SIM_FAULT_STORE_OUTAGE:
-    sim_begin_store_outage(m, f->duration_s);
+    sim_begin_store_outage(sim, f->duration_s);
     break;
   case SIM_FAULT_STORE_SLOW:
-    m->slow_factor = 250;
-    m->slow_until = fault_end(m, f);
+    sim->slow_factor = 250;
+    sim->slow_until = fault_end(sim, f);
     break;
   case SIM_FAULT_LATE_WRITES:
-    m->late_writes_until = fault_end(m, f);
-    m->late_writes_share = share;
+    sim->late_writes_until = fault_end(sim, f);
+    sim->late_writes_share = share;
     break;
   case SIM_FAULT_PEER_REFUSAL:
-    m->peer_refusal_until = fault_end(m, f);
+    sim->peer_refusal_until = fault_end(sim, f);
     break;
   case SIM_FAULT_ZONE_PARTITION:
-    m->partitioned_zone = sim_chance(m, 0.5) ? "south" : "north";
-    m->zone_partition_until = fault_end(m, f);
+    sim->partitioned_zone = sim_chance(sim, 0.5) ? "south" : "north";
+    sim->zone_partition_until = fault_end(sim, f);
     break;
   case SIM_FAULT_COMMAND_DELAY:
-    m->command_delay_until = fault_end(m, f);
-    m->command_delay_share = share;
+    sim->command_delay_until = fault_end(sim, f);
+    sim->command_delay_share = share;
     break;
   case SIM_FAULT_DUPLICATES:
-    m->duplicates_until = fault_end(m, f);
-    m->duplicates_share = share;
+    sim->duplicates_until = fault_end(sim, f);
+    sim->duplicates_share = share;
     break;
   case SIM_FAULT_CANCEL_BURST:
-    m->cancel_burst_until = fault_end(m, f);
+    sim->cancel_burst_until = fault_end(sim, f);
     break;
   case SIM_FAULT_CANCEL_RUNNING:
-    cancel_running_jobs(m, f, share);
+    cancel_running_jobs(sim, f, share);
     break;
   case SIM_FAULT_CANCEL_AT_COMPLETION:
-    m->cancel_at_completion_until = fault_end(m, f);
-    m->cancel_at_completion_share = share;
+    sim->cancel_at_completion_until = fault_end(sim, f);
+    sim->cancel_at_completion_share = share;
     break;
   case SIM_FAULT_QUERY_BURST:
-    m->query_burst_until = fault_end(m, f);
+    sim->query_burst_until = fault_end(sim, f);
     break;
   case SIM_FAULT_INVALID_REQUESTS:
-    m->invalid_requests_until = fault_end(m, f);
-    sim_submit_invalid_requests(m, NULL);
+    sim->invalid_requests_until = fault_end(sim, f);
+    sim_submit_invalid_requests(sim, NULL);
     break;
   case SIM_FAULT_LOST_REPLIES:
-    m->lost_replies_until = fault_end(m, f);
-    m->lost_replies_share = share;
-    m->lost_replies_prefix = f->key_prefix;
+    sim->lost_replies_until = fault_end(sim, f);
+    sim->lost_replies_share = share;
+    sim->lost_replies_prefix = f->key_prefix;
     break;
   case SIM_FAULT_STALE_HEARTBEATS:
-    m->stale_heartbeats_until = fault_end(m, f);
-    m->stale_heartbeats_share = share;
+    sim->stale_heartbeats_until = fault_end(sim, f);
+    sim->stale_heartbeats_share = share;
     break;
   case SIM_FAULT_CLOUD_OUTAGE:
-    m->cloud_outage_until = fault_end(m, f);
+    sim->cloud_outage_until = fault_end(sim, f);
     break;
   case SIM_FAULT_MACHINE_HANG:
   case SIM_FAULT_INBOUND_PARTITION:
   case SIM_FAULT_OUTBOUND_PARTITION:
   case SIM_FAULT_MACHINE_DEATH:
   case SIM_FAULT_MACHINE_RESTART:
-    fault_machines(m, f, share);
+    fault_machines(sim, f, share);
     break;
   default:
     if (f->target == SIM_TARGET_ANY || leader < 0)
-      one = g_rand_int_range(m->rand, 0, m->controller_count);
+      one = g_rand_int_range(sim->rand, 0, sim->controller_count);
     else if (f->target == SIM_TARGET_FOLLOWER)
-      one = (leader + g_rand_int_range(m->rand, 1, m->controller_count)) % m->controller_count;
-    for (int i = 0; i < m->controller_count; i++)
+      one = (leader + g_rand_int_range(sim->rand, 1, sim->controller_count)) % sim->controller_count;
+    for (int i = 0; i < sim->controller_count; i++)
       if (f->target == SIM_TARGET_ALL || i == one)
-        fault_controller(m, f, i);
+        fault_controller(sim, f, i);
   }
-  g_debug("WORLD %.3f fault %d begins, for %.1f s", m->now / 1e6, f->kind, f->duration_s);
+  g_debug("WORLD %.3f fault %d begins, for %.1f s", sim->now / 1e6, f->kind, f->duration_s);
 }
 
-void sim_schedule_faults(Sim *m) {
-  for (guint i = 0; i < m->plan.fault_count; i++)
-    sim_schedule(m, m->plan.faults[i].at_s, begin_fault, (gpointer)&m->plan.faults[i]);
+void sim_schedule_faults(Sim *sim) {
+  for (guint i = 0; i < sim->plan.fault_count; i++)
+    sim_schedule(sim, sim->plan.faults[i].at_s, begin_fault, (gpointer)&sim->plan.faults[i]);
 }
 
-double sim_duplicate_share(const Sim *m) {
-  return m->now < m->duplicates_until ? m->duplicates_share : m->plan.copies;
+double sim_duplicate_share(const Sim *sim) {
+  return sim->now < sim->duplicates_until ? sim->duplicates_share : sim->plan.copies;
 }
--- a/src/simulation/simulation_internal.h
+++ b/src/simulation/simulation_internal.h
@@ -7,8 +7,14 @@
 #include "simulation/worker_model.h"
 #define SIM_CONTROLLERS_MAX 5
 #define SIM_STORE_DEADLINE_S 2.0
-#define SILENT -1.0
-#define SIM_FREE_CPUS_SAMPLES 90 /* s */
+#define SIM_FREE_CPUS_SAMPLES 90 /* one a second */
+#define SIM_MACHINE_CPUS 8.0     /* of the only instance type */
+#define SIM_FAULTS_SHARE 0.6     /* of the simulated time: later on no faults are injected */
+#define SIM_TICK_S 0.2           /* between two rounds of checks */
+#define SIM_TICK_US (G_USEC_PER_SEC / 5)
+
+/* What users ask. */
+typedef enum { SIM_QUERY_SUBMIT, SIM_QUERY_POLL, SIM_QUERY_CANCEL, SIM_QUERY_POLL_UNKNOWN } SimQueryKind;
 
 typedef struct {
   FkController *core; /* NULL: down */
@@ -53,7 +59,7 @@
   gboolean lost; /* its machine was lost, and it isn't back */
   gboolean always_fails;
   const char *class_name;
-  FkJobPriority rank;
+  FkJobPriority priority;
   guint starts;       /* starts of a faulty one */
   guint placed;       /* tasks on machines, fetching ones too */
   guint north, south; /* ... by zone */
@@ -67,12 +73,12 @@
 } SimJob;
 
 typedef struct {
-  guint user; /* 0: a worker's report */
+  gboolean user; /* FALSE: a worker's heartbeat */
   SimWorker *worker;
   FkTime sent;
   guint64 heartbeat, incarnation;
   SimJob *job;
-  int kind;
+  SimQueryKind kind;
 } SimRequest;
 
 struct Sim {
@@ -80,7 +86,7 @@
   SimPlan plan;
   GRand *rand;
   gint64 now;
-  guint64 event_count, next_req, next_machine, next_serial;
+  guint64 event_count, next_request, next_machine, next_serial;
   FkEventQueue *events;
   FkStoreModel *store;
   FkStoreRateLimit rate_limit;
@@ -112,13 +118,13 @@
 
 typedef struct {
   Sim *sim;
-  int ctl;
-  guint gen;
-  FkOutput *out;
+  int controller;
+  guint generation;
+  FkOutput *output;
   gboolean answered;
   gint64 sent;
-  guint life; /* of the machine that it was sent to */
-  const FkVersion *v;
+  guint incarnation; /* of the machine that it was sent to */
+  const FkVersion *version;
 } SimCall;
 
 /* What a worker is answered, under way. */
@@ -132,94 +138,111 @@
 } SimReply;
 
 /* world.c */
-void sim_schedule(Sim *m, double s, void (*fn)(Sim *, gpointer), gpointer data);
-gboolean sim_chance(Sim *m, double p);
-double sim_uniform(Sim *m, double a, double b);
-void sim_violation(Sim *m, const char *rule, const char *what);
-FkTime sim_controller_now(Sim *m, int i);
+void sim_schedule(Sim *sim, double s, void (*fn)(Sim *, gpointer), gpointer data);
+gboolean sim_chance(Sim *sim, double p);
+double sim_uniform(Sim *sim, double a, double b);
+void sim_violation(Sim *sim, const char *rule, const char *what);
+FkTime sim_controller_now(Sim *sim, int i);
 const char *sim_controller_zone(int i);
 /* Whether a cut lies between the two zones; store, cloud and users have none (NULL). */
-gboolean sim_zones_partitioned(const Sim *m, const char *a, const char *b);
-void sim_dispatch_outputs(Sim *m, int i);
-void sim_crash_controller(Sim *m, int i);
+gboolean sim_zones_partitioned(const Sim *sim, const char *a, const char *b);
+void sim_dispatch_outputs(Sim *sim, int i);
+void sim_crash_controller(Sim *sim, int i);
 
-FkTime sim_controller_time(const Sim *m, int i, gint64 when);
+FkTime sim_controller_time(const Sim *sim, int i, gint64 when);
 /* The cores' processor time is counted from here to there. */
-gint64 sim_profile_begin(const Sim *m);
-void sim_profile_end(Sim *m, gint64 began);
+gint64 sim_profile_begin(const Sim *sim);
+void sim_profile_end(Sim *sim, gint64 began);
 /* What is sent across a cut is held back, and delivered late: after so many seconds. */
-double sim_partition_remaining_s(const Sim *m);
+double sim_partition_remaining_s(const Sim *sim);
 gboolean sim_call_is_pending(SimCall *c);
 void sim_call_complete(SimCall *c, FkOutcome o, FkRev epoch, GPtrArray *list, gboolean more,
                        FkHeartbeat *report);
 void sim_call_reply(SimCall *c, FkOutcome o, FkRev epoch, GPtrArray *list, gboolean more,
                     FkHeartbeat *report);
 /* What would reach a frozen controller reaches it when it goes on. Whether it is so. */
-gboolean sim_defer_while_paused(Sim *m, int ctl, void (*fn)(Sim *, gpointer), gpointer data);
+gboolean sim_defer_while_paused(Sim *sim, int controller, void (*fn)(Sim *, gpointer), gpointer data);
 
 /* store.c */
 /* The store's limits for values, in bytes, and changes in a transaction, now. */
-gsize sim_store_value_bytes_max(const Sim *m);
-guint sim_store_txn_ops_max(const Sim *m);
-void sim_store_notify_watches(Sim *m);
-gboolean sim_store_refuses(Sim *m, int ctl);
-void sim_store_handle(Sim *m, gpointer p);
+gsize sim_store_value_bytes_max(const Sim *sim);
+guint sim_store_txn_ops_max(const Sim *sim);
+void sim_store_notify_watches(Sim *sim);
+gboolean sim_store_refuses(Sim *sim, int controller);
+void sim_store_handle(Sim *sim, gpointer p);
 /* When a copy of what was sent arrives. */
-double sim_duplicate_delay_s(Sim *m);
+double sim_duplicate_delay_s(Sim *sim);
 
 /* workers.c */
 /* It is no more, and nothing that ran there. */
-void sim_worker_lose(Sim *m, SimWorker *w);
+void sim_worker_lose(Sim *sim, SimWorker *w);
 /* The machine is back within a fraction of a second, and has begun anew. */
-void sim_worker_restart(Sim *m, SimWorker *w);
+void sim_worker_restart(Sim *sim, SimWorker *w);
 void sim_worker_free(gpointer p);
-SimWorker *sim_worker_find(Sim *m, const char *id);
-SimWorker *sim_worker_new(Sim *m, const char *zone, gboolean spot, double boot);
-gboolean sim_worker_is_hung(Sim *m, const SimWorker *w);
-void sim_worker_check_lease(Sim *m, SimWorker *w);
-void sim_worker_command_arrives(Sim *m, gpointer p);
-void sim_worker_send_heartbeat(Sim *m, gpointer p);
-void sim_worker_reply_arrives(Sim *m, gpointer p);
+SimWorker *sim_worker_find(Sim *sim, const char *id);
+SimWorker *sim_worker_new(Sim *sim, const char *zone, gboolean spot, double boot);
+gboolean sim_worker_is_hung(Sim *sim, const SimWorker *w);
+void sim_worker_check_lease(Sim *sim, SimWorker *w);
+void sim_worker_command_arrives(Sim *sim, gpointer p);
+void sim_worker_send_heartbeat(Sim *sim, gpointer p);
+void sim_worker_reply_arrives(Sim *sim, gpointer p);
 /* A leader begins: the reports that were kept come to every controller. */
-void sim_release_stale_heartbeats(Sim *m);
+void sim_release_stale_heartbeats(Sim *sim);
 
 /* cloud.c */
-void sim_cloud_handle(Sim *m, gpointer p);
+void sim_cloud_handle(Sim *sim, gpointer p);
+
+/* jobs.c */
+
+SimJob *sim_job_find(Sim *sim, const char *id);
+void sim_job_free(gpointer job);
+/* Owned by the caller. */
+FkSpec *sim_job_spec(const SimJob *job);
+/* Somebody has asked to cancel it, or a job that it depends on, directly or through others. */
+gboolean sim_job_cancel_requested(const SimJob *job);
+/* All that it depends on is done, truly. */
+gboolean sim_job_dependencies_done(const SimJob *job);
 
 /* users.c */
-SimJob *sim_job_find(Sim *m, const char *id);
-void sim_job_free(gpointer p);
-void sim_user_answered(Sim *m, const SimRequest *r, const FkOutput *o);
-void sim_submit_services(Sim *m);
-void sim_submit_jobs(Sim *m, gpointer p);
-void sim_submit_best_effort_jobs(Sim *m, gpointer p);
-void sim_submit_large_jobs(Sim *m, gpointer p);
-void sim_submit_small_jobs(Sim *m, gpointer p);
-/* Its user calls it off, if there is something to call off. */
-void sim_user_cancel(Sim *m, gpointer job);
-/* Somebody has asked to cancel it, or a job that it needs, directly or through others. */
-gboolean sim_job_cancel_requested(const SimJob *j);
-/* All that it needs is done, truly. */
-gboolean sim_job_dependencies_done(const SimJob *j);
-void sim_submit_pipelines(Sim *m, gpointer p);
-void sim_submit_chain_and_fan(Sim *m, gpointer p);
-/* Odd requests come for as long as the plan says. */
-void sim_submit_invalid_requests(Sim *m, gpointer p);
-/* Nobody is forgotten once all troubles are over. */
-void sim_users_tick(Sim *m);
-/* Percent of the jobs of the class that was served worst, as the service's users see it; 100 where none is
- * due. */
-guint sim_worst_class_percent(Sim *m);
-
-/* faults.c */
+
+/* Sends a query to a random controller. */
+void sim_user_query(Sim *sim, SimJob *job, SimQueryKind kind);
+/* Checks an answer against what truly happened. */
+void sim_user_answered(Sim *sim, const SimRequest *request, const FkOutput *answer);
+/* Cancels the job if it was accepted and isn't cancelled yet. An event's function. */
+void sim_user_cancel(Sim *sim, gpointer job);
+/* The job's user submits it, polls it from then on, and sometimes cancels it. An event's function. */
+void sim_user_step(Sim *sim, gpointer job);
+/* The job's user submits it until it is accepted, and does nothing else. An event's function. */
+void sim_user_submit_only(Sim *sim, gpointer job);
+
+/* workload.c: events' functions, but for the first */
+
+void sim_submit_services(Sim *sim);
+void sim_submit_jobs(Sim *sim, gpointer unused);
+void sim_submit_best_effort_jobs(Sim *sim, gpointer round);
+void sim_submit_large_jobs(Sim *sim, gpointer unused);
+void sim_submit_small_jobs(Sim *sim, gpointer unused);
+void sim_submit_pipelines(Sim *sim, gpointer unused);
+void sim_submit_chain_and_fan(Sim *sim, gpointer unused);
+void sim_submit_invalid_requests(Sim *sim, gpointer unused);
+
+/* check_liveness.c */
+
+/* Every query is answered and nobody starves, once all faults are over. Called every SIM_TICK_S. */
+void sim_check_liveness(Sim *sim);
+/* Percent of the jobs of the class that was served worst, as the service's users see it; 100: none is due. */
+guint sim_worst_class_percent(Sim *sim);
+
+/* planned_faults.c */
 /* The plan's faults are set off at their times. */
-void sim_schedule_faults(Sim *m);
+void sim_schedule_faults(Sim *sim);
 /* For all; once it is over every hold has its full time again. */
-void sim_begin_store_outage(Sim *m, double s);
+void sim_begin_store_outage(Sim *sim, double s);
 /* Chance that a message comes once more now. */
-double sim_duplicate_share(const Sim *m);
+double sim_duplicate_share(const Sim *sim);
 
-/* troubles.c */
+/* random_faults.c */
 /* The growth experiment's loss: just so many machines, whatever runs there. */
-void sim_lose_share(Sim *m, gpointer p);
-void sim_random_fault(Sim *m, gpointer p);
+void sim_lose_share(Sim *sim, gpointer p);
+void sim_random_fault(Sim *sim, gpointer p);
--- a/src/simulation/workers.c
+++ b/src/simulation/workers.c
@@ -3,8 +3,6 @@
 
 #include "simulation/simulation_internal.h"
 
-#define MACHINE_CPUS 8.0 /* of the only type of machine */
-
 void sim_worker_free(gpointer p) {
   SimWorker *w = p;
   fk_worker_model_clear(&w->model);
@@ -13,9 +11,9 @@
 
 static char *task_key(const FkWorkerTask *t) { return g_strdup_printf("%s/%u", t->job, t->task); }
 
-static double cpus_of(gpointer sim, const char *job) { return sim_job_find(sim, job)->cpus; }
+static double cpus_of(gpointer owner, const char *job) { return sim_job_find(owner, job)->cpus; }
 
-static void task_step(Sim *m, gpointer p);
+static void task_step(Sim *sim, gpointer p);
 
 typedef struct {
   SimWorker *w;
@@ -26,97 +24,97 @@
 /* The model is a worker's first member. */
 static SimWorker *owner_of(FkWorkerModel *model) { return (SimWorker *)model; }
 
-static void task_accepted(gpointer sim, FkWorkerModel *model, FkWorkerTask *t) {
+static void task_accepted(gpointer owner, FkWorkerModel *model, FkWorkerTask *t) {
   TaskStep *s = g_new0(TaskStep, 1);
   *s = (TaskStep){owner_of(model), t->serial, 0};
-  sim_schedule(sim, sim_uniform(sim, 0.1, 3), task_step, s);
+  sim_schedule(owner, sim_uniform(owner, 0.1, 3), task_step, s);
 }
 
-static void task_left(gpointer sim, FkWorkerModel *model, FkWorkerTask *t) {
-  Sim *m = sim;
+static void task_left(gpointer owner, FkWorkerModel *model, FkWorkerTask *t) {
+  Sim *sim = owner;
   g_autofree char *key = task_key(t);
-  if (g_hash_table_lookup(m->running_on, key) == owner_of(model))
-    g_hash_table_remove(m->running_on, key);
+  if (g_hash_table_lookup(sim->running_on, key) == owner_of(model))
+    g_hash_table_remove(sim->running_on, key);
 }
 
-static FkWorkerHooks hooks_of(Sim *m) {
-  return (FkWorkerHooks){cpus_of, task_accepted, task_left, m, &m->next_serial};
+static FkWorkerHooks hooks_of(Sim *sim) {
+  return (FkWorkerHooks){cpus_of, task_accepted, task_left, sim, &sim->next_serial};
 }
 
-static void clear_tasks(Sim *m, SimWorker *w) {
-  g_debug("WORLD %.3f %s wiped", m->now / 1e6, w->model.id);
-  const FkWorkerHooks hooks = hooks_of(m);
+static void clear_tasks(Sim *sim, SimWorker *w) {
+  g_debug("WORLD %.3f %s wiped", sim->now / 1e6, w->model.id);
+  const FkWorkerHooks hooks = hooks_of(sim);
   fk_worker_model_clear_tasks(&w->model, &hooks);
 }
 
 /* It is no more, and nothing that ran there. */
-void sim_worker_lose(Sim *m, SimWorker *w) {
-  clear_tasks(m, w);
+void sim_worker_lose(Sim *sim, SimWorker *w) {
+  clear_tasks(sim, w);
   w->gone = TRUE;
 }
 
-gboolean sim_worker_is_hung(Sim *m, const SimWorker *w) { return m->now < w->hung_until; }
+gboolean sim_worker_is_hung(Sim *sim, const SimWorker *w) { return sim->now < w->hung_until; }
 
 /* One of the replicas that were lost together runs again. */
-static void replica_recovered(Sim *m, SimJob *j) {
-  SimRecovery *r = &m->result.recovery;
+static void replica_recovered(Sim *sim, SimJob *j) {
+  SimRecovery *r = &sim->result.recovery;
   if (!j->lost)
     return;
   j->lost = FALSE;
-  double s = (double)(m->now - m->machines_lost_at) / 1e6;
+  double s = (double)(sim->now - sim->machines_lost_at) / 1e6;
   if (!r->recovered++)
     r->first_s = s;
   if (r->recovered == (r->lost + 1) / 2)
     r->half_s = s;
   r->last_s = s;
   if (r->recovered == r->lost) {
-    r->core_ms = (double)m->core_ns / 1e6;
-    m->finished = TRUE;
+    r->core_ms = (double)sim->core_ns / 1e6;
+    sim->finished = TRUE;
   }
 }
 
-static void check_start(Sim *m, SimWorker *w, FkWorkerTask *t) {
+static void check_start(Sim *sim, SimWorker *w, FkWorkerTask *t) {
   g_debug("WORLD %.3f %s/%u try %" G_GUINT64_FORMAT " starts on %s session %" G_GUINT64_FORMAT
           " token %" G_GUINT64_FORMAT,
-          m->now / 1e6, t->job, t->task, t->attempt, w->model.id, w->model.incarnation,
+          sim->now / 1e6, t->job, t->task, t->attempt, w->model.id, w->model.incarnation,
           w->model.fencing_token);
-  SimJob *j = sim_job_find(m, t->job);
+  SimJob *j = sim_job_find(sim, t->job);
   g_autofree char *key = task_key(t);
-  if (g_hash_table_contains(m->running_on, key))
-    sim_violation(m, "ran_twice", key);
+  if (g_hash_table_contains(sim->running_on, key))
+    sim_violation(sim, "ran_twice", key);
   if (!sim_job_dependencies_done(j))
-    sim_violation(m, "too_early", key);
+    sim_violation(sim, "too_early", key);
   if ((w->model.spot && !j->spot) || (j->zone && !g_str_equal(j->zone, w->model.zone)))
-    sim_violation(m, "wrong_place", key);
+    sim_violation(sim, "wrong_place", key);
   double used = j->cpus;
   guint same = 1;
-  for (guint i = 0; i < m->workers->len; i++) {
-    SimWorker *o = m->workers->pdata[i];
+  for (guint i = 0; i < sim->workers->len; i++) {
+    SimWorker *o = sim->workers->pdata[i];
     for (guint k = 0; k < o->model.tasks->len; k++) {
       FkWorkerTask *x = o->model.tasks->pdata[k];
       if (!x->resident)
         continue;
-      SimJob *xj = sim_job_find(m, x->job);
+      SimJob *xj = sim_job_find(sim, x->job);
       if (g_str_equal(xj->team, j->team))
         used += xj->cpus;
       if (xj == j) {
         if (j->one_zone && !g_str_equal(o->model.zone, w->model.zone))
-          sim_violation(m, "wrong_place", key);
+          sim_violation(sim, "wrong_place", key);
         same += g_str_equal(o->model.zone, w->model.zone);
       }
     }
   }
   if (j->spread && same > (j->tasks + 1) / 2)
-    sim_violation(m, "wrong_place", key);
-  if (used > fk_settings_find_team(m->settings, j->team)->max_cpus + 1e-6)
-    sim_violation(m, "quota", key);
+    sim_violation(sim, "wrong_place", key);
+  if (used > fk_settings_find_team(sim->settings, j->team)->max_cpus + 1e-6)
+    sim_violation(sim, "quota", key);
   if (j->reported_cancelled &&
-      m->now > j->cancelled_at + (gint64)(m->settings->cancellation_deadline_s * 1e6))
-    sim_violation(m, "ran_cancelled", key);
-  m->result.started++;
+      sim->now > j->cancelled_at + (gint64)(sim->settings->cancellation_deadline_s * 1e6))
+    sim_violation(sim, "ran_cancelled", key);
+  sim->result.started++;
 }
 
-static void task_step(Sim *m, gpointer p) {
+static void task_step(Sim *sim, gpointer p) {
   TaskStep *s = p;
   SimWorker *w = s->w;
   FkWorkerTask *t = w->gone ? NULL : fk_worker_model_task(&w->model, s->serial);
@@ -124,92 +122,94 @@
     g_free(s);
     return;
   }
-  if (sim_worker_is_hung(m, w)) {
-    sim_schedule(m, (w->hung_until - m->now) / 1e6 + 0.01, task_step, s);
+  if (sim_worker_is_hung(sim, w)) {
+    sim_schedule(sim, (w->hung_until - sim->now) / 1e6 + 0.01, task_step, s);
     return;
   }
-  SimJob *j = sim_job_find(m, t->job);
+  SimJob *j = sim_job_find(sim, t->job);
   gboolean fails = (w->faulty || j->always_fails) && !j->finished[t->task];
   if (s->stage == 0) {
-    check_start(m, w, t);
+    check_start(sim, w, t);
     g_autofree char *key = task_key(t);
-    g_hash_table_insert(m->running_on, g_steal_pointer(&key), w);
+    g_hash_table_insert(sim->running_on, g_steal_pointer(&key), w);
     t->resident = TRUE;
     t->state = FK_TASK_RUNNING;
     s->stage = 1;
-    replica_recovered(m, j);
+    replica_recovered(sim, j);
     if (!j->started_at)
-      j->started_at = m->now;
+      j->started_at = sim->now;
     j->starts++;
     if (fails || j->finished[t->task] || j->shape != FK_SHAPE_SERVICE) {
-      sim_schedule(m,
+      sim_schedule(sim,
                    j->finished[t->task] ? 0
                    : fails              ? 0.5
-                                        : j->run_s * sim_uniform(m, 0.5, 1.5),
+                                        : j->run_s * sim_uniform(sim, 0.5, 1.5),
                    task_step, s);
       return;
     }
     g_free(s);
     return;
   }
-  const FkWorkerHooks hooks = hooks_of(m);
+  const FkWorkerHooks hooks = hooks_of(sim);
   fk_worker_model_release_task(&w->model, &hooks, t);
   t->state = FK_TASK_EXITED;
   t->exit_reason = fails ? FK_EXIT_ERROR : FK_EXIT_DONE;
   if (t->exit_reason == FK_EXIT_DONE) {
     j->finished[t->task] = 1;
-    m->result.finished++;
-    if (m->now < m->cancel_at_completion_until && !memchr(j->finished, 0, j->tasks) &&
-        sim_chance(m, m->cancel_at_completion_share))
-      sim_schedule(m, sim_uniform(m, 0, 0.05), sim_user_cancel, j);
+    sim->result.finished++;
+    if (sim->now < sim->cancel_at_completion_until && !memchr(j->finished, 0, j->tasks) &&
+        sim_chance(sim, sim->cancel_at_completion_share))
+      sim_schedule(sim, sim_uniform(sim, 0, 0.05), sim_user_cancel, j);
   }
   g_free(s);
 }
 
-SimWorker *sim_worker_find(Sim *m, const char *id) { return g_hash_table_lookup(m->workers_by_id, id); }
+SimWorker *sim_worker_find(Sim *sim, const char *id) { return g_hash_table_lookup(sim->workers_by_id, id); }
 
-void sim_worker_check_lease(Sim *m, SimWorker *w) {
-  const FkWorkerHooks hooks = hooks_of(m);
+void sim_worker_check_lease(Sim *sim, SimWorker *w) {
+  const FkWorkerHooks hooks = hooks_of(sim);
   gboolean had_tasks = w->model.tasks->len > 0;
-  if (!fk_worker_model_check_lease(&w->model, &hooks, m->now, m->settings->worker_lease_s))
+  if (!fk_worker_model_check_lease(&w->model, &hooks, sim->now, sim->settings->worker_lease_s))
     return;
-  m->result.expired_leases += had_tasks;
-  g_debug("WORLD %.3f %s session %" G_GUINT64_FORMAT " has begun", m->now / 1e6, w->model.id,
+  sim->result.expired_leases += had_tasks;
+  g_debug("WORLD %.3f %s session %" G_GUINT64_FORMAT " has begun", sim->now / 1e6, w->model.id,
           w->model.incarnation);
 }
 
 /* What arrives at the worker is carried out if token and session stand, however late, and as often as it
  * comes. Whether it was; -1: it can't arrive now. */
-static int take_command(Sim *m, SimCall *c, void (*again)(Sim *, gpointer)) {
-  SimWorker *w = sim_worker_find(m, c->out->addr);
-  if (!w || w->gone || !w->up || w->incarnation != c->life)
+static int take_command(Sim *sim, SimCall *c, void (*again)(Sim *, gpointer)) {
+  SimWorker *w = sim_worker_find(sim, c->output->addr);
+  if (!w || w->gone || !w->up || w->incarnation != c->incarnation)
     return -1;
-  if (m->now < w->inbound_partition_until && !w->inbound_held)
+  if (sim->now < w->inbound_partition_until && !w->inbound_held)
     return -1;
-  if (sim_worker_is_hung(m, w) || m->now < w->inbound_partition_until) {
-    sim_schedule(m, (MAX(w->hung_until, w->inbound_partition_until) - m->now) / 1e6 + 0.02, again, c);
+  if (sim_worker_is_hung(sim, w) || sim->now < w->inbound_partition_until) {
+    sim_schedule(sim, (MAX(w->hung_until, w->inbound_partition_until) - sim->now) / 1e6 + 0.02, again, c);
     return -1;
   }
-  sim_worker_check_lease(m, w);
-  const FkWorkerHooks hooks = hooks_of(m);
-  return fk_worker_model_command(&w->model, &hooks, c->out->incarnation, c->out->fencing_token,
-                                 c->out->commands);
+  sim_worker_check_lease(sim, w);
+  const FkWorkerHooks hooks = hooks_of(sim);
+  return fk_worker_model_command(&w->model, &hooks, c->output->incarnation, c->output->fencing_token,
+                                 c->output->commands);
 }
 
-static void duplicate_command_arrives(Sim *m, gpointer p) { take_command(m, p, duplicate_command_arrives); }
+static void duplicate_command_arrives(Sim *sim, gpointer p) {
+  take_command(sim, p, duplicate_command_arrives);
+}
 
-void sim_worker_command_arrives(Sim *m, gpointer p) {
+void sim_worker_command_arrives(Sim *sim, gpointer p) {
   SimCall *c = p;
-  int ok = take_command(m, c, sim_worker_command_arrives);
+  int ok = take_command(sim, c, sim_worker_command_arrives);
   if (ok < 0)
     return;
-  FkHeartbeat *says = fk_worker_model_heartbeat(&sim_worker_find(m, c->out->addr)->model);
-  if (m->now < m->command_delay_until && sim_chance(m, m->command_delay_share))
+  FkHeartbeat *says = fk_worker_model_heartbeat(&sim_worker_find(sim, c->output->addr)->model);
+  if (sim->now < sim->command_delay_until && sim_chance(sim, sim->command_delay_share))
     fk_heartbeat_free(says); /* the answer is held for longer than anybody waits for it */
   else
     sim_call_reply(c, ok ? FK_OUTCOME_OK : FK_OUTCOME_CONFLICT, (FkRev){0}, NULL, FALSE, says);
-  if (sim_chance(m, sim_duplicate_share(m)))
-    sim_schedule(m, sim_duplicate_delay_s(m), duplicate_command_arrives, c);
+  if (sim_chance(sim, sim_duplicate_share(sim)))
+    sim_schedule(sim, sim_duplicate_delay_s(sim), duplicate_command_arrives, c);
 }
 
 typedef struct {
@@ -219,27 +219,27 @@
   gboolean move;
 } NextHeartbeat;
 
-static void next_heartbeat(Sim *m, gpointer p) {
+static void next_heartbeat(Sim *sim, gpointer p) {
   NextHeartbeat *n = p;
   SimWorker *w = n->w;
   if (w->heartbeat_in_flight == n->report) {
     w->heartbeat_in_flight = 0;
     if (n->move)
-      w->controller = (w->controller + 1) % (guint)m->controller_count;
-    sim_worker_send_heartbeat(m, w);
+      w->controller = (w->controller + 1) % (guint)sim->controller_count;
+    sim_worker_send_heartbeat(sim, w);
   }
   g_free(n);
 }
 
-static void schedule_heartbeat(Sim *m, SimWorker *w, guint64 report, double s, gboolean move) {
+static void schedule_heartbeat(Sim *sim, SimWorker *w, guint64 report, double s, gboolean move) {
   NextHeartbeat *n = g_new0(NextHeartbeat, 1);
   *n = (NextHeartbeat){w, report, 0, move};
-  sim_schedule(m, s, next_heartbeat, n);
+  sim_schedule(sim, s, next_heartbeat, n);
 }
 
 typedef struct {
-  int ctl;
-  guint gen;
+  int controller;
+  guint generation;
   FkHeartbeat *report;
   SimRequest *req;
 } HeartbeatInFlight;
@@ -266,61 +266,63 @@
 }
 
 /* A copy of a report comes, at any controller in any life; nobody waits for its answer. */
-static void duplicate_arrives(Sim *m, gpointer p) {
+static void duplicate_arrives(Sim *sim, gpointer p) {
   FkHeartbeat *report = p;
-  int i = g_rand_int_range(m->rand, 0, m->controller_count);
-  if (!m->controllers[i].core || m->now < m->controllers[i].paused_until) {
+  int i = g_rand_int_range(sim->rand, 0, sim->controller_count);
+  if (!sim->controllers[i].core || sim->now < sim->controllers[i].paused_until) {
     fk_heartbeat_free(report);
     return;
   }
-  m->controllers[i].version->heartbeat_received(m->controllers[i].core, sim_controller_now(m, i),
-                                                (FkRequestId){++m->next_req}, report);
-  sim_dispatch_outputs(m, i);
+  sim->controllers[i].version->heartbeat_received(sim->controllers[i].core, sim_controller_now(sim, i),
+                                                  (FkRequestId){++sim->next_request}, report);
+  sim_dispatch_outputs(sim, i);
 }
 
 typedef struct {
   FkHeartbeat *report;
-  int ctl;
+  int controller;
 } StaleHeartbeat;
 
-static void stale_heartbeat_arrives(Sim *m, gpointer p) {
+static void stale_heartbeat_arrives(Sim *sim, gpointer p) {
   StaleHeartbeat *k = p;
-  if (sim_defer_while_paused(m, k->ctl, stale_heartbeat_arrives, k))
+  if (sim_defer_while_paused(sim, k->controller, stale_heartbeat_arrives, k))
     return;
-  if (m->controllers[k->ctl].core) {
-    m->controllers[k->ctl].version->heartbeat_received(
-        m->controllers[k->ctl].core, sim_controller_now(m, k->ctl), (FkRequestId){++m->next_req}, k->report);
-    sim_dispatch_outputs(m, k->ctl);
+  if (sim->controllers[k->controller].core) {
+    sim->controllers[k->controller].version->heartbeat_received(
+        sim->controllers[k->controller].core, sim_controller_now(sim, k->controller),
+        (FkRequestId){++sim->next_request}, k->report);
+    sim_dispatch_outputs(sim, k->controller);
   } else {
     fk_heartbeat_free(k->report);
   }
   g_free(k);
 }
 
-void sim_release_stale_heartbeats(Sim *m) {
-  for (guint i = 0; i < m->stale_heartbeats->len; i++)
-    for (int to = 0; to < m->controller_count; to++) {
+void sim_release_stale_heartbeats(Sim *sim) {
+  for (guint i = 0; i < sim->stale_heartbeats->len; i++)
+    for (int to = 0; to < sim->controller_count; to++) {
       StaleHeartbeat *k = g_new0(StaleHeartbeat, 1);
-      *k = (StaleHeartbeat){heartbeat_copy(m->stale_heartbeats->pdata[i]), to};
+      *k = (StaleHeartbeat){heartbeat_copy(sim->stale_heartbeats->pdata[i]), to};
       /* before the new leader has acted, as it does, and after */
-      sim_schedule(m, sim_chance(m, 0.5) ? sim_uniform(m, 0, 0.3) : sim_uniform(m, 0.3, 4),
+      sim_schedule(sim, sim_chance(sim, 0.5) ? sim_uniform(sim, 0, 0.3) : sim_uniform(sim, 0.3, 4),
                    stale_heartbeat_arrives, k);
     }
-  g_ptr_array_set_size(m->stale_heartbeats, 0);
+  g_ptr_array_set_size(sim->stale_heartbeats, 0);
 }
 
-static void heartbeat_arrives(Sim *m, gpointer p) {
+static void heartbeat_arrives(Sim *sim, gpointer p) {
   HeartbeatInFlight *h = p;
-  SimController *c = &m->controllers[h->ctl];
-  if (sim_defer_while_paused(m, h->ctl, heartbeat_arrives, h))
+  SimController *c = &sim->controllers[h->controller];
+  if (sim_defer_while_paused(sim, h->controller, heartbeat_arrives, h))
     return;
-  if (c->core && c->generation == h->gen) {
-    guint64 id = ++m->next_req;
-    g_hash_table_insert(m->requests, g_memdup2(&id, sizeof id), h->req);
-    gint64 began = sim_profile_begin(m);
-    c->version->heartbeat_received(c->core, sim_controller_now(m, h->ctl), (FkRequestId){id}, h->report);
-    sim_profile_end(m, began);
-    sim_dispatch_outputs(m, h->ctl);
+  if (c->core && c->generation == h->generation) {
+    guint64 id = ++sim->next_request;
+    g_hash_table_insert(sim->requests, g_memdup2(&id, sizeof id), h->req);
+    gint64 began = sim_profile_begin(sim);
+    c->version->heartbeat_received(c->core, sim_controller_now(sim, h->controller), (FkRequestId){id},
+                                   h->report);
+    sim_profile_end(sim, began);
+    sim_dispatch_outputs(sim, h->controller);
   } else {
     fk_heartbeat_free(h->report);
     g_free(h->req);
@@ -328,58 +330,58 @@
   g_free(h);
 }
 
-void sim_worker_send_heartbeat(Sim *m, gpointer p) {
+void sim_worker_send_heartbeat(Sim *sim, gpointer p) {
   SimWorker *w = p;
   if (w->gone || !w->up || w->heartbeat_in_flight)
     return;
-  if (sim_worker_is_hung(m, w)) {
-    sim_schedule(m, (w->hung_until - m->now) / 1e6 + 0.03, sim_worker_send_heartbeat, w);
+  if (sim_worker_is_hung(sim, w)) {
+    sim_schedule(sim, (w->hung_until - sim->now) / 1e6 + 0.03, sim_worker_send_heartbeat, w);
     return;
   }
-  sim_worker_check_lease(m, w);
-  w->heartbeat_in_flight = ++m->next_serial;
-  schedule_heartbeat(m, w, w->heartbeat_in_flight, 5, TRUE); /* no answer within 4 s: the next, 1 s later */
-  SimController *c = &m->controllers[w->controller];
-  if (!c->core || m->now < w->outbound_partition_until)
+  sim_worker_check_lease(sim, w);
+  w->heartbeat_in_flight = ++sim->next_serial;
+  schedule_heartbeat(sim, w, w->heartbeat_in_flight, 5, TRUE); /* no answer within 4 s: the next, 1 s later */
+  SimController *c = &sim->controllers[w->controller];
+  if (!c->core || sim->now < w->outbound_partition_until)
     return;
   HeartbeatInFlight *h = g_new0(HeartbeatInFlight, 1);
   SimRequest *r = g_new0(SimRequest, 1);
-  *r = (SimRequest){0, w, {m->now}, w->heartbeat_in_flight, w->model.incarnation, NULL, 0};
+  *r = (SimRequest){0, w, {sim->now}, w->heartbeat_in_flight, w->model.incarnation, NULL, 0};
   *h = (HeartbeatInFlight){(int)w->controller, c->generation, fk_worker_model_heartbeat(&w->model), r};
-  for (guint copies = 3; copies && sim_chance(m, sim_duplicate_share(m)); copies--)
-    sim_schedule(m, sim_duplicate_delay_s(m), duplicate_arrives, heartbeat_copy(h->report));
-  if (m->now < m->stale_heartbeats_until && m->stale_heartbeats->len < STALE_HEARTBEATS_MAX &&
-      sim_chance(m, m->stale_heartbeats_share))
-    g_ptr_array_add(m->stale_heartbeats, heartbeat_copy(h->report));
+  for (guint copies = 3; copies && sim_chance(sim, sim_duplicate_share(sim)); copies--)
+    sim_schedule(sim, sim_duplicate_delay_s(sim), duplicate_arrives, heartbeat_copy(h->report));
+  if (sim->now < sim->stale_heartbeats_until && sim->stale_heartbeats->len < STALE_HEARTBEATS_MAX &&
+      sim_chance(sim, sim->stale_heartbeats_share))
+    g_ptr_array_add(sim->stale_heartbeats, heartbeat_copy(h->report));
   /* a cut may hold a report back and deliver it late */
-  double d = sim_zones_partitioned(m, sim_controller_zone((int)w->controller), w->model.zone)
-                 ? sim_partition_remaining_s(m)
-             : m->now < c->worker_partition_until ? (c->worker_partition_until - m->now) / 1e6 + 0.01
-             : sim_chance(m, m->plan.late)        ? sim_uniform(m, 1, 20)
-                                                  : 0.002;
-  sim_schedule(m, d, heartbeat_arrives, h);
+  double d = sim_zones_partitioned(sim, sim_controller_zone((int)w->controller), w->model.zone)
+                 ? sim_partition_remaining_s(sim)
+             : sim->now < c->worker_partition_until ? (c->worker_partition_until - sim->now) / 1e6 + 0.01
+             : sim_chance(sim, sim->plan.late)      ? sim_uniform(sim, 1, 20)
+                                                    : 0.002;
+  sim_schedule(sim, d, heartbeat_arrives, h);
 }
 
-void sim_worker_reply_arrives(Sim *m, gpointer p) {
+void sim_worker_reply_arrives(Sim *sim, gpointer p) {
   SimReply *r = p;
   SimWorker *w = r->worker;
-  if (!w->gone && !sim_worker_is_hung(m, w) && m->now >= w->inbound_partition_until &&
-      w->heartbeat_in_flight == r->request.heartbeat && m->now - r->request.sent.us < 4000000) {
-    sim_worker_check_lease(m, w);
+  if (!w->gone && !sim_worker_is_hung(sim, w) && sim->now >= w->inbound_partition_until &&
+      w->heartbeat_in_flight == r->request.heartbeat && sim->now - r->request.sent.us < 4000000) {
+    sim_worker_check_lease(sim, w);
     if (w->heartbeat_in_flight == r->request.heartbeat) {
       guint64 report = w->heartbeat_in_flight =
-          ++m->next_serial; /* answered: its time can't run out any more */
+          ++sim->next_serial; /* answered: its time can't run out any more */
       if (r->status == 200) {
-        const FkWorkerHooks hooks = hooks_of(m);
+        const FkWorkerHooks hooks = hooks_of(sim);
         fk_worker_model_heartbeat_answered(&w->model, &hooks, r->request.incarnation, r->request.sent.us,
                                            r->fencing_token, r->commands);
-        schedule_heartbeat(m, w, report, m->settings->heartbeat_interval_s * sim_uniform(m, 0.2, 1.25),
+        schedule_heartbeat(sim, w, report, sim->settings->heartbeat_interval_s * sim_uniform(sim, 0.2, 1.25),
                            FALSE);
       } else if (r->status == 421 && r->redirect_to >= 0 && r->redirect_to != (int)w->controller) {
         w->controller = (guint)r->redirect_to;
-        schedule_heartbeat(m, w, report, 0.2, FALSE);
+        schedule_heartbeat(sim, w, report, 0.2, FALSE);
       } else {
-        schedule_heartbeat(m, w, report, 1, TRUE);
+        schedule_heartbeat(sim, w, report, 1, TRUE);
       }
     }
   }
@@ -388,48 +390,49 @@
   g_free(r);
 }
 
-static void worker_booted(Sim *m, gpointer p) {
+static void worker_booted(Sim *sim, gpointer p) {
   SimWorker *w = p;
   if (w->gone)
     return;
   w->up = TRUE;
-  w->model.lease_start = m->now;
-  sim_worker_send_heartbeat(m, w);
+  w->model.lease_start = sim->now;
+  sim_worker_send_heartbeat(sim, w);
 }
 
-SimWorker *sim_worker_new(Sim *m, const char *zone, gboolean spot, double boot) {
+SimWorker *sim_worker_new(Sim *sim, const char *zone, gboolean spot, double boot) {
   SimWorker *w = g_new0(SimWorker, 1);
-  g_autofree char *id = g_strdup_printf("i-%06" G_GUINT64_FORMAT, ++m->next_machine);
-  fk_worker_model_init(&w->model, id, id, "box8", zone, spot, MACHINE_CPUS);
-  w->controller = (guint)g_rand_int_range(m->rand, 0, m->controller_count);
-  w->created_at = m->now;
-  w->faulty = m->plan.deaths && sim_chance(m, 0.1);
-  g_ptr_array_add(m->workers, w);
-  g_hash_table_insert(m->workers_by_id, w->model.id, w);
-  if (boot < 0.6 || !sim_chance(m, m->plan.boot_failure_chance))
-    sim_schedule(m, boot, worker_booted, w);
+  g_autofree char *id = g_strdup_printf("i-%06" G_GUINT64_FORMAT, ++sim->next_machine);
+  fk_worker_model_init(&w->model, id, id, "box8", zone, spot, SIM_MACHINE_CPUS);
+  w->controller = (guint)g_rand_int_range(sim->rand, 0, sim->controller_count);
+  w->created_at = sim->now;
+  w->faulty = sim->plan.deaths && sim_chance(sim, 0.1);
+  g_ptr_array_add(sim->workers, w);
+  g_hash_table_insert(sim->workers_by_id, w->model.id, w);
+  if (boot < 0.6 || !sim_chance(sim, sim->plan.boot_failure_chance))
+    sim_schedule(sim, boot, worker_booted, w);
   return w;
 }
 
-static void worker_restarted(Sim *m, gpointer p) {
+static void worker_restarted(Sim *sim, gpointer p) {
   SimWorker *w = p;
   if (w->gone)
     return;
   w->up = TRUE;
   w->model.incarnation = 1;
   w->model.sequence = w->model.fencing_token = w->heartbeat_in_flight = 0;
-  w->controller = (guint)g_rand_int_range(m->rand, 0, m->controller_count); /* it knows of nobody's claim */
-  w->model.lease_start = m->now;
-  sim_worker_send_heartbeat(m, w);
+  w->controller =
+      (guint)g_rand_int_range(sim->rand, 0, sim->controller_count); /* it knows of nobody's claim */
+  w->model.lease_start = sim->now;
+  sim_worker_send_heartbeat(sim, w);
 }
 
-void sim_worker_restart(Sim *m, SimWorker *w) {
+void sim_worker_restart(Sim *sim, SimWorker *w) {
   if (w->gone || !w->up)
     return;
-  g_debug("WORLD %.3f %s begins anew", m->now / 1e6, w->model.id);
-  clear_tasks(m, w);
+  g_debug("WORLD %.3f %s begins anew", sim->now / 1e6, w->model.id);
+  clear_tasks(sim, w);
   w->up = FALSE;
   w->incarnation++;
-  w->heartbeat_in_flight = ++m->next_serial; /* no answer counts any more */
-  sim_schedule(m, sim_uniform(m, 0.05, 0.5), worker_restarted, w);
+  w->heartbeat_in_flight = ++sim->next_serial; /* no answer counts any more */
+  sim_schedule(sim, sim_uniform(sim, 0.05, 0.5), worker_restarted, w);
 }
