--- a/src/simulation/cloud.c
+++ b/src/simulation/cloud.c
@@ -13,7 +13,7 @@
   SimCall *c = p;
   FkOutput *o = c->output;
   if (sim->now < sim->cloud_outage_until) {
-    sim_call_reply(c, FK_OUTCOME_REFUSED, (FkRev){0}, NULL, FALSE, NULL);
+    sim_call_reply(c, (SimAnswer){.outcome = FK_OUTCOME_REFUSED});
     return;
   }
   switch (o->kind) {
@@ -26,7 +26,7 @@
       fk_instance_type_free(t);
       g_ptr_array_unref(types);
     } else {
-      sim_call_complete(c, FK_OUTCOME_OK, (FkRev){0}, types, FALSE, NULL);
+      sim_call_complete(c, (SimAnswer){.outcome = FK_OUTCOME_OK, .list = types});
     }
     break;
   }
@@ -38,7 +38,7 @@
       for (guint i = 0; i < sim->workers->len; i++)
         here += !((SimWorker *)sim->workers->pdata[i])->gone;
       if (here >= MAX(sim->plan.machines, sim->plan.up)) {
-        sim_call_reply(c, FK_OUTCOME_CONFLICT, (FkRev){0}, NULL, FALSE, NULL);
+        sim_call_reply(c, (SimAnswer){.outcome = FK_OUTCOME_CONFLICT});
         return;
       }
       names = g_ptr_array_new_with_free_func(g_free);
@@ -49,7 +49,7 @@
       }
       g_hash_table_insert(sim->provisioned, g_strdup(o->name), names);
     }
-    sim_call_reply(c, FK_OUTCOME_OK, (FkRev){0}, g_ptr_array_ref(names), FALSE, NULL);
+    sim_call_reply(c, (SimAnswer){.outcome = FK_OUTCOME_OK, .list = g_ptr_array_ref(names)});
     break;
   }
   case FK_OUTPUT_TERMINATE:
@@ -63,7 +63,7 @@
         sim_worker_lose(sim, w);
       }
     }
-    sim_call_reply(c, FK_OUTCOME_OK, (FkRev){0}, NULL, FALSE, NULL);
+    sim_call_reply(c, (SimAnswer){.outcome = FK_OUTCOME_OK});
     break;
   default: {
     GPtrArray *list = g_ptr_array_new_with_free_func(fk_cloud_machine_free);
@@ -81,7 +81,7 @@
                             (sim->now - w->created_at) / 1e6};
       g_ptr_array_add(list, l);
     }
-    sim_call_reply(c, FK_OUTCOME_OK, (FkRev){0}, list, FALSE, NULL);
+    sim_call_reply(c, (SimAnswer){.outcome = FK_OUTCOME_OK, .list = list});
   }
   }
 }
--- a/src/simulation/simulation_internal.h
+++ b/src/simulation/simulation_internal.h
@@ -6,13 +6,15 @@
 #include "simulation/version.h"
 #include "simulation/worker_model.h"
 #define SIM_CONTROLLERS_MAX 5
-#define SIM_STORE_DEADLINE_S 2.0
 #define SIM_FREE_CPUS_SAMPLES 90 /* one a second */
 #define SIM_MACHINE_CPUS 8.0     /* of the only instance type */
 #define SIM_FAULTS_SHARE 0.6     /* of the simulated time: later on no faults are injected */
 #define SIM_TICK_S 0.2           /* between two rounds of checks */
 #define SIM_TICK_US (G_USEC_PER_SEC / 5)
 
+/* What happens at a moment of the simulation. */
+typedef void (*SimEventFn)(Sim *sim, gpointer data);
+
 /* What users ask. */
 typedef enum { SIM_QUERY_SUBMIT, SIM_QUERY_POLL, SIM_QUERY_CANCEL, SIM_QUERY_POLL_UNKNOWN } SimQueryKind;
 
@@ -127,6 +129,15 @@
   const FkVersion *version;
 } SimCall;
 
+/* The answer to a call. */
+typedef struct {
+  FkOutcome outcome;
+  FkRev epoch;
+  GPtrArray *list; /* as the kind of call has it; may be NULL */
+  gboolean more;
+  FkHeartbeat *heartbeat; /* of commands; may be NULL */
+} SimAnswer;
+
 /* What a worker is answered, under way. */
 typedef struct {
   SimWorker *worker;
@@ -137,31 +148,55 @@
   int redirect_to;
 } SimReply;
 
-/* world.c */
-void sim_schedule(Sim *sim, double s, void (*fn)(Sim *, gpointer), gpointer data);
-gboolean sim_chance(Sim *sim, double p);
-double sim_uniform(Sim *sim, double a, double b);
+/* simulation.c */
+
+void sim_schedule(Sim *sim, double delay_s, SimEventFn fn, gpointer data);
+gboolean sim_chance(Sim *sim, double probability);
+double sim_uniform(Sim *sim, double from, double to);
+/* A rule was broken: the first one ends the run. */
 void sim_violation(Sim *sim, const char *rule, const char *what);
-FkTime sim_controller_now(Sim *sim, int i);
-const char *sim_controller_zone(int i);
-/* Whether a cut lies between the two zones; store, cloud and users have none (NULL). */
+/* The controller's clock, at a moment of the simulation and now. */
+FkTime sim_controller_time(const Sim *sim, int controller, gint64 when);
+FkTime sim_controller_now(Sim *sim, int controller);
+/* Whether a partition lies between the two zones; store, cloud and users have none (NULL). */
 gboolean sim_zones_partitioned(const Sim *sim, const char *a, const char *b);
-void sim_dispatch_outputs(Sim *sim, int i);
-void sim_crash_controller(Sim *sim, int i);
-
-FkTime sim_controller_time(const Sim *sim, int i, gint64 when);
-/* The cores' processor time is counted from here to there. */
+/* When what is sent across the partition arrives. */
+double sim_partition_remaining_s(const Sim *sim);
+/* Counts processor time that cores take, from here to there. */
 gint64 sim_profile_begin(const Sim *sim);
 void sim_profile_end(Sim *sim, gint64 began);
-/* What is sent across a cut is held back, and delivered late: after so many seconds. */
-double sim_partition_remaining_s(const Sim *sim);
-gboolean sim_call_is_pending(SimCall *c);
-void sim_call_complete(SimCall *c, FkOutcome o, FkRev epoch, GPtrArray *list, gboolean more,
-                       FkHeartbeat *report);
-void sim_call_reply(SimCall *c, FkOutcome o, FkRev epoch, GPtrArray *list, gboolean more,
-                    FkHeartbeat *report);
-/* What would reach a frozen controller reaches it when it goes on. Whether it is so. */
-gboolean sim_defer_while_paused(Sim *sim, int controller, void (*fn)(Sim *, gpointer), gpointer data);
+
+/* controllers.c */
+
+/* Starts all controllers, and their ticks. */
+void sim_controllers_start(Sim *sim);
+void sim_controllers_free(Sim *sim);
+/* It ends, and is back within seconds. */
+void sim_crash_controller(Sim *sim, int controller);
+/* Sends what the controller has to send. Called after each of its inputs. */
+void sim_dispatch_outputs(Sim *sim, int controller);
+const char *sim_controller_zone(int controller);
+/* From its name, "c-0" to "c-4". */
+int sim_controller_index(const char *name);
+
+/* platform_settings.c */
+
+/* What the platform hands the controller. Owned by the caller. */
+char *sim_platform_settings(const Sim *sim, int controller);
+
+/* calls.c */
+
+gboolean sim_call_is_pending(SimCall *call);
+/* The answer reaches the controller, unless it has given up or is gone. Takes the answer. */
+void sim_call_complete(SimCall *call, SimAnswer answer);
+/* Sends the answer: it may be lost, or late. Takes the answer. */
+void sim_call_reply(SimCall *call, SimAnswer answer);
+/* The controller gives up waiting. An event's function, as the next one. */
+void sim_call_timed_out(Sim *sim, gpointer call);
+/* Controllers ask each other what they have seen of the store. */
+void sim_peer_query_arrives(Sim *sim, gpointer call);
+/* What would reach a paused controller reaches it when it goes on. Whether it is so. */
+gboolean sim_defer_while_paused(Sim *sim, int controller, SimEventFn fn, gpointer data);
 
 /* store.c */
 /* The store's limits for values, in bytes, and changes in a transaction, now. */
--- a/src/simulation/store.c
+++ b/src/simulation/store.c
@@ -98,8 +98,9 @@
 }
 
 static void watch_answer(Sim *sim, SimCall *c) {
-  sim_call_reply(c, FK_OUTCOME_OK, (FkRev){fk_store_model_revision(sim->store)},
-                 changes_after(sim, c->version, c->output), FALSE, NULL);
+  sim_call_reply(c, (SimAnswer){.outcome = FK_OUTCOME_OK,
+                                .epoch = (FkRev){fk_store_model_revision(sim->store)},
+                                .list = changes_after(sim, c->version, c->output)});
 }
 
 void sim_store_notify_watches(Sim *sim) {
@@ -177,7 +178,7 @@
       sim_chance(sim, sim->lost_replies_share))
     g_ptr_array_unref(failed); /* others see what it wrote; its sender is told nothing */
   else
-    sim_call_reply(c, r, epoch, failed, FALSE, NULL);
+    sim_call_reply(c, (SimAnswer){.outcome = r, .epoch = epoch, .list = failed});
   if (o->writes->len && sim_chance(sim, sim_duplicate_share(sim)))
     sim_schedule(sim, sim_duplicate_delay_s(sim), repeat_commit, c);
 }
@@ -193,8 +194,9 @@
   GPtrArray *one = g_ptr_array_new_with_free_func((GDestroyNotify)c->version->store_event_free);
   if (item)
     add_item(one, c->version, item);
-  sim_call_reply(c, item ? FK_OUTCOME_OK : FK_OUTCOME_GONE, (FkRev){fk_store_model_revision(sim->store)}, one,
-                 FALSE, NULL);
+  sim_call_reply(c, (SimAnswer){.outcome = item ? FK_OUTCOME_OK : FK_OUTCOME_GONE,
+                                .epoch = (FkRev){fk_store_model_revision(sim->store)},
+                                .list = one});
 }
 
 #define LIST_PAGE_SMALL 7 /* small pages: many of them */
@@ -208,7 +210,10 @@
   GPtrArray *events = g_ptr_array_new_with_free_func((GDestroyNotify)c->version->store_event_free);
   for (guint i = 0; i < items->len; i++)
     add_item(events, c->version, items->pdata[i]);
-  sim_call_reply(c, FK_OUTCOME_OK, (FkRev){fk_store_model_revision(sim->store)}, events, more, NULL);
+  sim_call_reply(c, (SimAnswer){.outcome = FK_OUTCOME_OK,
+                                .epoch = (FkRev){fk_store_model_revision(sim->store)},
+                                .list = events,
+                                .more = more});
 }
 
 static void handle_watch(Sim *sim, SimCall *c) {
@@ -224,7 +229,7 @@
   SimCall *c = p;
   FkRev epoch = {fk_store_model_revision(sim->store)};
   if (sim_store_refuses(sim, c->controller) || !within_rate_limit(sim, c->output)) {
-    sim_call_reply(c, FK_OUTCOME_REFUSED, epoch, NULL, FALSE, NULL);
+    sim_call_reply(c, (SimAnswer){.outcome = FK_OUTCOME_REFUSED, .epoch = epoch});
     return;
   }
   fk_store_model_expire_leases(sim->store, sim->now);
@@ -243,11 +248,11 @@
     break;
   case FK_OUTPUT_LEASE_GRANT:
     epoch.n = fk_store_model_grant_lease(sim->store, sim->now, c->output->seconds);
-    sim_call_reply(c, FK_OUTCOME_OK, epoch, NULL, FALSE, NULL);
+    sim_call_reply(c, (SimAnswer){.outcome = FK_OUTCOME_OK, .epoch = epoch});
     break;
   default: {
     gboolean held = fk_store_model_keep_alive(sim->store, sim->now, c->output->rev.n);
-    sim_call_reply(c, held ? FK_OUTCOME_OK : FK_OUTCOME_GONE, epoch, NULL, FALSE, NULL);
+    sim_call_reply(c, (SimAnswer){.outcome = held ? FK_OUTCOME_OK : FK_OUTCOME_GONE, .epoch = epoch});
   }
   }
   sim_store_notify_watches(sim);
--- a/src/simulation/workers.c
+++ b/src/simulation/workers.c
@@ -207,7 +207,7 @@
   if (sim->now < sim->command_delay_until && sim_chance(sim, sim->command_delay_share))
     fk_heartbeat_free(says); /* the answer is held for longer than anybody waits for it */
   else
-    sim_call_reply(c, ok ? FK_OUTCOME_OK : FK_OUTCOME_CONFLICT, (FkRev){0}, NULL, FALSE, says);
+    sim_call_reply(c, (SimAnswer){.outcome = ok ? FK_OUTCOME_OK : FK_OUTCOME_CONFLICT, .heartbeat = says});
   if (sim_chance(sim, sim_duplicate_share(sim)))
     sim_schedule(sim, sim_duplicate_delay_s(sim), duplicate_command_arrives, c);
 }
