--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -1,62 +1,19 @@
 /* Shared between the core's own files; not for the shell. */
 #pragma once
+#include "core/api/cancellation_barrier.h"
+#include "core/api/requests.h"
+#include "core/controller_status.h"
 #include "core/cpu_profile.h"
 #include "core/messages.h"
 #include "core/scheduling/elastic_sizing.h"
-#include "core/workers/failure_detector.h"
-
-typedef void (*FkTransactionCallback)(FkController *c, gpointer data, FkOutcome o, FkRev epoch,
-                                      GPtrArray *failed);
-typedef void (*FkReadCallback)(FkController *c, gpointer data, FkOutcome o, FkStoreEvent *e);
-
-/* A machine in this home's care. */
-struct FkWorkerState {
-  gboolean owned; /* the view has shown our claim */
-  FkFailureDetector failure_detector;
-  FkHeartbeat *heartbeat; /* the latest by (session, seq) */
-  FkRev restarted_under;  /* the claim under which it began anew: that token proves nothing of its new life */
-  guint64 command_call;   /* the direct call under way, or 0 */
-  FkRev command_shard_rev;      /* and its token */
-  GHashTable *starts_in_doubt;  /* starts that may arrive, or arrive again: "job/task#attempt" -> the token
-                          that they  were  sent under */
-  GHashTable *starts_in_flight; /* starts in the direct call under way */
-  GHashTable *starts_replied;   /* starts in the answer to the latest report */
-  FkHeartbeatSequence starts_replied_to;
-  guint lingering_attempts; /* ended attempts that must not be forgotten yet */
-  FkTime command_after;
-  gboolean
-      reconciled;  /* nothing pressing was found when it was looked at last, and its report shows our token */
-  FkRev shard_rev; /* the claim, and since when */
-  FkTime shard_rev_since;
-};
-
-typedef struct {
-  FkRequestId request;
-  FkHeartbeat *heartbeat;
-  FkTime received_at;
-  FkRev shard_rev; /* the claim when it came */
-} FkHeldHeartbeat;
-
-typedef struct {
-  FkTime sent_at;
-  char *target;
-} FkRedirect;
-
-/* This home's machines of one zone, and how many of them were heard lately. */
-typedef struct {
-  const char *zone; /* interned */
-  guint heard_lately, machines;
-  guint heard_just_now;     /* heard in the last moment ... */
-  double expected_just_now; /* ... and how many should have been */
-  FkTime outage_seen_at;    /* the last moment at which so few were heard that it may be we who are cut off */
-  FkTime outage_began;      /* when that began */
-  FkTime all_silent_at;     /* ... at which none were */
-  guint partitioned;        /* speak, and don't hear us */
-} FkZoneReachability;
+#include "core/shards/shards.h"
+#include "core/state/job_dependencies.h"
+#include "core/store_session/calls.h"
+#include "core/store_session/read_freshness.h"
+#include "core/store_session/session.h"
+#include "core/workers/workers.h"
 
 typedef struct FkAutoscaler FkAutoscaler;
-typedef struct FkCompletion FkCompletion;
-typedef struct FkCancellationBarrier FkCancellationBarrier;
 typedef struct FkCostAccounting FkCostAccounting;
 typedef struct FkSchedulingQueue FkSchedulingQueue;
 typedef struct FkCapacityIndex FkCapacityIndex;
@@ -69,9 +26,6 @@
 #define FK_CLOCK_DRIFT 0.0012 /* two clocks, each off by 0.05%, and a little */
 #define FK_LEASE_MARGIN_S 2.0
 
-#define FK_DRAIN_REASON_IDLE "idle"
-#define FK_DRAIN_REASON_DRAIN "drain" /* what runs there moves, then it goes */
-
 typedef struct {
   const char *machine; /* interned */
   const char *team;    /* interned */
@@ -134,39 +88,6 @@
   gboolean inheriting;            /* and whether any did */
 } FkPendingRequests;
 
-/* Heartbeats and direct commands of the workers that this controller owns. */
-typedef struct {
-  GQueue *held_heartbeats;        /* FkHeldHeartbeat: waiting for a shard to be acquired */
-  guint duplicate_heartbeats;     /* refused in this window: copies */
-  guint impossible_tokens;        /* refused in this window: with a token that no shard has */
-  GHashTable *redirects;          /* machine -> FkRedirect */
-  GHashTable *commands;           /* call -> machine id (interned) */
-  FkTime last_tick, behind_until; /* we were too slow lately to tell who is silent */
-  guint slice, round;             /* of the machines, to be looked through next; how often all were */
-  GArray *zones;                  /* FkZoneReachability, counted once in all slices */
-} FkWorkerPool;
-
-/* Completions that are proven and not committed yet. */
-typedef struct {
-  GHashTable *pending;            /* attempt -> FkCompletion: proven, to be written down */
-  GHashTable *pending_by_machine; /* machine (interned) -> how many of them are there */
-  gboolean writing;
-  guint page;
-  FkRev wait_rev;
-  gboolean urgent; /* a service waits to be started elsewhere: not for the pace */
-  FkTime write_after;
-} FkCompletions;
-
-/* Acquiring shards, and writing their machine registry's pages. */
-typedef struct {
-  gboolean acquiring;
-  FkRev acquire_wait_rev;
-  FkTime acquire_after, handback_after;
-  gboolean page_writing;
-  FkRev page_wait_rev;
-  FkTime page_write_after;
-} FkShardOwnership;
-
 /* Launches: their fence, the one under way and what it reserves. */
 typedef struct {
   GHashTable *hindrances;              /* why nothing was launched -> cycles, in this window */
@@ -243,93 +164,8 @@
   FkAutoscaling autoscaling;
 };
 
-/* state.c */
-FkOutput *fk_output_new(FkController *c, FkOutputKind kind);
-gboolean fk_controller_is_ready(FkController *c);
-guint fk_controller_live_count(FkController *c); /* how many live */
-/* Its part of the store's writes, by what the view says of the others. */
-double fk_store_write_share(FkController *c);
-/* It can take requests: it isn't the one that is cut off. */
-gboolean fk_controller_can_serve(FkController *c, FkTime now);
-gboolean fk_node_is_alive(FkController *c, const char *node);
-gboolean fk_spec_is_long(FkController *c, const FkSpec *s);
-/* Services wait, and the store's writes are what they wait for: what nobody waits for comes later. */
-gboolean fk_services_have_priority(FkController *c);
-FkRecord *fk_job_record_new(const FkJob *j, gboolean cancelled);
-/* Ends a job whose tasks are all done, or that is cancelled with none left, in `t`. */
-gboolean fk_transaction_finalize_job(FkController *c, FkOutput *t, FkJob *j, guint writes_left);
-
 /* Does it with its processor time charged to that purpose. */
 void fk_cpu_profile_run(FkController *c, FkCpuPurpose what, void (*fn)(FkController *));
-/* The store has answered, or hasn't. */
-void fk_store_session_note_outcome(FkController *c, FkOutcome o);
-
-/* calls.c */
-void fk_call_free(gpointer call);
-/* Sends again what has had no answer for too long. */
-void fk_calls_retry_overdue(FkController *c);
-FkOutput *fk_transaction_new(FkController *c, FkTransactionPriority prio);
-void fk_transaction_guard(FkOutput *t, char *path /* taken */, FkRev rev);
-void fk_transaction_put(FkOutput *t, char *path /* taken */, FkRecord *r /* taken */, FkRev hold);
-void fk_transaction_delete(FkOutput *t, char *path /* taken */);
-void fk_transaction_send(FkController *c, FkOutput *t, FkTransactionCallback done, gpointer data,
-                         GDestroyNotify free_data);
-void fk_read_send(FkController *c, char *path /* taken */, FkReadCallback done, gpointer data,
-                  GDestroyNotify free_data);
-/* session.c */
-void fk_store_session_tick(FkController *c);
-/* A watch was answered, or failed: what it tells is applied. */
-void fk_store_session_watch_received(FkController *c, FkOutcome o, GPtrArray *events, FkRev epoch,
-                                     FkTime sent);
-
-/* chains.c */
-/* Every controller of the settings was started last in a version that knows of jobs that need others. What
- * such a version alone can read is written from then on only. */
-gboolean fk_job_dependencies_are_supported(FkController *c);
-void fk_job_dependencies_tick(FkController *c);
-
-/* proof.c */
-#define FK_PEER_QUERY_AFTER_S 2.5 /* without a look at the store, the others are asked */
-/* Asks the others what they know; `needed`: the revision that somebody waits for them to have, or 0. */
-void fk_read_freshness_tick(FkController *c, FkRev needed);
-/* Another controller has answered. */
-void fk_read_freshness_peer_received(FkController *c, const char *peer, const char *life, FkRev seen,
-                                     double store_age_s, FkTime sent);
-/* The latest moment at which nothing can have been decided that our view doesn't show. */
-FkTime fk_read_freshness_confirmed_at(FkController *c);
-
-/* users.c */
-void fk_pending_request_free(gpointer ask);
-/* Polls are checked in batches, by transactions that only compare: one batch is under way, the next gathers.
- */
-void fk_requests_send_read_checks(FkController *c);
-void fk_requests_reply_cancelled(FkController *c);
-void fk_requests_pass_read_barrier(FkController *c);
-/* The latest revision that somebody who waits to hear of a cancellation needs all to have applied; 0: none.
- */
-FkRev fk_requests_awaited_rev(FkController *c);
-
-/* claims.c */
-gboolean fk_shard_is_owned(FkController *c, const FkShard *g);
-const char *fk_shard_preferred_owner(FkController *c, const FkShard *g);
-void fk_shard_ownership_tick(FkController *c);
-
-/* roster.c */
-/* Seconds that so many writes must last, when all controllers together may use `share` of the budget. */
-double fk_write_pace_s(FkController *c, guint writes, double share);
-void fk_machine_registry_add(FkController *c, FkMachine *m, const FkHeartbeat *r);
-void fk_machine_registry_set_drain_reason(FkController *c, FkMachine *m, const char *why, double notice_s);
-void fk_machine_registry_remove(FkController *c, FkMachine *m);
-void fk_machine_registry_tick(FkController *c);
-
-/* ends.c */
-char *fk_attempt_key(const char *job, guint32 task, FkAttempt attempt);
-gboolean fk_completion_is_pending(FkController *c, const FkMachine *m, const FkAllocationRef *b);
-void fk_completions_add(FkController *c, const FkMachine *m, const FkAllocationRef *b, FkCompletionKind how,
-                        gboolean guarded);
-void fk_completions_tick(FkController *c);
-void fk_completions_clear(FkController *c);
-void fk_completion_free(gpointer e);
 
 /* quota.c */
 void fk_quota_partition_tick(FkController *c);
@@ -346,26 +182,6 @@
  * `room` (CPUs) yet. */
 gboolean fk_starvation_lifts(FkController *c, const FkJob *j, double room);
 
-/* tell.c */
-FkCancellationBarrier *fk_cancellation_barrier_new(void);
-void fk_cancellation_barrier_free(FkCancellationBarrier *t);
-/* A lease that nobody renews is over after this, by any clock, in seconds. */
-double fk_lease_expiry_s(const FkSettings *s);
-/* How long a home may answer for without a fresh look at the store, in seconds. */
-double fk_stale_view_trust_s(const FkSettings *s);
-/* A controller says that its view has reached the revision. */
-void fk_cancellation_barrier_note_applied(FkCancellationBarrier *t, const char *peer, FkRev applied);
-gboolean fk_cancellation_barrier_has_applied(const FkCancellationBarrier *t, const char *peer, FkRev rev);
-/* Whether a user may hear that the job, cancelled in our view, is so. */
-gboolean fk_cancellation_barrier_is_passed(FkController *c, const FkJob *j);
-
-/* home.c */
-/* A report at our present token has come: older tokens' commands and answers are void. */
-gboolean fk_worker_has_echoed_token(const FkMachine *m);
-void fk_workers_tick(FkController *c);
-void fk_workers_view_changed(FkController *c);
-gboolean fk_machine_is_owned(FkController *c, const FkMachine *m);
-gboolean fk_machine_is_usable(FkController *c, const FkMachine *m);
 
 /* place.c */
 void fk_scheduling_cycle_run(FkController *c);
@@ -409,13 +225,3 @@
 void fk_cost_accounting_tick(FkController *c);
 /* Logs the accounts since the last time, and starts them anew. */
 void fk_cost_accounting_log(FkController *c);
-
-/* recover.c */
-/* Tasks of services booked there that nobody has cancelled. */
-guint fk_machine_service_tasks(const FkMachine *m);
-/* Adds to `names`, up to `most_names`, the ids of those of the silent machines `serving` (with services,
- * sorted here) whose turn it is to be returned. */
-void fk_service_failover_select(FkController *c, GPtrArray *serving, GPtrArray *names, guint most_names);
-/* FkJob, borrowed from the view, one for each task of a service on a silent machine: room for them is wanted.
- */
-GPtrArray *fk_service_failover_demand(FkController *c);
