--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -1,106 +1,113 @@
 #include "admission/admission.h"
 
-/* Requests come seldom in the usual course; past this part of the room, each address has only an equal part.
- */
+/* Usually there is capacity to spare. Above this part of it, each address has only an equal share. */
 #define UNCONTENDED_PART 0.5
-/* The part of the room that each kind of request may fill: the later in the order, the less. */
+/* The part of the capacity that each class of request may fill: the later in the order, the less. */
 static const double capacity_part[FK_REQUEST_CLASSES] = {
     [FK_REQUEST_CLASS_HEALTH] = 1,    [FK_REQUEST_CLASS_PEER] = 1,    [FK_REQUEST_CLASS_HEARTBEAT] = 1,
     [FK_REQUEST_CLASS_CANCEL] = 0.85, [FK_REQUEST_CLASS_POLL] = 0.75, [FK_REQUEST_CLASS_SUBMIT] = 0.65,
     [FK_REQUEST_CLASS_OTHER] = 0.5};
-#define HEAD_CAPACITY_PART 0.9 /* a head that isn't complete may yet be a report's */
+#define HEAD_CAPACITY_PART 0.9 /* of a request whose class isn't known yet: it may be a heartbeat */
+
+#define REQUEST_RETRY_AFTER_S 2
+#define HEARTBEAT_RETRY_AFTER_S 1
+#define CONNECTION_RETRY_AFTER_S 1
+
+#define BYTES_PER_KB 1024
 
 struct FkAddressUsage {
   char *address;
-  guint clients;     /* connections; the place in FkAdmission.crowds */
-  guint requests;    /* users' requests under way */
-  gsize buffered;    /* bytes of outsiders' requests */
-  guint connections; /* connections of any kind: the party lives as long */
-  GQueue unanswered,
-      answered; /* outsiders that can be closed, the longest waiting first: never answered, idle */
-  GList count_link;
+  guint connections; /* of any class; the record is freed with the last one */
+  guint clients;     /* connections of FK_CONNECTION_CLASS_CLIENT */
+  guint requests;    /* of users, in progress */
+  gsize buffered;    /* bytes */
+  /* Client connections that may be evicted, the longest waiting first: those that never had a response, and
+   * those that had one. */
+  GQueue unanswered, answered;
+  GList count_link; /* in FkAdmission.by_client_count */
 };
 
 struct FkAdmission {
   FkAdmissionLimits limits;
   GHashTable *addresses;      /* address -> FkAddressUsage */
-  GPtrArray *by_client_count; /* GQueue of FkAddressUsage by the number of their outsiders: the largest crowd
-                                 is the last */
-  GQueue stages[FK_STAGES];   /* FkConnectionSlot, the longest in its stage first; IDLE: see idle */
-  GQueue idle[FK_CONNECTION_CLASSES];
-  guint connections[FK_CONNECTION_CLASSES];
-  guint requests, requesting_addresses; /* under way; parties that have users' requests under way */
-  gsize buffered;
-  guint buffering_addresses; /* parties that hold bytes */
-  guint64 rejections[FK_REJECTION_REASONS], accepted;
+  GPtrArray *by_client_count; /* GQueue of FkAddressUsage, indexed by `clients`; the last isn't empty */
+  GQueue stages[FK_STAGES];   /* FkConnectionSlot, the longest in its stage first; not the idle ones */
+  GQueue idle[FK_CONNECTION_CLASSES];       /* FkConnectionSlot, likewise */
+  guint connections[FK_CONNECTION_CLASSES]; /* but the lingering ones */
+  guint requests;                           /* in progress */
+  guint requesting_addresses;               /* that have users' requests in progress */
+  gsize buffered;                           /* bytes */
+  guint buffering_addresses;
+  guint64 rejections[FK_REJECTION_REASONS], accepted; /* since the start */
 };
 
-static void address_usage_free(gpointer p) {
-  FkAddressUsage *party = p;
-  g_free(party->address);
-  g_free(party);
+static void address_usage_free(gpointer data) {
+  FkAddressUsage *usage = data;
+  g_free(usage->address);
+  g_free(usage);
 }
 
 FkAdmission *fk_admission_new(const FkAdmissionLimits *limits) {
-  FkAdmission *g = g_new0(FkAdmission, 1);
-  g->limits = *limits;
-  g->addresses = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, address_usage_free);
-  g->by_client_count = g_ptr_array_new_with_free_func((GDestroyNotify)g_queue_free);
-  g_ptr_array_add(g->by_client_count, g_queue_new());
-  return g;
+  FkAdmission *admission = g_new0(FkAdmission, 1);
+  admission->limits = *limits;
+  admission->addresses = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, address_usage_free);
+  admission->by_client_count = g_ptr_array_new_with_free_func((GDestroyNotify)g_queue_free);
+  g_ptr_array_add(admission->by_client_count, g_queue_new());
+  return admission;
 }
 
-void fk_admission_free(FkAdmission *g) {
-  if (!g)
+void fk_admission_free(FkAdmission *admission) {
+  if (!admission)
     return;
-  g_assert(g_hash_table_size(g->addresses) == 0);
-  g_hash_table_unref(g->addresses);
-  g_ptr_array_unref(g->by_client_count);
-  g_free(g);
+  g_assert(g_hash_table_size(admission->addresses) == 0);
+  g_hash_table_unref(admission->addresses);
+  g_ptr_array_unref(admission->by_client_count);
+  g_free(admission);
 }
 
-const FkAdmissionLimits *fk_admission_limits(const FkAdmission *g) { return &g->limits; }
+const FkAdmissionLimits *fk_admission_limits(const FkAdmission *admission) { return &admission->limits; }
 
-/* ------------------------------------------------------------------ crowds */
+/* ------------------------------------------------------------------ addresses by their connections */
 
-static GQueue *addresses_with_clients(FkAdmission *g, guint n) {
-  while (g->by_client_count->len <= n)
-    g_ptr_array_add(g->by_client_count, g_queue_new());
-  return g->by_client_count->pdata[n];
+static GQueue *addresses_with_clients(FkAdmission *admission, guint count) {
+  while (admission->by_client_count->len <= count)
+    g_ptr_array_add(admission->by_client_count, g_queue_new());
+  return admission->by_client_count->pdata[count];
 }
 
-/* One more or one less: the largest crowd is always the last but for empty ones, found without a search. */
-static void add_clients(FkAdmission *g, FkAddressUsage *p, int by) {
-  g_queue_unlink(addresses_with_clients(g, p->clients), &p->count_link);
-  p->clients += by;
-  g_queue_push_tail_link(addresses_with_clients(g, p->clients), &p->count_link);
-  while (g->by_client_count->len > 1 &&
-         g_queue_is_empty(g->by_client_count->pdata[g->by_client_count->len - 1]))
-    g_ptr_array_set_size(g->by_client_count, (gint)g->by_client_count->len - 1);
+/* Empty queues at the end go, so that the address with the most clients is found without a search. */
+static void add_clients(FkAdmission *admission, FkAddressUsage *usage, int delta) {
+  g_queue_unlink(addresses_with_clients(admission, usage->clients), &usage->count_link);
+  usage->clients += delta;
+  g_queue_push_tail_link(addresses_with_clients(admission, usage->clients), &usage->count_link);
+  while (admission->by_client_count->len > 1 &&
+         g_queue_is_empty(admission->by_client_count->pdata[admission->by_client_count->len - 1]))
+    g_ptr_array_set_size(admission->by_client_count, (gint)admission->by_client_count->len - 1);
 }
 
-static void count_connection(FkAdmission *g, FkConnectionSlot *s, int by) {
-  g->connections[s->connection_class] += by;
-  if (s->connection_class == FK_CONNECTION_CLASS_CLIENT)
-    add_clients(g, s->address, by);
+static void count_connection(FkAdmission *admission, FkConnectionSlot *slot, int delta) {
+  admission->connections[slot->connection_class] += delta;
+  if (slot->connection_class == FK_CONNECTION_CLASS_CLIENT)
+    add_clients(admission, slot->address, delta);
 }
 
 /* ------------------------------------------------------------------ stages */
 
-static GQueue *queue_of(FkAdmission *g, const FkConnectionSlot *s) {
-  return s->stage == FK_STAGE_IDLE ? &g->idle[s->connection_class] : &g->stages[s->stage];
+static GQueue *queue_of(FkAdmission *admission, const FkConnectionSlot *slot) {
+  return slot->stage == FK_STAGE_IDLE ? &admission->idle[slot->connection_class]
+                                      : &admission->stages[slot->stage];
 }
 
-static GQueue *evictable_queue(FkConnectionSlot *s) {
-  if (s->connection_class != FK_CONNECTION_CLASS_CLIENT)
+static GQueue *evictable_queue(FkConnectionSlot *slot) {
+  if (slot->connection_class != FK_CONNECTION_CLASS_CLIENT)
     return NULL;
-  switch (s->stage) {
+  switch (slot->stage) {
   case FK_STAGE_CONNECTED:
   case FK_STAGE_HEAD:
   case FK_STAGE_BODY:
-    return s->answered ? &s->address->answered : &s->address->unanswered;
+    return slot->answered ? &slot->address->answered : &slot->address->unanswered;
   case FK_STAGE_IDLE:
-    return &s->address->answered;
+    return &slot->address->answered;
   default:
     return NULL;
   }
@@ -110,113 +117,117 @@
   return stage == FK_STAGE_HANDLING || stage == FK_STAGE_SENDING;
 }
 
-static gboolean is_user_request(FkRequestClass ask) { return ask >= FK_REQUEST_CLASS_CANCEL; }
+static gboolean is_user_request(FkRequestClass request_class) {
+  return request_class >= FK_REQUEST_CLASS_CANCEL;
+}
 
-static void count_request(FkAdmission *g, FkConnectionSlot *s, int by) {
-  g->requests += by;
-  if (!is_user_request(s->request_class))
+static void count_request(FkAdmission *admission, FkConnectionSlot *slot, int delta) {
+  admission->requests += delta;
+  if (!is_user_request(slot->request_class))
     return;
-  if (by > 0 && s->address->requests == 0)
-    g->requesting_addresses++;
-  s->address->requests += by;
-  if (by < 0 && s->address->requests == 0)
-    g->requesting_addresses--;
+  if (delta > 0 && slot->address->requests == 0)
+    admission->requesting_addresses++;
+  slot->address->requests += delta;
+  if (delta < 0 && slot->address->requests == 0)
+    admission->requesting_addresses--;
 }
 
-static void unlink_slot(FkAdmission *g, FkConnectionSlot *s) {
-  g_queue_unlink(queue_of(g, s), &s->stage_link);
-  GQueue *victims = evictable_queue(s);
+static void unlink_slot(FkAdmission *admission, FkConnectionSlot *slot) {
+  g_queue_unlink(queue_of(admission, slot), &slot->stage_link);
+  GQueue *victims = evictable_queue(slot);
   if (victims)
-    g_queue_unlink(victims, &s->address_link);
+    g_queue_unlink(victims, &slot->address_link);
 }
 
-static void link_slot(FkAdmission *g, FkConnectionSlot *s) {
-  g_queue_push_tail_link(queue_of(g, s), &s->stage_link);
-  GQueue *victims = evictable_queue(s);
+static void link_slot(FkAdmission *admission, FkConnectionSlot *slot) {
+  g_queue_push_tail_link(queue_of(admission, slot), &slot->stage_link);
+  GQueue *victims = evictable_queue(slot);
   if (victims)
-    g_queue_push_tail_link(victims, &s->address_link);
-}
-
-/* The one place where a slot changes its stage. What is ending has a room of its own (`endings`): counted
- * with the others it would crowd them out one by one. */
-static void set_stage(FkAdmission *g, FkConnectionSlot *s, FkConnectionStage to, gint64 now_us) {
-  unlink_slot(g, s);
-  if (to == FK_STAGE_LINGERING && s->stage != FK_STAGE_LINGERING)
-    count_connection(g, s, -1);
-  if (is_in_progress(s->stage) != is_in_progress(to))
-    count_request(g, s, is_in_progress(to) ? 1 : -1);
-  s->stage = to;
-  s->since_us = now_us;
-  link_slot(g, s);
-}
-
-static void set_buffered(FkAdmission *g, FkConnectionSlot *s, gsize bytes) {
-  FkAddressUsage *p = s->address;
-  g->buffered += bytes - s->buffered;
-  gboolean did = p->buffered > 0;
-  p->buffered += bytes - s->buffered;
-  s->buffered = bytes;
-  g->buffering_addresses += (p->buffered > 0) - did;
-}
-
-/* ------------------------------------------------------------------ coming and going */
-
-void fk_admission_connection_opened(FkAdmission *g, FkConnectionSlot *s, const char *address,
-                                    FkConnectionClass guest, gint64 now_us) {
-  FkAddressUsage *p = g_hash_table_lookup(g->addresses, address);
-  if (!p) {
-    p = g_new0(FkAddressUsage, 1);
-    p->address = g_strdup(address);
-    p->count_link.data = p;
-    g_hash_table_insert(g->addresses, p->address, p);
-    g_queue_push_tail_link(addresses_with_clients(g, 0), &p->count_link);
+    g_queue_push_tail_link(victims, &slot->address_link);
+}
+
+/* The one place where a slot changes its stage. Lingering connections have a limit of their own: counted with
+ * the others, they would have these evicted one by one. */
+static void set_stage(FkAdmission *admission, FkConnectionSlot *slot, FkConnectionStage to, gint64 now_us) {
+  unlink_slot(admission, slot);
+  if (to == FK_STAGE_LINGERING && slot->stage != FK_STAGE_LINGERING)
+    count_connection(admission, slot, -1);
+  if (is_in_progress(slot->stage) != is_in_progress(to))
+    count_request(admission, slot, is_in_progress(to) ? 1 : -1);
+  slot->stage = to;
+  slot->since_us = now_us;
+  link_slot(admission, slot);
+}
+
+static void set_buffered(FkAdmission *admission, FkConnectionSlot *slot, gsize bytes) {
+  FkAddressUsage *usage = slot->address;
+  admission->buffered += bytes - slot->buffered;
+  gboolean buffered_before = usage->buffered > 0;
+  usage->buffered += bytes - slot->buffered;
+  slot->buffered = bytes;
+  admission->buffering_addresses += (usage->buffered > 0) - buffered_before;
+}
+
+/* ------------------------------------------------------------------ connections */
+
+void fk_admission_connection_opened(FkAdmission *admission, FkConnectionSlot *slot, const char *address,
+                                    FkConnectionClass connection_class, gint64 now_us) {
+  FkAddressUsage *usage = g_hash_table_lookup(admission->addresses, address);
+  if (!usage) {
+    usage = g_new0(FkAddressUsage, 1);
+    usage->address = g_strdup(address);
+    usage->count_link.data = usage;
+    g_hash_table_insert(admission->addresses, usage->address, usage);
+    g_queue_push_tail_link(addresses_with_clients(admission, 0), &usage->count_link);
   }
-  p->connections++;
-  g->accepted++;
-  *s = (FkConnectionSlot){.address = p,
-                          .connection_class = guest,
-                          .request_class = FK_REQUEST_CLASS_OTHER,
-                          .stage = FK_STAGE_CONNECTED,
-                          .since_us = now_us};
-  s->stage_link.data = s->address_link.data = s;
-  count_connection(g, s, 1);
-  link_slot(g, s);
-}
-
-void fk_admission_connection_closed(FkAdmission *g, FkConnectionSlot *s) {
-  if (s->stage == FK_STAGE_UNTRACKED)
+  usage->connections++;
+  admission->accepted++;
+  *slot = (FkConnectionSlot){.address = usage,
+                             .connection_class = connection_class,
+                             .request_class = FK_REQUEST_CLASS_OTHER,
+                             .stage = FK_STAGE_CONNECTED,
+                             .since_us = now_us};
+  slot->stage_link.data = slot->address_link.data = slot;
+  count_connection(admission, slot, 1);
+  link_slot(admission, slot);
+}
+
+void fk_admission_connection_closed(FkAdmission *admission, FkConnectionSlot *slot) {
+  if (slot->stage == FK_STAGE_UNTRACKED)
     return;
-  FkAddressUsage *p = s->address;
-  set_buffered(g, s, 0);
-  unlink_slot(g, s);
-  if (is_in_progress(s->stage))
-    count_request(g, s, -1);
-  if (s->stage != FK_STAGE_LINGERING)
-    count_connection(g, s, -1);
-  if (--p->connections == 0) {
-    g_queue_unlink(addresses_with_clients(g, p->clients), &p->count_link);
-    g_hash_table_remove(g->addresses, p->address);
+  FkAddressUsage *usage = slot->address;
+  set_buffered(admission, slot, 0);
+  unlink_slot(admission, slot);
+  if (is_in_progress(slot->stage))
+    count_request(admission, slot, -1);
+  if (slot->stage != FK_STAGE_LINGERING)
+    count_connection(admission, slot, -1);
+  if (--usage->connections == 0) {
+    g_queue_unlink(addresses_with_clients(admission, usage->clients), &usage->count_link);
+    g_hash_table_remove(admission->addresses, usage->address);
   }
-  *s = (FkConnectionSlot){.stage = FK_STAGE_UNTRACKED};
+  *slot = (FkConnectionSlot){.stage = FK_STAGE_UNTRACKED};
 }
 
-void fk_admission_begin_stage(FkAdmission *g, FkConnectionSlot *s, FkConnectionStage stage, gint64 now_us) {
+void fk_admission_begin_stage(FkAdmission *admission, FkConnectionSlot *slot, FkConnectionStage stage,
+                              gint64 now_us) {
   g_return_if_fail(stage == FK_STAGE_HEAD || stage == FK_STAGE_BODY);
-  set_stage(g, s, stage, now_us);
+  set_stage(admission, slot, stage, now_us);
 }
 
-void fk_admission_reject(FkAdmission *g, FkConnectionSlot *s, FkRejectionReason why, gint64 now_us) {
-  g->rejections[why]++;
-  set_buffered(g, s, 0);
-  set_stage(g, s, FK_STAGE_LINGERING, now_us);
+void fk_admission_reject(FkAdmission *admission, FkConnectionSlot *slot, FkRejectionReason reason,
+                         gint64 now_us) {
+  admission->rejections[reason]++;
+  set_buffered(admission, slot, 0);
+  set_stage(admission, slot, FK_STAGE_LINGERING, now_us);
 }
 
 /* ------------------------------------------------------------------ requests */
 
-static FkConnectionClass class_after_request(FkConnectionClass was, FkRequestClass ask) {
-  if (was == FK_CONNECTION_CLASS_PEER)
-    return was; /* another listener */
-  switch (ask) {
+static FkConnectionClass class_after_request(FkConnectionClass current_class, FkRequestClass request_class) {
+  if (current_class == FK_CONNECTION_CLASS_PEER)
+    return current_class; /* peers have a listener of their own */
+  switch (request_class) {
   case FK_REQUEST_CLASS_HEALTH:
     return FK_CONNECTION_CLASS_HEALTH_CHECK;
   case FK_REQUEST_CLASS_HEARTBEAT:
@@ -226,241 +237,286 @@
   }
 }
 
-/* A kind that is full closes its own idle ones (see next()); with none of those it takes no more, and who
- * came stays an outsider. */
-static void change_class(FkAdmission *g, FkConnectionSlot *s, FkConnectionClass to) {
-  if (s->connection_class == to ||
-      (to != FK_CONNECTION_CLASS_CLIENT && g->connections[to] >= g->limits.connections[to] &&
-       g_queue_is_empty(&g->idle[to])))
+/* A class that is full evicts its own idle connections (see over_limit()); without any, it takes no more. */
+static gboolean has_place(FkAdmission *admission, FkConnectionClass connection_class) {
+  return connection_class == FK_CONNECTION_CLASS_CLIENT ||
+         admission->connections[connection_class] < admission->limits.connections[connection_class] ||
+         !g_queue_is_empty(&admission->idle[connection_class]);
+}
+
+static void change_class(FkAdmission *admission, FkConnectionSlot *slot, FkConnectionClass to) {
+  if (slot->connection_class == to || !has_place(admission, to))
     return;
-  unlink_slot(g, s);
-  count_connection(g, s, -1);
-  s->connection_class = to;
-  count_connection(g, s, 1);
-  link_slot(g, s);
-}
-
-/* Whether one more fits: `have` of `most` are used, `own` of them by this address, `sharing` have some. */
-static gboolean has_capacity(double have, double own, guint sharing, double most) {
-  return have < most && (have < UNCONTENDED_PART * most || own < most / MAX(1, sharing));
-}
-
-gboolean fk_admission_admit_request(FkAdmission *g, FkConnectionSlot *s, FkRequestClass ask, gint64 now_us,
-                                    FkRejection *v) {
-  s->request_class = ask;
-  double most = capacity_part[ask] * g->limits.requests;
-  const FkAddressUsage *p = s->address;
-  /* the answer to a health check needs nobody else, and says whether there is any use in coming */
-  if (ask == FK_REQUEST_CLASS_HEALTH ||
-      (is_user_request(ask)
-           ? has_capacity(g->requests, p->requests, g->requesting_addresses + (p->requests == 0), most)
-           : g->requests < most))
+  unlink_slot(admission, slot);
+  count_connection(admission, slot, -1);
+  slot->connection_class = to;
+  count_connection(admission, slot, 1);
+  link_slot(admission, slot);
+}
+
+/* Whether there is capacity for one more: `used` of `max` is used, `own_use` of it by this address, and
+ * `sharing` addresses use some. */
+static gboolean has_capacity(double used, double own_use, guint sharing, double max) {
+  return used < max && (used < UNCONTENDED_PART * max || own_use < max / MAX(1, sharing));
+}
+
+gboolean fk_admission_admit_request(FkAdmission *admission, FkConnectionSlot *slot,
+                                    FkRequestClass request_class, gint64 now_us, FkRejection *rejection) {
+  slot->request_class = request_class;
+  double max = capacity_part[request_class] * admission->limits.requests;
+  const FkAddressUsage *usage = slot->address;
+  gboolean by_user = is_user_request(request_class);
+  guint sharing = admission->requesting_addresses + (usage->requests == 0);
+  /* a health check costs little, and its response tells whether to send more requests here */
+  if (request_class == FK_REQUEST_CLASS_HEALTH ||
+      (by_user ? has_capacity(admission->requests, usage->requests, sharing, max)
+               : admission->requests < max))
     return TRUE;
-  *v = (FkRejection){503, is_user_request(ask) ? 2 : 1, "too many requests are under way"};
-  fk_admission_reject(g, s, FK_REJECTION_OVERLOADED, now_us);
+  *rejection = (FkRejection){.status = 503,
+                             .retry_after_s = by_user ? REQUEST_RETRY_AFTER_S : HEARTBEAT_RETRY_AFTER_S,
+                             .reason = "too many requests are under way"};
+  fk_admission_reject(admission, slot, FK_REJECTION_OVERLOADED, now_us);
   return FALSE;
 }
 
-void fk_admission_request_complete(FkAdmission *g, FkConnectionSlot *s, gint64 now_us) {
-  change_class(g, s, class_after_request(s->connection_class, s->request_class));
-  set_stage(g, s, FK_STAGE_HANDLING, now_us);
+void fk_admission_request_complete(FkAdmission *admission, FkConnectionSlot *slot, gint64 now_us) {
+  change_class(admission, slot, class_after_request(slot->connection_class, slot->request_class));
+  set_stage(admission, slot, FK_STAGE_HANDLING, now_us);
 }
 
-void fk_admission_response_written(FkAdmission *g, FkConnectionSlot *s, gboolean all, gint64 now_us) {
+void fk_admission_response_written(FkAdmission *admission, FkConnectionSlot *slot, gboolean all,
+                                   gint64 now_us) {
   FkConnectionStage to = all ? FK_STAGE_IDLE : FK_STAGE_SENDING;
-  if (s->stage == to)
-    return; /* the time to take an answer is one for all of it */
-  unlink_slot(g, s);
-  s->answered |= all;
-  link_slot(g, s);
-  set_stage(g, s, to, now_us);
-}
-
-gboolean fk_admission_set_buffered(FkAdmission *g, FkConnectionSlot *s, gsize bytes, FkRejection *v) {
-  gboolean more = bytes > s->buffered;
-  gboolean head = s->stage == FK_STAGE_HEAD || s->stage == FK_STAGE_CONNECTED || s->stage == FK_STAGE_IDLE;
-  FkRequestClass ask = s->request_class;
-  double most = (head ? HEAD_CAPACITY_PART : capacity_part[ask]) * (double)g->limits.buffered_bytes;
-  guint sharing = g->buffering_addresses + (s->address->buffered == 0);
-  set_buffered(g, s, bytes);
-  /* what is answered already is given the time to go out; a request's handler is never stopped half-way */
-  if (!more || is_in_progress(s->stage) || (!head && ask == FK_REQUEST_CLASS_HEALTH))
+  if (slot->stage == to)
+    return; /* there is one time limit for taking a whole response */
+  unlink_slot(admission, slot);
+  slot->answered |= all;
+  link_slot(admission, slot);
+  set_stage(admission, slot, to, now_us);
+}
+
+gboolean fk_admission_set_buffered(FkAdmission *admission, FkConnectionSlot *slot, gsize bytes,
+                                   FkRejection *rejection) {
+  gboolean more = bytes > slot->buffered;
+  gboolean head =
+      slot->stage == FK_STAGE_HEAD || slot->stage == FK_STAGE_CONNECTED || slot->stage == FK_STAGE_IDLE;
+  FkRequestClass request_class = slot->request_class;
+  double max =
+      (head ? HEAD_CAPACITY_PART : capacity_part[request_class]) * (double)admission->limits.buffered_bytes;
+  guint sharing = admission->buffering_addresses + (slot->address->buffered == 0);
+  set_buffered(admission, slot, bytes);
+  /* responses have their time to be sent, and a handler is never interrupted */
+  if (!more || is_in_progress(slot->stage) || (!head && request_class == FK_REQUEST_CLASS_HEALTH))
     return TRUE;
-  gboolean users = head || is_user_request(ask);
-  if (users ? has_capacity((double)g->buffered, (double)s->address->buffered, sharing, most)
-            : (double)g->buffered < most)
+  gboolean by_user = head || is_user_request(request_class);
+  if (by_user ? has_capacity((double)admission->buffered, (double)slot->address->buffered, sharing, max)
+              : (double)admission->buffered < max)
     return TRUE;
-  *v = (FkRejection){503, 2, "too much is held for requests under way"};
+  *rejection = (FkRejection){.status = 503,
+                             .retry_after_s = REQUEST_RETRY_AFTER_S,
+                             .reason = "too much is held for requests under way"};
   return FALSE;
 }
 
-/* ------------------------------------------------------------------ who must go */
+/* ------------------------------------------------------------------ evictions */
 
-static gint64 stage_timeout_us(const FkAdmission *g, FkConnectionStage stage) {
+/* < 0: none. */
+static gint64 stage_timeout_us(const FkAdmission *admission, FkConnectionStage stage) {
   switch (stage) {
   case FK_STAGE_CONNECTED:
-    return g->limits.first_byte_us;
+    return admission->limits.first_byte_us;
   case FK_STAGE_HEAD:
-    return g->limits.head_us;
+    return admission->limits.head_us;
   case FK_STAGE_BODY:
-    return g->limits.body_us;
+    return admission->limits.body_us;
   case FK_STAGE_SENDING:
-    return g->limits.send_us;
+    return admission->limits.send_us;
   case FK_STAGE_IDLE:
-    return g->limits.idle_us;
+    return admission->limits.idle_us;
   case FK_STAGE_LINGERING:
-    return g->limits.linger_us;
+    return admission->limits.linger_us;
   default:
-    return -1; /* under way: the core's own deadlines */
+    return -1; /* a request's handler has deadlines of its own */
   }
 }
 
-static FkConnectionSlot *oldest(const GQueue *q) { return q->head ? q->head->data : NULL; }
+static FkConnectionSlot *oldest(const GQueue *queue) { return queue->head ? queue->head->data : NULL; }
 
-static FkConnectionSlot *expired_in(const FkAdmission *g, const GQueue *q, gint64 now_us) {
-  FkConnectionSlot *s = oldest(q);
-  gint64 most = s ? stage_timeout_us(g, s->stage) : -1;
-  return most >= 0 && now_us >= s->since_us + most ? s : NULL;
+static FkConnectionSlot *expired_in(const FkAdmission *admission, const GQueue *queue, gint64 now_us) {
+  FkConnectionSlot *slot = oldest(queue);
+  gint64 timeout_us = slot ? stage_timeout_us(admission, slot->stage) : -1;
+  return timeout_us >= 0 && now_us >= slot->since_us + timeout_us ? slot : NULL;
 }
 
-static FkConnectionSlot *expired(const FkAdmission *g, gint64 now_us) {
-  FkConnectionSlot *s = NULL;
-  for (guint i = 0; i < FK_STAGES && !s; i++)
-    s = expired_in(g, &g->stages[i], now_us);
-  for (guint i = 0; i < FK_CONNECTION_CLASSES && !s; i++)
-    s = expired_in(g, &g->idle[i], now_us);
-  return s;
+static FkConnectionSlot *expired(const FkAdmission *admission, gint64 now_us) {
+  FkConnectionSlot *slot = NULL;
+  for (guint i = 0; i < FK_STAGES && !slot; i++)
+    slot = expired_in(admission, &admission->stages[i], now_us);
+  for (guint i = 0; i < FK_CONNECTION_CLASSES && !slot; i++)
+    slot = expired_in(admission, &admission->idle[i], now_us);
+  return slot;
 }
 
-/* Of the address with the most connections: who never had an answer, the longest waiting first, then who is
- * idle. So a crowd from one address only ever crowds out itself, and newcomers get a moment to say what they
- * want. */
-static FkConnectionSlot *largest_address_victim(const FkAdmission *g) {
-  for (guint n = g->by_client_count->len; n-- > 1;)
-    for (GList *l = ((GQueue *)g->by_client_count->pdata[n])->head; l; l = l->next) {
-      const FkAddressUsage *p = l->data;
-      FkConnectionSlot *s = oldest(&p->unanswered);
-      s = s ? s : oldest(&p->answered);
-      if (s)
-        return s;
+/* Of the address with the most connections: the one that waits longest among those that never had a response,
+ * then among the others. So a flood from one address evicts only itself, and new connections have a moment to
+ * send a request. */
+static FkConnectionSlot *largest_address_victim(const FkAdmission *admission) {
+  for (guint count = admission->by_client_count->len; count-- > 1;)
+    for (GList *l = ((GQueue *)admission->by_client_count->pdata[count])->head; l; l = l->next) {
+      const FkAddressUsage *usage = l->data;
+      FkConnectionSlot *slot = oldest(&usage->unanswered);
+      if (!slot)
+        slot = oldest(&usage->answered);
+      if (slot)
+        return slot;
     }
   return NULL;
 }
 
-static FkConnectionSlot *over_limit(const FkAdmission *g) {
-  if (g->stages[FK_STAGE_LINGERING].length > g->limits.lingering)
-    return oldest(&g->stages[FK_STAGE_LINGERING]);
+/* A connection that must be closed because there are too many, or NULL. */
+static FkConnectionSlot *over_limit(const FkAdmission *admission) {
+  if (admission->stages[FK_STAGE_LINGERING].length > admission->limits.lingering)
+    return oldest(&admission->stages[FK_STAGE_LINGERING]);
   for (guint i = 0; i < FK_CONNECTION_CLASSES; i++) {
-    if (g->connections[i] <= g->limits.connections[i])
+    if (admission->connections[i] <= admission->limits.connections[i])
       continue;
-    FkConnectionSlot *s = i == FK_CONNECTION_CLASS_CLIENT ? largest_address_victim(g) : oldest(&g->idle[i]);
-    if (!s && i == FK_CONNECTION_CLASS_PEER)
-      s = oldest(&g->stages[FK_STAGE_CONNECTED]);
-    if (s)
-      return s;
+    FkConnectionSlot *slot =
+        i == FK_CONNECTION_CLASS_CLIENT ? largest_address_victim(admission) : oldest(&admission->idle[i]);
+    if (!slot && i == FK_CONNECTION_CLASS_PEER)
+      slot = oldest(&admission->stages[FK_STAGE_CONNECTED]);
+    if (slot)
+      return slot;
   }
   return NULL;
 }
 
-FkConnectionSlot *fk_admission_next_eviction(FkAdmission *g, gint64 now_us, FkRejection *v) {
-  static const FkRejection slow = {408, 0, "the request took too long to come"};
-  static const FkRejection full = {503, 1, "too many connections"};
-  FkConnectionSlot *s = expired(g, now_us);
-  gboolean late = s != NULL;
-  if (!s)
-    s = over_limit(g);
-  if (!s)
+FkConnectionSlot *fk_admission_next_eviction(FkAdmission *admission, gint64 now_us, FkRejection *rejection) {
+  static const FkRejection timeout = {408, 0, "the request took too long to come"};
+  static const FkRejection evicted = {503, CONNECTION_RETRY_AFTER_S, "too many connections"};
+  FkConnectionSlot *slot = expired(admission, now_us);
+  gboolean is_late = slot != NULL;
+  if (!slot)
+    slot = over_limit(admission);
+  if (!slot)
     return NULL;
-  gboolean speaks = s->stage == FK_STAGE_HEAD || s->stage == FK_STAGE_BODY;
-  *v = speaks ? (late ? slow : full) : (FkRejection){0};
-  if (s->stage != FK_STAGE_LINGERING)
-    fk_admission_reject(g, s, late ? FK_REJECTION_TIMEOUT : FK_REJECTION_EVICTED, now_us);
-  if (!speaks)
-    fk_admission_connection_closed(g, s);
-  return s;
+  gboolean in_request = slot->stage == FK_STAGE_HEAD || slot->stage == FK_STAGE_BODY;
+  *rejection = in_request ? (is_late ? timeout : evicted) : (FkRejection){0};
+  if (slot->stage != FK_STAGE_LINGERING)
+    fk_admission_reject(admission, slot, is_late ? FK_REJECTION_TIMEOUT : FK_REJECTION_EVICTED, now_us);
+  if (!in_request)
+    fk_admission_connection_closed(admission, slot);
+  return slot;
 }
 
-gint64 fk_admission_next_deadline_us(const FkAdmission *g) {
-  gint64 at = G_MAXINT64;
+gint64 fk_admission_next_deadline_us(const FkAdmission *admission) {
+  gint64 deadline_us = G_MAXINT64;
   for (guint i = 0; i < FK_STAGES + FK_CONNECTION_CLASSES; i++) {
-    FkConnectionSlot *s = oldest(i < FK_STAGES ? &g->stages[i] : &g->idle[i - FK_STAGES]);
-    if (s && stage_timeout_us(g, s->stage) >= 0)
-      at = MIN(at, s->since_us + stage_timeout_us(g, s->stage));
+    FkConnectionSlot *slot = oldest(i < FK_STAGES ? &admission->stages[i] : &admission->idle[i - FK_STAGES]);
+    if (slot && stage_timeout_us(admission, slot->stage) >= 0)
+      deadline_us = MIN(deadline_us, slot->since_us + stage_timeout_us(admission, slot->stage));
   }
-  return at;
+  return deadline_us;
 }
 
 /* ------------------------------------------------------------------ figures */
 
-guint fk_admission_connections(const FkAdmission *g, FkConnectionClass guest) {
-  return g->connections[guest];
-}
-guint fk_admission_requests(const FkAdmission *g) { return g->requests; }
-gsize fk_admission_buffered_bytes(const FkAdmission *g) { return g->buffered; }
-guint fk_admission_addresses(const FkAdmission *g) { return g_hash_table_size(g->addresses); }
-guint64 fk_admission_rejections(const FkAdmission *g, FkRejectionReason why) { return g->rejections[why]; }
-guint64 fk_admission_accepted(const FkAdmission *g) { return g->accepted; }
-
-char *fk_admission_summary(const FkAdmission *g, FkAdmissionCounters *last, gboolean *bad) {
-  static const char *const names[FK_REJECTION_REASONS] = {[FK_REJECTION_TIMEOUT] = "too slow",
-                                                          [FK_REJECTION_EVICTED] = "closed for others",
-                                                          [FK_REJECTION_OVERLOADED] = "too many requests",
-                                                          [FK_REJECTION_MEMORY] = "memory",
-                                                          [FK_REJECTION_MALFORMED] = "no request",
-                                                          [FK_REJECTION_HANDLER_CLOSED] = "sent on and on"};
-  const guint *most = g->limits.connections;
-  g_autoptr(GString) text = g_string_new("");
-  g_string_append_printf(
-      text,
-      "door: %" G_GUINT64_FORMAT
-      " came; open: %u/%u users and unknown, %u/%u workers, %u/%u checks, %u/%u peers, "
-      "of %u addresses; %u/%u requests under way, %" G_GSIZE_FORMAT "/%" G_GSIZE_FORMAT " kB held",
-      g->accepted - last->accepted, g->connections[0], most[0], g->connections[1], most[1], g->connections[2],
-      most[2], g->connections[3], most[3], fk_admission_addresses(g), g->requests, g->limits.requests,
-      g->buffered / 1024, g->limits.buffered_bytes / 1024);
-  *bad = FALSE;
+guint fk_admission_connections(const FkAdmission *admission, FkConnectionClass connection_class) {
+  return admission->connections[connection_class];
+}
+guint fk_admission_requests(const FkAdmission *admission) { return admission->requests; }
+gsize fk_admission_buffered_bytes(const FkAdmission *admission) { return admission->buffered; }
+guint fk_admission_addresses(const FkAdmission *admission) { return g_hash_table_size(admission->addresses); }
+guint64 fk_admission_rejections(const FkAdmission *admission, FkRejectionReason reason) {
+  return admission->rejections[reason];
+}
+guint64 fk_admission_accepted(const FkAdmission *admission) { return admission->accepted; }
+
+char *fk_admission_summary(const FkAdmission *admission, FkAdmissionCounters *last,
+                           gboolean *has_rejections) {
+  static const char *const keys[FK_REJECTION_REASONS] = {
+      [FK_REJECTION_TIMEOUT] = "timeout",       [FK_REJECTION_EVICTED] = "evicted",
+      [FK_REJECTION_OVERLOADED] = "overloaded", [FK_REJECTION_MEMORY] = "memory",
+      [FK_REJECTION_MALFORMED] = "malformed",   [FK_REJECTION_HANDLER_CLOSED] = "handler_closed"};
+  static const char *const class_keys[FK_CONNECTION_CLASSES] = {[FK_CONNECTION_CLASS_CLIENT] = "clients",
+                                                                [FK_CONNECTION_CLASS_WORKER] = "workers",
+                                                                [FK_CONNECTION_CLASS_HEALTH_CHECK] =
+                                                                    "health_checks",
+                                                                [FK_CONNECTION_CLASS_PEER] = "peers"};
+  const FkAdmissionLimits *limits = &admission->limits;
+  GString *text = g_string_new("");
+  g_string_append_printf(text, "admission accepted=%" G_GUINT64_FORMAT, admission->accepted - last->accepted);
+  for (guint i = 0; i < FK_CONNECTION_CLASSES; i++)
+    g_string_append_printf(text, " %s=%u/%u", class_keys[i], admission->connections[i],
+                           limits->connections[i]);
+  g_string_append_printf(text,
+                         " addresses=%u requests=%u/%u buffered_kb=%" G_GSIZE_FORMAT "/%" G_GSIZE_FORMAT,
+                         fk_admission_addresses(admission), admission->requests, limits->requests,
+                         admission->buffered / BYTES_PER_KB, limits->buffered_bytes / BYTES_PER_KB);
+  *has_rejections = FALSE;
   for (guint i = 0; i < FK_REJECTION_REASONS; i++) {
-    guint64 n = g->rejections[i] - last->rejections[i];
-    if (n)
-      g_string_append_printf(text, "; %s: %" G_GUINT64_FORMAT, names[i], n);
-    *bad |= n && i != FK_REJECTION_TIMEOUT && i != FK_REJECTION_HANDLER_CLOSED;
-    last->rejections[i] = g->rejections[i];
+    guint64 count = admission->rejections[i] - last->rejections[i];
+    if (count)
+      g_string_append_printf(text, " %s=%" G_GUINT64_FORMAT, keys[i], count);
+    *has_rejections |= count && i != FK_REJECTION_TIMEOUT && i != FK_REJECTION_HANDLER_CLOSED;
+    last->rejections[i] = admission->rejections[i];
   }
-  last->accepted = g->accepted;
-  return g_string_free(g_steal_pointer(&text), FALSE);
-}
-
-void fk_admission_verify(const FkAdmission *g) {
-  guint guests[FK_CONNECTION_CLASSES] = {0}, requests = 0, asking = 0, holding = 0, all = 0, largest = 0;
-  gsize held = 0;
-  for (guint i = 0; i < FK_STAGES + FK_CONNECTION_CLASSES; i++)
-    for (GList *l = (i < FK_STAGES ? &g->stages[i] : &g->idle[i - FK_STAGES])->head; l; l = l->next) {
-      const FkConnectionSlot *s = l->data, *after = l->next ? l->next->data : NULL;
-      g_assert_true(!after || after->since_us >= s->since_us);
-      g_assert_true(s->stage == (i < FK_STAGES ? i : FK_STAGE_IDLE));
-      guests[s->connection_class] += s->stage != FK_STAGE_LINGERING;
-      requests += is_in_progress(s->stage);
-      held += s->buffered;
-      all++;
-    }
-  GHashTableIter it;
-  gpointer v;
-  g_hash_table_iter_init(&it, g->addresses);
-  while (g_hash_table_iter_next(&it, NULL, &v)) {
-    const FkAddressUsage *p = v;
-    g_assert_cmpuint(p->unanswered.length + p->answered.length, <=, p->clients);
-    g_assert_nonnull(g_queue_find(g->by_client_count->pdata[p->clients], p));
-    asking += p->requests > 0;
-    holding += p->buffered > 0;
-    all -= p->connections;
-    largest = MAX(largest, p->clients);
+  last->accepted = admission->accepted;
+  return g_string_free(text, FALSE);
+}
+
+/* ------------------------------------------------------------------ self-check */
+
+/* What the counts should be, added up from the slots. */
+typedef struct {
+  guint by_class[FK_CONNECTION_CLASSES], connections, requests;
+  gsize buffered;
+} SlotTotals;
+
+static void add_queue(SlotTotals *totals, const GQueue *queue, FkConnectionStage stage) {
+  for (GList *l = queue->head; l; l = l->next) {
+    const FkConnectionSlot *slot = l->data, *next = l->next ? l->next->data : NULL;
+    g_assert_true(!next || next->since_us >= slot->since_us);
+    g_assert_true(slot->stage == stage);
+    totals->by_class[slot->connection_class] += stage != FK_STAGE_LINGERING;
+    totals->requests += is_in_progress(stage);
+    totals->buffered += slot->buffered;
+    totals->connections++;
   }
+}
+
+static void verify_slots(const FkAdmission *admission, SlotTotals *totals) {
+  for (guint i = 0; i < FK_STAGES; i++)
+    add_queue(totals, &admission->stages[i], i);
   for (guint i = 0; i < FK_CONNECTION_CLASSES; i++)
-    g_assert_cmpuint(guests[i], ==, g->connections[i]);
-  g_assert_cmpuint(all, ==, 0);
-  g_assert_cmpuint(largest, ==, g->by_client_count->len - 1);
-  g_assert_cmpuint(requests, ==, g->requests);
-  g_assert_cmpuint(asking, ==, g->requesting_addresses);
-  g_assert_cmpuint(holding, ==, g->buffering_addresses);
-  g_assert_cmpuint(held, ==, g->buffered);
+    add_queue(totals, &admission->idle[i], FK_STAGE_IDLE);
+  for (guint i = 0; i < FK_CONNECTION_CLASSES; i++)
+    g_assert_cmpuint(totals->by_class[i], ==, admission->connections[i]);
+  g_assert_cmpuint(totals->requests, ==, admission->requests);
+  g_assert_cmpuint(totals->buffered, ==, admission->buffered);
+}
+
+static void verify_addresses(const FkAdmission *admission, const SlotTotals *totals) {
+  guint requesting = 0, buffering = 0, connections = 0, largest = 0;
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, admission->addresses);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const FkAddressUsage *usage = value;
+    g_assert_cmpuint(usage->unanswered.length + usage->answered.length, <=, usage->clients);
+    g_assert_nonnull(g_queue_find(admission->by_client_count->pdata[usage->clients], usage));
+    requesting += usage->requests > 0;
+    buffering += usage->buffered > 0;
+    connections += usage->connections;
+    largest = MAX(largest, usage->clients);
+  }
+  g_assert_cmpuint(connections, ==, totals->connections);
+  g_assert_cmpuint(largest, ==, admission->by_client_count->len - 1);
+  g_assert_cmpuint(requesting, ==, admission->requesting_addresses);
+  g_assert_cmpuint(buffering, ==, admission->buffering_addresses);
+}
+
+void fk_admission_verify(const FkAdmission *admission) {
+  SlotTotals totals = {0};
+  verify_slots(admission, &totals);
+  verify_addresses(admission, &totals);
 }
--- a/src/admission/dependency_health.c
+++ b/src/admission/dependency_health.c
@@ -1,87 +1,111 @@
 #include "admission/dependency_health.h"
 
-/* One call that fails is said nothing of, unless the system was never reached: calls are lost now and then.
- */
+/* A single call may be lost. Only a dependency that never answered is warned of at its first failure. */
 #define FAILURES_BEFORE_WARNING 3
 
 typedef struct {
-  char *name, *impact, *reason;
-  gint64 since_us, answered_us, reported_us;
-  guint failures;
-  gboolean reported, recovered;
+  char *name, *impact;
+  char *failure;                                   /* the latest call's; NULL: none failed yet */
+  guint failures;                                  /* since it last answered */
+  gint64 failing_since_us, answered_us, warned_us; /* answered_us 0: never */
+  gboolean is_warned;                              /* of the present outage */
+  gboolean has_recovered;                          /* from an outage that was warned of: to be said */
 } Dependency;
 
 struct FkDependencyHealth {
   gint64 window_us;
-  GPtrArray *systems;
+  GPtrArray *dependencies; /* Dependency */
 };
 
-static void dependency_free(gpointer p) {
-  Dependency *s = p;
-  g_free(s->name);
-  g_free(s->impact);
-  g_free(s->reason);
-  g_free(s);
+static void dependency_free(gpointer data) {
+  Dependency *dependency = data;
+  g_free(dependency->name);
+  g_free(dependency->impact);
+  g_free(dependency->failure);
+  g_free(dependency);
 }
 
 FkDependencyHealth *fk_dependency_health_new(gint64 window_us) {
-  FkDependencyHealth *r = g_new0(FkDependencyHealth, 1);
-  r->window_us = window_us;
-  r->systems = g_ptr_array_new_with_free_func(dependency_free);
-  return r;
+  FkDependencyHealth *health = g_new0(FkDependencyHealth, 1);
+  health->window_us = window_us;
+  health->dependencies = g_ptr_array_new_with_free_func(dependency_free);
+  return health;
 }
 
-void fk_dependency_health_free(FkDependencyHealth *r) {
-  if (!r)
+void fk_dependency_health_free(FkDependencyHealth *health) {
+  if (!health)
     return;
-  g_ptr_array_unref(r->systems);
-  g_free(r);
+  g_ptr_array_unref(health->dependencies);
+  g_free(health);
 }
 
-guint fk_dependency_health_add(FkDependencyHealth *r, const char *name, const char *means) {
-  Dependency *s = g_new0(Dependency, 1);
-  s->name = g_strdup(name);
-  s->impact = g_strdup(means);
-  g_ptr_array_add(r->systems, s);
-  return r->systems->len - 1;
+guint fk_dependency_health_add(FkDependencyHealth *health, const char *name, const char *impact) {
+  Dependency *dependency = g_new0(Dependency, 1);
+  dependency->name = g_strdup(name);
+  dependency->impact = g_strdup(impact);
+  g_ptr_array_add(health->dependencies, dependency);
+  return health->dependencies->len - 1;
 }
 
-void fk_dependency_health_record(FkDependencyHealth *r, guint system, const char *why, gint64 now_us) {
-  Dependency *s = r->systems->pdata[system];
-  if (!why) {
-    s->recovered = s->reported;
-    s->reported = FALSE;
-    s->failures = 0;
-    s->answered_us = now_us;
-    return;
-  }
-  if (s->failures++ == 0)
-    s->since_us = now_us;
-  s->recovered = FALSE;
-  if (g_strcmp0(s->reason, why) != 0) {
-    g_free(s->reason);
-    s->reason = g_strdup(why);
+static void record_answer(Dependency *dependency, gint64 now_us) {
+  dependency->has_recovered = dependency->is_warned;
+  dependency->is_warned = FALSE;
+  dependency->failures = 0;
+  dependency->answered_us = now_us;
+}
+
+static void record_failure(Dependency *dependency, const char *failure, gint64 now_us) {
+  if (dependency->failures++ == 0)
+    dependency->failing_since_us = now_us;
+  dependency->has_recovered = FALSE;
+  if (g_strcmp0(dependency->failure, failure) != 0) {
+    g_free(dependency->failure);
+    dependency->failure = g_strdup(failure);
   }
 }
 
-char *fk_dependency_health_next_message(FkDependencyHealth *r, gint64 now_us, gboolean *bad) {
-  for (guint i = 0; i < r->systems->len; i++) {
-    Dependency *s = r->systems->pdata[i];
-    if (s->recovered) {
-      s->recovered = FALSE;
-      *bad = FALSE;
-      return g_strdup_printf("%s can be reached again, after %.1f s", s->name,
-                             (double)(s->answered_us - s->since_us) / 1e6);
+void fk_dependency_health_record(FkDependencyHealth *health, guint index, const char *failure,
+                                 gint64 now_us) {
+  Dependency *dependency = health->dependencies->pdata[index];
+  if (failure)
+    record_failure(dependency, failure, now_us);
+  else
+    record_answer(dependency, now_us);
+}
+
+static gboolean is_warning_due(const FkDependencyHealth *health, const Dependency *dependency,
+                               gint64 now_us) {
+  guint failures_needed = dependency->answered_us ? FAILURES_BEFORE_WARNING : 1;
+  return dependency->failures >= failures_needed &&
+         (!dependency->is_warned || now_us >= dependency->warned_us + health->window_us);
+}
+
+static char *print_recovery(const Dependency *dependency) {
+  return g_strdup_printf("dependency recovered name=\"%s\" outage_s=%.1f", dependency->name,
+                         (double)(dependency->answered_us - dependency->failing_since_us) / 1e6);
+}
+
+static char *print_outage(const Dependency *dependency, gint64 now_us) {
+  return g_strdup_printf(
+      "dependency unreachable name=\"%s\" failure=\"%s\" unreachable_s=%.1f%s impact=\"%s\"",
+      dependency->name, dependency->failure, (double)(now_us - dependency->failing_since_us) / 1e6,
+      dependency->answered_us ? "" : " never_reached=true", dependency->impact);
+}
+
+char *fk_dependency_health_next_message(FkDependencyHealth *health, gint64 now_us, gboolean *is_warning) {
+  for (guint i = 0; i < health->dependencies->len; i++) {
+    Dependency *dependency = health->dependencies->pdata[i];
+    if (dependency->has_recovered) {
+      dependency->has_recovered = FALSE;
+      *is_warning = FALSE;
+      return print_recovery(dependency);
+    }
+    if (is_warning_due(health, dependency, now_us)) {
+      dependency->is_warned = TRUE;
+      dependency->warned_us = now_us;
+      *is_warning = TRUE;
+      return print_outage(dependency, now_us);
     }
-    if (s->failures < (s->answered_us ? FAILURES_BEFORE_WARNING : 1) ||
-        (s->reported && now_us < s->reported_us + r->window_us))
-      continue;
-    s->reported = TRUE;
-    s->reported_us = now_us;
-    *bad = TRUE;
-    return g_strdup_printf("%s can't be reached (%s) since %.1f s%s; %s", s->name, s->reason,
-                           (double)(now_us - s->since_us) / 1e6,
-                           s->answered_us ? "" : ", and never was since the start", s->impact);
   }
   return NULL;
 }
--- a/src/admission/limits.c
+++ b/src/admission/limits.c
@@ -2,61 +2,96 @@
 
 #define MICROSECONDS_PER_S 1e6
 #define KIB 1024
+#define MIB (1024 * KIB)
+
 #define RESERVED_SOCKETS 8 /* listeners, the poll set, a log */
-/* What a connection costs while nothing is asked on it (measured, docs/operators/limits.md), and the part of
- * the memory that outsiders' connections may take. */
+/* What a connection without a request costs (measured, docs/operators/limits.md), and the part of the memory
+ * that clients' connections may take. */
 #define CONNECTION_BYTES (10 * KIB)
-#define CONNECTIONS_PART 0.25
-#define BUFFERED_PART 0.125
+#define CLIENT_CONNECTIONS_RAM_PART 0.25
+#define BUFFERED_RAM_PART 0.125
 /* Workers' connections: so many where the sockets allow it, and more where the memory does. A fleet may have
- * a single controller to report to for a while, and who is closed for another has to connect anew. */
-#define WORKERS_LEAST 4000
-#define WORKERS_PART 0.5
-#define REQUEST_BYTES (16 * KIB) /* a request under way: its message, its body, what the core keeps */
+ * a single controller to report to for a while, and a worker that is evicted has to connect again. */
+#define WORKER_CONNECTIONS_MAX 4000
+#define WORKER_CONNECTIONS_RAM_PART 0.5
+#define REQUEST_BYTES (16 * KIB) /* a request in progress: its message, its body, what the core keeps */
+#define STORE_RESPONSE_RAM_PART 0.15
+
+#define DEFAULT_HEAD_S 10
+#define DEFAULT_BODY_S 10
+#define DEFAULT_IDLE_S 120
+#define DEFAULT_SEND_S 10
+#define LINGER_S 1
+
+/* A part of `total`, within bounds. */
+static guint part_of(double total, double part, guint min, guint max) {
+  return (guint)CLAMP(total * part, min, max);
+}
+
+static gint64 timeout_us(double option_s, double default_s) {
+  return (gint64)((option_s > 0 ? option_s : default_s) * MICROSECONDS_PER_S);
+}
+
+static void set_outbound(FkAdmissionLimits *limits, const FkAdmissionResources *resources) {
+  limits->store_connections = part_of(resources->sockets, 0.1, 2, 32);
+  limits->cloud_connections = part_of(resources->sockets, 0.02, 1, 4);
+  limits->peer_connections = MAX(1, 2 * resources->peers);
+  limits->worker_connections = part_of(resources->sockets, 0.2, 2, 400);
+}
+
+/* From the sockets that the outbound connections leave. */
+static void set_inbound(FkAdmissionLimits *limits, const FkAdmissionResources *resources,
+                        const FkAdmissionOptions *options) {
+  guint *connections = limits->connections;
+  double ram_bytes = resources->ram_mb * MIB;
+  connections[FK_CONNECTION_CLASS_PEER] = 4 * resources->peers + 4;
+  double sockets = resources->sockets - RESERVED_SOCKETS - limits->store_connections -
+                   limits->cloud_connections - limits->peer_connections - limits->worker_connections -
+                   connections[FK_CONNECTION_CLASS_PEER];
+  connections[FK_CONNECTION_CLASS_HEALTH_CHECK] = part_of(sockets, 0.02, 2, 32);
+  guint workers_max =
+      (guint)MAX(WORKER_CONNECTIONS_MAX, WORKER_CONNECTIONS_RAM_PART * ram_bytes / CONNECTION_BYTES);
+  connections[FK_CONNECTION_CLASS_WORKER] = part_of(sockets, 0.4, 2, workers_max);
+  limits->lingering = part_of(sockets, 0.05, 2, 128);
+  double clients = sockets - connections[FK_CONNECTION_CLASS_HEALTH_CHECK] -
+                   connections[FK_CONNECTION_CLASS_WORKER] - limits->lingering;
+  double affordable = CLIENT_CONNECTIONS_RAM_PART * ram_bytes / CONNECTION_BYTES;
+  connections[FK_CONNECTION_CLASS_CLIENT] = options->connections > 0
+                                                ? (guint)CLAMP(options->connections, 2, MAX(2, clients))
+                                                : (guint)MAX(2, MIN(clients, affordable));
+  limits->backlog = connections[FK_CONNECTION_CLASS_CLIENT] + connections[FK_CONNECTION_CLASS_WORKER] +
+                    connections[FK_CONNECTION_CLASS_HEALTH_CHECK];
+}
 
-static guint share_of(double of, double share, guint least, guint most) {
-  return (guint)CLAMP(of * share, least, most);
+static void set_sizes(FkAdmissionLimits *limits, const FkAdmissionResources *resources,
+                      const FkAdmissionOptions *options) {
+  double ram_bytes = resources->ram_mb * MIB;
+  limits->buffered_bytes =
+      (gsize)(options->memory_mb > 0 ? options->memory_mb * MIB : BUFFERED_RAM_PART * ram_bytes);
+  limits->requests = part_of((double)limits->buffered_bytes, 1.0 / REQUEST_BYTES, 16, 8192);
+  limits->head_bytes = 16 * KIB;
+  limits->body_bytes = 64 * KIB; /* the protocol's */
+  /* a chunk of one byte takes six: a body within its limit may still be out of proportion on the wire */
+  limits->wire_bytes = limits->head_bytes + 2 * limits->body_bytes;
+  limits->response_bytes = 2 * MIB;
+  limits->store_response_bytes = (gsize)MAX(4.0 * MIB, STORE_RESPONSE_RAM_PART * ram_bytes);
 }
 
-static gint64 timeout_us(double wish, double fallback_s) {
-  return (gint64)((wish > 0 ? wish : fallback_s) * MICROSECONDS_PER_S);
+static void set_timeouts(FkAdmissionLimits *limits, const FkAdmissionOptions *options) {
+  limits->first_byte_us = timeout_us(options->head_s, DEFAULT_HEAD_S);
+  limits->head_us = timeout_us(options->head_s, DEFAULT_HEAD_S);
+  limits->body_us = timeout_us(options->body_s, DEFAULT_BODY_S);
+  limits->idle_us = timeout_us(options->idle_s, DEFAULT_IDLE_S);
+  limits->send_us = timeout_us(options->send_s, DEFAULT_SEND_S);
+  limits->linger_us = (gint64)(LINGER_S * MICROSECONDS_PER_S);
 }
 
-FkAdmissionLimits fk_admission_limits_derive(const FkAdmissionResources *m, const FkAdmissionOptions *w) {
-  FkAdmissionLimits l = {0};
-  double ram = m->ram_mb * KIB * KIB;
-  l.store_connections = share_of(m->sockets, 0.1, 2, 32);
-  l.cloud_connections = share_of(m->sockets, 0.02, 1, 4);
-  l.peer_connections = MAX(1, 2 * m->peers);
-  l.worker_connections = share_of(m->sockets, 0.2, 2, 400);
-  l.connections[FK_CONNECTION_CLASS_PEER] = 4 * m->peers + 4;
-  double inwards = m->sockets - RESERVED_SOCKETS - l.store_connections - l.cloud_connections -
-                   l.peer_connections - l.worker_connections - l.connections[FK_CONNECTION_CLASS_PEER];
-  l.connections[FK_CONNECTION_CLASS_HEALTH_CHECK] = share_of(inwards, 0.02, 2, 32);
-  guint workers = (guint)MAX(WORKERS_LEAST, WORKERS_PART * ram / CONNECTION_BYTES);
-  l.connections[FK_CONNECTION_CLASS_WORKER] = share_of(inwards, 0.4, 2, workers);
-  l.lingering = share_of(inwards, 0.05, 2, 128);
-  double outsiders = inwards - l.connections[FK_CONNECTION_CLASS_HEALTH_CHECK] -
-                     l.connections[FK_CONNECTION_CLASS_WORKER] - l.lingering;
-  double affordable = CONNECTIONS_PART * ram / CONNECTION_BYTES;
-  l.connections[FK_CONNECTION_CLASS_CLIENT] = (guint)MAX(2, MIN(outsiders, affordable));
-  if (w->connections > 0)
-    l.connections[FK_CONNECTION_CLASS_CLIENT] = (guint)CLAMP(w->connections, 2, MAX(2, outsiders));
-  l.backlog = l.connections[FK_CONNECTION_CLASS_CLIENT] + l.connections[FK_CONNECTION_CLASS_WORKER] +
-              l.connections[FK_CONNECTION_CLASS_HEALTH_CHECK];
-  l.buffered_bytes = (gsize)(w->memory_mb > 0 ? w->memory_mb * KIB * KIB : BUFFERED_PART * ram);
-  l.requests = share_of((double)l.buffered_bytes, 1.0 / REQUEST_BYTES, 16, 8192);
-  l.head_bytes = 16 * KIB;
-  l.body_bytes = 64 * KIB; /* the protocol's */
-  /* chunks of a byte each take six: what is within the body's limit may still be out of all proportion */
-  l.wire_bytes = l.head_bytes + 2 * l.body_bytes;
-  l.response_bytes = 2 * KIB * KIB;
-  l.store_response_bytes = (gsize)MAX(4.0 * KIB * KIB, 0.15 * ram);
-  l.first_byte_us = timeout_us(w->head_s, 10);
-  l.head_us = timeout_us(w->head_s, 10);
-  l.body_us = timeout_us(w->body_s, 10);
-  l.idle_us = timeout_us(w->idle_s, 120);
-  l.send_us = timeout_us(w->send_s, 10);
-  l.linger_us = (gint64)(1 * MICROSECONDS_PER_S);
-  return l;
+FkAdmissionLimits fk_admission_limits_derive(const FkAdmissionResources *resources,
+                                             const FkAdmissionOptions *options) {
+  FkAdmissionLimits limits = {0};
+  set_outbound(&limits, resources);
+  set_inbound(&limits, resources, options);
+  set_sizes(&limits, resources, options);
+  set_timeouts(&limits, options);
+  return limits;
 }
--- a/src/admission/limits.h
+++ b/src/admission/limits.h
@@ -1,19 +1,19 @@
-/* What the front door allows: how many connections of which kind, how long each step may take, how much may
- * be held. Everything that the operators don't set is derived from the controller's own resources, so that no
- * crowd at the door takes what the store, the cloud, workers and peers need. Plain data. */
+/* The limits of admission control: connections by class, the time that each stage of a request may take,
+ * bytes that may be buffered. What the operators don't set is derived from the controller's resources, so
+ * that no flood of requests takes what the store, the cloud, workers and peers need. Plain data. */
 #pragma once
 #include <glib.h>
 
-/* Who is at the other end. Everybody is an outsider until a request says otherwise. */
+/* Who is at the other end of a connection. All are clients until a request tells more. */
 typedef enum {
-  FK_CONNECTION_CLASS_CLIENT,
+  FK_CONNECTION_CLASS_CLIENT, /* users, and all that isn't known */
   FK_CONNECTION_CLASS_WORKER,
   FK_CONNECTION_CLASS_HEALTH_CHECK,
-  FK_CONNECTION_CLASS_PEER,
+  FK_CONNECTION_CLASS_PEER, /* other controllers */
   FK_CONNECTION_CLASSES
 } FkConnectionClass;
 
-/* What is asked, in the order in which it is served under overload (docs/design.md, "The front door"). */
+/* What a request asks for, in the order in which requests are served under overload. */
 typedef enum {
   FK_REQUEST_CLASS_HEALTH,
   FK_REQUEST_CLASS_PEER,
@@ -31,24 +31,32 @@
   guint peers;
 } FkAdmissionResources;
 
-/* What operators may set; 0: derived. Seconds, kB. */
+/* What operators may set; 0: derived. Times in seconds. */
 typedef struct {
-  double connections, head_s, body_s, idle_s, send_s, memory_mb;
+  double connections; /* of FK_CONNECTION_CLASS_CLIENT */
+  double head_s, body_s, idle_s, send_s;
+  double memory_mb; /* buffered for requests in progress */
 } FkAdmissionOptions;
 
 typedef struct {
-  guint connections[FK_CONNECTION_CLASSES]; /* connections at once, inwards */
-  guint lingering;                          /* of those told to go that are still read from for a moment */
-  guint backlog;                            /* of each listener: all that may come in */
-  guint store_connections, cloud_connections, worker_connections,
-      peer_connections; /* connections at once, outwards */
-  guint requests;       /* under way at once */
-  gsize buffered_bytes; /* bytes of requests and answers under way */
-  gsize head_bytes, body_bytes,
-      wire_bytes; /* bytes of one request: before its body, its body, all of it on the wire */
-  gsize response_bytes, store_response_bytes; /* bytes of one answer to ourselves */
+  /* inbound connections at once */
+  guint connections[FK_CONNECTION_CLASSES];
+  guint lingering; /* rejected ones that are still read from for a moment */
+  guint backlog;   /* of each listening socket */
+  /* outbound connections at once */
+  guint store_connections, cloud_connections, worker_connections, peer_connections;
+  /* all requests in progress together */
+  guint requests;
+  gsize buffered_bytes; /* of requests and responses */
+  /* one request */
+  gsize head_bytes;
+  gsize body_bytes;
+  gsize wire_bytes; /* all of it, with chunk headers */
+  /* one response to a call of our own */
+  gsize response_bytes, store_response_bytes;
+  /* how long a connection may stay in a stage */
   gint64 first_byte_us, head_us, body_us, idle_us, send_us, linger_us;
 } FkAdmissionLimits;
 
-FkAdmissionLimits fk_admission_limits_derive(const FkAdmissionResources *means,
-                                             const FkAdmissionOptions *wishes);
+FkAdmissionLimits fk_admission_limits_derive(const FkAdmissionResources *resources,
+                                             const FkAdmissionOptions *options);
--- a/src/admission/request_parser.h
+++ b/src/admission/request_parser.h
@@ -1,37 +1,41 @@
-/* Reads one request as its bytes come: where its head and its body end, whether it stays within the door's
- * bounds. What the bytes say is left to whoever serves them. Framing is http-parser's (strict: RFC 9112, 6
- * and 7; a length beside chunks, two lengths, bare control characters are refused). */
+/* Finds where the head and the body of an HTTP/1 request end as its bytes come, and whether it stays within
+ * the limits. What the request says is left to its handler. The framing is http-parser's, which is strict
+ * (RFC 9112, 6 and 7): it refuses a length beside chunks, two lengths, and bare control characters. */
 #pragma once
 #include <http_parser.h>
 
 #include "admission/limits.h"
 
-#define FK_REQUEST_PATH_BYTES 96 /* enough of a path to tell what is asked */
+#define FK_REQUEST_PATH_BYTES 96 /* of a path that are kept: enough to tell a request's class */
 
 typedef enum {
-  FK_PARSER_STAGE_START,
+  FK_PARSER_STAGE_START, /* no byte has come */
   FK_PARSER_STAGE_HEAD,
   FK_PARSER_STAGE_BODY,
   FK_PARSER_STAGE_COMPLETE,
-  FK_PARSER_STAGE_FAILED
+  FK_PARSER_STAGE_FAILED /* malformed or too long */
 } FkParserStage;
 
 typedef struct {
   http_parser parser;
   FkParserStage stage;
-  gsize wire_bytes, body_bytes, path_len, field_count;
-  guint64 content_length;           /* length of the body; 0: none was declared */
-  char path[FK_REQUEST_PATH_BYTES]; /* ended by 0; cut short when path_len is larger */
-  char field_name[8];               /* the name of the field that is being read */
-  guint field_name_len;
-  gboolean in_value, expects_continue; /* ... `100-continue` */
-  guint status;                        /* when bad: the answer ... */
-  const char *reason;                  /* ... and its reason, static */
+  gsize wire_bytes, body_bytes;     /* parsed so far */
+  guint64 content_length;           /* as declared; 0: it wasn't */
+  gsize path_len;                   /* of the whole path */
+  char path[FK_REQUEST_PATH_BYTES]; /* zero-terminated; cut short when it is longer */
+  gsize field_count;                /* of the head */
+  char field_name[8];               /* the start of the present one's name, in lower case */
+  guint field_name_len;             /* the whole name's */
+  gboolean in_value;                /* of the present field */
+  gboolean expects_continue;        /* "Expect: 100-continue" */
+  guint status;                     /* FAILED: of the response */
+  const char *reason;               /* FAILED: static */
 } FkRequestParser;
 
-void fk_request_parser_init(FkRequestParser *r);
-/* Takes bytes up to the end of the request at most; returns how many. Reading over the bounds makes it bad.
+void fk_request_parser_init(FkRequestParser *parser);
+/* Parses bytes up to the end of the request at most, and returns how many. A request over the limits fails.
  */
-gsize fk_request_parser_feed(FkRequestParser *r, const FkAdmissionLimits *limits, const char *data,
+gsize fk_request_parser_feed(FkRequestParser *parser, const FkAdmissionLimits *limits, const char *data,
                              gsize len);
-const char *fk_request_parser_method(const FkRequestParser *r);
+/* Static. */
+const char *fk_request_parser_method(const FkRequestParser *parser);
--- a/test/crowd.c
+++ b/test/crowd.c
@@ -269,9 +269,9 @@
 
 /* What the limits allow the service to grow by. */
 static double memory_bound_mb(void) {
-  const FkAdmissionResources means = {SOCKETS, RAM_MB, 0};
+  const FkAdmissionResources resources = {SOCKETS, RAM_MB, 0};
   const FkAdmissionOptions none = {0};
-  FkAdmissionLimits l = fk_admission_limits_derive(&means, &none);
+  FkAdmissionLimits l = fk_admission_limits_derive(&resources, &none);
   guint most = l.lingering;
   for (guint i = 0; i < FK_CONNECTION_CLASSES; i++)
     most += l.connections[i];
--- a/test/fuzz/gate.c
+++ b/test/fuzz/gate.c
@@ -1,4 +1,4 @@
-/* The gate: any order of calls that the door can make leaves its books right and its bounds kept. Two bytes a
+/* Admission control: any order of calls that a server can make keeps its counts and its limits. Two bytes a
  * step: which connection, what it does. */
 #include "fuzz.h"
 
--- a/test/fuzz/request.c
+++ b/test/fuzz/request.c
@@ -1,4 +1,4 @@
-/* The door's reader: within its bounds whatever comes, and however it is cut it reads the same. */
+/* The request parser: within its limits whatever comes, and however the bytes are cut it parses the same. */
 #include "fuzz.h"
 
 #include "admission/request_parser.h"
--- a/test/fuzz/settings.c
+++ b/test/fuzz/settings.c
@@ -13,8 +13,8 @@
   gboolean taken = fk_tuning_parse(&defaults->tuning, text, size, &own);
   FK_HOLDS(taken || own);
   if (s) {
-    const FkAdmissionResources means = {s->sockets, s->ram_mb, s->peers->len};
-    FkAdmissionLimits l = fk_admission_limits_derive(&means, &defaults->tuning.admission);
+    const FkAdmissionResources resources = {s->sockets, s->ram_mb, s->peers->len};
+    FkAdmissionLimits l = fk_admission_limits_derive(&resources, &defaults->tuning.admission);
     for (guint g = 0; g < FK_CONNECTION_CLASSES; g++)
       FK_HOLDS(l.connections[g] >= 2);
     FK_HOLDS(l.requests >= 16 && l.store_connections >= 2);
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -1,5 +1,5 @@
-/* The front door's decisions, without a socket: limits, the gate, the reader of requests, what can't be
- * reached. */
+/* Admission control without a socket: limits, decisions, the parser of requests, the health of dependencies.
+ */
 #include <string.h>
 
 #include "admission/admission.h"
@@ -11,12 +11,12 @@
 
 /* ------------------------------------------------------------------ limits */
 
-/* Whatever a controller has: nothing is promised twice, and everyone has something. */
+/* Whatever a controller has: no socket is promised twice, and each class of connections has some. */
 static void test_limits(void) {
   static const struct {
-    FkAdmissionResources means;
-    FkAdmissionOptions wishes;
-    guint outsiders; /* 0: not said */
+    FkAdmissionResources resources;
+    FkAdmissionOptions options;
+    guint clients; /* 0: not said */
   } cases[] = {
       {{5000, 264, 4}, {.head_s = 0}, 2557},         /* the sockets bound it */
       {{3500, 75, 2}, {.head_s = 0}, 1664},          /* here too; 1920 would be affordable */
@@ -27,22 +27,22 @@
       {{5000, 264, 4}, {.connections = 9999}, 2557}, /* more than there is */
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    FkAdmissionLimits l = fk_admission_limits_derive(&cases[i].means, &cases[i].wishes);
+    FkAdmissionLimits l = fk_admission_limits_derive(&cases[i].resources, &cases[i].options);
     guint in = l.lingering,
           out = l.store_connections + l.cloud_connections + l.worker_connections + l.peer_connections;
     for (guint g = 0; g < FK_CONNECTION_CLASSES; g++) {
       g_assert_cmpuint(l.connections[g], >=, 2);
       in += l.connections[g];
     }
-    g_assert_cmpfloat(in + out, <=, cases[i].means.sockets);
+    g_assert_cmpfloat(in + out, <=, cases[i].resources.sockets);
     g_assert_cmpuint(l.store_connections, >=, 2);
-    g_assert_cmpuint(l.buffered_bytes, <=, (gsize)(cases[i].means.ram_mb * 1048576 / 4));
+    g_assert_cmpuint(l.buffered_bytes, <=, (gsize)(cases[i].resources.ram_mb * 1048576 / 4));
     g_assert_cmpuint(l.requests, >=, 16);
-    if (cases[i].outsiders)
-      g_assert_cmpuint(l.connections[FK_CONNECTION_CLASS_CLIENT], ==, cases[i].outsiders);
+    if (cases[i].clients)
+      g_assert_cmpuint(l.connections[FK_CONNECTION_CLASS_CLIENT], ==, cases[i].clients);
   }
   FkAdmissionOptions own = {.head_s = 1, .body_s = 2, .idle_s = 3, .send_s = 4, .memory_mb = 1};
-  FkAdmissionLimits l = fk_admission_limits_derive(&cases[0].means, &own);
+  FkAdmissionLimits l = fk_admission_limits_derive(&cases[0].resources, &own);
   g_assert_cmpint(l.head_us, ==, 1 * S);
   g_assert_cmpint(l.body_us, ==, 2 * S);
   g_assert_cmpint(l.idle_us, ==, 3 * S);
@@ -64,19 +64,19 @@
       {20000, 264, 7816}, {50000, 264, 13516},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    FkAdmissionResources means = {cases[i].sockets, cases[i].ram_mb, 2};
-    FkAdmissionLimits l = fk_admission_limits_derive(&means, &(FkAdmissionOptions){0});
-    g_test_message("%g sockets, %g MB: %u workers, %u others", means.sockets, means.ram_mb,
+    FkAdmissionResources resources = {cases[i].sockets, cases[i].ram_mb, 2};
+    FkAdmissionLimits l = fk_admission_limits_derive(&resources, &(FkAdmissionOptions){0});
+    g_test_message("%g sockets, %g MB: %u workers, %u others", resources.sockets, resources.ram_mb,
                    l.connections[FK_CONNECTION_CLASS_WORKER], l.connections[FK_CONNECTION_CLASS_CLIENT]);
     g_assert_cmpuint(l.connections[FK_CONNECTION_CLASS_WORKER], ==, cases[i].workers);
     double bytes =
         10240.0 * (l.connections[FK_CONNECTION_CLASS_WORKER] + l.connections[FK_CONNECTION_CLASS_CLIENT]) +
         (double)l.buffered_bytes;
-    g_assert_cmpfloat(bytes, <=, 0.9 * means.ram_mb * 1048576);
+    g_assert_cmpfloat(bytes, <=, 0.9 * resources.ram_mb * 1048576);
   }
 }
 
-/* ------------------------------------------------------------------ the gate */
+/* ------------------------------------------------------------------ decisions */
 
 static FkAdmissionLimits small_limits(void) {
   return (FkAdmissionLimits){.connections = {8, 4, 2, 3},
@@ -183,7 +183,7 @@
   close_all(g, many, 40);
 }
 
-/* Places taken by outsiders don't keep a report or a health check out, and one that had its answer is closed
+/* Places taken by clients don't keep a report or a health check out, and one that had its answer is closed
  * after those that never asked. */
 static void test_shares(void) {
   FkAdmissionLimits l = small_limits();
@@ -194,7 +194,7 @@
     open_connection(g, &s[i], "lb", i);
   g_assert_true(send_request(g, &s[0], FK_REQUEST_CLASS_POLL, 9, &v));
   fk_admission_response_written(g, &s[0], TRUE, 9);
-  /* six reports: four are counted as workers', the others stay outsiders and are served all the same */
+  /* six reports: four are counted as workers', the others stay clients and are served all the same */
   for (guint i = 8; i < 14; i++) {
     open_connection(g, &s[i], "worker", 10 + i);
     while (fk_admission_next_eviction(g, 10 + i, &v))
@@ -439,9 +439,9 @@
 }
 
 static void test_requests(void) {
-  const FkAdmissionResources means = {5000, 264, 4};
+  const FkAdmissionResources resources = {5000, 264, 4};
   const FkAdmissionOptions none = {0};
-  const FkAdmissionLimits l = fk_admission_limits_derive(&means, &none);
+  const FkAdmissionLimits l = fk_admission_limits_derive(&resources, &none);
   g_autoptr(GString) a = g_string_new(""), b = g_string_new(""), c = g_string_new(""), d = g_string_new(""),
                      e = g_string_new("");
   g_string_assign(e, "POST /hello HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -551,44 +551,44 @@
   }
 }
 
-/* ------------------------------------------------------------------ what can't be reached */
+/* ------------------------------------------------------------------ health of dependencies */
 
 static void test_dependency_health(void) {
   static const struct {
     double at_s;
-    const char *note; /* NULL: it answers; "": nobody asks */
-    const char *says; /* a part of what is said, or NULL: nothing */
-    gboolean bad;
+    const char *failure; /* NULL: it answers; "": it isn't called */
+    const char *message; /* a part of the message; NULL: there is none */
+    gboolean is_warning;
   } steps[] = {
-      {0.1, "no answer", "never was since the start", TRUE}, /* at the start: the first failure */
-      {1, "no answer", NULL, FALSE},                         /* not again ... */
-      {10.2, "", "since 10.1 s", TRUE},                      /* ... but once a window */
-      {11, NULL, "reached again, after 10.9 s", FALSE},
+      {0.1, "no answer", " never_reached=true ", TRUE}, /* at the start: the first failure */
+      {1, "no answer", NULL, FALSE},                    /* not again ... */
+      {10.2, "", " unreachable_s=10.1 ", TRUE},         /* ... but once a window */
+      {11, NULL, "recovered name=\"the store\" outage_s=10.9", FALSE},
       {12, NULL, NULL, FALSE},
       {20, "it answers 503", NULL, FALSE}, /* one lost call, two: that happens */
       {21, "no answer", NULL, FALSE},
       {22, NULL, NULL, FALSE},
       {30, "no answer", NULL, FALSE},
       {31, "no answer", NULL, FALSE},
-      {32, "no answer", "(no answer) since 2.0 s; nothing goes", TRUE},
-      {33, NULL, "after 3.0 s", FALSE},
+      {32, "no answer", "failure=\"no answer\" unreachable_s=2.0 impact=\"nothing goes\"", TRUE},
+      {33, NULL, "outage_s=3.0", FALSE},
   };
-  FkDependencyHealth *r = fk_dependency_health_new(10 * S);
-  guint store = fk_dependency_health_add(r, "the store", "nothing goes"),
-        quiet = fk_dependency_health_add(r, "the cloud", "no machines");
+  FkDependencyHealth *health = fk_dependency_health_new(10 * S);
+  guint store = fk_dependency_health_add(health, "the store", "nothing goes"),
+        healthy = fk_dependency_health_add(health, "the cloud", "no machines");
   for (guint i = 0; i < G_N_ELEMENTS(steps); i++) {
     gint64 t = (gint64)(steps[i].at_s * S);
-    gboolean bad = FALSE;
-    fk_dependency_health_record(r, quiet, NULL, t);
-    if (!steps[i].note || *steps[i].note)
-      fk_dependency_health_record(r, store, steps[i].note, t);
-    g_autofree char *said = fk_dependency_health_next_message(r, t, &bad);
-    if (!steps[i].says != !said || (said && !strstr(said, steps[i].says)))
-      g_error("step %u: %s", i, said ? said : "nothing");
-    g_assert_cmpint(bad, ==, steps[i].bad);
-    g_assert_null(fk_dependency_health_next_message(r, t, &bad));
+    gboolean is_warning = FALSE;
+    fk_dependency_health_record(health, healthy, NULL, t);
+    if (!steps[i].failure || *steps[i].failure)
+      fk_dependency_health_record(health, store, steps[i].failure, t);
+    g_autofree char *message = fk_dependency_health_next_message(health, t, &is_warning);
+    if (!steps[i].message != !message || (message && !strstr(message, steps[i].message)))
+      g_error("step %u: %s", i, message ? message : "nothing");
+    g_assert_cmpint(is_warning, ==, steps[i].is_warning);
+    g_assert_null(fk_dependency_health_next_message(health, t, &is_warning));
   }
-  fk_dependency_health_free(r);
+  fk_dependency_health_free(health);
 }
 
 int main(int argc, char **argv) {
