--- a/src/simulation/scale/state_service.c
+++ b/src/simulation/scale/state_service.c
@@ -7,6 +7,7 @@
 #include "simulation/scale/series.h"
 #include "simulation/store_model.h"
 #include "wire/store.h"
+#include "wire/store_service.h"
 
 #define HISTORY 10000 /* changes kept (PROTOCOL) */
 #define LIST_MOST 1000
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -3,112 +3,125 @@
 #include <math.h>
 #include <string.h>
 
-#define LONG_DIGITS 16
-#define EXACT 9007199254740992.0 /* 2^53 */
+#define LONG_DIGITS 16                      /* a number with so many may not fit a double */
+#define DOUBLE_EXACT_MAX 9007199254740992.0 /* 2^53 */
 
-cJSON *fk_json_parse(const char *text, gsize len) {
-  /* A number of 16 digits or more may not fit a double: put it in quotes, so that cJSON keeps it as it is. */
-  g_autoptr(GString) quoted = NULL;
+static gsize digits_end(const char *text, gsize start, gsize len) {
+  gsize end = start;
+  while (end < len && g_ascii_isdigit(text[end]))
+    end++;
+  return end;
+}
+
+/* Whether the digits from `start` to `end` are a number without sign, fraction and exponent. */
+static gboolean is_whole_number(const char *text, gsize start, gsize end, gsize len) {
+  return (end >= len || !strchr(".eE", text[end])) && (start == 0 || !strchr("-+.eE", text[start - 1]));
+}
+
+/* The text with long whole numbers in quotes, so that cJSON keeps their digits; NULL: there are none. */
+static GString *quote_long_numbers(const char *text, gsize len) {
+  GString *quoted = NULL;
   gboolean in_string = FALSE;
   gsize copied = 0;
   for (gsize i = 0; i < len; i++) {
-    char ch = text[i];
+    char c = text[i];
     if (in_string) {
-      if (ch == '\\')
+      if (c == '\\')
         i++;
-      else if (ch == '"')
+      else if (c == '"')
         in_string = FALSE;
-    } else if (ch == '"') {
+    } else if (c == '"') {
       in_string = TRUE;
-    } else if (g_ascii_isdigit(ch)) {
-      gsize end = i;
-      while (end < len && g_ascii_isdigit(text[end]))
-        end++;
-      gboolean whole = (end >= len || !strchr(".eE", text[end])) && (i == 0 || !strchr("-+.eE", text[i - 1]));
-      if (whole && end - i >= LONG_DIGITS) {
+    } else if (g_ascii_isdigit(c)) {
+      gsize end = digits_end(text, i, len);
+      if (end - i >= LONG_DIGITS && is_whole_number(text, i, end, len)) {
         if (!quoted)
-          quoted = g_string_sized_new(len + 16);
-        g_string_append_len(quoted, text + copied, i - copied);
-        g_string_append_c(quoted, '"');
-        g_string_append_len(quoted, text + i, end - i);
-        g_string_append_c(quoted, '"');
+          quoted = g_string_sized_new(len + LONG_DIGITS);
+        g_string_append_len(quoted, text + copied, (gssize)(i - copied));
+        g_string_append_printf(quoted, "\"%.*s\"", (int)(end - i), text + i);
         copied = end;
       }
       i = end - 1;
     }
   }
+  if (quoted)
+    g_string_append_len(quoted, text + copied, (gssize)(len - copied));
+  return quoted;
+}
+
+/* Only white space follows. */
+static gboolean is_blank(const char *text, const char *end) {
+  for (; text < end; text++)
+    if (!g_ascii_isspace(*text))
+      return FALSE;
+  return TRUE;
+}
+
+cJSON *fk_json_parse(const char *text, gsize len) {
+  g_autoptr(GString) quoted = quote_long_numbers(text, len);
   if (quoted) {
-    g_string_append_len(quoted, text + copied, len - copied);
     text = quoted->str;
     len = quoted->len;
   }
   const char *end = NULL;
-  cJSON *j = cJSON_ParseWithLengthOpts(text, len, &end, FALSE);
-  if (!j)
-    return NULL;
-  /* nothing but white space may follow */
-  for (; end < text + len; end++)
-    if (!g_ascii_isspace(*end)) {
-      cJSON_Delete(j);
-      return NULL;
-    }
-  return j;
+  g_autoptr(cJSON) json = cJSON_ParseWithLengthOpts(text, len, &end, FALSE);
+  return json && is_blank(end, text + len) ? g_steal_pointer(&json) : NULL;
 }
 
-char *fk_json_print(const cJSON *j) { return cJSON_PrintUnformatted(j); }
+char *fk_json_print(const cJSON *json) { return cJSON_PrintUnformatted(json); }
 
-const cJSON *fk_json_get(const cJSON *o, const char *name) {
-  const cJSON *j = cJSON_GetObjectItemCaseSensitive(o, name);
-  return j && !cJSON_IsNull(j) ? j : NULL;
+const cJSON *fk_json_get(const cJSON *object, const char *name) {
+  const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, name);
+  return item && !cJSON_IsNull(item) ? item : NULL;
 }
 
-const char *fk_json_str(const cJSON *o, const char *name) {
-  return cJSON_GetStringValue(fk_json_get(o, name));
+const char *fk_json_str(const cJSON *object, const char *name) {
+  return cJSON_GetStringValue(fk_json_get(object, name));
 }
 
-gboolean fk_json_num(const cJSON *o, const char *name, double *out) {
-  const cJSON *j = fk_json_get(o, name);
-  if (!cJSON_IsNumber(j) || !isfinite(j->valuedouble))
+gboolean fk_json_num(const cJSON *object, const char *name, double *out) {
+  const cJSON *item = fk_json_get(object, name);
+  if (!cJSON_IsNumber(item) || !isfinite(item->valuedouble))
     return FALSE;
-  *out = j->valuedouble;
+  *out = item->valuedouble;
   return TRUE;
 }
 
-double fk_json_num_or(const cJSON *o, const char *name, double other) {
-  double n;
-  return fk_json_num(o, name, &n) ? n : other;
+double fk_json_num_or(const cJSON *object, const char *name, double other) {
+  double number;
+  return fk_json_num(object, name, &number) ? number : other;
 }
 
-gboolean fk_json_item_u64(const cJSON *j, guint64 *out) {
-  if (cJSON_IsString(j))
-    return strlen(j->valuestring) >= LONG_DIGITS &&
-           g_ascii_string_to_unsigned(j->valuestring, 10, 0, G_MAXUINT64, out, NULL);
-  if (!cJSON_IsNumber(j) || j->valuedouble < 0 || j->valuedouble > EXACT ||
-      j->valuedouble != floor(j->valuedouble))
+gboolean fk_json_item_u64(const cJSON *item, guint64 *out) {
+  if (cJSON_IsString(item))
+    return strlen(item->valuestring) >= LONG_DIGITS &&
+           g_ascii_string_to_unsigned(item->valuestring, 10, 0, G_MAXUINT64, out, NULL);
+  if (!cJSON_IsNumber(item) || item->valuedouble < 0 || item->valuedouble > DOUBLE_EXACT_MAX ||
+      item->valuedouble != floor(item->valuedouble))
     return FALSE;
-  *out = (guint64)j->valuedouble;
+  *out = (guint64)item->valuedouble;
   return TRUE;
 }
 
-gboolean fk_json_u64(const cJSON *o, const char *name, guint64 *out) {
-  return fk_json_item_u64(fk_json_get(o, name), out);
+gboolean fk_json_u64(const cJSON *object, const char *name, guint64 *out) {
+  return fk_json_item_u64(fk_json_get(object, name), out);
 }
 
-gboolean fk_json_bool(const cJSON *o, const char *name, gboolean *out) {
-  const cJSON *j = fk_json_get(o, name);
-  if (!cJSON_IsBool(j))
+gboolean fk_json_bool(const cJSON *object, const char *name, gboolean *out) {
+  const cJSON *item = fk_json_get(object, name);
+  if (!cJSON_IsBool(item))
     return FALSE;
-  *out = cJSON_IsTrue(j);
+  *out = cJSON_IsTrue(item);
   return TRUE;
 }
 
 cJSON *fk_json_new_u64(guint64 n) {
-  if ((double)n < EXACT)
+  if ((double)n < DOUBLE_EXACT_MAX)
     return cJSON_CreateNumber((double)n);
   g_autofree char *digits = g_strdup_printf("%" G_GUINT64_FORMAT, n);
   return cJSON_CreateRaw(digits);
 }
 
-void fk_json_add_u64(cJSON *o, const char *name, guint64 n) {
-  cJSON_AddItemToObject(o, name, fk_json_new_u64(n));
+void fk_json_add_u64(cJSON *object, const char *name, guint64 n) {
+  cJSON_AddItemToObject(object, name, fk_json_new_u64(n));
 }
--- a/src/wire/route.c
+++ b/src/wire/route.c
@@ -2,20 +2,27 @@
 
 #include <string.h>
 
-#define JOBS "/submissions"
-#define CANCEL "/withdraw"
+#define HEALTH_PATH "/up"
+#define HEARTBEAT_PATH "/hello"
+#define JOBS_PATH "/submissions"
+#define CANCEL_SUFFIX "/withdraw"
 
 static FkRoute by_method(const char *method, const char *needed, FkRoute route) {
   return g_str_equal(method, needed) ? route : FK_ROUTE_WRONG_METHOD;
 }
 
+static gboolean equals(const char *path, gsize len, const char *other) {
+  return len == strlen(other) && strncmp(path, other, len) == 0;
+}
+
 FkRoute fk_route_match(const char *method, const char *path, const char **job, gsize *job_len) {
-  gsize len = strcspn(path, "?#"), jobs = strlen(JOBS), cancel = strlen(CANCEL);
-  if (len == 3 && strncmp(path, "/up", len) == 0)
+  gsize len = strcspn(path, "?#");
+  gsize jobs = strlen(JOBS_PATH), cancel = strlen(CANCEL_SUFFIX);
+  if (equals(path, len, HEALTH_PATH))
     return by_method(method, "GET", FK_ROUTE_HEALTH);
-  if (len == 6 && strncmp(path, "/hello", len) == 0)
+  if (equals(path, len, HEARTBEAT_PATH))
     return by_method(method, "POST", FK_ROUTE_HEARTBEAT);
-  if (len < jobs || strncmp(path, JOBS, jobs) != 0)
+  if (len < jobs || strncmp(path, JOBS_PATH, jobs) != 0)
     return FK_ROUTE_NONE;
   if (len == jobs)
     return by_method(method, "POST", FK_ROUTE_SUBMIT);
@@ -23,14 +30,14 @@
     return FK_ROUTE_NONE;
   const char *name = path + jobs + 1, *end = path + len;
   const char *slash = memchr(name, '/', (gsize)(end - name));
-  gboolean withdraw = slash && (gsize)(end - slash) == cancel && strncmp(slash, CANCEL, cancel) == 0;
-  if (slash && !withdraw)
+  gboolean is_cancel = slash && (gsize)(end - slash) == cancel && strncmp(slash, CANCEL_SUFFIX, cancel) == 0;
+  if (slash && !is_cancel)
     return FK_ROUTE_NONE;
   if (job) {
     *job = name;
     *job_len = (gsize)((slash ? slash : end) - name);
   }
-  return withdraw ? by_method(method, "POST", FK_ROUTE_CANCEL) : by_method(method, "GET", FK_ROUTE_POLL);
+  return is_cancel ? by_method(method, "POST", FK_ROUTE_CANCEL) : by_method(method, "GET", FK_ROUTE_POLL);
 }
 
 FkRequestClass fk_route_request_class(FkRoute route) {
@@ -45,7 +52,9 @@
     return FK_REQUEST_CLASS_POLL;
   case FK_ROUTE_SUBMIT:
     return FK_REQUEST_CLASS_SUBMIT;
-  default:
+  case FK_ROUTE_NONE:
+  case FK_ROUTE_WRONG_METHOD:
     return FK_REQUEST_CLASS_OTHER;
   }
+  g_return_val_if_reached(FK_REQUEST_CLASS_OTHER);
 }
--- a/src/wire/route.h
+++ b/src/wire/route.h
@@ -1,5 +1,5 @@
-/* What a request asks, by its method and path: one table for the door, which orders by it, and for the shell,
- * which serves it. */
+/* What a request asks, by its method and path: one table for admission control, which classifies requests by
+ * it, and for the daemon, which serves them. */
 #pragma once
 #include "admission/limits.h"
 
@@ -13,6 +13,7 @@
   FK_ROUTE_CANCEL
 } FkRoute;
 
-/* `job`: the part of the path that names it, for POLL and CANCEL; not ended by 0. May be NULL. */
+/* `job`, of POLL and CANCEL: the part of the path that names the job, `job_len` bytes, not zero-terminated.
+ * Both may be NULL. */
 FkRoute fk_route_match(const char *method, const char *path, const char **job, gsize *job_len);
 FkRequestClass fk_route_request_class(FkRoute route);
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -12,16 +12,16 @@
   return FALSE;
 }
 
-static gboolean parse_string(const cJSON *o, const char *field, char **out, GError **error) {
-  const char *s = fk_json_str(o, field);
-  if (!s || !*s)
+static gboolean parse_string(const cJSON *json, const char *field, char **out, GError **error) {
+  const char *text = fk_json_str(json, field);
+  if (!text || !*text)
     return fail(error, field, "a non-empty string is needed");
-  *out = g_strdup(s);
+  *out = g_strdup(text);
   return TRUE;
 }
 
-static gboolean parse_address(const cJSON *o, const char *field, char **out, GError **error) {
-  if (!parse_string(o, field, out, error))
+static gboolean parse_address(const cJSON *json, const char *field, char **out, GError **error) {
+  if (!parse_string(json, field, out, error))
     return FALSE;
   g_autoptr(GInetSocketAddress) addr = NULL;
   const char *colon = strrchr(*out, ':');
@@ -35,8 +35,8 @@
 
 #define NUMBER_MAX 1e9 /* no resource, rate or time of ours is larger; all whole types hold it */
 
-static gboolean parse_number(const cJSON *o, const char *field, double min, double *out, GError **error) {
-  if (!fk_json_num(o, field, out) || !(*out >= min && *out <= NUMBER_MAX)) {
+static gboolean parse_number(const cJSON *json, const char *field, double min, double *out, GError **error) {
+  if (!fk_json_num(json, field, out) || !(*out >= min && *out <= NUMBER_MAX)) {
     g_set_error(error, fk_settings_error(), 1, "%s: a number from %g to %g is needed", field, min,
                 NUMBER_MAX);
     return FALSE;
@@ -45,126 +45,155 @@
 }
 
 /* One that may be missing. */
-static gboolean parse_number_or(const cJSON *o, const char *field, double min, double other, double *out,
+static gboolean parse_number_or(const cJSON *json, const char *field, double min, double other, double *out,
                                 GError **error) {
   *out = other;
-  return !fk_json_get(o, field) || parse_number(o, field, min, out, error);
+  return !fk_json_get(json, field) || parse_number(json, field, min, out, error);
 }
 
-static gboolean parse_teams(FkSettings *s, const cJSON *list, GError **error) {
-  const cJSON *j;
+static gboolean parse_teams(FkSettings *settings, const cJSON *list, GError **error) {
+  const cJSON *item;
   if (!cJSON_IsArray(list))
     return fail(error, "deployment.teams", "a list is needed");
-  cJSON_ArrayForEach(j, list) {
-    FkTeam *t = g_new0(FkTeam, 1);
-    g_ptr_array_add(s->teams, t);
-    if (!parse_string(j, "name", &t->name, error) ||
-        !parse_number(j, "cpus", 0, &t->guaranteed_cpus, error) ||
-        !parse_number(j, "cpus_max", 0, &t->max_cpus, error) ||
-        !parse_number(j, "gpus", 0, &t->guaranteed_gpus, error) ||
-        !parse_number(j, "gpus_max", 0, &t->max_gpus, error))
+  cJSON_ArrayForEach(item, list) {
+    FkTeam *team = g_new0(FkTeam, 1);
+    g_ptr_array_add(settings->teams, team);
+    if (!parse_string(item, "name", &team->name, error) ||
+        !parse_number(item, "cpus", 0, &team->guaranteed_cpus, error) ||
+        !parse_number(item, "cpus_max", 0, &team->max_cpus, error) ||
+        !parse_number(item, "gpus", 0, &team->guaranteed_gpus, error) ||
+        !parse_number(item, "gpus_max", 0, &team->max_gpus, error))
       return FALSE;
-    t->max_cpus = fk_quota_from_setting(t->max_cpus);
-    t->max_gpus = fk_quota_from_setting(t->max_gpus);
+    team->max_cpus = fk_quota_from_setting(team->max_cpus);
+    team->max_gpus = fk_quota_from_setting(team->max_gpus);
   }
   return TRUE;
 }
 
-static gboolean parse_peers(FkSettings *s, const cJSON *list, GError **error) {
-  const cJSON *j;
+static gboolean parse_peers(FkSettings *settings, const cJSON *list, GError **error) {
+  const cJSON *item;
   if (!cJSON_IsArray(list))
     return fail(error, "seeds", "a list is needed");
-  cJSON_ArrayForEach(j, list) {
-    FkPeer *p = g_new0(FkPeer, 1);
-    g_ptr_array_add(s->peers, p);
-    if (!parse_string(j, "node", &p->name, error) || !parse_string(j, "site", &p->zone, error) ||
-        !parse_address(j, "peer_addr", &p->addr, error))
+  cJSON_ArrayForEach(item, list) {
+    FkPeer *peer = g_new0(FkPeer, 1);
+    g_ptr_array_add(settings->peers, peer);
+    if (!parse_string(item, "node", &peer->name, error) || !parse_string(item, "site", &peer->zone, error) ||
+        !parse_address(item, "peer_addr", &peer->addr, error))
       return FALSE;
   }
   return TRUE;
 }
 
-/* The limits to come: what is written must fit them as well as those of now. */
-static gboolean parse_next_limits(FkSettings *s, const cJSON *state, GError **error) {
-  const cJSON *next = fk_json_get(state, "next");
-  double ops = s->transaction_ops_max, value_kb = s->value_kb;
-  s->next_store_rps = s->store_rps;
-  s->next_store_write_rps = s->store_write_rps;
-  s->current_value_kb = s->value_kb;
+/* The announced next limits: what is written must fit them as well as the present ones. */
+static gboolean parse_next_limits(FkSettings *settings, const cJSON *store, GError **error) {
+  const cJSON *next = fk_json_get(store, "next");
+  double ops = settings->transaction_ops_max, value_kb = settings->value_kb;
+  settings->next_store_rps = settings->store_rps;
+  settings->next_store_write_rps = settings->store_write_rps;
+  settings->current_value_kb = settings->value_kb;
   if (!next)
     return TRUE;
   if (!cJSON_IsObject(next))
     return fail(error, "deployment.state.next", "an object is needed");
-  if (!parse_number_or(next, "rps", 1, s->store_rps, &s->next_store_rps, error) ||
-      !parse_number_or(next, "write_rps", 1, s->store_write_rps, &s->next_store_write_rps, error) ||
-      !parse_number_or(next, "value_kb", 1, s->value_kb, &value_kb, error) ||
-      !parse_number_or(next, "txn_ops", 4, s->transaction_ops_max, &ops, error))
+  if (!parse_number_or(next, "rps", 1, settings->store_rps, &settings->next_store_rps, error) ||
+      !parse_number_or(next, "write_rps", 1, settings->store_write_rps, &settings->next_store_write_rps,
+                       error) ||
+      !parse_number_or(next, "value_kb", 1, settings->value_kb, &value_kb, error) ||
+      !parse_number_or(next, "txn_ops", 4, settings->transaction_ops_max, &ops, error))
     return FALSE;
-  s->next_store_rps = MIN(s->next_store_rps, s->store_rps);
-  s->next_store_write_rps = MIN(s->next_store_write_rps, s->store_write_rps);
-  s->value_kb = MIN(s->value_kb, value_kb);
-  s->transaction_ops_max = (guint)MIN(s->transaction_ops_max, ops);
+  settings->next_store_rps = MIN(settings->next_store_rps, settings->store_rps);
+  settings->next_store_write_rps = MIN(settings->next_store_write_rps, settings->store_write_rps);
+  settings->value_kb = MIN(settings->value_kb, value_kb);
+  settings->transaction_ops_max = (guint)MIN(settings->transaction_ops_max, ops);
   return TRUE;
 }
 
-static gboolean parse_deployment(FkSettings *s, const cJSON *d, GError **error) {
-  const cJSON *j, *w = fk_json_get(d, "workers"), *st = fk_json_get(d, "state"),
-                  *cl = fk_json_get(d, "cloud"), *res = fk_json_get(d, "resources"),
-                  *zones = fk_json_get(d, "zones");
-  double ops;
-  if (!cJSON_IsObject(d))
-    return fail(error, "deployment", "an object is needed");
-  if (!cJSON_IsArray(zones))
+static gboolean parse_zones(FkSettings *settings, const cJSON *list, GError **error) {
+  const cJSON *item;
+  if (!cJSON_IsArray(list))
     return fail(error, "deployment.zones", "a list is needed");
-  cJSON_ArrayForEach(j, zones) {
-    if (!cJSON_IsString(j))
+  cJSON_ArrayForEach(item, list) {
+    if (!cJSON_IsString(item))
       return fail(error, "deployment.zones", "strings are needed");
-    g_ptr_array_add(s->zones, g_strdup(j->valuestring));
+    g_ptr_array_add(settings->zones, g_strdup(item->valuestring));
   }
-  if (!parse_teams(s, fk_json_get(d, "teams"), error))
-    return FALSE;
-  cJSON_ArrayForEach(j, fk_json_get(d, "objectives")) {
-    FkObjective *o = g_new0(FkObjective, 1);
-    o->kind = g_strdup(fk_json_str(j, "kind"));
-    o->class_name = g_strdup(fk_json_str(j, "class"));
-    o->within_s = fk_json_num_or(j, "within_s", 0);
-    o->share = fk_json_num_or(j, "share", 0);
-    g_ptr_array_add(s->objectives, o);
+  return TRUE;
+}
+
+/* What isn't understood is left out. */
+static void parse_objectives(FkSettings *settings, const cJSON *list) {
+  const cJSON *item;
+  cJSON_ArrayForEach(item, list) {
+    FkObjective *objective = g_new0(FkObjective, 1);
+    objective->kind = g_strdup(fk_json_str(item, "kind"));
+    objective->class_name = g_strdup(fk_json_str(item, "class"));
+    objective->within_s = fk_json_num_or(item, "within_s", 0);
+    objective->share = fk_json_num_or(item, "share", 0);
+    g_ptr_array_add(settings->objectives, objective);
   }
-  if (!parse_number(w, "report_s", 0.01, &s->heartbeat_interval_s, error) ||
-      !parse_number(w, "lease_s", 0.1, &s->worker_lease_s, error) ||
-      !parse_number(w, "cancel_s", 0.1, &s->cancellation_deadline_s, error) ||
-      !parse_number(st, "rps", 1, &s->store_rps, error) ||
-      !parse_number(st, "write_rps", 1, &s->store_write_rps, error) ||
-      !parse_number(st, "value_kb", 1, &s->value_kb, error) || !parse_number(st, "txn_ops", 4, &ops, error) ||
-      !parse_number(cl, "rps", 0.1, &s->cloud_rps, error) ||
-      !parse_number(cl, "list_lag_s", 0, &s->cloud_list_lag_s, error) ||
-      !parse_number_or(res, "cpu", 0.001, 1, &s->cpus, error) ||
-      !parse_number_or(res, "ram_mb", 1, 256, &s->ram_mb, error) ||
-      !parse_number_or(res, "sockets", 50, 1000, &s->sockets, error) ||
-      !parse_number_or(d, "clock_off_ms", 0, 1000, &s->clock_offset_ms, error))
+}
+
+static gboolean parse_workers(FkSettings *settings, const cJSON *json, GError **error) {
+  return parse_number(json, "report_s", 0.01, &settings->heartbeat_interval_s, error) &&
+         parse_number(json, "lease_s", 0.1, &settings->worker_lease_s, error) &&
+         parse_number(json, "cancel_s", 0.1, &settings->cancellation_deadline_s, error);
+}
+
+static gboolean parse_store(FkSettings *settings, const cJSON *json, GError **error) {
+  double ops;
+  if (!parse_number(json, "rps", 1, &settings->store_rps, error) ||
+      !parse_number(json, "write_rps", 1, &settings->store_write_rps, error) ||
+      !parse_number(json, "value_kb", 1, &settings->value_kb, error) ||
+      !parse_number(json, "txn_ops", 4, &ops, error))
+    return FALSE;
+  settings->transaction_ops_max = (guint)ops;
+  return TRUE;
+}
+
+static gboolean parse_cloud(FkSettings *settings, const cJSON *json, GError **error) {
+  return parse_number(json, "rps", 0.1, &settings->cloud_rps, error) &&
+         parse_number(json, "list_lag_s", 0, &settings->cloud_list_lag_s, error);
+}
+
+static gboolean parse_resources(FkSettings *settings, const cJSON *json, GError **error) {
+  return parse_number_or(json, "cpu", 0.001, 1, &settings->cpus, error) &&
+         parse_number_or(json, "ram_mb", 1, 256, &settings->ram_mb, error) &&
+         parse_number_or(json, "sockets", 50, 1000, &settings->sockets, error);
+}
+
+static gboolean parse_deployment(FkSettings *settings, const cJSON *json, GError **error) {
+  const cJSON *store = fk_json_get(json, "state");
+  if (!cJSON_IsObject(json))
+    return fail(error, "deployment", "an object is needed");
+  if (!parse_zones(settings, fk_json_get(json, "zones"), error) ||
+      !parse_teams(settings, fk_json_get(json, "teams"), error))
     return FALSE;
-  s->transaction_ops_max = (guint)ops;
-  return parse_next_limits(s, st, error);
+  parse_objectives(settings, fk_json_get(json, "objectives"));
+  return parse_workers(settings, fk_json_get(json, "workers"), error) &&
+         parse_store(settings, store, error) && parse_cloud(settings, fk_json_get(json, "cloud"), error) &&
+         parse_resources(settings, fk_json_get(json, "resources"), error) &&
+         parse_number_or(json, "clock_off_ms", 0, 1000, &settings->clock_offset_ms, error) &&
+         parse_next_limits(settings, store, error);
 }
 
 FkSettings *fk_settings_parse(const char *body, gsize len, GError **error) {
-  g_autoptr(cJSON) o = fk_json_parse(body, len);
-  g_autoptr(FkSettings) s = fk_settings_new();
-  if (!cJSON_IsObject(o)) {
+  g_autoptr(cJSON) json = fk_json_parse(body, len);
+  g_autoptr(FkSettings) settings = fk_settings_new();
+  if (!cJSON_IsObject(json)) {
     fail(error, "settings", "not a JSON object");
     return NULL;
   }
-  const cJSON *outside = fk_json_get(o, "outside");
-  if (!parse_string(o, "node", &s->node, error) || !parse_string(o, "site", &s->zone, error) ||
-      !parse_address(o, "serve_on", &s->listen_addr, error) ||
-      !parse_address(o, "mesh_addr", &s->peer_listen_addr, error) ||
-      !parse_peers(s, fk_json_get(o, "seeds"), error) ||
-      !parse_address(outside, "cloud", &s->cloud_addr, error) ||
-      !parse_address(outside, "state", &s->store_addr, error) ||
-      !parse_deployment(s, fk_json_get(o, "deployment"), error))
+  const cJSON *outside = fk_json_get(json, "outside");
+  if (!parse_string(json, "node", &settings->node, error) ||
+      !parse_string(json, "site", &settings->zone, error) ||
+      !parse_address(json, "serve_on", &settings->listen_addr, error) ||
+      !parse_address(json, "mesh_addr", &settings->peer_listen_addr, error) ||
+      !parse_peers(settings, fk_json_get(json, "seeds"), error) ||
+      !parse_address(outside, "cloud", &settings->cloud_addr, error) ||
+      !parse_address(outside, "state", &settings->store_addr, error) ||
+      !parse_deployment(settings, fk_json_get(json, "deployment"), error))
     return NULL;
-  return g_steal_pointer(&s);
+  return g_steal_pointer(&settings);
 }
 
 static const FkTuningField fields[] = {
@@ -193,24 +222,24 @@
   return fields;
 }
 
-gboolean fk_tuning_parse(FkTuning *t, const char *body, gsize len, GError **error) {
-  g_autoptr(cJSON) o = fk_json_parse(body, len);
-  if (!cJSON_IsObject(o))
+gboolean fk_tuning_parse(FkTuning *tuning, const char *body, gsize len, GError **error) {
+  g_autoptr(cJSON) json = fk_json_parse(body, len);
+  if (!cJSON_IsObject(json))
     return fail(error, "operator settings", "not a JSON object");
-  const cJSON *j;
-  cJSON_ArrayForEach(j, o) {
-    const FkTuningField *f = NULL;
+  const cJSON *item;
+  cJSON_ArrayForEach(item, json) {
+    const FkTuningField *field = NULL;
     for (guint i = 0; i < G_N_ELEMENTS(fields); i++)
-      if (g_str_equal(fields[i].name, j->string))
-        f = &fields[i];
-    if (!f)
-      return fail(error, j->string, "no such setting");
-    if (!cJSON_IsNumber(j) || j->valuedouble < f->min || j->valuedouble > f->max) {
-      g_set_error(error, fk_settings_error(), 1, "%s: a number from %g to %g is needed", f->name, f->min,
-                  f->max);
+      if (g_str_equal(fields[i].name, item->string))
+        field = &fields[i];
+    if (!field)
+      return fail(error, item->string, "no such setting");
+    if (!cJSON_IsNumber(item) || item->valuedouble < field->min || item->valuedouble > field->max) {
+      g_set_error(error, fk_settings_error(), 1, "%s: a number from %g to %g is needed", field->name,
+                  field->min, field->max);
       return FALSE;
     }
-    G_STRUCT_MEMBER(double, t, f->offset) = j->valuedouble;
+    G_STRUCT_MEMBER(double, tuning, field->offset) = item->valuedouble;
   }
   return TRUE;
 }
--- a/src/wire/user.c
+++ b/src/wire/user.c
@@ -1,182 +1,194 @@
 #include "wire/user.h"
 
-#include <math.h>
 #include <string.h>
 
+#define ID_PREFIX "run-"
+#define ID_DIGITS_MAX 20
+#define NAME_BYTES_MAX 128
+#define TASKS_MAX 100000
+#define TYPES_MAX 100
+#define AMOUNT_MAX 1e9 /* no resource, size or time of a job is larger */
+
 static const char *shapes[] = {"sweep", "daemon", "group"};
-static const char *ranks[] = {"production", "high", "normal", "best_effort"};
+static const char *priorities[] = {"production", "high", "normal", "best_effort"};
 static const char *phases[] = {"queued", "running", "done", "withdrawn"};
 
 gboolean fk_user_id_is_valid(const char *id) {
-  if (!g_str_has_prefix(id, "run-"))
+  if (!g_str_has_prefix(id, ID_PREFIX))
     return FALSE;
-  gsize n = strlen(id + 4);
-  return n >= 1 && n <= 20 && strspn(id + 4, "0123456789") == n;
+  const char *number = id + strlen(ID_PREFIX);
+  gsize digits = strlen(number);
+  return digits >= 1 && digits <= ID_DIGITS_MAX && strspn(number, "0123456789") == digits;
 }
 
-static int index_of_word(const char *const *words, guint n, const char *s) {
-  for (guint i = 0; s && i < n; i++)
-    if (g_str_equal(words[i], s))
+static int index_of_word(const char *const *words, guint n, const char *word) {
+  for (guint i = 0; word && i < n; i++)
+    if (g_str_equal(words[i], word))
       return (int)i;
   return -1;
 }
 
-/* A word that goes into the store and into paths: not empty, not endless, no control characters. */
-static gboolean name_is_valid(const char *s) {
-  gsize n = s ? strlen(s) : 0;
-  if (n < 1 || n > 128 || !g_utf8_validate(s, n, NULL))
+/* Names go into the store and into paths: UTF-8 without control characters, of bounded length. */
+static gboolean name_is_valid(const char *name) {
+  gsize len = name ? strlen(name) : 0;
+  if (len < 1 || len > NAME_BYTES_MAX || !g_utf8_validate(name, len, NULL))
     return FALSE;
-  for (gsize i = 0; i < n; i++)
-    if ((guchar)s[i] < 0x20)
+  for (gsize i = 0; i < len; i++)
+    if ((guchar)name[i] < 0x20)
       return FALSE;
   return TRUE;
 }
 
-static gboolean parse_name(const cJSON *o, const char *field, char **out) {
-  const char *s = fk_json_str(o, field);
-  if (!name_is_valid(s))
+static gboolean parse_name(const cJSON *json, const char *field, char **out) {
+  const char *name = fk_json_str(json, field);
+  if (!name_is_valid(name))
     return FALSE;
-  *out = g_strdup(s);
+  *out = g_strdup(name);
   return TRUE;
 }
 
-static gboolean parse_amount(const cJSON *o, const char *field, double *out) {
-  return fk_json_num(o, field, out) && *out >= 0 && *out <= 1e9;
+static gboolean parse_amount(const cJSON *json, const char *field, double *out) {
+  return fk_json_num(json, field, out) && *out >= 0 && *out <= AMOUNT_MAX;
 }
 
-static gboolean parse_types(const cJSON *o, char ***out) {
-  const cJSON *j = fk_json_get(o, "builds");
-  if (!j)
+static gboolean parse_types(const cJSON *json, char ***out) {
+  const cJSON *list = fk_json_get(json, "builds");
+  if (!list)
     return TRUE;
-  int n = cJSON_GetArraySize(j);
-  if (!cJSON_IsArray(j) || n < 1 || n > 100)
+  int n = cJSON_GetArraySize(list);
+  if (!cJSON_IsArray(list) || n < 1 || n > TYPES_MAX)
     return FALSE;
-  g_autoptr(GStrvBuilder) b = g_strv_builder_new();
+  g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
   const cJSON *item;
-  cJSON_ArrayForEach(item, j) {
+  cJSON_ArrayForEach(item, list) {
     if (!name_is_valid(cJSON_GetStringValue(item)))
       return FALSE;
-    g_strv_builder_add(b, item->valuestring);
+    g_strv_builder_add(builder, item->valuestring);
   }
-  *out = g_strv_builder_end(b);
+  *out = g_strv_builder_end(builder);
   return TRUE;
 }
 
 /* Missing, null and empty mean none; a name given twice counts once. */
-static gboolean parse_dependencies(const cJSON *o, char ***out) {
-  const cJSON *list = fk_json_get(o, "awaits"), *item;
+static gboolean parse_dependencies(const cJSON *json, char ***out) {
+  const cJSON *list = fk_json_get(json, "awaits"), *item;
   if (!list)
     return TRUE;
   if (!cJSON_IsArray(list))
     return FALSE;
   g_autoptr(GHashTable) seen = g_hash_table_new(g_str_hash, g_str_equal);
-  g_autoptr(GStrvBuilder) b = g_strv_builder_new();
+  g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
   cJSON_ArrayForEach(item, list) {
     if (!cJSON_IsString(item) || !fk_user_id_is_valid(item->valuestring))
       return FALSE;
     if (g_hash_table_add(seen, item->valuestring))
-      g_strv_builder_add(b, item->valuestring);
+      g_strv_builder_add(builder, item->valuestring);
   }
-  *out = g_hash_table_size(seen) ? g_strv_builder_end(b) : NULL;
+  *out = g_hash_table_size(seen) ? g_strv_builder_end(builder) : NULL;
   return TRUE;
 }
 
-FkSpec *fk_user_parse_submission(const char *body, gsize len, const char **why) {
-  g_autoptr(cJSON) o = fk_json_parse(body, len);
-  g_autoptr(FkSpec) s = fk_spec_new();
+FkSpec *fk_user_parse_submission(const char *body, gsize len, const char **reason) {
+  g_autoptr(cJSON) json = fk_json_parse(body, len);
+  g_autoptr(FkSpec) spec = fk_spec_new();
   guint64 tasks = 0;
-  int shape, rank;
+  int shape, priority;
 #define NEED(ok, field)                                                                                      \
   if (!(ok)) {                                                                                               \
-    *why = field;                                                                                            \
+    *reason = field;                                                                                         \
     return NULL;                                                                                             \
   }
-  NEED(cJSON_IsObject(o), "not a JSON object")
-  NEED(parse_name(o, "ref", &s->id) && fk_user_id_is_valid(s->id), "ref")
-  NEED(parse_name(o, "lane", &s->class_name), "lane")
-  NEED(parse_name(o, "crew", &s->team), "crew")
-  NEED((shape = index_of_word(shapes, G_N_ELEMENTS(shapes), fk_json_str(o, "shape"))) >= 0, "shape")
-  NEED((rank = index_of_word(ranks, G_N_ELEMENTS(ranks), fk_json_str(o, "rank"))) >= 0, "rank")
-  NEED(fk_json_u64(o, "strands", &tasks) && tasks >= 1 && tasks <= 100000, "strands")
-  NEED(parse_amount(o, "cores", &s->cpus), "cores")
-  NEED(parse_amount(o, "cards", &s->gpus), "cards")
-  NEED(parse_amount(o, "mem_gb", &s->mem_gb), "mem_gb")
-  NEED(parse_name(o, "bundle", &s->image), "bundle")
-  NEED(parse_amount(o, "size_gb", &s->image_gb), "size_gb")
-  NEED(parse_types(o, &s->types), "builds")
-  NEED(!fk_json_get(o, "yard") || parse_name(o, "yard", &s->zone), "yard")
-  NEED(fk_json_bool(o, "together", &s->one_zone), "together")
-  NEED(fk_json_bool(o, "spread", &s->spread), "spread")
-  NEED(fk_json_bool(o, "loaners", &s->spot), "loaners")
-  NEED(parse_amount(o, "guess_s", &s->estimate_s), "guess_s")
-  NEED(parse_amount(o, "knot_s", &s->checkpoint_s), "knot_s")
-  NEED(parse_amount(o, "stow_s", &s->save_s), "stow_s")
-  NEED(!fk_json_get(o, "due_s") || parse_amount(o, "due_s", &s->deadline_s), "due_s")
-  NEED(parse_dependencies(o, &s->dependencies), "awaits")
+  NEED(cJSON_IsObject(json), "not a JSON object")
+  NEED(parse_name(json, "ref", &spec->id) && fk_user_id_is_valid(spec->id), "ref")
+  NEED(parse_name(json, "lane", &spec->class_name), "lane")
+  NEED(parse_name(json, "crew", &spec->team), "crew")
+  NEED((shape = index_of_word(shapes, G_N_ELEMENTS(shapes), fk_json_str(json, "shape"))) >= 0, "shape")
+  NEED((priority = index_of_word(priorities, G_N_ELEMENTS(priorities), fk_json_str(json, "rank"))) >= 0,
+       "rank")
+  NEED(fk_json_u64(json, "strands", &tasks) && tasks >= 1 && tasks <= TASKS_MAX, "strands")
+  NEED(parse_amount(json, "cores", &spec->cpus), "cores")
+  NEED(parse_amount(json, "cards", &spec->gpus), "cards")
+  NEED(parse_amount(json, "mem_gb", &spec->mem_gb), "mem_gb")
+  NEED(parse_name(json, "bundle", &spec->image), "bundle")
+  NEED(parse_amount(json, "size_gb", &spec->image_gb), "size_gb")
+  NEED(parse_types(json, &spec->types), "builds")
+  NEED(!fk_json_get(json, "yard") || parse_name(json, "yard", &spec->zone), "yard")
+  NEED(fk_json_bool(json, "together", &spec->one_zone), "together")
+  NEED(fk_json_bool(json, "spread", &spec->spread), "spread")
+  NEED(fk_json_bool(json, "loaners", &spec->spot), "loaners")
+  NEED(parse_amount(json, "guess_s", &spec->estimate_s), "guess_s")
+  NEED(parse_amount(json, "knot_s", &spec->checkpoint_s), "knot_s")
+  NEED(parse_amount(json, "stow_s", &spec->save_s), "stow_s")
+  NEED(!fk_json_get(json, "due_s") || parse_amount(json, "due_s", &spec->deadline_s), "due_s")
+  NEED(parse_dependencies(json, &spec->dependencies), "awaits")
 #undef NEED
-  s->shape = (FkShape)shape;
-  s->priority = (FkJobPriority)rank;
-  s->tasks = (guint32)tasks;
-  return g_steal_pointer(&s);
+  spec->shape = (FkShape)shape;
+  spec->priority = (FkJobPriority)priority;
+  spec->tasks = (guint32)tasks;
+  return g_steal_pointer(&spec);
 }
 
-char *fk_user_print_reply(const FkOutput *out) {
-  if (out->status == 404)
+char *fk_user_print_reply(const FkOutput *output) {
+  if (output->status == 404)
     return fk_user_print_error("no such job");
-  if (out->status == 422)
+  if (output->status == 422)
     return fk_user_print_error("can never run");
-  if (out->status >= 400)
+  if (output->status >= 400)
     return fk_user_print_error("come back later");
-  g_autoptr(cJSON) o = cJSON_CreateObject();
-  cJSON_AddStringToObject(o, "ref", out->job);
-  cJSON_AddStringToObject(o, "phase", phases[out->phase]);
-  cJSON_AddNumberToObject(o, "done", out->done);
-  cJSON_AddNumberToObject(o, "running", out->running);
-  return fk_json_print(o);
+  g_autoptr(cJSON) json = cJSON_CreateObject();
+  cJSON_AddStringToObject(json, "ref", output->job);
+  cJSON_AddStringToObject(json, "phase", phases[output->phase]);
+  cJSON_AddNumberToObject(json, "done", output->done);
+  cJSON_AddNumberToObject(json, "running", output->running);
+  return fk_json_print(json);
+}
+
+char *fk_user_print_error(const char *reason) {
+  g_autoptr(cJSON) json = cJSON_CreateObject();
+  cJSON_AddStringToObject(json, "error", reason);
+  return fk_json_print(json);
 }
 
-char *fk_user_print_error(const char *why) {
-  g_autoptr(cJSON) o = cJSON_CreateObject();
-  cJSON_AddStringToObject(o, "error", why);
-  return fk_json_print(o);
+char *fk_user_print_health(gboolean is_serving) {
+  return g_strdup(is_serving ? "{\"up\":true}" : "{\"up\":false}");
 }
 
 /* ------------------------------------------------------------------ the user's side */
 
-char *fk_user_print_submission(const FkSpec *s) {
-  g_autoptr(cJSON) o = cJSON_CreateObject();
-  cJSON_AddStringToObject(o, "ref", s->id);
-  cJSON_AddStringToObject(o, "lane", s->class_name);
-  cJSON_AddStringToObject(o, "crew", s->team);
-  cJSON_AddStringToObject(o, "shape", shapes[s->shape]);
-  cJSON_AddStringToObject(o, "rank", ranks[s->priority]);
-  cJSON_AddNumberToObject(o, "strands", s->tasks);
-  cJSON_AddNumberToObject(o, "cores", s->cpus);
-  cJSON_AddNumberToObject(o, "cards", s->gpus);
-  cJSON_AddNumberToObject(o, "mem_gb", s->mem_gb);
-  cJSON_AddStringToObject(o, "bundle", s->image);
-  cJSON_AddNumberToObject(o, "size_gb", s->image_gb);
-  if (s->zone)
-    cJSON_AddStringToObject(o, "yard", s->zone);
-  cJSON_AddBoolToObject(o, "together", s->one_zone);
-  cJSON_AddBoolToObject(o, "spread", s->spread);
-  cJSON_AddBoolToObject(o, "loaners", s->spot);
-  cJSON_AddNumberToObject(o, "guess_s", s->estimate_s);
-  cJSON_AddNumberToObject(o, "knot_s", s->checkpoint_s);
-  cJSON_AddNumberToObject(o, "stow_s", s->save_s);
-  if (s->deadline_s >= 0)
-    cJSON_AddNumberToObject(o, "due_s", s->deadline_s);
-  return fk_json_print(o);
+char *fk_user_print_submission(const FkSpec *spec) {
+  g_autoptr(cJSON) json = cJSON_CreateObject();
+  cJSON_AddStringToObject(json, "ref", spec->id);
+  cJSON_AddStringToObject(json, "lane", spec->class_name);
+  cJSON_AddStringToObject(json, "crew", spec->team);
+  cJSON_AddStringToObject(json, "shape", shapes[spec->shape]);
+  cJSON_AddStringToObject(json, "rank", priorities[spec->priority]);
+  cJSON_AddNumberToObject(json, "strands", spec->tasks);
+  cJSON_AddNumberToObject(json, "cores", spec->cpus);
+  cJSON_AddNumberToObject(json, "cards", spec->gpus);
+  cJSON_AddNumberToObject(json, "mem_gb", spec->mem_gb);
+  cJSON_AddStringToObject(json, "bundle", spec->image);
+  cJSON_AddNumberToObject(json, "size_gb", spec->image_gb);
+  if (spec->zone)
+    cJSON_AddStringToObject(json, "yard", spec->zone);
+  cJSON_AddBoolToObject(json, "together", spec->one_zone);
+  cJSON_AddBoolToObject(json, "spread", spec->spread);
+  cJSON_AddBoolToObject(json, "loaners", spec->spot);
+  cJSON_AddNumberToObject(json, "guess_s", spec->estimate_s);
+  cJSON_AddNumberToObject(json, "knot_s", spec->checkpoint_s);
+  cJSON_AddNumberToObject(json, "stow_s", spec->save_s);
+  if (spec->deadline_s >= 0)
+    cJSON_AddNumberToObject(json, "due_s", spec->deadline_s);
+  return fk_json_print(json);
 }
 
 gboolean fk_user_parse_state(const char *body, gsize len, FkJobState *out) {
-  g_autoptr(cJSON) o = fk_json_parse(body, len);
-  int phase = index_of_word(phases, G_N_ELEMENTS(phases), fk_json_str(o, "phase"));
+  g_autoptr(cJSON) json = fk_json_parse(body, len);
+  int phase = index_of_word(phases, G_N_ELEMENTS(phases), fk_json_str(json, "phase"));
   guint64 done = 0, running = 0;
   if (phase < 0)
     return FALSE;
-  fk_json_u64(o, "done", &done);
-  fk_json_u64(o, "running", &running);
+  fk_json_u64(json, "done", &done);
+  fk_json_u64(json, "running", &running);
   *out = (FkJobState){(FkPhase)phase, (guint32)done, (guint32)running};
   return TRUE;
 }
--- a/src/wire/worker.c
+++ b/src/wire/worker.c
@@ -2,6 +2,9 @@
 
 #include <string.h>
 
+#define MACHINE_BYTES_MAX 100
+
+/* By FkCommandKind. */
 static const char *command_words[] = {"launch", "stop", "forget"};
 
 static const struct {
@@ -14,91 +17,93 @@
 
 static const struct {
   const char *word;
-  FkExitReason why;
-} whys[] = {{"done", FK_EXIT_DONE}, {"halted", FK_EXIT_STOPPED}, {"error", FK_EXIT_ERROR},
-            {"full", FK_EXIT_FULL}, {"busy", FK_EXIT_BUSY},      {"unknown", FK_EXIT_UNKNOWN}};
+  FkExitReason reason;
+} exit_reasons[] = {{"done", FK_EXIT_DONE}, {"halted", FK_EXIT_STOPPED}, {"error", FK_EXIT_ERROR},
+                    {"full", FK_EXIT_FULL}, {"busy", FK_EXIT_BUSY},      {"unknown", FK_EXIT_UNKNOWN}};
 
-static FkTaskStatus *parse_task(const cJSON *j) {
-  const char *name = fk_json_str(j, "strand"), *phase = fk_json_str(j, "phase"),
-             *cause = fk_json_str(j, "cause");
+static FkTaskStatus *parse_task(const cJSON *json) {
+  const char *name = fk_json_str(json, "strand"), *phase = fk_json_str(json, "phase"),
+             *cause = fk_json_str(json, "cause");
   const char *slash = name ? strrchr(name, '/') : NULL;
   guint64 task, attempt;
-  if (!slash || !phase || !fk_json_u64(j, "try", &attempt) ||
+  if (!slash || !phase || !fk_json_u64(json, "try", &attempt) ||
       !g_ascii_string_to_unsigned(slash + 1, 10, 0, G_MAXUINT32, &task, NULL))
     return NULL;
-  FkTaskStatus *t = g_new0(FkTaskStatus, 1);
-  t->job = g_strndup(name, slash - name);
-  t->task = (guint32)task;
-  t->attempt.n = attempt;
-  t->state = FK_TASK_OTHER;
+  FkTaskStatus *status = g_new0(FkTaskStatus, 1);
+  status->job = g_strndup(name, slash - name);
+  status->task = (guint32)task;
+  status->attempt.n = attempt;
+  status->state = FK_TASK_OTHER;
   for (guint i = 0; i < G_N_ELEMENTS(states); i++)
     if (g_str_equal(states[i].word, phase))
-      t->state = states[i].state;
-  for (guint i = 0; cause && i < G_N_ELEMENTS(whys); i++)
-    if (g_str_equal(whys[i].word, cause))
-      t->exit_reason = whys[i].why;
-  return t;
+      status->state = states[i].state;
+  for (guint i = 0; cause && i < G_N_ELEMENTS(exit_reasons); i++)
+    if (g_str_equal(exit_reasons[i].word, cause))
+      status->exit_reason = exit_reasons[i].reason;
+  return status;
 }
 
 FkHeartbeat *fk_worker_parse_heartbeat(const char *body, gsize len) {
-  g_autoptr(cJSON) o = fk_json_parse(body, len);
-  g_autoptr(FkHeartbeat) r = fk_heartbeat_new();
+  g_autoptr(cJSON) json = fk_json_parse(body, len);
+  g_autoptr(FkHeartbeat) heartbeat = fk_heartbeat_new();
   gboolean spot = FALSE;
-  const cJSON *tasks = fk_json_get(o, "strands"), *item;
-  if (!cJSON_IsObject(o) || !fk_json_str(o, "knotter") || !fk_json_u64(o, "shift", &r->incarnation) ||
-      !fk_json_u64(o, "tally", &r->sequence) || !fk_json_u64(o, "baton", &r->fencing_token.n) ||
-      (tasks && !cJSON_IsArray(tasks)))
+  const cJSON *tasks = fk_json_get(json, "strands"), *item;
+  if (!cJSON_IsObject(json) || !fk_json_str(json, "knotter") ||
+      !fk_json_u64(json, "shift", &heartbeat->incarnation) ||
+      !fk_json_u64(json, "tally", &heartbeat->sequence) ||
+      !fk_json_u64(json, "baton", &heartbeat->fencing_token.n) || (tasks && !cJSON_IsArray(tasks)))
     return NULL;
-  r->machine = g_strdup(fk_json_str(o, "knotter"));
-  r->addr = g_strdup(fk_json_str(o, "address"));
-  r->type = g_strdup(fk_json_str(o, "build"));
-  r->zone = g_strdup(fk_json_str(o, "yard"));
-  fk_json_bool(o, "loaners", &spot);
-  r->spot = spot;
-  r->termination_notice_s = fk_json_num_or(o, "recall_s", -1);
-  if (!r->addr || !r->type || !r->zone || strlen(r->machine) > 100)
+  heartbeat->machine = g_strdup(fk_json_str(json, "knotter"));
+  heartbeat->addr = g_strdup(fk_json_str(json, "address"));
+  heartbeat->type = g_strdup(fk_json_str(json, "build"));
+  heartbeat->zone = g_strdup(fk_json_str(json, "yard"));
+  fk_json_bool(json, "loaners", &spot);
+  heartbeat->spot = spot;
+  heartbeat->termination_notice_s = fk_json_num_or(json, "recall_s", -1);
+  if (!heartbeat->addr || !heartbeat->type || !heartbeat->zone ||
+      strlen(heartbeat->machine) > MACHINE_BYTES_MAX)
     return NULL;
   cJSON_ArrayForEach(item, tasks) {
-    FkTaskStatus *t = parse_task(item);
-    if (!t)
-      return NULL; /* a list with a hole proves nothing */
-    g_ptr_array_add(r->tasks, t);
+    FkTaskStatus *status = parse_task(item);
+    if (!status)
+      return NULL; /* an incomplete list proves nothing about what is missing */
+    g_ptr_array_add(heartbeat->tasks, status);
   }
-  return g_steal_pointer(&r);
+  return g_steal_pointer(&heartbeat);
 }
 
-static void add_commands(cJSON *o, const GPtrArray *orders) {
-  cJSON *list = cJSON_AddArrayToObject(o, "orders");
-  for (guint i = 0; orders && i < orders->len; i++) {
-    const FkCommand *order = orders->pdata[i];
-    cJSON *j = cJSON_CreateObject();
-    g_autofree char *task = g_strdup_printf("%s/%u", order->job, order->task);
-    cJSON_AddStringToObject(j, "verb", command_words[order->kind]);
-    cJSON_AddStringToObject(j, "strand", task);
-    fk_json_add_u64(j, "try", order->attempt.n);
-    if (order->kind == FK_COMMAND_STOP)
-      cJSON_AddNumberToObject(j, "mercy_s", order->grace_s);
-    cJSON_AddItemToArray(list, j);
+static void add_commands(cJSON *json, const GPtrArray *commands) {
+  cJSON *list = cJSON_AddArrayToObject(json, "orders");
+  for (guint i = 0; commands && i < commands->len; i++) {
+    const FkCommand *command = commands->pdata[i];
+    cJSON *item = cJSON_CreateObject();
+    g_autofree char *task = g_strdup_printf("%s/%u", command->job, command->task);
+    cJSON_AddStringToObject(item, "verb", command_words[command->kind]);
+    cJSON_AddStringToObject(item, "strand", task);
+    fk_json_add_u64(item, "try", command->attempt.n);
+    if (command->kind == FK_COMMAND_STOP)
+      cJSON_AddNumberToObject(item, "mercy_s", command->grace_s);
+    cJSON_AddItemToArray(list, item);
   }
 }
 
-char *fk_worker_print_reply(const FkOutput *out) {
-  g_autoptr(cJSON) o = cJSON_CreateObject();
-  if (out->status == 200) {
-    fk_json_add_u64(o, "baton", out->fencing_token.n);
-    add_commands(o, out->commands);
-  } else if (out->redirect_to) {
-    cJSON_AddStringToObject(o, "foreman", out->redirect_to);
+char *fk_worker_print_reply(const FkOutput *output) {
+  g_autoptr(cJSON) json = cJSON_CreateObject();
+  if (output->status == 200) {
+    fk_json_add_u64(json, "baton", output->fencing_token.n);
+    add_commands(json, output->commands);
+  } else if (output->redirect_to) {
+    cJSON_AddStringToObject(json, "foreman", output->redirect_to);
   }
-  return fk_json_print(o);
+  return fk_json_print(json);
 }
 
-char *fk_worker_print_commands(const FkOutput *out) {
-  g_autoptr(cJSON) o = cJSON_CreateObject();
-  fk_json_add_u64(o, "baton", out->fencing_token.n);
-  fk_json_add_u64(o, "shift", out->incarnation);
-  add_commands(o, out->commands);
-  return fk_json_print(o);
+char *fk_worker_print_commands(const FkOutput *output) {
+  g_autoptr(cJSON) json = cJSON_CreateObject();
+  fk_json_add_u64(json, "baton", output->fencing_token.n);
+  fk_json_add_u64(json, "shift", output->incarnation);
+  add_commands(json, output->commands);
+  return fk_json_print(json);
 }
 
 /* ------------------------------------------------------------------ the worker's side */
@@ -110,101 +115,101 @@
   return "unknown";
 }
 
-static const char *exit_reason_word(FkExitReason why) {
-  for (guint i = 0; i < G_N_ELEMENTS(whys); i++)
-    if (whys[i].why == why)
-      return whys[i].word;
+static const char *exit_reason_word(FkExitReason reason) {
+  for (guint i = 0; i < G_N_ELEMENTS(exit_reasons); i++)
+    if (exit_reasons[i].reason == reason)
+      return exit_reasons[i].word;
   return NULL;
 }
 
-static cJSON *task_to_json(const FkTaskStatus *t) {
-  cJSON *j = cJSON_CreateObject();
-  g_autofree char *name = g_strdup_printf("%s/%u", t->job, t->task);
-  cJSON_AddStringToObject(j, "strand", name);
-  fk_json_add_u64(j, "try", t->attempt.n);
-  cJSON_AddStringToObject(j, "phase", state_word(t->state));
-  const char *cause = t->state == FK_TASK_EXITED ? exit_reason_word(t->exit_reason) : NULL;
+static cJSON *task_to_json(const FkTaskStatus *status) {
+  cJSON *json = cJSON_CreateObject();
+  g_autofree char *name = g_strdup_printf("%s/%u", status->job, status->task);
+  cJSON_AddStringToObject(json, "strand", name);
+  fk_json_add_u64(json, "try", status->attempt.n);
+  cJSON_AddStringToObject(json, "phase", state_word(status->state));
+  const char *cause = status->state == FK_TASK_EXITED ? exit_reason_word(status->exit_reason) : NULL;
   if (cause)
-    cJSON_AddStringToObject(j, "cause", cause);
-  return j;
+    cJSON_AddStringToObject(json, "cause", cause);
+  return json;
 }
 
-char *fk_worker_print_heartbeat(const FkHeartbeat *r) {
-  g_autoptr(cJSON) o = cJSON_CreateObject();
-  cJSON_AddStringToObject(o, "knotter", r->machine);
-  cJSON_AddStringToObject(o, "address", r->addr);
-  cJSON_AddStringToObject(o, "build", r->type);
-  cJSON_AddStringToObject(o, "yard", r->zone);
-  cJSON_AddBoolToObject(o, "loaners", r->spot);
-  fk_json_add_u64(o, "shift", r->incarnation);
-  fk_json_add_u64(o, "tally", r->sequence);
-  fk_json_add_u64(o, "baton", r->fencing_token.n);
-  cJSON *tasks = cJSON_AddArrayToObject(o, "strands");
-  for (guint i = 0; i < r->tasks->len; i++)
-    cJSON_AddItemToArray(tasks, task_to_json(r->tasks->pdata[i]));
-  return fk_json_print(o);
+char *fk_worker_print_heartbeat(const FkHeartbeat *heartbeat) {
+  g_autoptr(cJSON) json = cJSON_CreateObject();
+  cJSON_AddStringToObject(json, "knotter", heartbeat->machine);
+  cJSON_AddStringToObject(json, "address", heartbeat->addr);
+  cJSON_AddStringToObject(json, "build", heartbeat->type);
+  cJSON_AddStringToObject(json, "yard", heartbeat->zone);
+  cJSON_AddBoolToObject(json, "loaners", heartbeat->spot);
+  fk_json_add_u64(json, "shift", heartbeat->incarnation);
+  fk_json_add_u64(json, "tally", heartbeat->sequence);
+  fk_json_add_u64(json, "baton", heartbeat->fencing_token.n);
+  cJSON *tasks = cJSON_AddArrayToObject(json, "strands");
+  for (guint i = 0; i < heartbeat->tasks->len; i++)
+    cJSON_AddItemToArray(tasks, task_to_json(heartbeat->tasks->pdata[i]));
+  return fk_json_print(json);
 }
 
-void fk_worker_commands_free(FkWorkerCommands *o) {
-  g_clear_pointer(&o->commands, g_ptr_array_unref);
-  g_free(o->redirect);
-  g_free(o);
+void fk_worker_commands_free(FkWorkerCommands *commands) {
+  g_clear_pointer(&commands->commands, g_ptr_array_unref);
+  g_free(commands->redirect);
+  g_free(commands);
 }
 
-static void command_free(gpointer p) {
-  g_free(((FkCommand *)p)->job);
-  g_free(p);
+static void command_free(gpointer data) {
+  g_free(((FkCommand *)data)->job);
+  g_free(data);
 }
 
-static FkCommand *parse_command(const cJSON *j) {
-  const char *verb = fk_json_str(j, "verb"), *name = fk_json_str(j, "strand");
+static FkCommand *parse_command(const cJSON *json) {
+  const char *verb = fk_json_str(json, "verb"), *name = fk_json_str(json, "strand");
   const char *slash = name ? strrchr(name, '/') : NULL;
   guint64 task, attempt;
-  if (!verb || !slash || !fk_json_u64(j, "try", &attempt) ||
+  if (!verb || !slash || !fk_json_u64(json, "try", &attempt) ||
       !g_ascii_string_to_unsigned(slash + 1, 10, 0, G_MAXUINT32, &task, NULL))
     return NULL;
   for (guint i = 0; i < G_N_ELEMENTS(command_words); i++) {
     if (!g_str_equal(command_words[i], verb))
       continue;
-    FkCommand *o = g_new0(FkCommand, 1);
-    *o = (FkCommand){(FkCommandKind)i,
-                     g_strndup(name, slash - name),
-                     (guint32)task,
-                     {attempt},
-                     fk_json_num_or(j, "mercy_s", 0)};
-    return o;
+    FkCommand *command = g_new0(FkCommand, 1);
+    *command = (FkCommand){(FkCommandKind)i,
+                           g_strndup(name, slash - name),
+                           (guint32)task,
+                           {attempt},
+                           fk_json_num_or(json, "mercy_s", 0)};
+    return command;
   }
   return NULL;
 }
 
-static FkWorkerCommands *parse_commands(const cJSON *o) {
-  g_autoptr(FkWorkerCommands) orders = g_new0(FkWorkerCommands, 1);
-  orders->commands = g_ptr_array_new_with_free_func(command_free);
-  orders->redirect = g_strdup(fk_json_str(o, "foreman"));
-  if (!cJSON_IsObject(o) || !fk_json_u64(o, "baton", &orders->fencing_token.n))
-    return orders->redirect ? g_steal_pointer(&orders) : NULL;
+static FkWorkerCommands *parse_commands(const cJSON *json) {
+  g_autoptr(FkWorkerCommands) commands = g_new0(FkWorkerCommands, 1);
+  commands->commands = g_ptr_array_new_with_free_func(command_free);
+  commands->redirect = g_strdup(fk_json_str(json, "foreman"));
+  if (!cJSON_IsObject(json) || !fk_json_u64(json, "baton", &commands->fencing_token.n))
+    return commands->redirect ? g_steal_pointer(&commands) : NULL;
   const cJSON *item;
-  cJSON_ArrayForEach(item, fk_json_get(o, "orders")) {
-    FkCommand *order = parse_command(item);
-    if (!order)
+  cJSON_ArrayForEach(item, fk_json_get(json, "orders")) {
+    FkCommand *command = parse_command(item);
+    if (!command)
       return NULL;
-    g_ptr_array_add(orders->commands, order);
+    g_ptr_array_add(commands->commands, command);
   }
-  return g_steal_pointer(&orders);
+  return g_steal_pointer(&commands);
 }
 
 FkWorkerCommands *fk_worker_parse_reply(guint status, const char *body, gsize len) {
-  g_autoptr(cJSON) o = status == 200 || status == 421 ? fk_json_parse(body, len) : NULL;
-  return o ? parse_commands(o) : NULL;
+  g_autoptr(cJSON) json = status == 200 || status == 421 ? fk_json_parse(body, len) : NULL;
+  return json ? parse_commands(json) : NULL;
 }
 
 FkWorkerCommands *fk_worker_parse_commands(const char *body, gsize len) {
-  g_autoptr(cJSON) o = fk_json_parse(body, len);
-  guint64 session;
-  if (!o || !fk_json_u64(o, "shift", &session))
+  g_autoptr(cJSON) json = fk_json_parse(body, len);
+  guint64 incarnation;
+  if (!json || !fk_json_u64(json, "shift", &incarnation))
     return NULL;
-  FkWorkerCommands *orders = parse_commands(o);
-  if (orders)
-    orders->incarnation = session;
-  return orders;
+  FkWorkerCommands *commands = parse_commands(json);
+  if (commands)
+    commands->incarnation = incarnation;
+  return commands;
 }
--- a/test/test_forms.c
+++ b/test/test_forms.c
@@ -10,6 +10,7 @@
 #include "wire/route.h"
 #include "wire/settings.h"
 #include "wire/store.h"
+#include "wire/store_service.h"
 #include "wire/user.h"
 #include "wire/worker.h"
 
--- a/test/test_scale.c
+++ b/test/test_scale.c
@@ -14,6 +14,7 @@
 #include "simulation/worker_model.h"
 #include "wire/cloud.h"
 #include "wire/store.h"
+#include "wire/store_service.h"
 #include "wire/user.h"
 #include "wire/worker.h"
 
