--- a/src/grpc/frames.c
+++ b/src/grpc/frames.c
@@ -1,53 +1,59 @@
 #include "grpc/frames.h"
 
-#define PREFIX_BYTES 5
+#define PREFIX_BYTES FK_GRPC_FRAME_PREFIX_BYTES
 
-void fk_grpc_frame_parser_init(FkGrpcFrameParser *f, gsize max) {
-  *f = (FkGrpcFrameParser){g_byte_array_new(), max};
+void fk_grpc_frame_parser_init(FkGrpcFrameParser *parser, gsize message_bytes_max) {
+  *parser = (FkGrpcFrameParser){g_byte_array_new(), message_bytes_max};
 }
 
-void fk_grpc_frame_parser_clear(FkGrpcFrameParser *f) { g_clear_pointer(&f->bytes, g_byte_array_unref); }
+void fk_grpc_frame_parser_clear(FkGrpcFrameParser *parser) {
+  g_clear_pointer(&parser->bytes, g_byte_array_unref);
+}
+
+/* As the prefix says. */
+static gsize message_length(const FkGrpcFrameParser *parser) {
+  const guint8 *prefix = parser->bytes->data;
+  return (gsize)prefix[1] << 24 | (gsize)prefix[2] << 16 | (gsize)prefix[3] << 8 | prefix[4];
+}
 
-static gsize message_length(const FkGrpcFrameParser *f) {
-  const guint8 *p = f->bytes->data;
-  return (gsize)p[1] << 24 | (gsize)p[2] << 16 | (gsize)p[3] << 8 | p[4];
+static gboolean is_complete(const FkGrpcFrameParser *parser) {
+  return parser->bytes->len >= PREFIX_BYTES && parser->bytes->len == PREFIX_BYTES + message_length(parser);
 }
 
-static gsize append_up_to(FkGrpcFrameParser *f, gsize up_to, const guint8 *data, gsize len) {
-  gsize n = MIN(len, up_to - f->bytes->len);
-  g_byte_array_append(f->bytes, data, (guint)n);
-  return n;
+/* Appends bytes until there are `up_to`, and returns how many it took. */
+static gsize append_up_to(FkGrpcFrameParser *parser, gsize up_to, const guint8 *data, gsize len) {
+  gsize taken = MIN(len, up_to - parser->bytes->len);
+  g_byte_array_append(parser->bytes, data, (guint)taken);
+  return taken;
 }
 
-FkGrpcStatus fk_grpc_frame_parser_feed(FkGrpcFrameParser *f, const guint8 *data, gsize len, gsize *used,
+FkGrpcStatus fk_grpc_frame_parser_feed(FkGrpcFrameParser *parser, const guint8 *data, gsize len, gsize *used,
                                        const guint8 **message, gsize *message_len) {
   *used = 0;
   *message = NULL;
-  /* what was given out last is the caller's no longer */
-  if (f->bytes->len >= PREFIX_BYTES && f->bytes->len == PREFIX_BYTES + message_length(f))
-    g_byte_array_set_size(f->bytes, 0);
-  if (f->bytes->len < PREFIX_BYTES)
-    *used = append_up_to(f, PREFIX_BYTES, data, len);
-  if (f->bytes->len < PREFIX_BYTES)
+  if (is_complete(parser)) /* the caller has had it */
+    g_byte_array_set_size(parser->bytes, 0);
+  if (parser->bytes->len < PREFIX_BYTES)
+    *used = append_up_to(parser, PREFIX_BYTES, data, len);
+  if (parser->bytes->len < PREFIX_BYTES)
     return FK_GRPC_OK;
-  if (f->bytes->data[0])
+  if (parser->bytes->data[0])
     return FK_GRPC_UNIMPLEMENTED;
-  if (message_length(f) > f->max)
+  if (message_length(parser) > parser->message_bytes_max)
     return FK_GRPC_RESOURCE_EXHAUSTED;
-  *used += append_up_to(f, PREFIX_BYTES + message_length(f), data + *used, len - *used);
-  if (f->bytes->len == PREFIX_BYTES + message_length(f)) {
-    *message = f->bytes->data + PREFIX_BYTES;
-    *message_len = message_length(f);
+  *used += append_up_to(parser, PREFIX_BYTES + message_length(parser), data + *used, len - *used);
+  if (is_complete(parser)) {
+    *message = parser->bytes->data + PREFIX_BYTES;
+    *message_len = message_length(parser);
   }
   return FK_GRPC_OK;
 }
 
-gboolean fk_grpc_frame_parser_is_empty(const FkGrpcFrameParser *f) {
-  return f->bytes->len == 0 ||
-         (f->bytes->len >= PREFIX_BYTES && f->bytes->len == PREFIX_BYTES + message_length(f));
+gboolean fk_grpc_frame_parser_is_empty(const FkGrpcFrameParser *parser) {
+  return parser->bytes->len == 0 || is_complete(parser);
 }
 
-void fk_grpc_frame_prefix(guint8 out[5], gsize len) {
+void fk_grpc_frame_prefix(guint8 out[PREFIX_BYTES], gsize len) {
   out[0] = 0;
   out[1] = (guint8)(len >> 24);
   out[2] = (guint8)(len >> 16);
