--- /dev/null
+++ b/src/remote_execution/byte_stream_write.c
@@ -0,0 +1,161 @@
+/* ByteStream.Write and QueryWriteStatus: uploads in parts, compressed if the name says so, that can be
+ * resumed after a connection was lost. */
+#include "remote_execution/cache_call.h"
+
+#include <string.h>
+#include <zstd.h>
+
+#define DECOMPRESSED_BYTES 65536
+
+/* The sender's side of an upload, for the time of one call. */
+struct FkUploadStream {
+  FkResourceName name;
+  FkResumableUpload *upload; /* NULL: none is needed, or it is over */
+  gint64 committed;          /* bytes as they were sent, compressed or not: where the next message begins */
+  ZSTD_DStream *decompressor;
+};
+
+void fk_upload_stream_free(FkUploadStream *stream, FkUploads *uploads) {
+  if (!stream)
+    return;
+  ZSTD_freeDStream(stream->decompressor);
+  if (stream->upload) {
+    fk_uploads_release(uploads, stream->upload);
+    if (stream->name.zstd || fk_upload_written(stream->upload->upload) == 0)
+      fk_uploads_remove(uploads, stream->upload); /* nothing to resume */
+  }
+  g_free(stream);
+}
+
+static void reply_written(FkCacheCall *call, gint64 committed) {
+  Rx__WriteResponse response = RX__WRITE_RESPONSE__INIT;
+  response.committed_size = committed;
+  fk_cache_call_reply(call, &response);
+}
+
+/* FALSE: the call was failed. */
+static gboolean open_upload(FkCacheCall *call, FkUploadStream *stream) {
+  FkCacheService *service = call->service;
+  FkBlobStatus status = FK_BLOB_STATUS_OK;
+  switch (fk_uploads_open(service->uploads, service->blobs, call->team, &stream->name, &stream->upload,
+                          &status)) {
+  case FK_UPLOADS_OPENED:
+    stream->committed = stream->name.zstd ? 0 : (gint64)fk_upload_written(stream->upload->upload);
+    return TRUE;
+  case FK_UPLOADS_IN_USE:
+    fk_cache_call_fail(call, FK_GRPC_ABORTED, "somebody else writes this upload");
+    return FALSE;
+  case FK_UPLOADS_TOO_MANY:
+    fk_cache_call_fail_retry_later(call, "too many uploads are under way");
+    return FALSE;
+  case FK_UPLOADS_FAILED:
+    fk_cache_call_fail_blob(call, status);
+    return FALSE;
+  }
+  g_return_val_if_reached(FALSE);
+}
+
+/* The first message of a call, which names the upload. FALSE: the call has been answered. */
+static gboolean begin_stream(FkCacheCall *call, const char *resource_name) {
+  FkResourceName name;
+  if (!fk_resource_name_parse(resource_name, FK_RESOURCE_WRITE, &name)) {
+    fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "no upload's name");
+    return FALSE;
+  }
+  if (!fk_cache_call_check_instance(call, name.instance))
+    return FALSE;
+  FkUploadStream *stream = call->upload = g_new0(FkUploadStream, 1);
+  stream->name = name;
+  if (fk_blob_store_has(call->service->blobs, call->team, &name.digest)) {
+    reply_written(call, name.zstd ? -1 : (gint64)name.digest.size);
+    return FALSE;
+  }
+  return open_upload(call, stream);
+}
+
+/* Later messages may repeat the name. FALSE: it is another one, and the call was failed. */
+static gboolean check_same_name(FkCacheCall *call, const char *resource_name) {
+  const FkResourceName *name = &call->upload->name;
+  FkResourceName repeated;
+  if (!*resource_name ||
+      (fk_resource_name_parse(resource_name, FK_RESOURCE_WRITE, &repeated) &&
+       fk_digest_equal(&repeated.digest, &name->digest) && strcmp(repeated.upload_id, name->upload_id) == 0))
+    return TRUE;
+  fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "an upload keeps its name");
+  return FALSE;
+}
+
+/* What it decompresses to is bounded by the digest's size: a write beyond it is a mismatch. */
+static FkBlobStatus write_compressed(FkUploadStream *stream, const ProtobufCBinaryData *data) {
+  if (!stream->decompressor)
+    stream->decompressor = ZSTD_createDStream();
+  ZSTD_inBuffer in = {data->data, data->len, 0};
+  guint8 plain[DECOMPRESSED_BYTES];
+  for (;;) {
+    ZSTD_outBuffer out = {plain, sizeof plain, 0};
+    gsize remaining = ZSTD_decompressStream(stream->decompressor, &out, &in);
+    if (ZSTD_isError(remaining))
+      return FK_BLOB_STATUS_MISMATCH;
+    FkBlobStatus status = fk_upload_write(stream->upload->upload, plain, out.pos);
+    if (status != FK_BLOB_STATUS_OK)
+      return status;
+    if (in.pos == in.size && out.pos < out.size)
+      return FK_BLOB_STATUS_OK;
+  }
+}
+
+static FkBlobStatus write_data(FkUploadStream *stream, const ProtobufCBinaryData *data) {
+  FkBlobStatus status = stream->name.zstd ? write_compressed(stream, data)
+                                          : fk_upload_write(stream->upload->upload, data->data, data->len);
+  stream->committed += (gint64)data->len;
+  return status;
+}
+
+/* The last part came, or the upload failed (`status`). */
+static void finish_upload(FkCacheCall *call, FkBlobStatus status) {
+  FkUploadStream *stream = call->upload;
+  FkResumableUpload *upload = g_steal_pointer(&stream->upload);
+  if (status == FK_BLOB_STATUS_OK)
+    status = fk_upload_finish(g_steal_pointer(&upload->upload));
+  fk_uploads_remove(call->service->uploads, upload);
+  if (status == FK_BLOB_STATUS_OK)
+    reply_written(call, stream->committed);
+  else
+    fk_cache_call_fail_blob(call, status);
+}
+
+void fk_cache_write(FkCacheCall *call, gpointer request) {
+  const Rx__WriteRequest *q = request;
+  if (call->upload ? !check_same_name(call, q->resource_name) : !begin_stream(call, q->resource_name))
+    return;
+  if (q->write_offset != call->upload->committed) {
+    fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "the offset isn't where the upload stands");
+    return;
+  }
+  FkBlobStatus status = write_data(call->upload, &q->data);
+  if (status != FK_BLOB_STATUS_OK || q->finish_write)
+    finish_upload(call, status);
+}
+
+void fk_cache_query_write_status(FkCacheCall *call, gpointer request) {
+  const Rx__QueryWriteStatusRequest *q = request;
+  FkResourceName name;
+  if (!fk_resource_name_parse(q->resource_name, FK_RESOURCE_WRITE, &name)) {
+    fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "no upload's name");
+    return;
+  }
+  if (!fk_cache_call_check_instance(call, name.instance))
+    return;
+  const FkResumableUpload *upload = fk_uploads_find(call->service->uploads, call->team, &name);
+  Rx__QueryWriteStatusResponse response = RX__QUERY_WRITE_STATUS_RESPONSE__INIT;
+  response.complete = fk_blob_store_has(call->service->blobs, call->team, &name.digest);
+  if (!response.complete && !upload) {
+    fk_cache_call_fail(call, FK_GRPC_NOT_FOUND, "no such upload");
+    return;
+  }
+  if (response.complete)
+    response.committed_size = (gint64)name.digest.size;
+  else if (!name.zstd)
+    response.committed_size = (gint64)fk_upload_written(upload->upload);
+  fk_cache_call_reply(call, &response);
+}
--- a/src/remote_execution/message.c
+++ b/src/remote_execution/message.c
@@ -6,62 +6,68 @@
 
 /* ------------------------------------------------------------------ bytes */
 
+#define ALLOCATION_OVERHEAD_BYTES 32
+#define NAME_BYTES_MAX 255
+#define PATH_BYTES_MAX 4095
+
+/* Bytes that parsing one message may still allocate. */
 typedef struct {
   gsize left;
-} Budget;
+} MemoryBudget;
 
-static void *budget_alloc(void *data, size_t n) {
-  Budget *b = data;
-  gsize cost = n + 32; /* what an allocator adds */
-  if (cost > b->left)
+static void *budget_alloc(void *data, size_t size) {
+  MemoryBudget *budget = data;
+  gsize cost = size + ALLOCATION_OVERHEAD_BYTES;
+  if (cost > budget->left)
     return NULL;
-  b->left -= cost;
-  return g_try_malloc(MAX(1, n));
+  budget->left -= cost;
+  return g_try_malloc(MAX(1, size));
 }
 
-static void budget_free(void *data, void *p) { g_free(p); }
+static void budget_free(void *data, void *pointer) { g_free(pointer); }
 
-/* Frees what any budget allocated. */
-static ProtobufCAllocator plain = {budget_alloc, budget_free, NULL};
+/* Frees what was allocated with any budget. */
+static ProtobufCAllocator free_only = {budget_alloc, budget_free, NULL};
 
 gpointer fk_message_unpack(const ProtobufCMessageDescriptor *type, const guint8 *bytes, gsize len,
                            gsize max) {
-  Budget budget = {max};
+  MemoryBudget budget = {max};
   ProtobufCAllocator allocator = {budget_alloc, budget_free, &budget};
   return protobuf_c_message_unpack(type, &allocator, len, bytes);
 }
 
 void fk_message_free(gpointer message) {
   if (message)
-    protobuf_c_message_free_unpacked(message, &plain);
+    protobuf_c_message_free_unpacked(message, &free_only);
 }
 
 GBytes *fk_message_pack(gconstpointer message) {
-  gsize n = protobuf_c_message_get_packed_size(message);
-  guint8 *bytes = g_malloc(MAX(1, n));
+  gsize size = protobuf_c_message_get_packed_size(message);
+  guint8 *bytes = g_malloc(MAX(1, size));
   protobuf_c_message_pack(message, bytes);
-  return g_bytes_new_take(bytes, n);
+  return g_bytes_new_take(bytes, size);
 }
 
-gboolean fk_message_digest(const Rx__Digest *d, FkDigest *out) {
-  return d && fk_digest_parse(out, d->hash, d->size_bytes);
+gboolean fk_message_digest(const Rx__Digest *digest, FkDigest *out) {
+  return digest && fk_digest_parse(out, digest->hash, digest->size_bytes);
 }
 
 /* ------------------------------------------------------------------ statuses */
 
-static GBytes *status(FkGrpcStatus code, const char *text, const char *type, gconstpointer detail) {
+/* A google.rpc.Status with one detail of that type. */
+static GBytes *pack_status(FkGrpcStatus code, const char *text, const char *type, gconstpointer detail) {
   g_autoptr(GBytes) packed = fk_message_pack(detail);
   gsize len;
   const guint8 *bytes = g_bytes_get_data(packed, &len);
   Rx__Any any = RX__ANY__INIT, *details[] = {&any};
-  Rx__Status s = RX__STATUS__INIT;
+  Rx__Status status = RX__STATUS__INIT;
   any.type_url = (char *)type;
   any.value = (ProtobufCBinaryData){len, (guint8 *)bytes};
-  s.code = (int)code;
-  s.message = (char *)text;
-  s.n_details = 1;
-  s.details = details;
-  return fk_message_pack(&s);
+  status.code = (int)code;
+  status.message = (char *)text;
+  status.n_details = 1;
+  status.details = details;
+  return fk_message_pack(&status);
 }
 
 GBytes *fk_message_retry_status(FkGrpcStatus code, const char *text, gint64 retry_s) {
@@ -69,37 +75,37 @@
   Rx__RetryInfo info = RX__RETRY_INFO__INIT;
   delay.seconds = retry_s;
   info.retry_delay = &delay;
-  return status(code, text, FK_TYPE_RETRY_INFO, &info);
+  return pack_status(code, text, FK_TYPE_RETRY_INFO, &info);
 }
 
 GBytes *fk_message_missing_status(const char *text, const GArray *missing) {
-  g_autofree Rx__Violation *all = g_new(Rx__Violation, missing->len);
+  g_autofree Rx__Violation *violations = g_new(Rx__Violation, missing->len);
   g_autofree Rx__Violation **list = g_new(Rx__Violation *, missing->len);
   g_autoptr(GPtrArray) subjects = g_ptr_array_new_with_free_func(g_free);
   for (guint i = 0; i < missing->len; i++) {
     const FkDigest *d = &g_array_index(missing, FkDigest, i);
     char *subject = g_strdup_printf("blobs/%s/%" G_GUINT64_FORMAT, d->hex, d->size);
     g_ptr_array_add(subjects, subject);
-    rx__violation__init(&all[i]);
-    all[i].type = "MISSING";
-    all[i].subject = subject;
-    list[i] = &all[i];
+    rx__violation__init(&violations[i]);
+    violations[i].type = "MISSING";
+    violations[i].subject = subject;
+    list[i] = &violations[i];
   }
   Rx__PreconditionFailure failure = RX__PRECONDITION_FAILURE__INIT;
   failure.n_violations = missing->len;
   failure.violations = list;
-  return status(FK_GRPC_FAILED_PRECONDITION, text, FK_TYPE_PRECONDITION, &failure);
+  return pack_status(FK_GRPC_FAILED_PRECONDITION, text, FK_TYPE_PRECONDITION, &failure);
 }
 
 /* ------------------------------------------------------------------ what a result refers to */
 
 gboolean fk_message_name_is_valid(const char *name) {
   return name && *name && !strchr(name, '/') && strcmp(name, ".") != 0 && strcmp(name, "..") != 0 &&
-         strlen(name) <= 255 && g_utf8_validate(name, -1, NULL);
+         strlen(name) <= NAME_BYTES_MAX && g_utf8_validate(name, -1, NULL);
 }
 
 gboolean fk_message_path_is_valid(const char *path) {
-  if (!path || strlen(path) > 4095)
+  if (!path || strlen(path) > PATH_BYTES_MAX)
     return FALSE;
   g_auto(GStrv) parts = g_strsplit(path, "/", -1);
   for (guint i = 0; parts[i]; i++)
@@ -108,64 +114,74 @@
   return parts[0] != NULL;
 }
 
-static gboolean add(GArray *blobs, const Rx__Digest *d, const char **why) {
+/* FALSE and a reason: it isn't a digest. */
+static gboolean add_digest(GArray *blobs, const Rx__Digest *message, const char **reason) {
   FkDigest digest;
-  if (!fk_message_digest(d, &digest)) {
-    *why = "a digest isn't one";
+  if (!fk_message_digest(message, &digest)) {
+    *reason = "a digest isn't one";
     return FALSE;
   }
   g_array_append_val(blobs, digest);
   return TRUE;
 }
 
-static gboolean path(const char *p, const char **why) {
-  if (fk_message_path_is_valid(p))
+/* FALSE and a reason: the path isn't valid. */
+static gboolean check_path(const char *path, const char **reason) {
+  if (fk_message_path_is_valid(path))
     return TRUE;
-  *why = "an output's path leads out of the working directory, or isn't a path";
+  *reason = "an output's path leads out of the working directory, or isn't a path";
   return FALSE;
 }
 
-gboolean fk_message_result_blobs(const Rx__ActionResult *r, GArray *blobs, GArray *trees, const char **why) {
-  for (gsize i = 0; i < r->n_output_files; i++)
-    if (!path(r->output_files[i]->path, why) || !add(blobs, r->output_files[i]->digest, why))
+static gboolean check_symlinks(Rx__OutputSymlink **links, gsize n, const char **reason) {
+  for (gsize i = 0; i < n; i++)
+    if (!check_path(links[i]->path, reason))
+      return FALSE;
+  return TRUE;
+}
+
+/* An output directory's path may be empty: the working directory itself. */
+static gboolean add_directory(const Rx__OutputDirectory *directory, GArray *blobs, GArray *trees,
+                              const char **reason) {
+  return (!*directory->path || check_path(directory->path, reason)) &&
+         add_digest(blobs, directory->tree_digest, reason) &&
+         add_digest(trees, directory->tree_digest, reason);
+}
+
+gboolean fk_message_result_blobs(const Rx__ActionResult *result, GArray *blobs, GArray *trees,
+                                 const char **reason) {
+  for (gsize i = 0; i < result->n_output_files; i++)
+    if (!check_path(result->output_files[i]->path, reason) ||
+        !add_digest(blobs, result->output_files[i]->digest, reason))
       return FALSE;
-  for (gsize i = 0; i < r->n_output_directories; i++) {
-    const Rx__OutputDirectory *d = r->output_directories[i];
-    if ((*d->path && !path(d->path, why)) || !add(blobs, d->tree_digest, why) ||
-        !add(trees, d->tree_digest, why))
+  for (gsize i = 0; i < result->n_output_directories; i++)
+    if (!add_directory(result->output_directories[i], blobs, trees, reason))
       return FALSE;
-  }
-  const struct {
-    gsize n;
-    Rx__OutputSymlink **links;
-  } links[] = {{r->n_output_symlinks, r->output_symlinks},
-               {r->n_output_file_symlinks, r->output_file_symlinks},
-               {r->n_output_directory_symlinks, r->output_directory_symlinks}};
-  for (guint k = 0; k < G_N_ELEMENTS(links); k++)
-    for (gsize i = 0; i < links[k].n; i++)
-      if (!path(links[k].links[i]->path, why))
-        return FALSE;
-  return (!r->stdout_digest || add(blobs, r->stdout_digest, why)) &&
-         (!r->stderr_digest || add(blobs, r->stderr_digest, why));
-}
-
-static gboolean directory_blobs(const Rx__Directory *d, GArray *blobs, const char **why) {
-  for (gsize i = 0; i < d->n_files; i++) {
-    if (!fk_message_name_is_valid(d->files[i]->name)) {
-      *why = "a file's name isn't one";
+  return check_symlinks(result->output_symlinks, result->n_output_symlinks, reason) &&
+         check_symlinks(result->output_file_symlinks, result->n_output_file_symlinks, reason) &&
+         check_symlinks(result->output_directory_symlinks, result->n_output_directory_symlinks, reason) &&
+         (!result->stdout_digest || add_digest(blobs, result->stdout_digest, reason)) &&
+         (!result->stderr_digest || add_digest(blobs, result->stderr_digest, reason));
+}
+
+/* The files of one directory of a tree. */
+static gboolean add_files(const Rx__Directory *directory, GArray *blobs, const char **reason) {
+  for (gsize i = 0; i < directory->n_files; i++) {
+    if (!fk_message_name_is_valid(directory->files[i]->name)) {
+      *reason = "a file's name isn't one";
       return FALSE;
     }
-    if (!add(blobs, d->files[i]->digest, why))
+    if (!add_digest(blobs, directory->files[i]->digest, reason))
       return FALSE;
   }
   return TRUE;
 }
 
-gboolean fk_message_tree_blobs(const Rx__Tree *t, GArray *blobs, const char **why) {
-  if (t->root && !directory_blobs(t->root, blobs, why))
+gboolean fk_message_tree_blobs(const Rx__Tree *tree, GArray *blobs, const char **reason) {
+  if (tree->root && !add_files(tree->root, blobs, reason))
     return FALSE;
-  for (gsize i = 0; i < t->n_children; i++)
-    if (!directory_blobs(t->children[i], blobs, why))
+  for (gsize i = 0; i < tree->n_children; i++)
+    if (!add_files(tree->children[i], blobs, reason))
       return FALSE;
   return TRUE;
 }
--- a/src/remote_execution/names.h
+++ b/src/remote_execution/names.h
@@ -1,4 +1,4 @@
-/* The published names that travel: services' paths and Any's type URLs. */
+/* The API's names on the wire: the methods' paths, and the type URLs of google.protobuf.Any. */
 #pragma once
 
 #define FK_REMOTE_EXECUTION_PACKAGE "/build.bazel.remote.execution.v2."
--- a/src/remote_execution/settings.c
+++ b/src/remote_execution/settings.c
@@ -22,79 +22,98 @@
 
 static GQuark settings_error(void) { return g_quark_from_static_string("fk-rexec-settings"); }
 
-void fk_remote_execution_settings_free(FkRemoteExecutionSettings *s) {
-  if (!s)
+void fk_remote_execution_settings_free(FkRemoteExecutionSettings *settings) {
+  if (!settings)
     return;
-  g_free(s->listen);
-  g_free(s->directory);
-  g_free(s->keys);
-  g_free(s);
+  g_free(settings->listen);
+  g_free(settings->directory);
+  g_free(settings->keys);
+  g_free(settings);
 }
 
-static gboolean take_number(FkRemoteExecutionSettings *s, const cJSON *j, GError **error) {
+static gboolean parse_number(FkRemoteExecutionSettings *settings, const cJSON *field, GError **error) {
   for (guint i = 0; i < G_N_ELEMENTS(numbers); i++) {
-    const FkRemoteExecutionNumber *f = &numbers[i];
-    if (!g_str_equal(f->name, j->string))
+    const FkRemoteExecutionNumber *number = &numbers[i];
+    if (!g_str_equal(number->name, field->string))
       continue;
-    if (!cJSON_IsNumber(j) || !(j->valuedouble >= f->min && j->valuedouble <= f->max)) {
-      g_set_error(error, settings_error(), 1, "%s: a number from %g to %g is needed", f->name, f->min,
-                  f->max);
+    if (!cJSON_IsNumber(field) || !(field->valuedouble >= number->min && field->valuedouble <= number->max)) {
+      g_set_error(error, settings_error(), 1, "%s: a number from %g to %g is needed", number->name,
+                  number->min, number->max);
       return FALSE;
     }
-    G_STRUCT_MEMBER(double, s, f->offset) = j->valuedouble;
+    G_STRUCT_MEMBER(double, settings, number->offset) = field->valuedouble;
     return TRUE;
   }
-  g_set_error(error, settings_error(), 1, "%s: no such setting", j->string);
+  g_set_error(error, settings_error(), 1, "%s: no such setting", field->string);
   return FALSE;
 }
 
-static gboolean take_text(const cJSON *j, char **out, GError **error) {
-  if (!cJSON_IsString(j) || !*j->valuestring) {
-    g_set_error(error, settings_error(), 1, "%s: a non-empty string is needed", j->string);
+static gboolean parse_string(const cJSON *field, char **out, GError **error) {
+  if (!cJSON_IsString(field) || !*field->valuestring) {
+    g_set_error(error, settings_error(), 1, "%s: a non-empty string is needed", field->string);
     return FALSE;
   }
   g_free(*out);
-  *out = g_strdup(j->valuestring);
+  *out = g_strdup(field->valuestring);
   return TRUE;
 }
 
-/* Keys would travel in the clear: until there is TLS here, only where nobody listens. */
-static gboolean loopback(const char *where) {
-  const char *colon = strrchr(where, ':');
+/* Where a string setting is kept; NULL: there is none of that name. */
+static char **string_setting(FkRemoteExecutionSettings *settings, const char *name) {
+  if (g_str_equal(name, "listen"))
+    return &settings->listen;
+  if (g_str_equal(name, "directory"))
+    return &settings->directory;
+  return g_str_equal(name, "keys") ? &settings->keys : NULL;
+}
+
+static gboolean parse_field(FkRemoteExecutionSettings *settings, const cJSON *field, GError **error) {
+  char **string = string_setting(settings, field->string);
+  return string ? parse_string(field, string, error) : parse_number(settings, field, error);
+}
+
+/* Keys would travel in the clear: until there is TLS, they may only where nobody listens. */
+static gboolean is_loopback(const char *address_and_port) {
+  const char *colon = strrchr(address_and_port, ':');
   guint64 port;
-  g_autofree char *host = colon ? g_strndup(where, (gsize)(colon - where)) : NULL;
+  g_autofree char *host = colon ? g_strndup(address_and_port, (gsize)(colon - address_and_port)) : NULL;
   g_autoptr(GInetAddress) address = host ? g_inet_address_new_from_string(host) : NULL;
   return address && g_inet_address_get_is_loopback(address) &&
          g_ascii_string_to_unsigned(colon + 1, 10, 1, 65535, &port, NULL);
 }
 
+/* The name of a missing setting, or NULL. */
+static const char *missing_setting(const FkRemoteExecutionSettings *settings) {
+  if (!settings->listen)
+    return "listen";
+  if (!settings->directory)
+    return "directory";
+  return settings->keys ? NULL : "keys";
+}
+
 FkRemoteExecutionSettings *fk_remote_execution_settings_parse(const char *text, gsize len, GError **error) {
-  g_autoptr(cJSON) o = fk_json_parse(text, len);
-  g_autoptr(FkRemoteExecutionSettings) s = g_new0(FkRemoteExecutionSettings, 1);
-  const cJSON *j;
-  if (!cJSON_IsObject(o)) {
+  g_autoptr(cJSON) json = fk_json_parse(text, len);
+  g_autoptr(FkRemoteExecutionSettings) settings = g_new0(FkRemoteExecutionSettings, 1);
+  const cJSON *field;
+  if (!cJSON_IsObject(json)) {
     g_set_error(error, settings_error(), 1, "not a JSON object");
     return NULL;
   }
   for (guint i = 0; i < G_N_ELEMENTS(numbers); i++)
-    G_STRUCT_MEMBER(double, s, numbers[i].offset) = numbers[i].fallback;
-  cJSON_ArrayForEach(j, o) {
-    char **text_field = g_str_equal(j->string, "listen")      ? &s->listen
-                        : g_str_equal(j->string, "directory") ? &s->directory
-                        : g_str_equal(j->string, "keys")      ? &s->keys
-                                                              : NULL;
-    if (text_field ? !take_text(j, text_field, error) : !take_number(s, j, error))
+    G_STRUCT_MEMBER(double, settings, numbers[i].offset) = numbers[i].fallback;
+  cJSON_ArrayForEach(field, json) {
+    if (!parse_field(settings, field, error))
       return NULL;
   }
-  const char *missing = !s->listen ? "listen" : !s->directory ? "directory" : !s->keys ? "keys" : NULL;
+  const char *missing = missing_setting(settings);
   if (missing) {
     g_set_error(error, settings_error(), 1, "%s: is needed", missing);
     return NULL;
   }
-  if (!loopback(s->listen)) {
+  if (!is_loopback(settings->listen)) {
     g_set_error(error, settings_error(), 1,
                 "listen: a loopback address and port is needed (there is no TLS yet)");
     return NULL;
   }
-  return g_steal_pointer(&s);
+  return g_steal_pointer(&settings);
 }
--- /dev/null
+++ b/src/remote_execution/tree.c
@@ -0,0 +1,107 @@
+/* ContentAddressableStorage.GetTree: the directories below a root, in pages.
+ *
+ * The order is breadth first, each directory once however often it occurs, so a tree whose parts refer to
+ * each other many times is no longer than its distinct parts. A page's token is the number of the next
+ * directory in that order, which is the same each time, as directories are named by their contents. */
+#include "remote_execution/cache_call.h"
+
+#define TREE_DIRECTORIES_MAX 100000
+#define PAGE_DIRECTORIES_MAX 1000
+#define PAGE_BYTES_MAX (1 << 20)
+
+typedef struct {
+  FkCacheCall *call;
+  GArray *order;     /* FkDigest */
+  GHashTable *found; /* the hashes in `order` but the root's */
+  guint64 next;      /* in `order` */
+  GPtrArray *page;   /* Rx__Directory */
+  gsize page_bytes;
+} TreeWalk;
+
+static void tree_walk_clear(TreeWalk *walk) {
+  g_array_unref(walk->order);
+  g_hash_table_unref(walk->found);
+  g_ptr_array_unref(walk->page);
+}
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(TreeWalk, tree_walk_clear)
+
+/* FALSE: the tree is too large, and the call was failed. */
+static gboolean append_children(TreeWalk *walk, const Rx__Directory *directory) {
+  for (gsize i = 0; i < directory->n_directories; i++) {
+    FkDigest child;
+    if (!fk_message_digest(directory->directories[i]->digest, &child) ||
+        !g_hash_table_add(walk->found, g_strndup(child.hex, FK_DIGEST_HEX_LEN)))
+      continue;
+    if (walk->order->len >= TREE_DIRECTORIES_MAX) {
+      fk_cache_call_fail(walk->call, FK_GRPC_INVALID_ARGUMENT, "the tree has too many directories");
+      return FALSE;
+    }
+    g_array_append_val(walk->order, child);
+  }
+  return TRUE;
+}
+
+/* Goes on by one directory, which belongs to the page unless it is before `first`. FALSE: the call was
+ * failed.
+ */
+static gboolean visit_next(TreeWalk *walk, guint64 first) {
+  FkCacheService *service = walk->call->service;
+  guint64 index = walk->next++;
+  FkDigest digest = g_array_index(walk->order, FkDigest, index);
+  g_autoptr(GBytes) bytes =
+      fk_blob_store_read_all(service->blobs, walk->call->team, &digest, service->message_bytes_max);
+  if (!bytes && index == 0) {
+    fk_cache_call_fail(walk->call, FK_GRPC_NOT_FOUND, "the root isn't there");
+    return FALSE;
+  }
+  if (!bytes)
+    return TRUE; /* the API has missing parts left out */
+  Rx__Directory *directory = fk_cache_call_unpack_blob(&rx__directory__descriptor, bytes);
+  if (!directory) {
+    fk_cache_call_fail(walk->call, FK_GRPC_INVALID_ARGUMENT, "a part of the tree is no directory");
+    return FALSE;
+  }
+  gboolean appended = append_children(walk, directory);
+  if (!appended || index < first) {
+    fk_message_free(directory);
+    return appended;
+  }
+  walk->page_bytes += g_bytes_get_size(bytes);
+  g_ptr_array_add(walk->page, directory);
+  return TRUE;
+}
+
+static void reply_page(const TreeWalk *walk) {
+  gboolean more = walk->next < walk->order->len;
+  g_autofree char *token = more ? g_strdup_printf("%" G_GUINT64_FORMAT, walk->next) : g_strdup("");
+  Rx__GetTreeResponse response = RX__GET_TREE_RESPONSE__INIT;
+  response.n_directories = walk->page->len;
+  response.directories = (Rx__Directory **)walk->page->pdata;
+  response.next_page_token = token;
+  fk_cache_call_reply(walk->call, &response);
+}
+
+void fk_cache_get_tree(FkCacheCall *call, gpointer request) {
+  const Rx__GetTreeRequest *q = request;
+  FkDigest root;
+  guint64 first = 0;
+  if (!fk_cache_call_check_instance(call, q->instance_name) ||
+      !fk_cache_call_check_digest_function(call, q->digest_function) ||
+      !fk_cache_call_parse_digest(call, q->root_digest, &root))
+    return;
+  if (*q->page_token &&
+      !g_ascii_string_to_unsigned(q->page_token, 10, 0, TREE_DIRECTORIES_MAX, &first, NULL)) {
+    fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "no such page");
+    return;
+  }
+  guint page_size = q->page_size > 0 ? (guint)MIN(q->page_size, PAGE_DIRECTORIES_MAX) : PAGE_DIRECTORIES_MAX;
+  g_auto(TreeWalk) walk = {.call = call,
+                           .order = g_array_new(FALSE, FALSE, sizeof(FkDigest)),
+                           .found = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
+                           .page = g_ptr_array_new_with_free_func(fk_message_free)};
+  g_array_append_val(walk.order, root);
+  while (walk.next < walk.order->len && walk.page->len < page_size && walk.page_bytes < PAGE_BYTES_MAX)
+    if (!visit_next(&walk, first))
+      return;
+  reply_page(&walk);
+}
