--- a/src/daemon/log.h
+++ b/src/daemon/log.h
@@ -1,3 +1,4 @@
-/* GLib's log, to standard error, as LOG_LEVEL says. */
+/* GLib's log, on standard error, at the level that the environment's LOG_LEVEL names (error, info, debug;
+ * else warnings and errors). */
 #pragma once
 void fk_log_init(void);
--- a/src/daemon/process_metrics.c
+++ b/src/daemon/process_metrics.c
@@ -5,13 +5,15 @@
 #include <math.h>
 #include <time.h>
 
-/* Lateness from 1 ms to 100 s, in steps of a quarter. */
+/* Lateness from 1 ms to 100 s, each bin a quarter wider than the one before. */
 #define LATENESS_BINS 52
 #define LATENESS_BIN_RATIO 1.25
+#define LATENESS_MIN_S 0.001
+#define LATENESS_MAX_S 100
 
 struct FkProcessMetrics {
   double window_s;
-  gint64 window_end;
+  gint64 window_end_us; /* 0: no window has begun */
   gsl_histogram *lateness;
   double worst_lateness_s;
   gint64 iteration_start_ns, longest_iteration_ns;
@@ -19,23 +21,23 @@
 };
 
 FkProcessMetrics *fk_process_metrics_new(double window_s) {
-  FkProcessMetrics *v = g_new0(FkProcessMetrics, 1);
+  FkProcessMetrics *metrics = g_new0(FkProcessMetrics, 1);
   double edges[LATENESS_BINS + 1];
   edges[0] = 0;
   for (guint i = 1; i <= LATENESS_BINS; i++)
-    edges[i] = 0.001 * pow(LATENESS_BIN_RATIO, i - 1);
-  v->lateness = gsl_histogram_alloc(LATENESS_BINS);
-  gsl_histogram_set_ranges(v->lateness, edges, LATENESS_BINS + 1);
-  v->window_s = window_s;
-  v->iteration_start_ns = fk_process_metrics_cpu_ns();
-  return v;
+    edges[i] = LATENESS_MIN_S * pow(LATENESS_BIN_RATIO, i - 1);
+  metrics->lateness = gsl_histogram_alloc(LATENESS_BINS);
+  gsl_histogram_set_ranges(metrics->lateness, edges, LATENESS_BINS + 1);
+  metrics->window_s = window_s;
+  metrics->iteration_start_ns = fk_process_metrics_cpu_ns();
+  return metrics;
 }
 
-void fk_process_metrics_free(FkProcessMetrics *v) {
-  if (!v)
+void fk_process_metrics_free(FkProcessMetrics *metrics) {
+  if (!metrics)
     return;
-  gsl_histogram_free(v->lateness);
-  g_free(v);
+  gsl_histogram_free(metrics->lateness);
+  g_free(metrics);
 }
 
 gint64 fk_process_metrics_cpu_ns(void) {
@@ -44,47 +46,52 @@
   return (gint64)t.tv_sec * 1000000000 + t.tv_nsec;
 }
 
-void fk_process_metrics_iteration_begin(FkProcessMetrics *v, gint64 cpu_ns) {
-  v->iteration_start_ns = cpu_ns;
+void fk_process_metrics_iteration_begin(FkProcessMetrics *metrics, gint64 cpu_ns) {
+  metrics->iteration_start_ns = cpu_ns;
 }
 
-void fk_process_metrics_iteration_end(FkProcessMetrics *v, gint64 cpu_ns, guint watched) {
-  v->longest_iteration_ns = MAX(v->longest_iteration_ns, cpu_ns - v->iteration_start_ns);
-  v->polled_max = MAX(v->polled_max, watched);
-  v->iterations++;
+void fk_process_metrics_iteration_end(FkProcessMetrics *metrics, gint64 cpu_ns, guint polled) {
+  metrics->longest_iteration_ns = MAX(metrics->longest_iteration_ns, cpu_ns - metrics->iteration_start_ns);
+  metrics->polled_max = MAX(metrics->polled_max, polled);
+  metrics->iterations++;
 }
 
-/* The upper edge of the bin in which that share of the ticks ends. */
-static double quantile(const gsl_histogram *h, double share) {
-  double all = gsl_histogram_sum(h), sum = 0, low = 0, high = 0;
-  for (gsize i = 0; i < gsl_histogram_bins(h) && sum < share * all; i++) {
-    sum += gsl_histogram_get(h, i);
-    gsl_histogram_get_range(h, i, &low, &high);
+/* The upper edge of the bin in which that part of the values ends. */
+static double quantile(const gsl_histogram *histogram, double part) {
+  double total = gsl_histogram_sum(histogram), sum = 0, low = 0, high = 0;
+  for (gsize i = 0; i < gsl_histogram_bins(histogram) && sum < part * total; i++) {
+    sum += gsl_histogram_get(histogram, i);
+    gsl_histogram_get_range(histogram, i, &low, &high);
   }
   return high;
 }
 
-static void log_window(FkProcessMetrics *v) {
-  struct mallinfo2 m = mallinfo2();
-  g_info("vitals: %u turns, the longest %.1f ms of processor time, at most %u sockets watched; ticks late by "
-         "%.0f ms (p50), %.0f ms (p99), "
-         "%.0f ms (worst); heap %.1f MB used, %.1f MB held",
-         v->iterations, (double)v->longest_iteration_ns / 1e6, v->polled_max,
-         1e3 * quantile(v->lateness, 0.5), 1e3 * quantile(v->lateness, 0.99), 1e3 * v->worst_lateness_s,
-         (double)(m.uordblks + m.hblkhd) / 1e6, (double)(m.arena + m.hblkhd) / 1e6);
-  gsl_histogram_reset(v->lateness);
-  v->worst_lateness_s = 0;
-  v->longest_iteration_ns = 0;
-  v->iterations = v->polled_max = 0;
+static void log_window(const FkProcessMetrics *metrics) {
+  struct mallinfo2 heap = mallinfo2();
+  g_info("process iterations=%u longest_iteration_cpu_ms=%.1f polled_max=%u tick_late_ms_p50=%.0f "
+         "tick_late_ms_p99=%.0f tick_late_ms_max=%.0f heap_used_mb=%.1f heap_held_mb=%.1f",
+         metrics->iterations, (double)metrics->longest_iteration_ns / 1e6, metrics->polled_max,
+         1e3 * quantile(metrics->lateness, 0.5), 1e3 * quantile(metrics->lateness, 0.99),
+         1e3 * metrics->worst_lateness_s, (double)(heap.uordblks + heap.hblkhd) / 1e6,
+         (double)(heap.arena + heap.hblkhd) / 1e6);
 }
 
-void fk_process_metrics_timer_fired(FkProcessMetrics *v, double late_s) {
-  gsl_histogram_increment(v->lateness, CLAMP(late_s, 0, 100));
-  v->worst_lateness_s = MAX(v->worst_lateness_s, late_s);
-  gint64 now = g_get_monotonic_time();
-  if (now < v->window_end)
+static void begin_window(FkProcessMetrics *metrics) {
+  gsl_histogram_reset(metrics->lateness);
+  metrics->worst_lateness_s = 0;
+  metrics->longest_iteration_ns = 0;
+  metrics->iterations = metrics->polled_max = 0;
+}
+
+void fk_process_metrics_timer_fired(FkProcessMetrics *metrics, double late_s) {
+  gsl_histogram_increment(metrics->lateness, CLAMP(late_s, 0, LATENESS_MAX_S));
+  metrics->worst_lateness_s = MAX(metrics->worst_lateness_s, late_s);
+  gint64 now_us = g_get_monotonic_time();
+  if (now_us < metrics->window_end_us)
     return;
-  if (v->window_end)
-    log_window(v);
-  v->window_end = now + (gint64)(v->window_s * 1e6);
+  if (metrics->window_end_us) {
+    log_window(metrics);
+    begin_window(metrics);
+  }
+  metrics->window_end_us = now_us + (gint64)(metrics->window_s * 1e6);
 }
--- a/src/daemon/rate_limiter.h
+++ b/src/daemon/rate_limiter.h
@@ -1,23 +1,28 @@
-/* A rate budget: what may go out at once does, the rest waits in order of priority, and a full queue sheds.
- */
+/* A rate limiter with priorities, for requests of which some count as writes too: a token bucket each. What
+ * has tokens is sent at once, the rest waits by level, and what finds the queue full is shed. */
 #pragma once
 #include <glib.h>
 
 typedef struct FkRateLimiter FkRateLimiter;
+/* Takes `item`. */
 typedef void (*FkRateLimiterCallback)(gpointer data, gpointer item);
 
-/* `rate` and `write_rate` a second, with bursts of `burst_s` seconds. The first `urgent` levels may run it
- * into debt. */
+/* `rate` (requests) and `write_rate` are per second, with bursts of `burst_s` seconds. Level 0 is the most
+ * urgent one; the first `urgent` of `levels` levels may overdraw the buckets by a second's tokens.
+ * `max_queue`: requests that may wait. `send` and `shed` get `data`. */
 FkRateLimiter *fk_rate_limiter_new(double rate, double write_rate, double burst_s, guint levels, guint urgent,
                                    guint max_queue, FkRateLimiterCallback send, FkRateLimiterCallback shed,
                                    gpointer data);
-void fk_rate_limiter_free(FkRateLimiter *b);
-void fk_rate_limiter_submit(FkRateLimiter *b, guint level, guint writes, gpointer item);
-/* What this controller's share is now. */
-void fk_rate_limiter_set_rates(FkRateLimiter *b, double rate, double write_rate);
-/* Writes that would go out at once at this level. */
-double fk_rate_limiter_available_writes(FkRateLimiter *b, guint level);
-/* Refused for want of budget: the others have used it. It goes first again, after a pause. */
-void fk_rate_limiter_requeue(FkRateLimiter *b, guint level, guint writes, gpointer item);
-/* Counts a request that goes out in any case (hold renewals, watches). */
-void fk_rate_limiter_charge(FkRateLimiter *b);
+/* Sheds what waits. NULL is fine. */
+void fk_rate_limiter_free(FkRateLimiter *limiter);
+/* Sends, queues or sheds `item`, a request with that many writes (0: it only reads). */
+void fk_rate_limiter_submit(FkRateLimiter *limiter, guint level, guint writes, gpointer item);
+/* A request was refused by the other side for exceeding its rate: all tokens are void, and it goes first
+ * again in its level. */
+void fk_rate_limiter_requeue(FkRateLimiter *limiter, guint level, guint writes, gpointer item);
+/* Charges a request that was sent in any case. */
+void fk_rate_limiter_charge(FkRateLimiter *limiter);
+/* Changes the rates from now on. */
+void fk_rate_limiter_set_rates(FkRateLimiter *limiter, double rate, double write_rate);
+/* How many writes would be sent at once at this level. */
+double fk_rate_limiter_available_writes(FkRateLimiter *limiter, guint level);
