--- a/src/daemon/api_requests.c
+++ b/src/daemon/api_requests.c
@@ -3,6 +3,7 @@
 #include <string.h>
 
 #include "daemon/daemon_internal.h"
+#include "daemon/log.h"
 #include "wire/route.h"
 #include "wire/user.h"
 #include "wire/worker.h"
@@ -118,7 +119,7 @@
     FkRequestId request = open_request(daemon, message);
     fk_controller_heartbeat_received(daemon->core, fk_daemon_now(), request, heartbeat);
   } else {
-    g_warning("a malformed report: %.*s", (int)MIN(len, LOGGED_BODY_BYTES), body);
+    g_warning(FK_LOG_MALFORMED_HEARTBEAT "%.*s", (int)MIN(len, LOGGED_BODY_BYTES), body);
     respond_error(message, 400, "malformed report");
   }
   fk_daemon_profile_leave(daemon, before);
--- a/src/simulation/scale/summary.c
+++ b/src/simulation/scale/summary.c
@@ -4,14 +4,14 @@
 #include <gsl/gsl_statistics_double.h>
 #include <string.h>
 
+#include "daemon/log.h"
 #include "simulation/scale/check_rules.h"
 
 #define URGENT_WITHIN_S 1.8
-#define FULL 0.85                        /* of the tasks that are to run: less, and a region hasn't filled */
-#define STARTED 0.85                     /* of the tasks that were submitted a second */
-#define SETTLE_S 5.0                     /* jobs submitted in the last seconds aren't judged */
-#define MALFORMED "a malformed report: " /* as src/io/shell.c logs it */
-#define BUSY_WINDOW 10U                  /* seconds over which a process's share of a core is looked at */
+#define FULL 0.85       /* of the tasks that are to run: less, and a region hasn't filled */
+#define STARTED 0.85    /* of the tasks that were submitted a second */
+#define SETTLE_S 5.0    /* jobs submitted in the last seconds aren't judged */
+#define BUSY_WINDOW 10U /* seconds over which a process's share of a core is looked at */
 
 /* ------------------------------------------------------------------ a process's lines */
 
@@ -183,7 +183,8 @@
                     *path = g_build_filename(p->dir, base, NULL), *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, error))
       return FALSE;
-    for (const char *at = text; (at = strstr(at, MALFORMED)); at += strlen(MALFORMED))
+    for (const char *at = text; (at = strstr(at, FK_LOG_MALFORMED_HEARTBEAT));
+         at += strlen(FK_LOG_MALFORMED_HEARTBEAT))
       ++*count;
   }
   return TRUE;
--- a/src/wire/store_records.c
+++ b/src/wire/store_records.c
@@ -5,6 +5,13 @@
 #define TASKS_MAX 100000 /* of a job */
 #define BITS_PER_DIGIT 4
 
+static cJSON *strings_to_json(char **strings) {
+  cJSON *list = cJSON_CreateArray();
+  for (guint i = 0; strings[i]; i++)
+    cJSON_AddItemToArray(list, cJSON_CreateString(strings[i]));
+  return list;
+}
+
 static cJSON *spec_to_json(const FkSpec *spec) {
   cJSON *json = cJSON_CreateObject();
   cJSON_AddStringToObject(json, "class", spec->class_name);
@@ -17,11 +24,8 @@
   cJSON_AddNumberToObject(json, "mem", spec->mem_gb);
   cJSON_AddStringToObject(json, "image", spec->image);
   cJSON_AddNumberToObject(json, "image_gb", spec->image_gb);
-  if (spec->types) {
-    cJSON *list = cJSON_AddArrayToObject(json, "types");
-    for (guint i = 0; spec->types[i]; i++)
-      cJSON_AddItemToArray(list, cJSON_CreateString(spec->types[i]));
-  }
+  if (spec->types)
+    cJSON_AddItemToObject(json, "types", strings_to_json(spec->types));
   if (spec->zone)
     cJSON_AddStringToObject(json, "zone", spec->zone);
   cJSON_AddBoolToObject(json, "one_zone", spec->one_zone);
@@ -35,14 +39,26 @@
   cJSON_AddNumberToObject(json, "submitted", (double)spec->submitted_ms);
   cJSON_AddStringToObject(json, "owner", spec->owner ? spec->owner : "");
   cJSON_AddNumberToObject(json, "chunk", spec->chunk_tasks);
-  if (spec->dependencies) { /* a job without any has the same bytes as before there were dependencies */
-    cJSON *list = cJSON_AddArrayToObject(json, "needs");
-    for (guint i = 0; spec->dependencies[i]; i++)
-      cJSON_AddItemToArray(list, cJSON_CreateString(spec->dependencies[i]));
-  }
+  if (spec->dependencies) /* a job without any has the same bytes as before there were dependencies */
+    cJSON_AddItemToObject(json, "needs", strings_to_json(spec->dependencies));
   return json;
 }
 
+/* The strings of a list. FALSE: it holds something else too, which is left out. */
+static gboolean strings_from_json(const cJSON *list, char ***out) {
+  g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
+  gboolean all_strings = TRUE;
+  const cJSON *item;
+  cJSON_ArrayForEach(item, list) {
+    if (cJSON_IsString(item))
+      g_strv_builder_add(builder, item->valuestring);
+    else
+      all_strings = FALSE;
+  }
+  *out = g_strv_builder_end(builder);
+  return all_strings;
+}
+
 static FkSpec *spec_from_json(const char *id, const cJSON *json) {
   g_autoptr(FkSpec) spec = fk_spec_new();
   guint64 shape, priority, tasks, chunk;
@@ -63,12 +79,9 @@
   spec->mem_gb = fk_json_num_or(json, "mem", 0);
   spec->image = g_strdup(fk_json_str(json, "image"));
   spec->image_gb = fk_json_num_or(json, "image_gb", 0);
-  const cJSON *types = fk_json_get(json, "types"), *item;
-  if (cJSON_IsArray(types)) {
-    g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
-    cJSON_ArrayForEach(item, types) if (cJSON_IsString(item)) g_strv_builder_add(builder, item->valuestring);
-    spec->types = g_strv_builder_end(builder);
-  }
+  const cJSON *types = fk_json_get(json, "types");
+  if (cJSON_IsArray(types))
+    strings_from_json(types, &spec->types);
   spec->zone = g_strdup(fk_json_str(json, "zone"));
   fk_json_bool(json, "one_zone", &spec->one_zone);
   fk_json_bool(json, "spread", &spec->spread);
@@ -80,15 +93,8 @@
   spec->submitted_ms = (gint64)fk_json_num_or(json, "submitted", 0);
   spec->owner = g_strdup(fk_json_str(json, "owner"));
   const cJSON *needs = fk_json_get(json, "needs");
-  if (needs && cJSON_GetArraySize(needs)) {
-    g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
-    cJSON_ArrayForEach(item, needs) {
-      if (!cJSON_IsString(item))
-        return NULL; /* it must not start as if it had no dependencies */
-      g_strv_builder_add(builder, item->valuestring);
-    }
-    spec->dependencies = g_strv_builder_end(builder);
-  }
+  if (needs && cJSON_GetArraySize(needs) && !strings_from_json(needs, &spec->dependencies))
+    return NULL; /* it must not start as if it had fewer dependencies */
   return g_steal_pointer(&spec);
 }
 
--- a/test/test_scale.c
+++ b/test/test_scale.c
@@ -377,9 +377,9 @@
   g_assert_true(g_file_set_contents(second, "up\n", -1, &error));
   g_assert_true(fk_summary_malformed_reports(p, 0, &n, &error));
   g_assert_cmpuint(n, ==, 0);
-  g_assert_true(
-      g_file_set_contents(first, "warning a malformed report: \nup\na malformed report: {}\n", -1, &error));
-  g_assert_true(g_file_set_contents(second, "a malformed report: []", -1, &error));
+  g_assert_true(g_file_set_contents(
+      first, "warning heartbeat malformed body=\nup\nheartbeat malformed body={}\n", -1, &error));
+  g_assert_true(g_file_set_contents(second, "heartbeat malformed body=[]", -1, &error));
   g_assert_true(fk_summary_malformed_reports(p, 0, &n, &error));
   g_assert_cmpuint(n, ==, 3);
   g_unlink(first);
