--- a/src/simulation/scale/check_rules.c
+++ b/src/simulation/scale/check_rules.c
@@ -1,4 +1,5 @@
 #include "simulation/scale/check_rules.h"
+#include "simulation/scale/workload.h"
 
 #include <string.h>
 
@@ -33,7 +34,7 @@
 static void break_rule(Check *c, const char *rule, const FkRunEvent *e, const char *why) {
   if (c->broken->len >= BROKEN_MOST)
     return;
-  double at_s = (double)(e->at_us - c->plan->begins_us) / 1e6;
+  double at_s = (double)(e->at_us - c->plan->start_us) / 1e6;
   g_ptr_array_add(c->broken, g_strdup_printf("%s: %s/%u at %.1f s: %s", rule, e->job, e->task, at_s, why));
 }
 
@@ -79,14 +80,14 @@
   *used_by(c, j->spec->team) -= j->spec->cpus;
   if (too_late(c, j, e->at_us))
     break_rule(c, "ran_cancelled", e, "was still there");
-  if (e->kind != FK_EVENT_ENDED || j->ended[e->task])
+  if (e->kind != FK_RUN_EVENT_TASK_DONE || j->ended[e->task])
     return;
   j->ended[e->task] = 1;
   j->ended_count++;
 }
 
 static void told_over(Check *c, Job *j, const FkRunEvent *e) {
-  gboolean done = e->kind == FK_EVENT_DONE;
+  gboolean done = e->kind == FK_RUN_EVENT_JOB_DONE;
   if (done ? j->cancelled : j->done)
     break_rule(c, "went_back", e, done ? "cancelled before" : "done before");
   if (done && j->ended_count < j->spec->tasks)
@@ -100,7 +101,7 @@
 }
 
 static void told_state(Check *c, Job *j, const FkRunEvent *e) {
-  if (j->accepted && e->kind == FK_EVENT_UNKNOWN)
+  if (j->accepted && e->kind == FK_RUN_EVENT_POLL_NOT_FOUND)
     break_rule(c, "forgotten", e, "404");
   if (j->done || j->cancelled)
     break_rule(c, "went_back", e, "it was over");
@@ -111,26 +112,26 @@
 
 static void take(Check *c, Job *j, const FkRunEvent *e) {
   switch (e->kind) {
-  case FK_EVENT_BEGAN:
+  case FK_RUN_EVENT_TASK_STARTED:
     task_began(c, j, e);
     break;
-  case FK_EVENT_ENDED:
-  case FK_EVENT_LEFT:
+  case FK_RUN_EVENT_TASK_DONE:
+  case FK_RUN_EVENT_TASK_LOST:
     task_left(c, j, e);
     break;
-  case FK_EVENT_ACCEPTED:
+  case FK_RUN_EVENT_ACCEPTED:
     j->accepted = TRUE;
     j->answered_us = e->at_us;
     break;
-  case FK_EVENT_ASKED_CANCEL:
+  case FK_RUN_EVENT_CANCEL_REQUESTED:
     j->asked_cancel = TRUE;
     break;
-  case FK_EVENT_DONE:
-  case FK_EVENT_CANCELLED:
+  case FK_RUN_EVENT_JOB_DONE:
+  case FK_RUN_EVENT_JOB_CANCELLED:
     told_over(c, j, e);
     break;
-  case FK_EVENT_ANSWERED:
-  case FK_EVENT_UNKNOWN:
+  case FK_RUN_EVENT_POLL_ACTIVE:
+  case FK_RUN_EVENT_POLL_NOT_FOUND:
     told_state(c, j, e);
     break;
   default:
@@ -139,7 +140,7 @@
 }
 
 GPtrArray *fk_scale_check_rules(const FkScalePlan *p, guint region, const GArray *events) {
-  Check c = {.plan = p, .limit = fk_scale_team_limit(p, region)};
+  Check c = {.plan = p, .limit = fk_scale_team_quota_cpus(p, region)};
   c.jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
   c.on = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   c.teams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
--- a/src/simulation/scale/check_rules.h
+++ b/src/simulation/scale/check_rules.h
@@ -1,6 +1,6 @@
 /* PROTOCOL's rules, held against what truly happened in a region. */
 #pragma once
-#include "simulation/scale/events.h"
+#include "simulation/scale/event_log.h"
 #include "simulation/scale/plan.h"
 
 /* What was broken, a line each: "rule: what, when"; empty when nothing was. `events` are sorted by time and
--- a/src/simulation/scale/events.c
+++ b/src/simulation/scale/event_log.c
@@ -1,4 +1,4 @@
-#include "simulation/scale/events.h"
+#include "simulation/scale/event_log.h"
 
 #include <string.h>
 
@@ -30,11 +30,12 @@
   g_free(l);
 }
 
-void fk_event_log_add(FkEventLog *l, FkEventKind kind, const char *job, guint32 task, const char *machine) {
+void fk_event_log_add(FkEventLog *l, FkRunEventKind kind, const char *job, guint32 task,
+                      const char *machine) {
   fk_event_log_add_at(l, g_get_monotonic_time(), kind, job, task, machine);
 }
 
-void fk_event_log_add_at(FkEventLog *l, gint64 at_us, FkEventKind kind, const char *job, guint32 task,
+void fk_event_log_add_at(FkEventLog *l, gint64 at_us, FkRunEventKind kind, const char *job, guint32 task,
                          const char *machine) {
   fprintf(l->file, "%" G_GINT64_FORMAT " %d %s %u %s\n", at_us, (int)kind, job, task,
           machine ? machine : "-");
@@ -56,7 +57,7 @@
   g_auto(GStrv) parts = g_strsplit(line, " ", 5);
   if (g_strv_length(parts) != 5)
     return FALSE;
-  FkRunEvent e = {g_ascii_strtoll(parts[0], NULL, 10), (FkEventKind)g_ascii_strtoull(parts[1], NULL, 10),
+  FkRunEvent e = {g_ascii_strtoll(parts[0], NULL, 10), (FkRunEventKind)g_ascii_strtoull(parts[1], NULL, 10),
                   g_strdup(parts[2]), (guint32)g_ascii_strtoull(parts[3], NULL, 10),
                   g_str_equal(parts[4], "-") ? NULL : g_strdup(parts[4])};
   g_array_append_val(events, e);
--- a/src/simulation/scale/listen.c
+++ b/src/simulation/scale/http_stand_in.c
@@ -1,4 +1,4 @@
-#include "simulation/scale/listen.h"
+#include "simulation/scale/http_stand_in.h"
 
 #include <errno.h>
 #include <glib-unix.h>
@@ -20,7 +20,7 @@
   return g_inet_socket_address_new_from_string(parts[0], (guint)port);
 }
 
-SoupServer *fk_scale_serve(const char *addr, FkScaleHandler handler, gpointer data, GError **error) {
+SoupServer *fk_stand_in_serve(const char *addr, FkStandInHandler handler, gpointer data, GError **error) {
   g_autoptr(GSocketAddress) address = address_of(addr, error);
   g_autoptr(SoupServer) server = soup_server_new("server-header", "stand-in", NULL);
   soup_server_add_handler(server, NULL, handler, data, NULL);
@@ -33,12 +33,12 @@
 
 /* ------------------------------------------------------------------ thousands of addresses */
 
-struct FkManyAddresses {
+struct FkStandInListener {
   SoupServer *server;
   int epoll;
 };
 
-static void hand_over(FkManyAddresses *a, int fd) {
+static void hand_over(FkStandInListener *a, int fd) {
   g_autoptr(GError) error = NULL;
   g_autoptr(GSocket) socket = g_socket_new_from_fd(fd, &error);
   if (!socket) {
@@ -64,8 +64,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-FkManyAddresses *fk_many_addresses_new(FkScaleHandler handler, gpointer data, GError **error) {
-  FkManyAddresses *a = g_new0(FkManyAddresses, 1);
+FkStandInListener *fk_stand_in_listener_new(FkStandInHandler handler, gpointer data, GError **error) {
+  FkStandInListener *a = g_new0(FkStandInListener, 1);
   a->epoll = epoll_create1(EPOLL_CLOEXEC);
   a->server = soup_server_new("server-header", "stand-in", NULL);
   soup_server_add_handler(a->server, NULL, handler, data, NULL);
@@ -73,7 +73,7 @@
   return a;
 }
 
-int fk_many_addresses_listen(FkManyAddresses *a, const char *addr, GError **error) {
+int fk_stand_in_listener_add(FkStandInListener *a, const char *addr, GError **error) {
   g_autoptr(GSocketAddress) address = address_of(addr, error);
   g_autoptr(GSocket) socket =
       address ? g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error) : NULL;
@@ -93,31 +93,31 @@
   return fd;
 }
 
-void fk_many_addresses_close(int number) {
+void fk_stand_in_listener_remove(int number) {
   if (number >= 0)
     close(number);
 }
 
 /* ------------------------------------------------------------------ messages */
 
-char *fk_scale_local_addr(SoupServerMessage *m) {
+char *fk_stand_in_local_addr(SoupServerMessage *m) {
   GInetSocketAddress *local = G_INET_SOCKET_ADDRESS(soup_server_message_get_local_address(m));
   g_autofree char *host = g_inet_address_to_string(g_inet_socket_address_get_address(local));
   return g_strdup_printf("%s:%u", host, g_inet_socket_address_get_port(local));
 }
 
-const char *fk_scale_body(SoupServerMessage *m, gsize *len) {
+const char *fk_stand_in_request_body(SoupServerMessage *m, gsize *len) {
   const SoupMessageBody *body = soup_server_message_get_request_body(m);
   *len = (gsize)body->length;
   return body->data ? body->data : "";
 }
 
-const char *fk_scale_query(GHashTable *query, const char *name) {
+const char *fk_stand_in_query(GHashTable *query, const char *name) {
   const char *value = query ? g_hash_table_lookup(query, name) : NULL;
   return value ? value : "";
 }
 
-void fk_scale_respond(SoupServerMessage *m, guint status, char *body) {
+void fk_stand_in_respond(SoupServerMessage *m, guint status, char *body) {
   soup_server_message_set_status(m, status, NULL);
   soup_server_message_set_response(m, "application/json", SOUP_MEMORY_TAKE, body, strlen(body));
 }
@@ -129,14 +129,14 @@
   return G_SOURCE_REMOVE;
 }
 
-void fk_scale_run_until_over(const FkScalePlan *p) {
+void fk_stand_in_run(const FkScalePlan *p) {
   g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
-  gint64 over = p->begins_us + (gint64)((p->seconds + AFTER_S) * 1e6);
+  gint64 over = p->start_us + (gint64)((p->duration_s + AFTER_S) * 1e6);
   g_timeout_add((guint)(MAX(0, over - g_get_monotonic_time()) / 1000), is_over, loop);
   g_main_loop_run(loop);
 }
 
-int fk_scale_failed(const char *who, const GError *error) {
+int fk_stand_in_start_failed(const char *who, const GError *error) {
   fprintf(stderr, "flaxknot-sim scale: %s couldn't begin: %s\n", who,
           error ? error->message : "no reason given");
   return 1;
--- a/src/simulation/scale/balancer.c
+++ b/src/simulation/scale/load_balancer.c
@@ -1,4 +1,4 @@
-#include "simulation/scale/balancer.h"
+#include "simulation/scale/load_balancer.h"
 
 #define BAD_IN_A_ROW 2
 #define BAD_OF_SIX 3
@@ -19,19 +19,19 @@
   double pause_s;
 } Node;
 
-struct FkBalancer {
+struct FkLoadBalancer {
   Node *nodes;
   guint n;
 };
 
-FkBalancer *fk_balancer_new(guint nodes) {
-  FkBalancer *b = g_new0(FkBalancer, 1);
+FkLoadBalancer *fk_load_balancer_new(guint nodes) {
+  FkLoadBalancer *b = g_new0(FkLoadBalancer, 1);
   b->nodes = g_new0(Node, nodes);
   b->n = nodes;
   return b;
 }
 
-void fk_balancer_free(FkBalancer *b) {
+void fk_load_balancer_free(FkLoadBalancer *b) {
   g_free(b->nodes);
   g_free(b);
 }
@@ -51,7 +51,7 @@
   n->not_before = now + (gint64)(n->pause_s * 1e6);
 }
 
-void fk_balancer_probed(FkBalancer *b, guint node, gboolean good, gint64 now) {
+void fk_load_balancer_record_probe(FkLoadBalancer *b, guint node, gboolean good, gint64 now) {
   Node *n = &b->nodes[node];
   n->last_six = (guint8)(((n->last_six << 1) | !good) & 0x3f);
   n->good = good ? n->good + 1 : 0;
@@ -62,7 +62,7 @@
     n->healthy = n->ever = TRUE;
 }
 
-int fk_balancer_pick(FkBalancer *b, gint64 now) {
+int fk_load_balancer_pick(FkLoadBalancer *b, gint64 now) {
   int best = -1;
   for (guint i = 0; i < b->n; i++) {
     const Node *n = &b->nodes[i];
@@ -74,7 +74,7 @@
   return best;
 }
 
-void fk_balancer_closed(FkBalancer *b, guint node, gboolean refused, gint64 now) {
+void fk_load_balancer_connection_closed(FkLoadBalancer *b, guint node, gboolean refused, gint64 now) {
   Node *n = &b->nodes[node];
   n->open--;
   n->refusals = refused ? n->refusals + 1 : 0;
@@ -84,7 +84,7 @@
   n->skip_until = now + (gint64)(SKIP_S * 1e6);
 }
 
-guint fk_balancer_healthy(const FkBalancer *b) {
+guint fk_load_balancer_healthy_count(const FkLoadBalancer *b) {
   guint n = 0;
   for (guint i = 0; i < b->n; i++)
     n += b->nodes[i].healthy;
--- a/src/simulation/scale/balancer.h
+++ b/src/simulation/scale/load_balancer.h
@@ -3,14 +3,14 @@
 #pragma once
 #include <glib.h>
 
-typedef struct FkBalancer FkBalancer;
+typedef struct FkLoadBalancer FkLoadBalancer;
 
-FkBalancer *fk_balancer_new(guint nodes);
-void fk_balancer_free(FkBalancer *b);
+FkLoadBalancer *fk_load_balancer_new(guint nodes);
+void fk_load_balancer_free(FkLoadBalancer *b);
 /* A probe of /up was answered with 200, or it wasn't. */
-void fk_balancer_probed(FkBalancer *b, guint node, gboolean good, gint64 now);
+void fk_load_balancer_record_probe(FkLoadBalancer *b, guint node, gboolean good, gint64 now);
 /* The node for a new connection, which counts as open from here on; -1: none is healthy. */
-int fk_balancer_pick(FkBalancer *b, gint64 now);
+int fk_load_balancer_pick(FkLoadBalancer *b, gint64 now);
 /* A connection to the node is over; `refused`: it never came to be. */
-void fk_balancer_closed(FkBalancer *b, guint node, gboolean refused, gint64 now);
-guint fk_balancer_healthy(const FkBalancer *b);
+void fk_load_balancer_connection_closed(FkLoadBalancer *b, guint node, gboolean refused, gint64 now);
+guint fk_load_balancer_healthy_count(const FkLoadBalancer *b);
--- a/src/simulation/scale/series.c
+++ b/src/simulation/scale/metrics_log.c
@@ -1,12 +1,12 @@
-#include "simulation/scale/series.h"
+#include "simulation/scale/metrics_log.h"
 
 #include <stdio.h>
 #include <string.h>
 #include <unistd.h>
 
-struct FkSeries {
+struct FkMetricsLog {
   FILE *file;
-  gint64 begins_us;
+  gint64 start_us;
   guint pid;
   double processor_before_s; /* of earlier lives */
   double processor_s;        /* of this one */
@@ -16,22 +16,23 @@
   guint timer;
 };
 
-FkSeries *fk_series_new(const char *dir, const char *name, gint64 begins_us, guint pid, GError **error) {
+FkMetricsLog *fk_metrics_log_new(const char *dir, const char *name, gint64 start_us, guint pid,
+                                 GError **error) {
   g_autofree char *base = g_strconcat(name, ".jsonl", NULL), *path = g_build_filename(dir, base, NULL);
   FILE *file = fopen(path, "w");
   if (!file) {
     g_set_error(error, G_FILE_ERROR, G_FILE_ERROR_FAILED, "%s can't be written", path);
     return NULL;
   }
-  FkSeries *s = g_new0(FkSeries, 1);
+  FkMetricsLog *s = g_new0(FkMetricsLog, 1);
   s->file = file;
-  s->begins_us = begins_us;
+  s->start_us = start_us;
   s->pid = pid ? pid : (guint)getpid();
   s->values = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
   return s;
 }
 
-void fk_series_free(FkSeries *s) {
+void fk_metrics_log_free(FkMetricsLog *s) {
   if (!s)
     return;
   g_clear_handle_id(&s->timer, g_source_remove);
@@ -40,18 +41,18 @@
   g_free(s);
 }
 
-static double *value_of(FkSeries *s, const char *name) {
+static double *value_of(FkMetricsLog *s, const char *name) {
   double *value = g_hash_table_lookup(s->values, name);
   if (!value)
     g_hash_table_insert(s->values, (gpointer)name, value = g_new0(double, 1));
   return value;
 }
 
-void fk_series_add(FkSeries *s, const char *name, double n) { *value_of(s, name) += n; }
+void fk_metrics_log_add(FkMetricsLog *s, const char *name, double n) { *value_of(s, name) += n; }
 
-void fk_series_set(FkSeries *s, const char *name, double n) { *value_of(s, name) = n; }
+void fk_metrics_log_set(FkMetricsLog *s, const char *name, double n) { *value_of(s, name) = n; }
 
-void fk_series_follow(FkSeries *s, guint pid) {
+void fk_metrics_log_set_pid(FkMetricsLog *s, guint pid) {
   s->pid = pid;
   s->processor_before_s += s->processor_s;
   s->processor_s = 0;
@@ -65,7 +66,7 @@
 }
 
 /* Fields 14 and 15 of /proc/PID/stat; the name in the second may hold anything but ends with the last ')'. */
-static void read_processor(FkSeries *s) {
+static void read_processor(FkMetricsLog *s) {
   g_autofree char *text = read_proc(s->pid, "stat");
   const char *rest = text ? strrchr(text, ')') : NULL;
   unsigned long user, system;
@@ -82,12 +83,12 @@
 }
 
 static gboolean write_line(gpointer data) {
-  FkSeries *s = data;
+  FkMetricsLog *s = data;
   read_processor(s);
   if (s->sample)
     s->sample(s->data);
   g_autoptr(cJSON) o = cJSON_CreateObject();
-  cJSON_AddNumberToObject(o, "second", (double)(g_get_monotonic_time() - s->begins_us) / 1e6);
+  cJSON_AddNumberToObject(o, "second", (double)(g_get_monotonic_time() - s->start_us) / 1e6);
   cJSON_AddNumberToObject(o, "processor_s", s->processor_before_s + s->processor_s);
   cJSON_AddNumberToObject(o, "memory_mb", fk_process_memory_mb(s->pid));
   GHashTableIter it;
@@ -101,7 +102,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-void fk_series_start(FkSeries *s, void (*sample)(gpointer data), gpointer data) {
+void fk_metrics_log_start(FkMetricsLog *s, void (*sample)(gpointer data), gpointer data) {
   s->sample = sample;
   s->data = data;
   s->timer = g_timeout_add(1000, write_line, s);
--- a/src/simulation/scale/series.h
+++ b/src/simulation/scale/metrics_log.h
@@ -2,19 +2,20 @@
 #pragma once
 #include "wire/json.h"
 
-typedef struct FkSeries FkSeries;
+typedef struct FkMetricsLog FkMetricsLog;
 
 /* Lines go into `dir`/`name`.jsonl; each begins with the seconds since `begins_us`, and the processor
  * time and memory of the process `pid` (0: this one). NULL: the file can't be written. */
-FkSeries *fk_series_new(const char *dir, const char *name, gint64 begins_us, guint pid, GError **error);
+FkMetricsLog *fk_metrics_log_new(const char *dir, const char *name, gint64 start_us, guint pid,
+                                 GError **error);
 /* The process was started again under that number; its processor time is added up. */
-void fk_series_follow(FkSeries *s, guint pid);
+void fk_metrics_log_set_pid(FkMetricsLog *s, guint pid);
 /* Memory of a process now, in MB; 0: it isn't there. */
 double fk_process_memory_mb(guint pid);
-void fk_series_free(FkSeries *s);
+void fk_metrics_log_free(FkMetricsLog *s);
 /* Adds to a counter; what a line has is the sum since the process began. `name` must live for ever. */
-void fk_series_add(FkSeries *s, const char *name, double n);
+void fk_metrics_log_add(FkMetricsLog *s, const char *name, double n);
 /* Sets a gauge. */
-void fk_series_set(FkSeries *s, const char *name, double n);
+void fk_metrics_log_set(FkMetricsLog *s, const char *name, double n);
 /* A line every second from now on; `sample` (or NULL) sets gauges before each. */
-void fk_series_start(FkSeries *s, void (*sample)(gpointer data), gpointer data);
+void fk_metrics_log_start(FkMetricsLog *s, void (*sample)(gpointer data), gpointer data);
--- a/src/simulation/scale/processes.c
+++ b/src/simulation/scale/processes.c
@@ -1,4 +1,6 @@
 #include "simulation/scale/processes.h"
+#include "simulation/scale/addresses.h"
+#include "simulation/scale/controller_settings.h"
 
 #include <fcntl.h>
 #include <glib/gstdio.h>
@@ -8,7 +10,7 @@
 #include <unistd.h>
 
 #include "net/http_client.h"
-#include "simulation/scale/series.h"
+#include "simulation/scale/metrics_log.h"
 
 #define MEMORY_MOST_MB 12000.0
 #define UP_WITHIN_S 30.0
@@ -22,7 +24,7 @@
   gboolean controller;
   guint region, number; /* of the controller, or of the fleet's part */
   gboolean up, expected_to_end;
-  FkSeries *series; /* controllers only: the stand-ins write their own */
+  FkMetricsLog *series; /* controllers only: the stand-ins write their own */
 } Process;
 
 struct FkProcesses {
@@ -37,14 +39,14 @@
 
 static void process_free(gpointer p) {
   Process *x = p;
-  fk_series_free(x->series);
+  fk_metrics_log_free(x->series);
   g_free(x->name);
   g_free(x);
 }
 
 static char *path_in(const FkScalePlan *p, const char *name, const char *ending) {
   g_autofree char *base = g_strconcat(name, ending, NULL);
-  return g_build_filename(p->dir, base, NULL);
+  return g_build_filename(p->output_dir, base, NULL);
 }
 
 /* ------------------------------------------------------------------ starting */
@@ -74,7 +76,7 @@
   cJSON *own = cJSON_CreateObject();
   cJSON_AddNumberToObject(own, "idle_s", KEEP_IDLE_S);
   if (!write_json(wishes, own, error) ||
-      !write_json(settings, fk_scale_settings(p, x->region, x->number), error))
+      !write_json(settings, fk_scale_controller_settings(p, x->region, x->number), error))
     return FALSE;
   g_auto(GStrv) environment = g_environ_setenv(g_get_environ(), "LOG_LEVEL", "info", TRUE);
   environment = g_environ_setenv(environment, "FLAXKNOT_OPERATOR", wishes, TRUE);
@@ -102,8 +104,8 @@
 }
 
 static gboolean start_fleet(FkProcesses *ps, guint region, GError **error) {
-  for (guint part = 0; part < ps->plan->fleet_processes; part++) {
-    Process *x = add(ps, fk_scale_fleet_name(region, part), region);
+  for (guint part = 0; part < ps->plan->worker_processes; part++) {
+    Process *x = add(ps, fk_scale_worker_process_name(region, part), region);
     x->number = part;
     if (!spawn_stand_in(ps->plan, x, "fleet", error))
       return FALSE;
@@ -126,10 +128,10 @@
     x->number = i;
     if (!spawn_controller(ps->plan, x, error))
       return FALSE;
-    x->series = fk_series_new(ps->plan->dir, x->name, ps->plan->begins_us, (guint)x->pid, error);
+    x->series = fk_metrics_log_new(ps->plan->output_dir, x->name, ps->plan->start_us, (guint)x->pid, error);
     if (!x->series)
       return FALSE;
-    fk_series_start(x->series, NULL, NULL);
+    fk_metrics_log_start(x->series, NULL, NULL);
   }
   return TRUE;
 }
@@ -181,7 +183,7 @@
 static gboolean ask_up(gpointer data) {
   FkProcesses *ps = data;
   gboolean all = TRUE;
-  double since_s = (double)(g_get_monotonic_time() - ps->plan->begins_us) / 1e6;
+  double since_s = (double)(g_get_monotonic_time() - ps->plan->start_us) / 1e6;
   for (guint i = 0; i < ps->all->len; i++) {
     Process *x = ps->all->pdata[i];
     if (!x->controller || x->up)
@@ -232,7 +234,7 @@
     return G_SOURCE_REMOVE;
   }
   x->expected_to_end = FALSE;
-  fk_series_follow(x->series, (guint)x->pid);
+  fk_metrics_log_set_pid(x->series, (guint)x->pid);
   g_child_watch_add(x->pid, on_end, ps);
   return G_SOURCE_REMOVE;
 }
@@ -246,17 +248,17 @@
 
 typedef struct {
   FkProcesses *processes;
-  FkFault fault;
+  FkScaleFault fault;
 } Planned;
 
 static gboolean strike(gpointer data) {
   g_autofree Planned *planned = data;
   FkProcesses *ps = planned->processes;
   Process *x = victim(ps);
-  guint back_ms = (guint)(planned->fault.for_s * 1000);
+  guint back_ms = (guint)(planned->fault.duration_s * 1000);
   if (ps->over || !x->pid)
     return G_SOURCE_REMOVE;
-  if (planned->fault.kind == FK_FAULT_KILL) {
+  if (planned->fault.kind == FK_SCALE_FAULT_KILL) {
     x->expected_to_end = TRUE;
     kill(x->pid, SIGKILL);
     g_timeout_add(back_ms, start_again, ps);
@@ -269,12 +271,12 @@
 
 static void plan_faults(FkProcesses *ps) {
   for (guint i = 0; i < ps->plan->faults->len; i++) {
-    FkFault f = g_array_index(ps->plan->faults, FkFault, i);
-    if (f.kind != FK_FAULT_KILL && f.kind != FK_FAULT_STOP)
+    FkScaleFault f = g_array_index(ps->plan->faults, FkScaleFault, i);
+    if (f.kind != FK_SCALE_FAULT_KILL && f.kind != FK_SCALE_FAULT_STOP)
       continue;
     Planned *planned = g_new0(Planned, 1);
     *planned = (Planned){ps, f};
-    gint64 in_us = ps->plan->begins_us + (gint64)(f.at_s * 1e6) - g_get_monotonic_time();
+    gint64 in_us = ps->plan->start_us + (gint64)(f.at_s * 1e6) - g_get_monotonic_time();
     g_timeout_add((guint)(MAX(0, in_us) / 1000), strike, planned);
   }
 }
@@ -289,7 +291,7 @@
 }
 
 char *fk_processes_run(FkProcesses *ps) {
-  gint64 over = ps->plan->begins_us + (gint64)(ps->plan->seconds * 1e6) - g_get_monotonic_time();
+  gint64 over = ps->plan->start_us + (gint64)(ps->plan->duration_s * 1e6) - g_get_monotonic_time();
   g_timeout_add(ASK_UP_MS, ask_up, ps);
   guint measuring = g_timeout_add(MEASURE_MS, measure, ps);
   g_timeout_add((guint)(MAX(0, over) / 1000), is_over, ps);
@@ -304,7 +306,7 @@
   return G_SOURCE_REMOVE;
 }
 
-void fk_processes_end(FkProcesses *ps) {
+void fk_processes_stop(FkProcesses *ps) {
   if (ps->over) {
     g_timeout_add((guint)(AFTER_S * 1000), wait_over, ps->loop);
     g_main_loop_run(ps->loop);
@@ -322,7 +324,7 @@
 
 void fk_processes_free(FkProcesses *ps) {
   ps->over = FALSE; /* nothing is waited for any more */
-  fk_processes_end(ps);
+  fk_processes_stop(ps);
   fk_http_client_free(ps->http);
   g_ptr_array_unref(ps->all);
   g_main_loop_unref(ps->loop);
@@ -330,6 +332,6 @@
   g_free(ps);
 }
 
-double fk_processes_memory_most_mb(const FkProcesses *ps) { return ps->memory_most_mb; }
+double fk_processes_peak_memory_mb(const FkProcesses *ps) { return ps->memory_most_mb; }
 
 guint fk_processes_count(const FkProcesses *ps) { return ps->all->len; }
--- a/src/simulation/scale/processes.h
+++ b/src/simulation/scale/processes.h
@@ -10,8 +10,8 @@
  * itself, a controller that didn't come up, too much memory. */
 char *fk_processes_run(FkProcesses *ps);
 /* Ends what still runs, and waits for it; the stand-ins of a run that is over write their last lines. */
-void fk_processes_end(FkProcesses *ps);
+void fk_processes_stop(FkProcesses *ps);
 void fk_processes_free(FkProcesses *ps);
 /* The most that all had together at a moment. */
-double fk_processes_memory_most_mb(const FkProcesses *ps);
+double fk_processes_peak_memory_mb(const FkProcesses *ps);
 guint fk_processes_count(const FkProcesses *ps);
--- a/src/simulation/scale/scale.c
+++ b/src/simulation/scale/scale.c
@@ -5,11 +5,11 @@
 #include <sys/resource.h>
 
 #include "simulation/recovery.h"
-#include "simulation/scale/fleet.h"
 #include "simulation/scale/processes.h"
-#include "simulation/scale/state_service.h"
+#include "simulation/scale/store_stand_in.h"
 #include "simulation/scale/summary.h"
-#include "simulation/scale/users.h"
+#include "simulation/scale/user_stand_in.h"
+#include "simulation/scale/worker_stand_in.h"
 
 #define BEGIN_AFTER_S 1.0       /* the stand-ins listen by then */
 #define DESCRIPTORS_BESIDE 2000 /* a fleet's process needs these beside one for each worker */
@@ -35,10 +35,10 @@
   if (!p)
     return wrong_use(error);
   if (g_str_equal(o->play, "state"))
-    return fk_scale_state_service(p, (guint)o->region);
+    return fk_scale_store_stand_in(p, (guint)o->region);
   if (g_str_equal(o->play, "fleet"))
-    return fk_scale_fleet(p, (guint)o->region, (guint)o->part);
-  return fk_scale_users(p, (guint)o->region);
+    return fk_scale_worker_stand_in(p, (guint)o->region, (guint)o->part);
+  return fk_scale_user_stand_in(p, (guint)o->region);
 }
 
 /* ------------------------------------------------------------------ the run */
@@ -59,11 +59,11 @@
 }
 
 static gboolean write_plan(FkScalePlan *p, GError **error) {
-  g_autofree char *path = g_build_filename(p->dir, "plan.json", NULL);
-  p->begins_us = g_get_monotonic_time() + (gint64)(BEGIN_AFTER_S * 1e6);
+  g_autofree char *path = g_build_filename(p->output_dir, "plan.json", NULL);
+  p->start_us = g_get_monotonic_time() + (gint64)(BEGIN_AFTER_S * 1e6);
   g_autoptr(cJSON) o = fk_scale_plan_to_json(p);
   g_autofree char *text = fk_json_print(o);
-  return g_mkdir_with_parents(p->dir, 0755) == 0 && g_file_set_contents(path, text, -1, error);
+  return g_mkdir_with_parents(p->output_dir, 0755) == 0 && g_file_set_contents(path, text, -1, error);
 }
 
 static void tell_region(const cJSON *r, guint number) {
@@ -89,21 +89,22 @@
     printf("  %-50s %10.2f\n", rows[i].words, fk_json_num_or(r, rows[i].name, 0));
 }
 
-static gboolean write_summary(const FkScalePlan *p, FkSummary *s, const FkProcesses *ps, GError **error) {
-  g_autofree char *path = g_build_filename(p->dir, "summary.json", NULL);
-  cJSON_AddNumberToObject(s->figures, "memory_most_mb", fk_processes_memory_most_mb(ps));
+static gboolean write_summary(const FkScalePlan *p, FkScaleSummary *s, const FkProcesses *ps,
+                              GError **error) {
+  g_autofree char *path = g_build_filename(p->output_dir, "summary.json", NULL);
+  cJSON_AddNumberToObject(s->figures, "memory_most_mb", fk_processes_peak_memory_mb(ps));
   cJSON_AddNumberToObject(s->figures, "processes", fk_processes_count(ps));
   g_autofree char *text = fk_json_print(s->figures);
   return g_file_set_contents(path, text, -1, error);
 }
 
-static int report(const FkScalePlan *p, FkSummary *s, const FkProcesses *ps) {
+static int report(const FkScalePlan *p, FkScaleSummary *s, const FkProcesses *ps) {
   g_autoptr(GError) error = NULL;
   guint number = 0;
   const cJSON *r;
   cJSON_ArrayForEach(r, fk_json_get(s->figures, "regions")) { tell_region(r, number++); }
   printf("%u processes, %.0f MB together; lines, logs and summary.json in %s\n", fk_processes_count(ps),
-         fk_processes_memory_most_mb(ps), p->dir);
+         fk_processes_peak_memory_mb(ps), p->output_dir);
   for (guint i = 0; i < s->why->len; i++)
     printf("NOT CARRIED: %s\n", (char *)s->why->pdata[i]);
   printf(s->carried ? "the load was carried, and no rule was broken\n" : "the load was not carried\n");
@@ -124,19 +125,19 @@
     return FK_SIM_EXIT_FAILED;
   }
   g_autofree char *wrong = fk_processes_run(ps);
-  double memory_mb = fk_processes_memory_most_mb(ps);
+  double memory_mb = fk_processes_peak_memory_mb(ps);
   if (wrong) {
     fprintf(stderr, "flaxknot-sim scale: %s (%.0f MB were held)\n", wrong, memory_mb);
     fk_processes_free(ps);
     return FK_SIM_EXIT_FAILED;
   }
-  fk_processes_end(ps);
-  FkSummary *s = fk_summary_of(p, &error);
+  fk_processes_stop(ps);
+  FkScaleSummary *s = fk_scale_summary_new(p, &error);
   int status = s ? report(p, s, ps) : FK_SIM_EXIT_FAILED;
   if (!s)
     fprintf(stderr, "flaxknot-sim scale: %s\n", error->message);
   else
-    fk_summary_free(s);
+    fk_scale_summary_free(s);
   fk_processes_free(ps);
   return status;
 }
@@ -158,17 +159,17 @@
   p->workers = (guint)MAX(0, o->workers);
   p->teams = (guint)MAX(0, o->teams);
   p->tasks_per_job = (guint)MAX(0, o->tasks_per_job);
-  p->base = (guint)MAX(0, o->base);
-  p->fleet_processes = (guint)MAX(0, o->fleet_processes);
+  p->address_base = (guint)MAX(0, o->base);
+  p->worker_processes = (guint)MAX(0, o->fleet_processes);
   p->seed = (guint64)o->seed;
-  p->dir = g_strdup(o->dir ? o->dir : "scale-run");
+  p->output_dir = g_strdup(o->dir ? o->dir : "scale-run");
   p->program = g_strdup(o->program);
-  if (p->starts < 0) /* what keeps the workers full */
-    p->starts = p->workers * p->tasks_per_worker / p->run_s;
+  if (p->task_starts_per_s < 0) /* what keeps the workers full */
+    p->task_starts_per_s = p->workers * p->tasks_per_worker / p->task_run_s;
   for (char **f = o->faults; f && *f; f++)
     if (!fk_scale_plan_add_fault(p, *f, error))
       return FALSE;
-  return fk_scale_plan_check(p, error);
+  return fk_scale_plan_validate(p, error);
 }
 
 /* The service's program lies beside this one. */
@@ -178,7 +179,7 @@
   return g_build_filename(dir, "flaxknot", NULL);
 }
 
-int fk_lab_scale(int argc, char **argv) {
+int fk_sim_scale(int argc, char **argv) {
   g_autoptr(FkScalePlan) p = fk_scale_plan_new();
   Options o = {.program = usual_program(),
                .regions = 1,
@@ -190,24 +191,25 @@
                .seed = 1,
                .base = 20,
                .fleet_processes = 1};
-  p->starts = -1;
+  p->task_starts_per_s = -1;
   const GOptionEntry entries[] = {
       {"regions", 0, 0, G_OPTION_ARG_INT, &o.regions, "Regions (1)", "N"},
       {"zones", 0, 0, G_OPTION_ARG_INT, &o.zones, "Zones of all regions (3)", "N"},
       {"controllers", 0, 0, G_OPTION_ARG_INT, &o.controllers, "Controllers of all regions (3)", "N"},
       {"workers", 0, 0, G_OPTION_ARG_INT, &o.workers, "Hollow workers of all regions (80)", "N"},
       {"tasks-per-worker", 0, 0, G_OPTION_ARG_DOUBLE, &p->tasks_per_worker, "Tasks a worker (25)", "X"},
-      {"starts", 0, 0, G_OPTION_ARG_DOUBLE, &p->starts, "Starts a second (as many as keep the workers full)",
-       "X"},
-      {"run", 0, 0, G_OPTION_ARG_DOUBLE, &p->run_s, "Mean run time of a task, s (20)", "S"},
+      {"starts", 0, 0, G_OPTION_ARG_DOUBLE, &p->task_starts_per_s,
+       "Starts a second (as many as keep the workers full)", "X"},
+      {"run", 0, 0, G_OPTION_ARG_DOUBLE, &p->task_run_s, "Mean run time of a task, s (20)", "S"},
       {"tasks-per-job", 0, 0, G_OPTION_ARG_INT, &o.tasks_per_job, "Mean tasks of a job (500)", "N"},
-      {"urgent", 0, 0, G_OPTION_ARG_DOUBLE, &p->urgent, "Urgent jobs a second and region (1)", "X"},
+      {"urgent", 0, 0, G_OPTION_ARG_DOUBLE, &p->urgent_jobs_per_s, "Urgent jobs a second and region (1)",
+       "X"},
       {"teams", 0, 0, G_OPTION_ARG_INT, &o.teams, "Teams (20)", "N"},
-      {"seconds", 0, 0, G_OPTION_ARG_DOUBLE, &p->seconds, "Length of the run (60)", "S"},
+      {"seconds", 0, 0, G_OPTION_ARG_DOUBLE, &p->duration_s, "Length of the run (60)", "S"},
       {"ramp", 0, 0, G_OPTION_ARG_DOUBLE, &p->ramp_s, "Seconds that aren't judged (30)", "S"},
-      {"state-requests", 0, 0, G_OPTION_ARG_DOUBLE, &p->state_requests,
+      {"state-requests", 0, 0, G_OPTION_ARG_DOUBLE, &p->store_requests_per_s,
        "Requests a second that a state service takes (150)", "X"},
-      {"state-writes", 0, 0, G_OPTION_ARG_DOUBLE, &p->state_writes, "Writes a second (50)", "X"},
+      {"state-writes", 0, 0, G_OPTION_ARG_DOUBLE, &p->store_writes_per_s, "Writes a second (50)", "X"},
       {"fault", 0, 0, G_OPTION_ARG_STRING_ARRAY, &o.faults,
        "kill, stop, rack, zone, state, apart or churn, at a second, for so long", "KIND@S[:S]"},
       {"seed", 0, 0, G_OPTION_ARG_INT64, &o.seed, "Of jobs and machines (1)", "N"},
--- a/src/simulation/scale/fleet.c
+++ b/src/simulation/scale/simulated_workers.c
@@ -1,6 +1,8 @@
-#include "simulation/scale/fleet.h"
+#include "simulation/scale/addresses.h"
+#include "simulation/scale/worker_stand_in.h"
+#include "simulation/scale/workload.h"
 
-#include "simulation/scale/fleet_internal.h"
+#include "simulation/scale/simulated_workers.h"
 
 #define CALLS_MOST 4000
 #define ANSWER_MOST (1 << 20)
@@ -11,11 +13,11 @@
 #define RESTART_SHARE 0.951           /* 1,700 restarts for 88 failures a day */
 #define CHURN_A_DAY (1788.0 / 7600.0) /* a machine */
 
-void fk_fleet_after(Fleet *f, double seconds, FkEventQueueFn fn, gpointer data) {
+void fk_simulated_workers_schedule(FkSimulatedWorkers *f, double seconds, FkEventQueueFn fn, gpointer data) {
   fk_event_queue_add(f->agenda, g_get_monotonic_time() + (gint64)(seconds * 1e6), fn, data);
 }
 
-const FkSpec *fk_fleet_spec(Fleet *f, const char *job) {
+const FkSpec *fk_simulated_workers_spec(FkSimulatedWorkers *f, const char *job) {
   FkSpec *s = g_hash_table_lookup(f->specs, job);
   if (!s && (s = fk_scale_job(f->plan, job)))
     g_hash_table_insert(f->specs, s->id, s);
@@ -24,31 +26,31 @@
 
 /* ------------------------------------------------------------------ leases */
 
-static gint64 lease_us(const Fleet *f) { return (gint64)(f->plan->lease_s * 1e6); }
+static gint64 lease_us(const FkSimulatedWorkers *f) { return (gint64)(f->plan->lease_s * 1e6); }
 
-gboolean fk_fleet_expire(Fleet *f, Machine *m, gint64 now) {
+gboolean fk_simulated_workers_check_lease(FkSimulatedWorkers *f, FkSimulatedWorker *m, gint64 now) {
   if (!m->up || m->elsewhere)
     return FALSE;
   f->left_us = m->model.lease_start + lease_us(f);
   gboolean ended = fk_worker_model_check_lease(&m->model, &f->hooks, now, f->plan->lease_s);
   f->left_us = 0;
-  fk_series_add(f->series, "leases_ended", ended);
+  fk_metrics_log_add(f->series, "leases_ended", ended);
   return ended;
 }
 
 /* As above; a report tells of the next session soon. */
-static void look_at_lease(Fleet *f, Machine *m, gint64 now) {
-  if (fk_fleet_expire(f, m, now))
-    fk_fleet_changed(f, m);
+static void look_at_lease(FkSimulatedWorkers *f, FkSimulatedWorker *m, gint64 now) {
+  if (fk_simulated_workers_check_lease(f, m, now))
+    fk_heartbeats_state_changed(f, m);
 }
 
 /* What is planned for one life of a machine. */
 typedef struct {
-  Machine *machine;
+  FkSimulatedWorker *machine;
   guint life;
 } Life;
 
-static void plan_life(Fleet *f, Machine *m, gint64 at, FkEventQueueFn fn) {
+static void plan_life(FkSimulatedWorkers *f, FkSimulatedWorker *m, gint64 at, FkEventQueueFn fn) {
   Life *l = g_new0(Life, 1);
   *l = (Life){m, m->life};
   fk_event_queue_add(f->agenda, at, fn, l);
@@ -57,15 +59,15 @@
 static void lease_is_due(gpointer fleet, gpointer data);
 
 /* The lease stands until its end, and is over right after. */
-static void watch_lease(Fleet *f, Machine *m) {
+static void watch_lease(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
   plan_life(f, m, m->model.lease_start + lease_us(f) + 1, lease_is_due);
 }
 
 /* Where it was renewed meanwhile, its new end is waited for. */
 static void lease_is_due(gpointer fleet, gpointer data) {
-  Fleet *f = fleet;
+  FkSimulatedWorkers *f = fleet;
   g_autofree Life *l = data;
-  Machine *m = l->machine;
+  FkSimulatedWorker *m = l->machine;
   if (m->gone || m->life != l->life)
     return;
   look_at_lease(f, m, g_get_monotonic_time());
@@ -75,14 +77,15 @@
 /* ------------------------------------------------------------------ tasks */
 
 typedef struct {
-  Machine *machine;
+  FkSimulatedWorker *machine;
   guint64 serial;
 } Step;
 
-static void schedule(Fleet *f, Machine *m, guint64 serial, double seconds, FkEventQueueFn fn) {
+static void schedule(FkSimulatedWorkers *f, FkSimulatedWorker *m, guint64 serial, double seconds,
+                     FkEventQueueFn fn) {
   Step *s = g_new0(Step, 1);
   *s = (Step){m, serial};
-  fk_fleet_after(f, seconds, fn, s);
+  fk_simulated_workers_schedule(f, seconds, fn, s);
 }
 
 /* The task that the step is about; NULL: it is no more. */
@@ -94,7 +97,7 @@
 static char *task_key(const FkWorkerTask *t) { return g_strdup_printf("%s/%u", t->job, t->task); }
 
 static void task_ends(gpointer fleet, gpointer data) {
-  Fleet *f = fleet;
+  FkSimulatedWorkers *f = fleet;
   g_autofree Step *s = data;
   gint64 now = g_get_monotonic_time();
   look_at_lease(f, s->machine, now);
@@ -102,59 +105,59 @@
   if (!t)
     return;
   g_hash_table_add(f->finished, task_key(t));
-  fk_event_log_add_at(f->events, now, FK_EVENT_ENDED, t->job, t->task, s->machine->model.id);
-  fk_series_add(f->series, "ended", 1);
+  fk_event_log_add_at(f->events, now, FK_RUN_EVENT_TASK_DONE, t->job, t->task, s->machine->model.id);
+  fk_metrics_log_add(f->series, "ended", 1);
   t->resident = FALSE; /* told already */
   t->state = FK_TASK_EXITED;
   t->exit_reason = FK_EXIT_DONE;
-  fk_fleet_changed(f, s->machine);
+  fk_heartbeats_state_changed(f, s->machine);
 }
 
 static void task_begins(gpointer fleet, gpointer data) {
-  Fleet *f = fleet;
+  FkSimulatedWorkers *f = fleet;
   g_autofree Step *s = data;
   gint64 now = g_get_monotonic_time();
   look_at_lease(f, s->machine, now);
   FkWorkerTask *t = task_of(s);
   if (!t)
     return;
-  const FkSpec *spec = fk_fleet_spec(f, t->job);
+  const FkSpec *spec = fk_simulated_workers_spec(f, t->job);
   g_autofree char *key = task_key(t);
   g_hash_table_add(s->machine->images, g_strdup(spec->image));
   t->state = FK_TASK_RUNNING;
   t->resident = TRUE;
-  fk_event_log_add_at(f->events, now, FK_EVENT_BEGAN, t->job, t->task, s->machine->model.id);
-  fk_series_add(f->series, "began", 1);
-  double run_s = g_hash_table_contains(f->finished, key) ? 0 : fk_scale_task_s(f->plan, spec, t->task);
+  fk_event_log_add_at(f->events, now, FK_RUN_EVENT_TASK_STARTED, t->job, t->task, s->machine->model.id);
+  fk_metrics_log_add(f->series, "began", 1);
+  double run_s = g_hash_table_contains(f->finished, key) ? 0 : fk_scale_task_run_s(f->plan, spec, t->task);
   schedule(f, s->machine, t->serial, run_s, task_ends);
-  fk_fleet_changed(f, s->machine);
+  fk_heartbeats_state_changed(f, s->machine);
 }
 
 static double cpus_of(gpointer fleet, const char *job) {
-  const FkSpec *s = fk_fleet_spec(fleet, job);
+  const FkSpec *s = fk_simulated_workers_spec(fleet, job);
   return s ? s->cpus : -1;
 }
 
 static void task_accepted(gpointer fleet, FkWorkerModel *w, FkWorkerTask *t) {
-  Machine *m = (Machine *)w;
-  const FkSpec *s = fk_fleet_spec(fleet, t->job);
+  FkSimulatedWorker *m = (FkSimulatedWorker *)w;
+  const FkSpec *s = fk_simulated_workers_spec(fleet, t->job);
   double fetch_s = g_hash_table_contains(m->images, s->image) ? FETCHED_S : s->image_gb;
   schedule(fleet, m, t->serial, fetch_s, task_begins);
 }
 
 static void task_left(gpointer fleet, FkWorkerModel *w, FkWorkerTask *t) {
-  Fleet *f = fleet;
+  FkSimulatedWorkers *f = fleet;
   gint64 at = f->left_us ? f->left_us : g_get_monotonic_time();
-  fk_event_log_add_at(f->events, at, FK_EVENT_LEFT, t->job, t->task, w->id);
-  fk_series_add(f->series, "left", 1);
+  fk_event_log_add_at(f->events, at, FK_RUN_EVENT_TASK_LOST, t->job, t->task, w->id);
+  fk_metrics_log_add(f->series, "left", 1);
 }
 
 /* ------------------------------------------------------------------ machines */
 
 static void boots(gpointer fleet, gpointer data) {
-  Fleet *f = fleet;
+  FkSimulatedWorkers *f = fleet;
   g_autofree Life *l = data;
-  Machine *m = l->machine;
+  FkSimulatedWorker *m = l->machine;
   if (m->gone || m->life != l->life)
     return;
   if (m->elsewhere) {
@@ -163,7 +166,7 @@
   }
   g_autoptr(GError) error = NULL;
   if (m->listening < 0)
-    m->listening = fk_many_addresses_listen(f->addresses, m->model.addr, &error);
+    m->listening = fk_stand_in_listener_add(f->addresses, m->model.addr, &error);
   if (m->listening < 0) {
     g_warning("a worker can't listen: %s", error->message);
     return;
@@ -171,15 +174,16 @@
   m->up = TRUE;
   m->model.lease_start = g_get_monotonic_time();
   watch_lease(f, m);
-  fk_fleet_begin_reports(f, m);
+  fk_heartbeats_start(f, m);
 }
 
-static void boot_in(Fleet *f, Machine *m, double seconds) {
+static void boot_in(FkSimulatedWorkers *f, FkSimulatedWorker *m, double seconds) {
   plan_life(f, m, g_get_monotonic_time() + (gint64)(seconds * 1e6), boots);
 }
 
-Machine *fk_fleet_boot(Fleet *f, const char *zone, gboolean spot, double boot_s) {
-  Machine *m = g_new0(Machine, 1);
+FkSimulatedWorker *fk_simulated_workers_boot(FkSimulatedWorkers *f, const char *zone, gboolean spot,
+                                             double boot_s) {
+  FkSimulatedWorker *m = g_new0(FkSimulatedWorker, 1);
   m->number = f->machines->len;
   m->listening = -1;
   m->born = g_get_monotonic_time();
@@ -187,22 +191,23 @@
   m->home = (guint)g_rand_int_range(f->rand, 0, (gint32)fk_scale_region_controllers(f->plan, f->region));
   g_autofree char *id = g_strdup_printf("i-%u%05u", f->region + 1, m->number),
                   *addr = fk_scale_worker_addr(f->plan, f->region, m->number);
-  fk_worker_model_init(&m->model, id, addr, FK_SCALE_TYPE, zone, spot, fk_scale_worker_cpus(f->plan));
+  fk_worker_model_init(&m->model, id, addr, FK_SCALE_INSTANCE_TYPE, zone, spot,
+                       fk_scale_worker_cpus(f->plan));
   g_ptr_array_add(f->machines, m);
   g_hash_table_insert(f->by_addr, m->model.addr, m);
   boot_in(f, m, boot_s);
   return m;
 }
 
-static void close_address(Machine *m) {
-  fk_many_addresses_close(m->listening);
+static void close_address(FkSimulatedWorker *m) {
+  fk_stand_in_listener_remove(m->listening);
   m->listening = -1;
 }
 
-void fk_fleet_lose(Fleet *f, Machine *m) {
+void fk_simulated_workers_terminate(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
   if (m->gone)
     return;
-  fk_fleet_expire(f, m, g_get_monotonic_time());
+  fk_simulated_workers_check_lease(f, m, g_get_monotonic_time());
   fk_worker_model_clear_tasks(&m->model, &f->hooks);
   m->gone = TRUE;
   m->up = FALSE;
@@ -210,20 +215,20 @@
   close_address(m);
 }
 
-static void die(Fleet *f, Machine *m) {
+static void die(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
   if (m->gone)
     return;
-  fk_series_add(f->series, "died", !m->elsewhere);
+  fk_metrics_log_add(f->series, "died", !m->elsewhere);
   m->died = g_get_monotonic_time();
-  fk_fleet_lose(f, m);
+  fk_simulated_workers_terminate(f, m);
 }
 
 /* The machine is back within seconds, and knows nothing of before. */
-static void restart(Fleet *f, Machine *m) {
+static void restart(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
   if (m->gone || !m->up)
     return;
-  fk_series_add(f->series, "restarted", !m->elsewhere);
-  fk_fleet_expire(f, m, g_get_monotonic_time());
+  fk_metrics_log_add(f->series, "restarted", !m->elsewhere);
+  fk_simulated_workers_check_lease(f, m, g_get_monotonic_time());
   fk_worker_model_clear_tasks(&m->model, &f->hooks);
   m->up = FALSE;
   m->life++;
@@ -235,27 +240,27 @@
   boot_in(f, m, g_rand_double_range(f->rand, 1, 5));
 }
 
-guint fk_fleet_alive(const Fleet *f) {
+guint fk_simulated_workers_count(const FkSimulatedWorkers *f) {
   guint n = 0;
   for (guint i = 0; i < f->machines->len; i++)
-    n += !((Machine *)f->machines->pdata[i])->gone;
+    n += !((FkSimulatedWorker *)f->machines->pdata[i])->gone;
   return n;
 }
 
 /* ------------------------------------------------------------------ faults */
 
 /* Faults meet any machine; with several processes, of those that all of them know. */
-static Machine *any_machine(Fleet *f) {
-  guint n = f->plan->fleet_processes > 1 ? fk_scale_region_workers(f->plan, f->region) : f->machines->len;
+static FkSimulatedWorker *any_machine(FkSimulatedWorkers *f) {
+  guint n = f->plan->worker_processes > 1 ? fk_scale_region_workers(f->plan, f->region) : f->machines->len;
   return f->machines->pdata[g_rand_int_range(f->fault_rand, 0, (gint32)n)];
 }
 
 static void rack_dies(gpointer fleet, gpointer unused) {
-  Fleet *f = fleet;
-  Machine *first = any_machine(f);
+  FkSimulatedWorkers *f = fleet;
+  FkSimulatedWorker *first = any_machine(f);
   guint left = RACK;
   for (guint i = first->number; i < f->machines->len && left; i++) {
-    Machine *m = f->machines->pdata[i];
+    FkSimulatedWorker *m = f->machines->pdata[i];
     if (m->gone || !g_str_equal(m->model.zone, first->model.zone))
       continue;
     die(f, m);
@@ -264,41 +269,41 @@
 }
 
 static void zone_dies(gpointer fleet, gpointer unused) {
-  Fleet *f = fleet;
+  FkSimulatedWorkers *f = fleet;
   g_autofree char *zone = fk_scale_zone(f->region, 0);
   for (guint i = 0; i < f->machines->len; i++) {
-    Machine *m = f->machines->pdata[i];
+    FkSimulatedWorker *m = f->machines->pdata[i];
     if (!m->gone && g_str_equal(m->model.zone, zone))
       die(f, m);
   }
 }
 
 static void one_fails(gpointer fleet, gpointer unused) {
-  Fleet *f = fleet;
-  Machine *m = any_machine(f);
+  FkSimulatedWorkers *f = fleet;
+  FkSimulatedWorker *m = any_machine(f);
   if (g_rand_double(f->fault_rand) < RESTART_SHARE)
     restart(f, m);
   else
     die(f, m);
 }
 
-static void plan_churn(Fleet *f, const FkFault *fault) {
+static void plan_churn(FkSimulatedWorkers *f, const FkScaleFault *fault) {
   guint n = (guint)(CHURN_A_DAY * f->machines->len + 0.5);
   for (guint i = 0; i < n; i++) {
-    double at_s = fault->at_s + g_rand_double(f->fault_rand) * fault->for_s;
-    fk_event_queue_add(f->agenda, f->plan->begins_us + (gint64)(at_s * 1e6), one_fails, NULL);
+    double at_s = fault->at_s + g_rand_double(f->fault_rand) * fault->duration_s;
+    fk_event_queue_add(f->agenda, f->plan->start_us + (gint64)(at_s * 1e6), one_fails, NULL);
   }
 }
 
-static void plan_faults(Fleet *f) {
+static void plan_faults(FkSimulatedWorkers *f) {
   for (guint i = 0; i < f->plan->faults->len; i++) {
-    const FkFault *fault = &g_array_index(f->plan->faults, FkFault, i);
-    gint64 at = f->plan->begins_us + (gint64)(fault->at_s * 1e6);
-    if (fault->kind == FK_FAULT_CHURN)
+    const FkScaleFault *fault = &g_array_index(f->plan->faults, FkScaleFault, i);
+    gint64 at = f->plan->start_us + (gint64)(fault->at_s * 1e6);
+    if (fault->kind == FK_SCALE_FAULT_CHURN)
       plan_churn(f, fault);
-    else if (f->region == 0 && fault->kind == FK_FAULT_RACK)
+    else if (f->region == 0 && fault->kind == FK_SCALE_FAULT_RACK)
       fk_event_queue_add(f->agenda, at, rack_dies, NULL);
-    else if (f->region == 0 && fault->kind == FK_FAULT_ZONE)
+    else if (f->region == 0 && fault->kind == FK_SCALE_FAULT_ZONE)
       fk_event_queue_add(f->agenda, at, zone_dies, NULL);
   }
 }
@@ -306,10 +311,10 @@
 /* ------------------------------------------------------------------ the process */
 
 static void sample(gpointer data) {
-  Fleet *f = data;
+  FkSimulatedWorkers *f = data;
   guint up = 0, on = 0, fetching = 0, exited = 0;
   for (guint i = 0; i < f->machines->len; i++) {
-    const Machine *m = f->machines->pdata[i];
+    const FkSimulatedWorker *m = f->machines->pdata[i];
     up += m->up && !m->elsewhere;
     for (guint k = 0; k < m->model.tasks->len; k++) {
       const FkWorkerTask *t = m->model.tasks->pdata[k];
@@ -318,25 +323,27 @@
       exited += t->state == FK_TASK_EXITED;
     }
   }
-  fk_series_set(f->series, "up", up);
-  fk_series_set(f->series, "running", on);
-  fk_series_set(f->series, "fetching", fetching);
-  fk_series_set(f->series, "exited", exited);
+  fk_metrics_log_set(f->series, "up", up);
+  fk_metrics_log_set(f->series, "running", on);
+  fk_metrics_log_set(f->series, "fetching", fetching);
+  fk_metrics_log_set(f->series, "exited", exited);
 }
 
-void fk_fleet_boot_first(Fleet *f) {
+void fk_simulated_workers_boot_initial(FkSimulatedWorkers *f) {
   guint zones = fk_scale_region_zones(f->plan, f->region);
   for (guint i = 0; i < fk_scale_region_workers(f->plan, f->region); i++) {
     g_autofree char *zone = fk_scale_zone(f->region, i % zones);
-    Machine *m = fk_fleet_boot(f, zone, FALSE, g_rand_double_range(f->rand, 0, UP_WITHIN_S));
-    m->elsewhere = i % f->plan->fleet_processes != f->part;
+    FkSimulatedWorker *m =
+        fk_simulated_workers_boot(f, zone, FALSE, g_rand_double_range(f->rand, 0, UP_WITHIN_S));
+    m->elsewhere = i % f->plan->worker_processes != f->part;
     m->born -= (gint64)(LISTED_BEFORE_S * 1e6);
   }
 }
 
-gboolean fk_fleet_open(Fleet *f, const FkScalePlan *p, guint region, guint part, GError **error) {
-  g_autofree char *name = fk_scale_fleet_name(region, part);
-  *f = (Fleet){.plan = p, .region = region, .part = part};
+gboolean fk_worker_stand_in_open(FkSimulatedWorkers *f, const FkScalePlan *p, guint region, guint part,
+                                 GError **error) {
+  g_autofree char *name = fk_scale_worker_process_name(region, part);
+  *f = (FkSimulatedWorkers){.plan = p, .region = region, .part = part};
   f->rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + region));
   f->fault_rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + region + 500));
   f->agenda = fk_event_queue_new(f);
@@ -347,35 +354,35 @@
   f->finished = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   f->hires = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
   f->hooks = (FkWorkerHooks){cpus_of, task_accepted, task_left, f, &f->serial};
-  f->series = fk_series_new(p->dir, name, p->begins_us, 0, error);
-  f->events = f->series ? fk_event_log_new(p->dir, name, error) : NULL;
-  f->addresses = f->events ? fk_many_addresses_new(fk_fleet_on_command, f, error) : NULL;
-  if (!f->addresses || (part == 0 && !fk_fleet_open_cloud(f, error)))
+  f->series = fk_metrics_log_new(p->output_dir, name, p->start_us, 0, error);
+  f->events = f->series ? fk_event_log_new(p->output_dir, name, error) : NULL;
+  f->addresses = f->events ? fk_stand_in_listener_new(fk_heartbeats_on_command, f, error) : NULL;
+  if (!f->addresses || (part == 0 && !fk_cloud_stand_in_open(f, error)))
     return FALSE;
   fk_event_queue_start_clock(f->agenda);
   return TRUE;
 }
 
-void fk_fleet_close(Fleet *f) {
+void fk_worker_stand_in_close(FkSimulatedWorkers *f) {
   for (guint i = 0; i < f->machines->len; i++) /* an answer that still comes is void */
-    ((Machine *)f->machines->pdata[i])->report = ++f->serial;
+    ((FkSimulatedWorker *)f->machines->pdata[i])->report = ++f->serial;
   fk_agenda_drop(f->agenda, g_free);
   g_clear_pointer(&f->agenda, fk_event_queue_free);
   g_clear_pointer(&f->events, fk_event_log_free);
-  g_clear_pointer(&f->series, fk_series_free);
+  g_clear_pointer(&f->series, fk_metrics_log_free);
 }
 
-int fk_scale_fleet(const FkScalePlan *p, guint region, guint part) {
+int fk_scale_worker_stand_in(const FkScalePlan *p, guint region, guint part) {
   g_autoptr(GError) error = NULL;
-  Fleet f;
-  if (!fk_fleet_open(&f, p, region, part, &error)) {
-    g_autofree char *name = fk_scale_fleet_name(region, part);
-    return fk_scale_failed(name, error);
+  FkSimulatedWorkers f;
+  if (!fk_worker_stand_in_open(&f, p, region, part, &error)) {
+    g_autofree char *name = fk_scale_worker_process_name(region, part);
+    return fk_stand_in_start_failed(name, error);
   }
-  fk_fleet_boot_first(&f);
+  fk_simulated_workers_boot_initial(&f);
   plan_faults(&f);
-  fk_series_start(f.series, sample, &f);
-  fk_scale_run_until_over(p);
-  fk_fleet_close(&f);
+  fk_metrics_log_start(f.series, sample, &f);
+  fk_stand_in_run(p);
+  fk_worker_stand_in_close(&f);
   return 0;
 }
--- a/src/simulation/scale/fleet_internal.h
+++ b/src/simulation/scale/simulated_workers.h
@@ -2,10 +2,10 @@
 #pragma once
 #include "net/http_client.h"
 #include "simulation/event_queue.h"
-#include "simulation/scale/events.h"
-#include "simulation/scale/listen.h"
+#include "simulation/scale/event_log.h"
+#include "simulation/scale/http_stand_in.h"
+#include "simulation/scale/metrics_log.h"
 #include "simulation/scale/plan.h"
-#include "simulation/scale/series.h"
 #include "simulation/store_model.h"
 #include "simulation/worker_model.h"
 
@@ -25,7 +25,7 @@
   gboolean changed;
   gint64 token_counted; /* when a higher token was last a reason to report */
   GHashTable *images;
-} Machine;
+} FkSimulatedWorker;
 
 typedef struct {
   const FkScalePlan *plan;
@@ -34,9 +34,9 @@
   GRand *fault_rand; /* the same in all processes of a region */
   FkEventQueue *agenda;
   FkHttpClient *http;
-  FkSeries *series;
+  FkMetricsLog *series;
   FkEventLog *events;
-  FkManyAddresses *addresses;
+  FkStandInListener *addresses;
   SoupServer *cloud;
   FkStoreRateLimit cloud_budget;
   GPtrArray *machines;  /* Machine, by number */
@@ -48,33 +48,35 @@
   guint64 serial;
   gint64 left_us;   /* while a lease is ended: its end, when the tasks left; else 0: now */
   GPtrArray *types; /* FkInstanceType */
-} Fleet;
+} FkSimulatedWorkers;
 
 /* fleet.c */
 /* A fleet without machines, whose agenda runs by the clock; FALSE: a file or an address can't be had. */
-gboolean fk_fleet_open(Fleet *f, const FkScalePlan *p, guint region, guint part, GError **error);
+gboolean fk_worker_stand_in_open(FkSimulatedWorkers *f, const FkScalePlan *p, guint region, guint part,
+                                 GError **error);
 /* The machines that are there from the start. */
-void fk_fleet_boot_first(Fleet *f);
+void fk_simulated_workers_boot_initial(FkSimulatedWorkers *f);
 /* Its files are complete, and nothing happens there any more. */
-void fk_fleet_close(Fleet *f);
-void fk_fleet_after(Fleet *f, double seconds, FkEventQueueFn fn, gpointer data);
-Machine *fk_fleet_boot(Fleet *f, const char *zone, gboolean spot, double boot_s);
+void fk_worker_stand_in_close(FkSimulatedWorkers *f);
+void fk_simulated_workers_schedule(FkSimulatedWorkers *f, double seconds, FkEventQueueFn fn, gpointer data);
+FkSimulatedWorker *fk_simulated_workers_boot(FkSimulatedWorkers *f, const char *zone, gboolean spot,
+                                             double boot_s);
 /* It is no more, and nothing that ran there. */
-void fk_fleet_lose(Fleet *f, Machine *m);
+void fk_simulated_workers_terminate(FkSimulatedWorkers *f, FkSimulatedWorker *m);
 /* Where the machine's lease has run out by now, its tasks left at the lease's end, however late this is
  * noticed, and the next session has begun. Whether it has. */
-gboolean fk_fleet_expire(Fleet *f, Machine *m, gint64 now);
-guint fk_fleet_alive(const Fleet *f);
-const FkSpec *fk_fleet_spec(Fleet *f, const char *job);
+gboolean fk_simulated_workers_check_lease(FkSimulatedWorkers *f, FkSimulatedWorker *m, gint64 now);
+guint fk_simulated_workers_count(const FkSimulatedWorkers *f);
+const FkSpec *fk_simulated_workers_spec(FkSimulatedWorkers *f, const char *job);
 
 /* reports.c */
-#define FK_FLEET_RETURNED "/returned" /* from the cloud to the process that plays the worker */
+#define FK_WORKER_TERMINATE_PATH "/returned" /* from the cloud to the process that plays the worker */
 /* The first report of a life goes out within a moment. */
-void fk_fleet_begin_reports(Fleet *f, Machine *m);
+void fk_heartbeats_start(FkSimulatedWorkers *f, FkSimulatedWorker *m);
 /* Something that a report would show is new. */
-void fk_fleet_changed(Fleet *f, Machine *m);
-void fk_fleet_on_command(SoupServer *server, SoupServerMessage *msg, const char *path, GHashTable *query,
-                         gpointer fleet);
+void fk_heartbeats_state_changed(FkSimulatedWorkers *f, FkSimulatedWorker *m);
+void fk_heartbeats_on_command(SoupServer *server, SoupServerMessage *msg, const char *path, GHashTable *query,
+                              gpointer fleet);
 
 /* cloud_service.c */
-gboolean fk_fleet_open_cloud(Fleet *f, GError **error);
+gboolean fk_cloud_stand_in_open(FkSimulatedWorkers *f, GError **error);
--- a/src/simulation/scale/slopes.c
+++ b/src/simulation/scale/slopes.c
@@ -136,7 +136,7 @@
          f->factor * c1, f->factor * sqrt(cov11), c0, worst, y[runs->len - 1]);
 }
 
-int fk_lab_slopes(int argc, char **argv) {
+int fk_sim_slopes(int argc, char **argv) {
   g_autoptr(GOptionContext) context = g_option_context_new("DIR DIR DIR...");
   g_autoptr(GError) error = NULL;
   g_option_context_set_summary(
--- a/src/simulation/scale/slopes.h
+++ b/src/simulation/scale/slopes.h
@@ -1,3 +1,3 @@
 #pragma once
 /* `flaxknot-sim slopes DIR...`: least squares over the summaries of several scale runs. */
-int fk_lab_slopes(int argc, char **argv);
+int fk_sim_slopes(int argc, char **argv);
--- a/src/simulation/scale/state_service.c
+++ b/src/simulation/scale/store_stand_in.c
@@ -1,10 +1,12 @@
-#include "simulation/scale/state_service.h"
+#include "simulation/scale/store_stand_in.h"
+#include "simulation/scale/addresses.h"
+#include "simulation/scale/store_stand_in.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#include "simulation/scale/listen.h"
-#include "simulation/scale/series.h"
+#include "simulation/scale/http_stand_in.h"
+#include "simulation/scale/metrics_log.h"
 #include "simulation/store_model.h"
 #include "wire/store.h"
 
@@ -26,7 +28,7 @@
   SoupServer *server;
   FkStoreModel *store;
   FkStoreRateLimit budget;
-  FkSeries *series;
+  FkMetricsLog *series;
   GPtrArray *watches; /* Watch */
 } Service;
 
@@ -38,18 +40,18 @@
 }
 
 static gboolean out(const Service *s) {
-  double now_s = (double)(g_get_monotonic_time() - s->plan->begins_us) / 1e6;
+  double now_s = (double)(g_get_monotonic_time() - s->plan->start_us) / 1e6;
   for (guint i = 0; i < s->plan->faults->len; i++) {
-    const FkFault *f = &g_array_index(s->plan->faults, FkFault, i);
-    if (f->kind == FK_FAULT_STATE && now_s >= f->at_s && now_s < f->at_s + f->for_s)
+    const FkScaleFault *f = &g_array_index(s->plan->faults, FkScaleFault, i);
+    if (f->kind == FK_SCALE_FAULT_STORE && now_s >= f->at_s && now_s < f->at_s + f->duration_s)
       return TRUE;
   }
   return FALSE;
 }
 
 static void respond(Service *s, SoupServerMessage *m, guint status, char *body /* taken */) {
-  fk_series_add(s->series, "bytes_out", (double)strlen(body));
-  fk_scale_respond(m, status, body);
+  fk_metrics_log_add(s->series, "bytes_out", (double)strlen(body));
+  fk_stand_in_respond(m, status, body);
 }
 
 /* ------------------------------------------------------------------ watches */
@@ -67,9 +69,9 @@
     cJSON_AddItemToArray(events, fk_store_event_to_json(c->path, c->value, c->revision));
   }
   char *body = fk_store_print_events(events, fk_store_model_revision(s->store));
-  fk_series_add(s->series, "watch_answers", 1);
-  fk_series_add(s->series, "watch_events", changes->len);
-  fk_series_add(s->series, "watch_bytes", (double)strlen(body));
+  fk_metrics_log_add(s->series, "watch_answers", 1);
+  fk_metrics_log_add(s->series, "watch_events", changes->len);
+  fk_metrics_log_add(s->series, "watch_bytes", (double)strlen(body));
   respond(s, m, 200, body);
 }
 
@@ -91,8 +93,8 @@
 }
 
 static void on_watch(Service *s, SoupServerMessage *m, GHashTable *query) {
-  const char *prefix = fk_scale_query(query, "prefix"), *after = fk_scale_query(query, "after"),
-             *block = fk_scale_query(query, "block_ms");
+  const char *prefix = fk_stand_in_query(query, "prefix"), *after = fk_stand_in_query(query, "after"),
+             *block = fk_stand_in_query(query, "block_ms");
   guint64 revision = g_ascii_strtoull(after, NULL, 10);
   gint64 block_ms = MIN(WATCH_MOST_MS, atoi(block));
   if (fk_store_model_revision(s->store) > revision || !block_ms) {
@@ -118,10 +120,10 @@
 }
 
 static void on_list(Service *s, SoupServerMessage *m, GHashTable *query) {
-  const char *after = fk_scale_query(query, "after");
-  guint page = (guint)CLAMP(atoi(fk_scale_query(query, "page")), 1, LIST_MOST);
+  const char *after = fk_stand_in_query(query, "after");
+  guint page = (guint)CLAMP(atoi(fk_stand_in_query(query, "page")), 1, LIST_MOST);
   gboolean more;
-  g_autoptr(GPtrArray) items = fk_store_model_list(s->store, fk_scale_query(query, "prefix"),
+  g_autoptr(GPtrArray) items = fk_store_model_list(s->store, fk_stand_in_query(query, "prefix"),
                                                    *after ? after : NULL, page, LIST_BYTES, &more);
   cJSON *pairs = cJSON_CreateArray();
   for (guint i = 0; i < items->len; i++) {
@@ -129,7 +131,7 @@
     cJSON_AddItemToArray(pairs, fk_store_item_to_json(item->path, item->value, item->revision, item->lease));
   }
   char *body = fk_store_print_items(pairs, more, fk_store_model_revision(s->store));
-  fk_series_add(s->series, "list_bytes", (double)strlen(body));
+  fk_metrics_log_add(s->series, "list_bytes", (double)strlen(body));
   respond(s, m, 200, body);
 }
 
@@ -153,13 +155,13 @@
   g_autoptr(GPtrArray) failed = g_ptr_array_new_with_free_func(g_free);
   FkStoreOutcome outcome = commit(s, t, failed);
   guint64 epoch = fk_store_model_revision(s->store);
-  fk_series_add(s->series, "transactions", 1);
-  fk_series_add(s->series, "writes", t->changes->len);
-  fk_series_add(s->series, "guards", t->conditions->len);
+  fk_metrics_log_add(s->series, "transactions", 1);
+  fk_metrics_log_add(s->series, "writes", t->changes->len);
+  fk_metrics_log_add(s->series, "guards", t->conditions->len);
   if (outcome == FK_STORE_OK) {
     respond(s, m, 200, fk_store_print_epoch(epoch));
   } else if (outcome == FK_STORE_CONFLICT) {
-    fk_series_add(s->series, "conflicts", 1);
+    fk_metrics_log_add(s->series, "conflicts", 1);
     respond(s, m, 409, fk_store_print_conflict(failed, epoch));
   } else {
     respond(s, m, 400, g_strdup("{\"error\":\"no such lease\"}"));
@@ -187,7 +189,7 @@
 /* ------------------------------------------------------------------ requests */
 
 static void refuse(Service *s, SoupServerMessage *m, guint status) {
-  fk_series_add(s->series, status == 429 ? "over_budget" : "out", 1);
+  fk_metrics_log_add(s->series, status == 429 ? "over_budget" : "out", 1);
   respond(s, m, status, g_strdup("{}"));
 }
 
@@ -214,9 +216,9 @@
                        gpointer data) {
   Service *s = data;
   gsize len;
-  const char *body = fk_scale_body(m, &len);
-  fk_series_add(s->series, "requests", 1);
-  fk_series_add(s->series, "bytes_in", (double)len);
+  const char *body = fk_stand_in_request_body(m, &len);
+  fk_metrics_log_add(s->series, "requests", 1);
+  fk_metrics_log_add(s->series, "bytes_in", (double)len);
   if (out(s)) {
     refuse(s, m, 503);
     return;
@@ -226,8 +228,8 @@
     respond(s, m, 400, g_strdup("{}"));
     return;
   }
-  if (!fk_store_rate_limit_take(&s->budget, g_get_monotonic_time(), s->plan->state_requests,
-                                s->plan->state_writes, t ? t->changes->len : 0)) {
+  if (!fk_store_rate_limit_take(&s->budget, g_get_monotonic_time(), s->plan->store_requests_per_s,
+                                s->plan->store_writes_per_s, t ? t->changes->len : 0)) {
     refuse(s, m, 429);
     return;
   }
@@ -246,32 +248,32 @@
 
 static void outage_over(Service *s) {
   for (guint i = 0; i < s->plan->faults->len; i++) {
-    const FkFault *f = &g_array_index(s->plan->faults, FkFault, i);
-    if (f->kind == FK_FAULT_STATE)
-      fk_store_model_extend_leases(s->store, s->plan->begins_us + (gint64)((f->at_s + f->for_s) * 1e6));
+    const FkScaleFault *f = &g_array_index(s->plan->faults, FkScaleFault, i);
+    if (f->kind == FK_SCALE_FAULT_STORE)
+      fk_store_model_extend_leases(s->store, s->plan->start_us + (gint64)((f->at_s + f->duration_s) * 1e6));
   }
 }
 
 static void sample(gpointer data) {
   Service *s = data;
-  fk_series_set(s->series, "keys", fk_store_model_size(s->store));
-  fk_series_set(s->series, "watches", s->watches->len);
+  fk_metrics_log_set(s->series, "keys", fk_store_model_size(s->store));
+  fk_metrics_log_set(s->series, "watches", s->watches->len);
   if (out(s))
     outage_over(s);
 }
 
-int fk_scale_state_service(const FkScalePlan *p, guint region) {
+int fk_scale_store_stand_in(const FkScalePlan *p, guint region) {
   g_autoptr(GError) error = NULL;
-  g_autofree char *name = g_strdup_printf("state-%u", region), *addr = fk_scale_state_addr(p, region);
+  g_autofree char *name = g_strdup_printf("state-%u", region), *addr = fk_scale_store_addr(p, region);
   Service s = {.plan = p, .store = fk_store_model_new(HISTORY)};
   s.watches = g_ptr_array_new_with_free_func(watch_free);
-  s.series = fk_series_new(p->dir, name, p->begins_us, 0, &error);
-  s.server = s.series ? fk_scale_serve(addr, on_request, &s, &error) : NULL;
+  s.series = fk_metrics_log_new(p->output_dir, name, p->start_us, 0, &error);
+  s.server = s.series ? fk_stand_in_serve(addr, on_request, &s, &error) : NULL;
   if (!s.server)
-    return fk_scale_failed(name, error);
+    return fk_stand_in_start_failed(name, error);
   g_timeout_add(EXPIRE_MS, on_expire, &s);
-  fk_series_start(s.series, sample, &s);
-  fk_scale_run_until_over(p);
-  fk_series_free(s.series);
+  fk_metrics_log_start(s.series, sample, &s);
+  fk_stand_in_run(p);
+  fk_metrics_log_free(s.series);
   return 0;
 }
--- a/src/simulation/scale/state_service.h
+++ b/src/simulation/scale/store_stand_in.h
@@ -3,4 +3,4 @@
 #include "simulation/scale/plan.h"
 
 /* Serves until the run is over; an exit status. */
-int fk_scale_state_service(const FkScalePlan *p, guint region);
+int fk_scale_store_stand_in(const FkScalePlan *p, guint region);
--- a/src/simulation/scale/summary.c
+++ b/src/simulation/scale/summary.c
@@ -1,4 +1,6 @@
 #include "simulation/scale/summary.h"
+#include "simulation/scale/addresses.h"
+#include "simulation/scale/workload.h"
 
 #include <gsl/gsl_sort.h>
 #include <gsl/gsl_statistics_double.h>
@@ -23,8 +25,8 @@
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(Lines, lines_clear)
 
 static gboolean read_lines(const FkScalePlan *p, const char *name, Lines *out, GError **error) {
-  g_autofree char *base = g_strconcat(name, ".jsonl", NULL), *path = g_build_filename(p->dir, base, NULL),
-                  *text = NULL;
+  g_autofree char *base = g_strconcat(name, ".jsonl", NULL),
+                  *path = g_build_filename(p->output_dir, base, NULL), *text = NULL;
   out->lines = g_ptr_array_new_with_free_func((GDestroyNotify)cJSON_Delete);
   if (!g_file_get_contents(path, &text, NULL, error))
     return FALSE;
@@ -91,10 +93,10 @@
   guint region;
   double from_s, to_s; /* the window that is judged */
   cJSON *out;
-  FkSummary *summary;
+  FkScaleSummary *summary;
 } Region;
 
-static void note(FkSummary *s, char *why /* taken */) { g_ptr_array_add(s->why, why); }
+static void note(FkScaleSummary *s, char *why /* taken */) { g_ptr_array_add(s->why, why); }
 
 static void add_rates(Region *r, const Lines *l, const char *const *names) {
   for (; *names; names++)
@@ -142,7 +144,7 @@
       "reports", "report_bytes", "answer_bytes", "commands", "command_bytes", "command_answer_bytes", "began",
       "ended",   "left",         "leases_ended", "died",     "restarted",     "reports_unanswered",   NULL};
   g_auto(Lines) l = {0};
-  g_autofree char *name = fk_scale_fleet_name(r->region, part);
+  g_autofree char *name = fk_scale_worker_process_name(r->region, part);
   if (!read_lines(r->plan, name, &l, error))
     return FALSE;
   for (const char *const *n = rates; *n; n++)
@@ -158,10 +160,10 @@
 
 static gboolean add_fleet(Region *r, GError **error) {
   FleetFigures sum = {0};
-  for (guint part = 0; part < r->plan->fleet_processes; part++)
+  for (guint part = 0; part < r->plan->worker_processes; part++)
     if (!add_fleet_part(r, part, &sum, error))
       return FALSE;
-  double wanted = r->plan->starts / r->plan->regions * r->plan->run_s;
+  double wanted = r->plan->task_starts_per_s / r->plan->regions * r->plan->task_run_s;
   cJSON_AddNumberToObject(r->out, "fleet_core_share", sum.core_share);
   cJSON_AddNumberToObject(r->out, "fleet_busiest_core_share", sum.busiest);
   cJSON_AddNumberToObject(r->out, "fleet_memory_mb", sum.memory_mb);
@@ -170,17 +172,18 @@
   if (sum.running < FULL * wanted)
     note(r->summary,
          g_strdup_printf("region %u didn't fill: %.0f tasks run of %.0f", r->region, sum.running, wanted));
-  if (sum.starts < STARTED * r->plan->starts / r->plan->regions)
+  if (sum.starts < STARTED * r->plan->task_starts_per_s / r->plan->regions)
     note(r->summary, g_strdup_printf("region %u started %.1f tasks a second of %.1f", r->region, sum.starts,
-                                     r->plan->starts / r->plan->regions));
+                                     r->plan->task_starts_per_s / r->plan->regions));
   return TRUE;
 }
 
-gboolean fk_summary_malformed_reports(const FkScalePlan *p, guint region, guint *count, GError **error) {
+gboolean fk_scale_count_malformed_heartbeats(const FkScalePlan *p, guint region, guint *count,
+                                             GError **error) {
   *count = 0;
   for (guint i = 0; i < fk_scale_region_controllers(p, region); i++) {
     g_autofree char *base = g_strdup_printf("control-%u-%u.log", region, i),
-                    *path = g_build_filename(p->dir, base, NULL), *text = NULL;
+                    *path = g_build_filename(p->output_dir, base, NULL), *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, error))
       return FALSE;
     for (const char *at = text; (at = strstr(at, MALFORMED)); at += strlen(MALFORMED))
@@ -191,7 +194,7 @@
 
 static gboolean add_malformed(Region *r, GError **error) {
   guint n;
-  if (!fk_summary_malformed_reports(r->plan, r->region, &n, error))
+  if (!fk_scale_count_malformed_heartbeats(r->plan, r->region, &n, error))
     return FALSE;
   cJSON_AddNumberToObject(r->out, "malformed_reports", n);
   if (n)
@@ -234,13 +237,13 @@
     if (!t) {
       g_autoptr(FkSpec) spec = fk_scale_job(r->plan, e->job);
       g_hash_table_insert(jobs, e->job, t = g_new0(Times, 1));
-      t->urgent = spec && fk_scale_job_urgent(spec);
+      t->urgent = spec && fk_scale_job_is_urgent(spec);
     }
-    if (e->kind == FK_EVENT_SUBMITTED)
+    if (e->kind == FK_RUN_EVENT_SUBMITTED)
       t->submitted = e->at_us;
-    else if (e->kind == FK_EVENT_ACCEPTED && !t->accepted)
+    else if (e->kind == FK_RUN_EVENT_ACCEPTED && !t->accepted)
       t->accepted = e->at_us;
-    else if (e->kind == FK_EVENT_BEGAN && !t->began)
+    else if (e->kind == FK_RUN_EVENT_TASK_STARTED && !t->began)
       t->began = e->at_us;
   }
   return jobs;
@@ -266,8 +269,8 @@
   g_autoptr(GArray) accepts = g_array_new(FALSE, FALSE, sizeof(double)),
                     urgent = g_array_new(FALSE, FALSE, sizeof(double)),
                     bulk = g_array_new(FALSE, FALSE, sizeof(double));
-  gint64 from = r->plan->begins_us + (gint64)(r->from_s * 1e6),
-         to = r->plan->begins_us + (gint64)((r->to_s - SETTLE_S) * 1e6);
+  gint64 from = r->plan->start_us + (gint64)(r->from_s * 1e6),
+         to = r->plan->start_us + (gint64)((r->to_s - SETTLE_S) * 1e6);
   guint lost = 0;
   GHashTableIter it;
   gpointer p;
@@ -276,7 +279,7 @@
     const Times *t = p;
     if (t->submitted < from || t->submitted > to)
       continue;
-    gint64 last = r->plan->begins_us + (gint64)(r->to_s * 1e6);
+    gint64 last = r->plan->start_us + (gint64)(r->to_s * 1e6);
     double accept_s = (double)((t->accepted ? t->accepted : last) - t->submitted) / 1e6;
     g_array_append_val(accepts, accept_s);
     lost += !t->accepted;
@@ -308,12 +311,12 @@
 static gboolean add_events(Region *r, GError **error) {
   g_autofree char *users = g_strdup_printf("users-%u", r->region);
   g_autoptr(GArray) events = fk_run_events_new();
-  for (guint part = 0; part < r->plan->fleet_processes; part++) {
-    g_autofree char *fleet = fk_scale_fleet_name(r->region, part);
-    if (!fk_event_log_read(r->plan->dir, fleet, events, error))
+  for (guint part = 0; part < r->plan->worker_processes; part++) {
+    g_autofree char *fleet = fk_scale_worker_process_name(r->region, part);
+    if (!fk_event_log_read(r->plan->output_dir, fleet, events, error))
       return FALSE;
   }
-  if (!fk_event_log_read(r->plan->dir, users, events, error))
+  if (!fk_event_log_read(r->plan->output_dir, users, events, error))
     return FALSE;
   fk_run_events_sort(events);
   g_autoptr(GPtrArray) broken = fk_scale_check_rules(r->plan, r->region, events);
@@ -326,22 +329,23 @@
 
 /* ------------------------------------------------------------------ the run */
 
-static gboolean add_region(FkSummary *s, const FkScalePlan *p, guint region, cJSON *regions, GError **error) {
-  Region r = {p, region, p->ramp_s, p->seconds - 1, cJSON_CreateObject(), s};
+static gboolean add_region(FkScaleSummary *s, const FkScalePlan *p, guint region, cJSON *regions,
+                           GError **error) {
+  Region r = {p, region, p->ramp_s, p->duration_s - 1, cJSON_CreateObject(), s};
   cJSON_AddItemToArray(regions, r.out);
   return add_state(&r, error) && add_fleet(&r, error) && add_controllers(&r, error) &&
          add_malformed(&r, error) && add_users(&r, error) && add_events(&r, error);
 }
 
-FkSummary *fk_summary_of(const FkScalePlan *p, GError **error) {
-  FkSummary *s = g_new0(FkSummary, 1);
+FkScaleSummary *fk_scale_summary_new(const FkScalePlan *p, GError **error) {
+  FkScaleSummary *s = g_new0(FkScaleSummary, 1);
   s->why = g_ptr_array_new_with_free_func(g_free);
   s->figures = cJSON_CreateObject();
   cJSON_AddItemToObject(s->figures, "plan", fk_scale_plan_to_json(p));
   cJSON *regions = cJSON_AddArrayToObject(s->figures, "regions");
   for (guint i = 0; i < p->regions; i++)
     if (!add_region(s, p, i, regions, error)) {
-      fk_summary_free(s);
+      fk_scale_summary_free(s);
       return NULL;
     }
   cJSON *why = cJSON_AddArrayToObject(s->figures, "not_carried");
@@ -351,7 +355,7 @@
   return s;
 }
 
-void fk_summary_free(FkSummary *s) {
+void fk_scale_summary_free(FkScaleSummary *s) {
   g_ptr_array_unref(s->why);
   cJSON_Delete(s->figures);
   g_free(s);
--- a/src/simulation/scale/summary.h
+++ b/src/simulation/scale/summary.h
@@ -7,10 +7,11 @@
   guint broken;     /* rules */
   GPtrArray *why;   /* char*: what wasn't carried, and the rules that were broken */
   cJSON *figures;
-} FkSummary;
+} FkScaleSummary;
 
-FkSummary *fk_summary_of(const FkScalePlan *p, GError **error);
+FkScaleSummary *fk_scale_summary_new(const FkScalePlan *p, GError **error);
 /* How many reports the region's controllers logged as malformed: the hollow workers send none, so each is a
  * fault of a stand-in or of a client's. FALSE: a log can't be read. */
-gboolean fk_summary_malformed_reports(const FkScalePlan *p, guint region, guint *count, GError **error);
-void fk_summary_free(FkSummary *s);
+gboolean fk_scale_count_malformed_heartbeats(const FkScalePlan *p, guint region, guint *count,
+                                             GError **error);
+void fk_scale_summary_free(FkScaleSummary *s);
--- a/src/simulation/scale/users.c
+++ b/src/simulation/scale/user_stand_in.c
@@ -1,13 +1,15 @@
-#include "simulation/scale/users.h"
+#include "simulation/scale/user_stand_in.h"
+#include "simulation/scale/addresses.h"
+#include "simulation/scale/workload.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
 
 #include "simulation/event_queue.h"
-#include "simulation/scale/balancer.h"
-#include "simulation/scale/events.h"
-#include "simulation/scale/listen.h"
-#include "simulation/scale/series.h"
+#include "simulation/scale/event_log.h"
+#include "simulation/scale/http_stand_in.h"
+#include "simulation/scale/load_balancer.h"
+#include "simulation/scale/metrics_log.h"
 #include "wire/user.h"
 
 #define PROBE_S 1.0
@@ -29,8 +31,8 @@
   GRand *rand;
   FkEventQueue *agenda;
   SoupSession *session;
-  FkBalancer *balancer;
-  FkSeries *series;
+  FkLoadBalancer *balancer;
+  FkMetricsLog *series;
   FkEventLog *events;
   guint64 bulk, urgent; /* jobs submitted */
   guint live;
@@ -80,9 +82,9 @@
   gsize len = 0;
   const char *body = bytes ? g_bytes_get_data(bytes, &len) : NULL;
   g_clear_handle_id(&c->timer, g_source_remove);
-  fk_balancer_closed(c->users->balancer, (guint)c->node,
-                     g_error_matches(error, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED),
-                     g_get_monotonic_time());
+  fk_load_balancer_connection_closed(c->users->balancer, (guint)c->node,
+                                     g_error_matches(error, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED),
+                                     g_get_monotonic_time());
   c->answered(c->users, c->data, bytes ? soup_message_get_status(c->message) : 0, body ? body : "", len,
               bytes ? retry_after(c->message) : 0);
   g_object_unref(c->message);
@@ -94,7 +96,7 @@
 static void call(Users *u, int node, const char *method, const char *path, const char *body,
                  double deadline_s, Answered answered, gpointer data) {
   if (node < 0)
-    node = fk_balancer_pick(u->balancer, g_get_monotonic_time());
+    node = fk_load_balancer_pick(u->balancer, g_get_monotonic_time());
   if (node < 0) {
     answered(u, data, 0, "", 0, 0);
     return;
@@ -121,7 +123,7 @@
 static void probe(gpointer users, gpointer data);
 
 static void probed(Users *u, gpointer data, guint status, const char *body, gsize len, double retry_s) {
-  fk_balancer_probed(u->balancer, ((Probe *)data)->node, status == 200, g_get_monotonic_time());
+  fk_load_balancer_record_probe(u->balancer, ((Probe *)data)->node, status == 200, g_get_monotonic_time());
   after(u, PROBE_S, probe, data);
 }
 
@@ -131,11 +133,11 @@
 
 /* ------------------------------------------------------------------ a job */
 
-static void tell(Users *u, const Job *j, FkEventKind kind) {
+static void tell(Users *u, const Job *j, FkRunEventKind kind) {
   fk_event_log_add(u->events, kind, j->spec->id, 0, NULL);
 }
 
-static void job_over(Users *u, Job *j, FkEventKind how) {
+static void job_over(Users *u, Job *j, FkRunEventKind how) {
   if (j->over)
     return;
   tell(u, j, how);
@@ -148,20 +150,20 @@
 static void polled(Users *u, gpointer data, guint status, const char *body, gsize len, double retry_s) {
   Job *j = data;
   FkJobState state;
-  fk_series_add(u->series, "polls", 1);
+  fk_metrics_log_add(u->series, "polls", 1);
   if (j->over)
     return;
   if (status == 404)
-    tell(u, j, FK_EVENT_UNKNOWN);
+    tell(u, j, FK_RUN_EVENT_POLL_NOT_FOUND);
   else if (status == 200 && fk_user_parse_state(body, len, &state)) {
     if (state.phase == FK_PHASE_DONE)
-      job_over(u, j, FK_EVENT_DONE);
+      job_over(u, j, FK_RUN_EVENT_JOB_DONE);
     else if (state.phase == FK_PHASE_CANCELLED)
-      job_over(u, j, FK_EVENT_CANCELLED);
+      job_over(u, j, FK_RUN_EVENT_JOB_CANCELLED);
     else
-      tell(u, j, FK_EVENT_ANSWERED);
+      tell(u, j, FK_RUN_EVENT_POLL_ACTIVE);
   } else {
-    fk_series_add(u->series, "polls_failed", 1);
+    fk_metrics_log_add(u->series, "polls_failed", 1);
   }
   if (!j->over)
     after(u, POLL_S, poll, j);
@@ -184,7 +186,7 @@
   if (j->over)
     return;
   if (status == 200 && fk_user_parse_state(body, len, &state))
-    job_over(u, j, state.phase == FK_PHASE_DONE ? FK_EVENT_DONE : FK_EVENT_CANCELLED);
+    job_over(u, j, state.phase == FK_PHASE_DONE ? FK_RUN_EVENT_JOB_DONE : FK_RUN_EVENT_JOB_CANCELLED);
   else
     after(u, MAX(RETRY_S, retry_s), cancel, j);
 }
@@ -195,7 +197,7 @@
   if (j->over)
     return;
   if (!j->cancelling)
-    tell(u, j, FK_EVENT_ASKED_CANCEL);
+    tell(u, j, FK_RUN_EVENT_CANCEL_REQUESTED);
   j->cancelling = TRUE;
   g_autofree char *path = g_strdup_printf("/submissions/%s/withdraw", j->spec->id);
   call(u, -1, "POST", path, "{}", SUBMIT_ANSWER_S, cancel_answered, j);
@@ -204,10 +206,10 @@
 static void job_accepted(Users *u, Job *j) {
   j->accepted = TRUE;
   u->live++;
-  tell(u, j, FK_EVENT_ACCEPTED);
-  fk_series_add(u->series, "accepted", 1);
+  tell(u, j, FK_RUN_EVENT_ACCEPTED);
+  fk_metrics_log_add(u->series, "accepted", 1);
   after(u, POLL_S, poll, j);
-  if (!fk_scale_job_urgent(j->spec) && g_rand_double(u->rand) < CANCELLED_SHARE)
+  if (!fk_scale_job_is_urgent(j->spec) && g_rand_double(u->rand) < CANCELLED_SHARE)
     after(u, g_rand_double_range(u->rand, CANCEL_FROM_S, CANCEL_TO_S), cancel, j);
 }
 
@@ -220,11 +222,15 @@
     job_accepted(u, j);
     return;
   }
-  fk_series_add(u->series, status == 503 || status == 429 ? "shed" : status ? "refused" : "unanswered", 1);
+  fk_metrics_log_add(u->series,
+                     status == 503 || status == 429 ? "shed"
+                     : status                       ? "refused"
+                                                    : "unanswered",
+                     1);
   double tried_s = (double)(g_get_monotonic_time() - j->first_try) / 1e6;
   if (status == 400 || status == 422 || tried_s > GIVE_UP_S) {
-    tell(u, j, FK_EVENT_REFUSED);
-    fk_series_add(u->series, "given_up", 1);
+    tell(u, j, FK_RUN_EVENT_REJECTED);
+    fk_metrics_log_add(u->series, "given_up", 1);
     return;
   }
   after(u, CLAMP(retry_s, RETRY_S, RETRY_MOST_S), submit, j);
@@ -244,8 +250,8 @@
   Job *j = g_new0(Job, 1);
   j->spec = fk_scale_job(u->plan, id);
   j->first_try = g_get_monotonic_time();
-  tell(u, j, FK_EVENT_SUBMITTED);
-  fk_series_add(u->series, "submitted", 1);
+  tell(u, j, FK_RUN_EVENT_SUBMITTED);
+  fk_metrics_log_add(u->series, "submitted", 1);
   submit(u, j);
 }
 
@@ -253,7 +259,7 @@
 static double wait_for_next(Users *u, double rate) { return g_rand_double_range(u->rand, 0.5, 1.5) / rate; }
 
 static double bulk_rate(const Users *u) {
-  return u->plan->starts / u->plan->regions / (double)u->plan->tasks_per_job;
+  return u->plan->task_starts_per_s / u->plan->regions / (double)u->plan->tasks_per_job;
 }
 
 static void bulk_comes(gpointer users, gpointer unused) {
@@ -265,46 +271,46 @@
 static void urgent_comes(gpointer users, gpointer unused) {
   Users *u = users;
   new_job(u, 2 * u->urgent++ + 1);
-  after(u, wait_for_next(u, u->plan->urgent), urgent_comes, NULL);
+  after(u, wait_for_next(u, u->plan->urgent_jobs_per_s), urgent_comes, NULL);
 }
 
 static void sample(gpointer data) {
   Users *u = data;
-  fk_series_set(u->series, "live", u->live);
-  fk_series_set(u->series, "healthy", fk_balancer_healthy(u->balancer));
+  fk_metrics_log_set(u->series, "live", u->live);
+  fk_metrics_log_set(u->series, "healthy", fk_load_balancer_healthy_count(u->balancer));
 }
 
 #define FIRST_S 3.0 /* after the beginning, when the controllers are up */
 
-int fk_scale_users(const FkScalePlan *p, guint region) {
+int fk_scale_user_stand_in(const FkScalePlan *p, guint region) {
   g_autoptr(GError) error = NULL;
   g_autofree char *name = g_strdup_printf("users-%u", region);
   guint nodes = fk_scale_region_controllers(p, region);
   Users u = {.plan = p, .region = region};
   u.rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + 500 + region));
   u.agenda = fk_event_queue_new(&u);
-  u.balancer = fk_balancer_new(nodes);
+  u.balancer = fk_load_balancer_new(nodes);
   u.session = soup_session_new_with_options("max-conns", CONNECTIONS, "max-conns-per-host", CONNECTIONS,
                                             "timeout", 0, NULL);
   soup_session_set_proxy_resolver(u.session, NULL);
-  u.series = fk_series_new(p->dir, name, p->begins_us, 0, &error);
-  u.events = u.series ? fk_event_log_new(p->dir, name, &error) : NULL;
+  u.series = fk_metrics_log_new(p->output_dir, name, p->start_us, 0, &error);
+  u.events = u.series ? fk_event_log_new(p->output_dir, name, &error) : NULL;
   if (!u.events)
-    return fk_scale_failed(name, error);
+    return fk_stand_in_start_failed(name, error);
   for (guint i = 0; i < nodes; i++) {
     Probe *pr = g_new0(Probe, 1);
     pr->node = i;
     after(&u, 0, probe, pr);
   }
-  gint64 first = p->begins_us + (gint64)(FIRST_S * 1e6);
+  gint64 first = p->start_us + (gint64)(FIRST_S * 1e6);
   if (bulk_rate(&u) > 0)
     fk_event_queue_add(u.agenda, first, bulk_comes, NULL);
-  if (p->urgent > 0)
+  if (p->urgent_jobs_per_s > 0)
     fk_event_queue_add(u.agenda, first, urgent_comes, NULL);
   fk_event_queue_start_clock(u.agenda);
-  fk_series_start(u.series, sample, &u);
-  fk_scale_run_until_over(p);
+  fk_metrics_log_start(u.series, sample, &u);
+  fk_stand_in_run(p);
   fk_event_log_free(u.events);
-  fk_series_free(u.series);
+  fk_metrics_log_free(u.series);
   return 0;
 }
--- a/src/simulation/scale/users.h
+++ b/src/simulation/scale/user_stand_in.h
@@ -3,4 +3,4 @@
 #include "simulation/scale/plan.h"
 
 /* Plays until the run is over; an exit status. */
-int fk_scale_users(const FkScalePlan *p, guint region);
+int fk_scale_user_stand_in(const FkScalePlan *p, guint region);
--- a/src/simulation/scale/fleet.h
+++ b/src/simulation/scale/worker_stand_in.h
@@ -9,4 +9,4 @@
  * one, as its end was never reported, takes its whole time again.
  *
  * Plays until the run is over; an exit status. */
-int fk_scale_fleet(const FkScalePlan *p, guint region, guint part);
+int fk_scale_worker_stand_in(const FkScalePlan *p, guint region, guint part);
--- a/test/test_scale.c
+++ b/test/test_scale.c
@@ -4,12 +4,14 @@
 #include <string.h>
 
 #include "net/http_client.h"
-#include "simulation/scale/balancer.h"
+#include "simulation/scale/addresses.h"
 #include "simulation/scale/check_rules.h"
-#include "simulation/scale/fleet_internal.h"
-#include "simulation/scale/listen.h"
+#include "simulation/scale/http_stand_in.h"
+#include "simulation/scale/load_balancer.h"
 #include "simulation/scale/plan.h"
+#include "simulation/scale/simulated_workers.h"
 #include "simulation/scale/summary.h"
+#include "simulation/scale/workload.h"
 #include "simulation/store_model.h"
 #include "simulation/worker_model.h"
 #include "wire/cloud.h"
@@ -189,7 +191,7 @@
     g_assert_nonnull(read);
     g_assert_cmpstr(read->team, ==, b->team);
     g_assert_cmpuint(read->tasks, ==, b->tasks);
-    g_assert_cmpint(fk_scale_job_urgent(read), ==, n % 2);
+    g_assert_cmpint(fk_scale_job_is_urgent(read), ==, n % 2);
   }
   g_assert_null(fk_scale_job(p, "run-1"));
   g_assert_null(fk_scale_job(p, "nonsense"));
@@ -198,7 +200,7 @@
 static void test_plan(void) {
   g_autoptr(FkScalePlan) p = small_plan();
   g_autoptr(GError) error = NULL;
-  p->dir = g_strdup("x");
+  p->output_dir = g_strdup("x");
   g_assert_true(fk_scale_plan_add_fault(p, "kill@20:3", &error));
   g_assert_true(fk_scale_plan_add_fault(p, "rack@5", &error));
   static const char *const wrong[] = {"kill", "kill@", "kill@x", "flood@3", "kill@3:x", "kill@-1"};
@@ -210,35 +212,35 @@
   g_autoptr(FkScalePlan) q = fk_scale_plan_from_json(o);
   g_assert_cmpuint(q->workers, ==, 4);
   g_assert_cmpuint(q->faults->len, ==, 2);
-  g_assert_cmpfloat(g_array_index(q->faults, FkFault, 0).for_s, ==, 3);
-  g_assert_true(fk_scale_plan_check(p, &error));
+  g_assert_cmpfloat(g_array_index(q->faults, FkScaleFault, 0).duration_s, ==, 3);
+  g_assert_true(fk_scale_plan_validate(p, &error));
   p->workers = 0;
-  g_assert_false(fk_scale_plan_check(p, &error));
+  g_assert_false(fk_scale_plan_validate(p, &error));
 }
 
 /* ------------------------------------------------------------------ the balancer */
 
 static void test_balancer(void) {
-  FkBalancer *b = fk_balancer_new(2);
-  g_assert_cmpint(fk_balancer_pick(b, 0), ==, -1);
-  fk_balancer_probed(b, 0, TRUE, 0); /* one success is enough at first */
-  fk_balancer_probed(b, 1, TRUE, 0);
-  int first = fk_balancer_pick(b, 0), second = fk_balancer_pick(b, 0);
+  FkLoadBalancer *b = fk_load_balancer_new(2);
+  g_assert_cmpint(fk_load_balancer_pick(b, 0), ==, -1);
+  fk_load_balancer_record_probe(b, 0, TRUE, 0); /* one success is enough at first */
+  fk_load_balancer_record_probe(b, 1, TRUE, 0);
+  int first = fk_load_balancer_pick(b, 0), second = fk_load_balancer_pick(b, 0);
   g_assert_cmpint(first + second, ==, 1); /* fewest open connections */
-  fk_balancer_probed(b, 0, FALSE, 1000000);
-  fk_balancer_probed(b, 0, FALSE, 2000000);
-  g_assert_cmpuint(fk_balancer_healthy(b), ==, 1);
-  fk_balancer_probed(b, 0, TRUE, 3000000);
-  fk_balancer_probed(b, 0, TRUE, 4000000);
-  g_assert_cmpuint(fk_balancer_healthy(b), ==, 1); /* not before 3 s have gone by */
-  fk_balancer_probed(b, 0, TRUE, 5000000);
-  g_assert_cmpuint(fk_balancer_healthy(b), ==, 2);
+  fk_load_balancer_record_probe(b, 0, FALSE, 1000000);
+  fk_load_balancer_record_probe(b, 0, FALSE, 2000000);
+  g_assert_cmpuint(fk_load_balancer_healthy_count(b), ==, 1);
+  fk_load_balancer_record_probe(b, 0, TRUE, 3000000);
+  fk_load_balancer_record_probe(b, 0, TRUE, 4000000);
+  g_assert_cmpuint(fk_load_balancer_healthy_count(b), ==, 1); /* not before 3 s have gone by */
+  fk_load_balancer_record_probe(b, 0, TRUE, 5000000);
+  g_assert_cmpuint(fk_load_balancer_healthy_count(b), ==, 2);
   for (guint i = 0; i < 3; i++) { /* refused three times in a row: skipped */
-    fk_balancer_pick(b, 6000000);
-    fk_balancer_closed(b, 1, TRUE, 6000000);
+    fk_load_balancer_pick(b, 6000000);
+    fk_load_balancer_connection_closed(b, 1, TRUE, 6000000);
   }
-  g_assert_cmpint(fk_balancer_pick(b, 6000000), ==, 0);
-  fk_balancer_free(b);
+  g_assert_cmpint(fk_load_balancer_pick(b, 6000000), ==, 0);
+  fk_load_balancer_free(b);
 }
 
 /* ------------------------------------------------------------------ the rules */
@@ -247,7 +249,7 @@
   const char *rule; /* broken; NULL: none */
   struct {
     double at_s;
-    FkEventKind kind;
+    FkRunEventKind kind;
     guint32 task;
     const char *machine;
   } events[8]; /* in order of time; the first without a time ends them */
@@ -257,29 +259,31 @@
 
 static const RuleCase rule_cases[] = {
     {NULL,
-     {{1, FK_EVENT_SUBMITTED, 0, NULL},
-      {2, FK_EVENT_ACCEPTED, 0, NULL},
-      {3, FK_EVENT_BEGAN, 0, "i-1"},
-      {4, FK_EVENT_LEFT, 0, "i-1"},
-      {5, FK_EVENT_BEGAN, 0, "i-2"},
-      {6, FK_EVENT_ANSWERED, 0, NULL}}},
-    {"ran_twice", {{1, FK_EVENT_BEGAN, 0, "i-1"}, {2, FK_EVENT_BEGAN, 0, "i-2"}}},
-    {"not_done", {{1, FK_EVENT_ACCEPTED, 0, NULL}, {2, FK_EVENT_DONE, 0, NULL}}},
+     {{1, FK_RUN_EVENT_SUBMITTED, 0, NULL},
+      {2, FK_RUN_EVENT_ACCEPTED, 0, NULL},
+      {3, FK_RUN_EVENT_TASK_STARTED, 0, "i-1"},
+      {4, FK_RUN_EVENT_TASK_LOST, 0, "i-1"},
+      {5, FK_RUN_EVENT_TASK_STARTED, 0, "i-2"},
+      {6, FK_RUN_EVENT_POLL_ACTIVE, 0, NULL}}},
+    {"ran_twice", {{1, FK_RUN_EVENT_TASK_STARTED, 0, "i-1"}, {2, FK_RUN_EVENT_TASK_STARTED, 0, "i-2"}}},
+    {"not_done", {{1, FK_RUN_EVENT_ACCEPTED, 0, NULL}, {2, FK_RUN_EVENT_JOB_DONE, 0, NULL}}},
     {"went_back",
-     {{1, FK_EVENT_ASKED_CANCEL, 0, NULL},
-      {2, FK_EVENT_CANCELLED, 0, NULL},
-      {3, FK_EVENT_ANSWERED, 0, NULL}}},
-    {"went_back", {{1, FK_EVENT_ACCEPTED, 0, NULL}, {2, FK_EVENT_CANCELLED, 0, NULL}}},
-    {"forgotten", {{1, FK_EVENT_ACCEPTED, 0, NULL}, {2, FK_EVENT_UNKNOWN, 0, NULL}}},
-    {"forgotten", {{1, FK_EVENT_ACCEPTED, 0, NULL}, {92, FK_EVENT_ANSWERED, 0, NULL}}},
+     {{1, FK_RUN_EVENT_CANCEL_REQUESTED, 0, NULL},
+      {2, FK_RUN_EVENT_JOB_CANCELLED, 0, NULL},
+      {3, FK_RUN_EVENT_POLL_ACTIVE, 0, NULL}}},
+    {"went_back", {{1, FK_RUN_EVENT_ACCEPTED, 0, NULL}, {2, FK_RUN_EVENT_JOB_CANCELLED, 0, NULL}}},
+    {"forgotten", {{1, FK_RUN_EVENT_ACCEPTED, 0, NULL}, {2, FK_RUN_EVENT_POLL_NOT_FOUND, 0, NULL}}},
+    {"forgotten", {{1, FK_RUN_EVENT_ACCEPTED, 0, NULL}, {92, FK_RUN_EVENT_POLL_ACTIVE, 0, NULL}}},
     {"ran_cancelled",
-     {{1, FK_EVENT_ASKED_CANCEL, 0, NULL}, {2, FK_EVENT_CANCELLED, 0, NULL}, {13, FK_EVENT_BEGAN, 0, "i-1"}}},
+     {{1, FK_RUN_EVENT_CANCEL_REQUESTED, 0, NULL},
+      {2, FK_RUN_EVENT_JOB_CANCELLED, 0, NULL},
+      {13, FK_RUN_EVENT_TASK_STARTED, 0, "i-1"}}},
     {"ran_cancelled",
-     {{1, FK_EVENT_BEGAN, 0, "i-1"},
-      {2, FK_EVENT_ASKED_CANCEL, 0, NULL},
-      {3, FK_EVENT_CANCELLED, 0, NULL},
-      {14, FK_EVENT_LEFT, 0, "i-1"}}},
-    {"invented", {{1, FK_EVENT_BEGAN, 4000, "i-1"}}}};
+     {{1, FK_RUN_EVENT_TASK_STARTED, 0, "i-1"},
+      {2, FK_RUN_EVENT_CANCEL_REQUESTED, 0, NULL},
+      {3, FK_RUN_EVENT_JOB_CANCELLED, 0, NULL},
+      {14, FK_RUN_EVENT_TASK_LOST, 0, "i-1"}}},
+    {"invented", {{1, FK_RUN_EVENT_TASK_STARTED, 4000, "i-1"}}}};
 
 static void test_rules(void) {
   g_autoptr(FkScalePlan) p = small_plan();
@@ -303,9 +307,9 @@
   p->tasks_per_job = 1000;
   g_autofree char *id = fk_scale_job_id(0, BULK);
   g_autoptr(GArray) events = fk_run_events_new();
-  guint most = (guint)fk_scale_team_limit(p, 0);
+  guint most = (guint)fk_scale_team_quota_cpus(p, 0);
   for (guint i = 0; i <= most; i++) {
-    FkRunEvent e = {i + 1, FK_EVENT_BEGAN, g_strdup(id), i, g_strdup("i-1")};
+    FkRunEvent e = {i + 1, FK_RUN_EVENT_TASK_STARTED, g_strdup(id), i, g_strdup("i-1")};
     g_array_append_val(events, e);
   }
   g_autoptr(GPtrArray) broken = fk_scale_check_rules(p, 0, events);
@@ -328,10 +332,10 @@
                      gpointer data) {
   Redirects *r = data;
   gsize len;
-  fk_scale_body(m, &len);
+  fk_stand_in_request_body(m, &len);
   r->requests++;
   r->without_body += !len;
-  fk_scale_respond(m, 421, g_strdup(REDIRECT_BODY));
+  fk_stand_in_respond(m, 421, g_strdup(REDIRECT_BODY));
 }
 
 static void redirected(gpointer data, guint status, const char *body, gsize len) {
@@ -346,7 +350,7 @@
   for (guint c = 0; c < G_N_ELEMENTS(clients); c++) {
     g_autoptr(GError) error = NULL;
     Redirects r = {0};
-    g_autoptr(SoupServer) server = fk_scale_serve(REDIRECT_ADDR, redirect, &r, &error);
+    g_autoptr(SoupServer) server = fk_stand_in_serve(REDIRECT_ADDR, redirect, &r, &error);
     g_assert_no_error(error);
     for (guint i = 0; i < REDIRECTS; i++)
       fk_http_client_call(clients[c], "POST", REDIRECT_ADDR, "/hello", "{}", 30, redirected, &r);
@@ -367,28 +371,29 @@
   g_autoptr(GError) error = NULL;
   guint n = 99;
   p->controllers = 2;
-  p->dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
-  g_autofree char *first = g_build_filename(p->dir, "control-0-0.log", NULL),
-                  *second = g_build_filename(p->dir, "control-0-1.log", NULL);
+  p->output_dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
+  g_autofree char *first = g_build_filename(p->output_dir, "control-0-0.log", NULL),
+                  *second = g_build_filename(p->output_dir, "control-0-1.log", NULL);
   g_assert_true(g_file_set_contents(first, "up\n", -1, &error));
-  g_assert_false(fk_summary_malformed_reports(p, 0, &n, &error)); /* a log that isn't there isn't a zero */
+  g_assert_false(
+      fk_scale_count_malformed_heartbeats(p, 0, &n, &error)); /* a log that isn't there isn't a zero */
   g_clear_error(&error);
   g_assert_true(g_file_set_contents(second, "up\n", -1, &error));
-  g_assert_true(fk_summary_malformed_reports(p, 0, &n, &error));
+  g_assert_true(fk_scale_count_malformed_heartbeats(p, 0, &n, &error));
   g_assert_cmpuint(n, ==, 0);
   g_assert_true(
       g_file_set_contents(first, "warning a malformed report: \nup\na malformed report: {}\n", -1, &error));
   g_assert_true(g_file_set_contents(second, "a malformed report: []", -1, &error));
-  g_assert_true(fk_summary_malformed_reports(p, 0, &n, &error));
+  g_assert_true(fk_scale_count_malformed_heartbeats(p, 0, &n, &error));
   g_assert_cmpuint(n, ==, 3);
   g_unlink(first);
   g_unlink(second);
-  g_rmdir(p->dir);
+  g_rmdir(p->output_dir);
 }
 
 /* ------------------------------------------------------------------ leases */
 
-static guint events_of(const GArray *events, FkEventKind kind, gint64 *at_us) {
+static guint events_of(const GArray *events, FkRunEventKind kind, gint64 *at_us) {
   guint n = 0;
   for (guint i = 0; i < events->len; i++) {
     const FkRunEvent *e = &g_array_index(events, FkRunEvent, i);
@@ -407,18 +412,18 @@
 
 /* One worker with a task that runs, of which no controller hears; the loop sleeps over its lease's end. */
 static void test_lease_ends(void) {
-  static Fleet f;
+  static FkSimulatedWorkers f;
   g_autoptr(FkScalePlan) p = small_plan();
   g_autoptr(GError) error = NULL;
   g_autoptr(GArray) events = fk_run_events_new();
-  p->base = 211;
+  p->address_base = 211;
   p->lease_s = 2;
-  p->run_s = 3600;
-  p->begins_us = g_get_monotonic_time();
-  p->dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
-  g_assert_true(fk_fleet_open(&f, p, 0, 0, &error));
+  p->task_run_s = 3600;
+  p->start_us = g_get_monotonic_time();
+  p->output_dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
+  g_assert_true(fk_worker_stand_in_open(&f, p, 0, 0, &error));
   g_autofree char *zone = fk_scale_zone(0, 0), *job = fk_scale_job_id(0, BULK);
-  Machine *m = fk_fleet_boot(&f, zone, FALSE, 0);
+  FkSimulatedWorker *m = fk_simulated_workers_boot(&f, zone, FALSE, 0);
   while (!m->up)
     g_main_context_iteration(NULL, TRUE);
   m->report = ++f.serial; /* it never reports: only the lease's timer can end it */
@@ -437,39 +442,39 @@
     g_main_context_iteration(NULL, FALSE);
   g_assert_cmpuint(m->model.incarnation, ==, 2);
   g_assert_cmpuint(m->model.tasks->len, ==, 0);
-  fk_fleet_close(&f);
+  fk_worker_stand_in_close(&f);
   gint64 began = 0, left_us = 0;
-  g_assert_true(fk_event_log_read(p->dir, "fleet-0", events, &error));
-  g_assert_cmpuint(events_of(events, FK_EVENT_BEGAN, &began), ==, 1);
-  g_assert_cmpuint(events_of(events, FK_EVENT_LEFT, &left_us), ==, 1);
+  g_assert_true(fk_event_log_read(p->output_dir, "fleet-0", events, &error));
+  g_assert_cmpuint(events_of(events, FK_RUN_EVENT_TASK_STARTED, &began), ==, 1);
+  g_assert_cmpuint(events_of(events, FK_RUN_EVENT_TASK_LOST, &left_us), ==, 1);
   g_assert_cmpint(left_us, ==, end);
   g_assert_cmpint(began, <, left_us);
-  remove_in(p->dir, "fleet-0.events");
-  remove_in(p->dir, "fleet-0.jsonl");
-  g_rmdir(p->dir);
+  remove_in(p->output_dir, "fleet-0.events");
+  remove_in(p->output_dir, "fleet-0.jsonl");
+  g_rmdir(p->output_dir);
 }
 
 /* Several processes play each machine of the start once, agree on their names and faults. */
 static void test_fleet_parts(void) {
   enum { PARTS = 3 };
-  static Fleet f[PARTS];
+  static FkSimulatedWorkers f[PARTS];
   g_autoptr(FkScalePlan) p = small_plan();
   g_autoptr(GError) error = NULL;
-  p->base = 212;
+  p->address_base = 212;
   p->workers = 8;
-  p->fleet_processes = PARTS;
-  p->begins_us = g_get_monotonic_time();
-  p->dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
+  p->worker_processes = PARTS;
+  p->start_us = g_get_monotonic_time();
+  p->output_dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
   for (guint k = 0; k < PARTS; k++) {
-    g_assert_true(fk_fleet_open(&f[k], p, 0, k, &error));
+    g_assert_true(fk_worker_stand_in_open(&f[k], p, 0, k, &error));
     g_assert_true(!f[k].cloud == (k > 0));
-    fk_fleet_boot_first(&f[k]);
+    fk_simulated_workers_boot_initial(&f[k]);
   }
   for (guint i = 0; i < p->workers; i++) {
     guint players = 0;
-    const Machine *first = f[0].machines->pdata[i];
+    const FkSimulatedWorker *first = f[0].machines->pdata[i];
     for (guint k = 0; k < PARTS; k++) {
-      const Machine *m = f[k].machines->pdata[i];
+      const FkSimulatedWorker *m = f[k].machines->pdata[i];
       g_assert_cmpstr(m->model.id, ==, first->model.id);
       g_assert_cmpstr(m->model.addr, ==, first->model.addr);
       players += !m->elsewhere;
@@ -483,25 +488,25 @@
     guint up = 0;
     for (guint k = 0; k < PARTS; k++)
       for (guint i = 0; i < p->workers; i++)
-        up += ((Machine *)f[k].machines->pdata[i])->up;
+        up += ((FkSimulatedWorker *)f[k].machines->pdata[i])->up;
     if (up == PARTS * p->workers)
       break;
     g_main_context_iteration(NULL, TRUE);
   }
   for (guint k = 0; k < PARTS; k++)
     for (guint i = 0; i < p->workers; i++) {
-      const Machine *m = f[k].machines->pdata[i];
+      const FkSimulatedWorker *m = f[k].machines->pdata[i];
       g_assert_true(m->up);
       g_assert_true((m->listening < 0) == m->elsewhere);
     }
   for (guint k = 0; k < PARTS; k++) {
-    g_autofree char *name = fk_scale_fleet_name(0, k), *events = g_strconcat(name, ".events", NULL),
+    g_autofree char *name = fk_scale_worker_process_name(0, k), *events = g_strconcat(name, ".events", NULL),
                     *lines = g_strconcat(name, ".jsonl", NULL);
-    fk_fleet_close(&f[k]);
-    remove_in(p->dir, events);
-    remove_in(p->dir, lines);
+    fk_worker_stand_in_close(&f[k]);
+    remove_in(p->output_dir, events);
+    remove_in(p->output_dir, lines);
   }
-  g_rmdir(p->dir);
+  g_rmdir(p->output_dir);
 }
 
 int main(int argc, char **argv) {
