--- a/src/simulation/scale/cloud_stand_in.c
+++ b/src/simulation/scale/cloud_stand_in.c
@@ -1,158 +1,201 @@
-/* The region's cloud (PROTOCOL, "Controller nodes -> cloud"): it rents hollow workers, and lists them late.
- */
+#include "simulation/scale/cloud_stand_in.h"
+
 #include <stdlib.h>
 #include <string.h>
 
 #include "simulation/scale/addresses.h"
-#include "simulation/scale/simulated_workers.h"
+#include "simulation/scale/heartbeats.h"
 #include "wire/cloud.h"
 
-#define LAG_S 10.0         /* of the list */
-#define DIED_LISTED_S 30.0 /* a machine that died still appears as running */
-#define CAPACITY 1.1       /* times the machines of the plan */
+#define LIST_DELAY_S 10.0           /* the list shows the state of that time ago */
+#define FAILURE_LISTED_AFTER_S 30.0 /* until then a failed machine is listed as running */
+#define CAPACITY 1.1                /* in machines, relative to the plan */
 #define BOOT_S 20.0
-#define PAGE_MOST 500
+#define BOOT_FACTOR_MIN 0.6
+#define BOOT_FACTOR_MAX 1.5
+#define PRICE_PER_HOUR 1
+#define SPOT_PRICE_PER_HOUR 0.3
+#define MEMORY_GB_PER_CPU 4
+#define FETCH_GB_PER_S 1
+#define PAGE_MAX 500
+#define TERMINATE_TIMEOUT_S 1
 
-static void refuse(SoupServerMessage *m, guint status, const char *body) {
-  fk_stand_in_respond(m, status, g_strdup(body));
+static void respond_text(SoupServerMessage *message, guint status, const char *body) {
+  fk_stand_in_respond(message, status, g_strdup(body));
 }
 
-static FkInstanceType *hollow_type(const FkSimulatedWorkers *f) {
-  FkInstanceType *t = g_new0(FkInstanceType, 1);
-  guint zones = fk_scale_region_zones(f->plan, f->region);
-  *t = (FkInstanceType){g_strdup(FK_SCALE_INSTANCE_TYPE),
-                        fk_scale_worker_cpus(f->plan),
-                        0,
-                        4 * fk_scale_worker_cpus(f->plan),
-                        1,
-                        1,
-                        0.3,
-                        BOOT_S,
-                        g_new0(char *, zones + 1)};
-  for (guint z = 0; z < zones; z++)
-    t->zones[z] = fk_scale_zone(f->region, z);
-  return t;
+static guint free_capacity(const FkSimulatedWorkers *workers) {
+  guint capacity = (guint)(CAPACITY * fk_scale_region_workers(workers->plan, workers->region)) + 1;
+  guint used = fk_simulated_workers_count(workers);
+  return capacity > used ? capacity - used : 0;
 }
 
-static guint free_capacity(const FkSimulatedWorkers *f) {
-  guint most = (guint)(CAPACITY * fk_scale_region_workers(f->plan, f->region)) + 1,
-        alive = fk_simulated_workers_count(f);
-  return most > alive ? most - alive : 0;
+/* ------------------------------------------------------------------ starting machines */
+
+static GPtrArray *start_instances(FkSimulatedWorkers *workers, const FkInstanceRequest *request,
+                                  guint count) {
+  GPtrArray *ids = g_ptr_array_new();
+  for (guint i = 0; i < count; i++) {
+    double boot_s = BOOT_S * g_rand_double_range(workers->rand, BOOT_FACTOR_MIN, BOOT_FACTOR_MAX);
+    FkSimulatedWorker *worker = fk_simulated_workers_boot(workers, request->zone, request->spot, boot_s);
+    g_ptr_array_add(ids, worker->model.id);
+  }
+  fk_metrics_log_add(workers->metrics, "rented", count);
+  return ids;
 }
 
-static void on_rent(FkSimulatedWorkers *f, SoupServerMessage *m, const char *body, gsize len) {
-  g_autoptr(FkInstanceRequest) r = fk_cloud_parse_instance_request(body, len);
-  if (!r) {
-    refuse(m, 400, "{}");
+/* A repeated request gets the machines of the first one. */
+static void on_instance_request(FkCloudStandIn *cloud, SoupServerMessage *message, const char *body,
+                                gsize len) {
+  g_autoptr(FkInstanceRequest) request = fk_cloud_parse_instance_request(body, len);
+  if (!request) {
+    respond_text(message, 400, "{}");
     return;
   }
-  GPtrArray *names = g_hash_table_lookup(f->hires, r->name);
-  guint count = MIN(r->count, free_capacity(f));
-  if (!names && !count) {
-    fk_stand_in_respond(m, 503, fk_cloud_print_no_capacity());
+  GPtrArray *ids = g_hash_table_lookup(cloud->instances_by_request, request->name);
+  guint count = MIN(request->count, free_capacity(cloud->workers));
+  if (!ids && !count) {
+    fk_stand_in_respond(message, 503, fk_cloud_print_no_capacity());
     return;
   }
-  if (!names) {
-    names = g_ptr_array_new();
-    for (guint i = 0; i < count; i++) {
-      double boot_s = BOOT_S * g_rand_double_range(f->rand, 0.6, 1.5);
-      g_ptr_array_add(names, fk_simulated_workers_boot(f, r->zone, r->spot, boot_s)->model.id);
-    }
-    g_hash_table_insert(f->hires, g_strdup(r->name), names);
-    fk_metrics_log_add(f->series, "rented", count);
+  if (!ids) {
+    ids = start_instances(cloud->workers, request, count);
+    g_hash_table_insert(cloud->instances_by_request, g_strdup(request->name), ids);
   }
-  fk_stand_in_respond(m, 200, fk_cloud_print_names(names));
+  fk_stand_in_respond(message, 200, fk_cloud_print_names(ids));
 }
 
-static void told(gpointer unused, guint status, const char *body, gsize len) {}
+/* ------------------------------------------------------------------ terminating machines */
+
+static void ignore_answer(gpointer data, guint status, const char *body, gsize len) {}
 
-/* The process that plays it hears of it too. */
-static void take_back(FkSimulatedWorkers *f, FkSimulatedWorker *x) {
-  if (x->elsewhere && !x->gone)
-    fk_http_client_call(f->http, "POST", x->model.addr, FK_WORKER_TERMINATE_PATH, "{}", 1, told, NULL);
-  fk_simulated_workers_terminate(f, x);
-  x->returned = g_get_monotonic_time();
-  fk_metrics_log_add(f->series, "returned", 1);
+/* The process that plays the worker is told, too. */
+static void terminate_instance(FkSimulatedWorkers *workers, FkSimulatedWorker *worker) {
+  if (worker->remote && !worker->terminated)
+    fk_http_client_call(workers->http, "POST", worker->model.addr, FK_WORKER_TERMINATE_PATH, "{}",
+                        TERMINATE_TIMEOUT_S, ignore_answer, NULL);
+  fk_simulated_workers_terminate(workers, worker);
+  worker->terminated_us = g_get_monotonic_time();
+  fk_metrics_log_add(workers->metrics, "returned", 1);
 }
 
-static void on_return(FkSimulatedWorkers *f, SoupServerMessage *m, const char *body, gsize len) {
-  g_autoptr(GPtrArray) names = fk_cloud_parse_names(body, len);
-  if (!names) {
-    refuse(m, 400, "{}");
+static void on_terminate_request(FkCloudStandIn *cloud, SoupServerMessage *message, const char *body,
+                                 gsize len) {
+  FkSimulatedWorkers *workers = cloud->workers;
+  g_autoptr(GPtrArray) ids = fk_cloud_parse_names(body, len);
+  if (!ids) {
+    respond_text(message, 400, "{}");
     return;
   }
-  g_autoptr(GHashTable) wanted = g_hash_table_new(g_str_hash, g_str_equal);
-  for (guint i = 0; i < names->len; i++)
-    g_hash_table_add(wanted, names->pdata[i]);
-  for (guint i = 0; i < f->machines->len; i++) {
-    FkSimulatedWorker *x = f->machines->pdata[i];
-    if (!x->returned && g_hash_table_contains(wanted, x->model.id))
-      take_back(f, x);
+  g_autoptr(GHashTable) requested = g_hash_table_new(g_str_hash, g_str_equal);
+  for (guint i = 0; i < ids->len; i++)
+    g_hash_table_add(requested, ids->pdata[i]);
+  for (guint i = 0; i < workers->all->len; i++) {
+    FkSimulatedWorker *worker = workers->all->pdata[i];
+    if (!worker->terminated_us && g_hash_table_contains(requested, worker->model.id))
+      terminate_instance(workers, worker);
   }
-  refuse(m, 200, "{}");
+  respond_text(message, 200, "{}");
+}
+
+/* ------------------------------------------------------------------ listing machines */
+
+static gboolean is_listed_as_failed(const FkSimulatedWorker *worker, gint64 at_us) {
+  return worker->failed_us && (double)(at_us - worker->failed_us) / 1e6 > FAILURE_LISTED_AFTER_S;
 }
 
-/* As it was when the list was made; FALSE: it wasn't there. */
-static gboolean list_entry(const FkSimulatedWorker *x, gint64 at, FkCloudMachine *out) {
-  if (x->born > at || (x->returned && x->returned <= at))
+static gboolean has_booted(const FkSimulatedWorker *worker) {
+  return worker->up || worker->terminated || worker->boots;
+}
+
+/* The machine as the list of `at_us` shows it; FALSE when it wasn't in that list. */
+static gboolean list_entry(const FkSimulatedWorker *worker, gint64 at_us, FkCloudMachine *entry) {
+  if (worker->created_us > at_us || (worker->terminated_us && worker->terminated_us <= at_us))
     return FALSE;
-  gboolean failed = x->died && (double)(at - x->died) / 1e6 > DIED_LISTED_S;
-  *out = (FkCloudMachine){.id = x->model.id,
-                          .addr = x->model.addr,
-                          .type = x->model.type,
-                          .zone = x->model.zone,
-                          .spot = x->model.spot,
-                          .state = failed                        ? FK_CLOUD_MACHINE_FAILED
-                                   : x->up || x->gone || x->life ? FK_CLOUD_MACHINE_RUNNING
-                                                                 : FK_CLOUD_MACHINE_BOOTING,
-                          .age_s = (double)(at - x->born) / 1e6};
+  *entry = (FkCloudMachine){.id = worker->model.id,
+                            .addr = worker->model.addr,
+                            .type = worker->model.type,
+                            .zone = worker->model.zone,
+                            .spot = worker->model.spot,
+                            .state = is_listed_as_failed(worker, at_us) ? FK_CLOUD_MACHINE_FAILED
+                                     : has_booted(worker)               ? FK_CLOUD_MACHINE_RUNNING
+                                                                        : FK_CLOUD_MACHINE_BOOTING,
+                            .age_s = (double)(at_us - worker->created_us) / 1e6};
   return TRUE;
 }
 
-static void on_list(FkSimulatedWorkers *f, SoupServerMessage *m, GHashTable *query) {
+static void on_list(FkCloudStandIn *cloud, SoupServerMessage *message, GHashTable *query) {
+  const GPtrArray *all = cloud->workers->all;
   const char *after = fk_stand_in_query(query, "after");
-  guint page = (guint)CLAMP(atoi(fk_stand_in_query(query, "page")), 1, PAGE_MOST);
-  gint64 at = g_get_monotonic_time() - (gint64)(LAG_S * 1e6);
+  guint page = (guint)CLAMP(atoi(fk_stand_in_query(query, "page")), 1, PAGE_MAX);
+  gint64 at_us = g_get_monotonic_time() - (gint64)(LIST_DELAY_S * 1e6);
   g_autoptr(GPtrArray) listed = g_ptr_array_new_with_free_func(g_free);
   gboolean more = FALSE;
-  for (guint i = 0; i < f->machines->len && !more; i++) {
-    const FkSimulatedWorker *x = f->machines->pdata[i];
+  for (guint i = 0; i < all->len && !more; i++) {
+    const FkSimulatedWorker *worker = all->pdata[i];
     FkCloudMachine entry;
-    if (strcmp(x->model.id, after) <= 0 || !list_entry(x, at, &entry))
+    if (strcmp(worker->model.id, after) <= 0 || !list_entry(worker, at_us, &entry))
       continue;
     if (listed->len == page)
       more = TRUE;
     else
       g_ptr_array_add(listed, g_memdup2(&entry, sizeof entry));
   }
-  fk_stand_in_respond(m, 200, fk_cloud_print_machines(listed, more));
+  fk_stand_in_respond(message, 200, fk_cloud_print_machines(listed, more));
 }
 
-static void on_request(SoupServer *server, SoupServerMessage *m, const char *path, GHashTable *query,
-                       gpointer fleet) {
-  FkSimulatedWorkers *f = fleet;
+/* ------------------------------------------------------------------ the server */
+
+static gboolean take_call(FkCloudStandIn *cloud) {
+  double calls_per_s = cloud->workers->plan->cloud_calls_per_s;
+  return fk_store_rate_limit_take(&cloud->rate_limit, g_get_monotonic_time(), calls_per_s, 1, 0);
+}
+
+static void on_request(SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
+                       gpointer data) {
+  FkCloudStandIn *cloud = data;
   gsize len;
-  const char *body = fk_stand_in_request_body(m, &len);
-  gboolean post = g_str_equal(soup_server_message_get_method(m), "POST");
-  fk_metrics_log_add(f->series, "cloud_calls", 1);
-  if (!fk_store_rate_limit_take(&f->cloud_budget, g_get_monotonic_time(), f->plan->cloud_calls_per_s, 1, 0))
-    refuse(m, 429, "{}");
+  const char *body = fk_stand_in_request_body(message, &len);
+  gboolean is_post = g_str_equal(soup_server_message_get_method(message), "POST");
+  fk_metrics_log_add(cloud->workers->metrics, "cloud_calls", 1);
+  if (!take_call(cloud))
+    respond_text(message, 429, "{}");
   else if (g_str_equal(path, "/machine_types"))
-    fk_stand_in_respond(m, 200, fk_cloud_print_types(f->types));
+    fk_stand_in_respond(message, 200, fk_cloud_print_types(cloud->types));
   else if (g_str_equal(path, "/machines/return"))
-    on_return(f, m, body, len);
-  else if (g_str_equal(path, "/machines") && post)
-    on_rent(f, m, body, len);
+    on_terminate_request(cloud, message, body, len);
+  else if (g_str_equal(path, "/machines") && is_post)
+    on_instance_request(cloud, message, body, len);
   else if (g_str_equal(path, "/machines"))
-    on_list(f, m, query);
+    on_list(cloud, message, query);
   else
-    refuse(m, 400, "{}");
+    respond_text(message, 400, "{}");
+}
+
+static FkInstanceType *instance_type(const FkScalePlan *plan, guint region) {
+  guint zones = fk_scale_region_zones(plan, region);
+  double cpus = fk_scale_worker_cpus(plan);
+  FkInstanceType *type = g_new0(FkInstanceType, 1);
+  *type = (FkInstanceType){.name = g_strdup(FK_SCALE_INSTANCE_TYPE),
+                           .cpus = cpus,
+                           .mem_gb = MEMORY_GB_PER_CPU * cpus,
+                           .fetch_gb_per_s = FETCH_GB_PER_S,
+                           .price = PRICE_PER_HOUR,
+                           .spot_price = SPOT_PRICE_PER_HOUR,
+                           .boot_s = BOOT_S,
+                           .zones = g_new0(char *, zones + 1)};
+  for (guint i = 0; i < zones; i++)
+    type->zones[i] = fk_scale_zone(region, i);
+  return type;
 }
 
-gboolean fk_cloud_stand_in_open(FkSimulatedWorkers *f, GError **error) {
-  g_autofree char *addr = fk_scale_cloud_addr(f->plan, f->region);
-  f->types = g_ptr_array_new_with_free_func(fk_instance_type_free);
-  g_ptr_array_add(f->types, hollow_type(f));
-  f->cloud = fk_stand_in_serve(addr, on_request, f, error);
-  return f->cloud != NULL;
+gboolean fk_cloud_stand_in_open(FkCloudStandIn *cloud, FkSimulatedWorkers *workers, GError **error) {
+  g_autofree char *addr = fk_scale_cloud_addr(workers->plan, workers->region);
+  *cloud = (FkCloudStandIn){.workers = workers};
+  cloud->instances_by_request =
+      g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
+  cloud->types = g_ptr_array_new_with_free_func(fk_instance_type_free);
+  g_ptr_array_add(cloud->types, instance_type(workers->plan, workers->region));
+  cloud->server = fk_stand_in_serve(addr, on_request, cloud, error);
+  return cloud->server != NULL;
 }
--- a/src/simulation/scale/heartbeats.c
+++ b/src/simulation/scale/heartbeats.c
@@ -1,198 +1,217 @@
-/* The hollow workers' reports, and the commands that come straight to them (PROTOCOL, "Workers -> controller
- * nodes" and "Controller nodes -> workers"). */
+#include "simulation/scale/heartbeats.h"
+
 #include <string.h>
 
 #include "simulation/scale/addresses.h"
-#include "simulation/scale/simulated_workers.h"
 #include "wire/worker.h"
 
-#define LEAST_S 0.5  /* between two reports */
-#define ANSWER_S 4.0 /* no answer by then: the next controller, after a second */
-#define NEXT_S 1.0
-#define MOVE_MOST_S 0.5 /* sent elsewhere: at once, or after up to so long */
+#define INTERVAL_S_MIN 0.5       /* between two heartbeats of a worker */
+#define REPLY_TIMEOUT_S 4.0      /* then the next controller is tried */
+#define RETRY_DELAY_S 1.0        /* before it is */
+#define REDIRECT_DELAY_S_MAX 0.5 /* a redirect is followed after a random part of it */
+#define INTERVAL_JITTER 0.25     /* of the usual interval, up or down */
 
 typedef struct {
-  FkSimulatedWorkers *fleet;
-  FkSimulatedWorker *machine;
-  guint64 report, session;
-  gint64 sent;
-} Report;
+  FkSimulatedWorkers *workers;
+  FkSimulatedWorker *worker;
+  guint64 heartbeat_id, incarnation;
+  gint64 sent_us;
+} Heartbeat;
+
+static double seconds_since(gint64 time_us) { return (double)(g_get_monotonic_time() - time_us) / 1e6; }
 
-static void send_report(gpointer fleet, gpointer data);
+/* ------------------------------------------------------------------ when the next heartbeat is due */
 
-static void plan_report(FkSimulatedWorkers *f, FkSimulatedWorker *m, double seconds) {
-  Report *r = g_new0(Report, 1);
-  m->report = ++f->serial;
-  *r = (Report){f, m, m->report, 0, 0};
-  fk_simulated_workers_schedule(f, seconds, send_report, r);
+static void send_heartbeat(gpointer owner, gpointer data);
+
+/* Replaces the heartbeat that was planned or in flight. */
+static void schedule_heartbeat(FkSimulatedWorkers *workers, FkSimulatedWorker *worker, double delay_s) {
+  Heartbeat *heartbeat = g_new0(Heartbeat, 1);
+  worker->heartbeat_id = ++workers->last_serial;
+  *heartbeat = (Heartbeat){.workers = workers, .worker = worker, .heartbeat_id = worker->heartbeat_id};
+  fk_simulated_workers_schedule(workers, delay_s, send_heartbeat, heartbeat);
 }
 
-void fk_heartbeats_start(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
-  m->under_way = FALSE;
-  plan_report(f, m, 0);
+static void start_heartbeats(FkSimulatedWorkers *workers, FkSimulatedWorker *worker) {
+  worker->heartbeat_in_flight = FALSE;
+  schedule_heartbeat(workers, worker, 0);
 }
 
-void fk_heartbeats_state_changed(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
-  if (!m->up || m->changed)
+static void on_state_changed(FkSimulatedWorkers *workers, FkSimulatedWorker *worker) {
+  if (!worker->up || worker->state_changed)
     return;
-  m->changed = TRUE;
-  double since_s = (double)(g_get_monotonic_time() - m->sent) / 1e6;
-  if (!m->under_way)
-    plan_report(f, m, MAX(0, LEAST_S - since_s));
+  worker->state_changed = TRUE;
+  double since_s = seconds_since(worker->heartbeat_sent_us);
+  if (!worker->heartbeat_in_flight)
+    schedule_heartbeat(workers, worker, MAX(0, INTERVAL_S_MIN - since_s));
 }
 
-/* After an answer: soon where something has changed meanwhile, else in the usual time, plus or minus a
- * quarter. */
-static void plan_next(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
-  double usual_s = f->plan->heartbeat_s * g_rand_double_range(f->rand, 0.75, 1.25),
-         since_s = (double)(g_get_monotonic_time() - m->sent) / 1e6;
-  plan_report(f, m, MAX(0, (m->changed ? LEAST_S : usual_s) - since_s));
+/* After a reply: soon when the state has changed meanwhile, else after the usual interval with jitter. */
+static void schedule_next(FkSimulatedWorkers *workers, FkSimulatedWorker *worker) {
+  double jitter = g_rand_double_range(workers->rand, 1 - INTERVAL_JITTER, 1 + INTERVAL_JITTER),
+         interval_s = worker->state_changed ? INTERVAL_S_MIN : workers->plan->heartbeat_s * jitter;
+  schedule_heartbeat(workers, worker, MAX(0, interval_s - seconds_since(worker->heartbeat_sent_us)));
 }
 
-static guint controllers(const FkSimulatedWorkers *f) {
-  return fk_scale_region_controllers(f->plan, f->region);
+/* ------------------------------------------------------------------ which controller it goes to */
+
+static guint controller_count(const FkSimulatedWorkers *workers) {
+  return fk_scale_region_controllers(workers->plan, workers->region);
 }
 
-static void try_next(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
-  m->home = (m->home + 1) % controllers(f);
-  plan_report(f, m, NEXT_S);
+static void fail_over(FkSimulatedWorkers *workers, FkSimulatedWorker *worker) {
+  worker->controller = (worker->controller + 1) % controller_count(workers);
+  schedule_heartbeat(workers, worker, RETRY_DELAY_S);
 }
 
-/* The controller of that name, or the number of controllers. */
-static guint number_of(const FkSimulatedWorkers *f, const char *node) {
-  guint n = controllers(f);
-  for (guint i = 0; i < n; i++) {
-    g_autofree char *name = fk_scale_controller_name(f->region, i);
-    if (g_str_equal(name, node))
-      return i;
+/* FALSE when no controller of the region has that name. */
+static gboolean find_controller(const FkSimulatedWorkers *workers, const char *name, guint *controller) {
+  for (guint i = 0; i < controller_count(workers); i++) {
+    g_autofree char *candidate = fk_scale_controller_name(workers->region, i);
+    if (!g_str_equal(candidate, name))
+      continue;
+    *controller = i;
+    return TRUE;
   }
-  return n;
+  return FALSE;
 }
 
-static void move(FkSimulatedWorkers *f, FkSimulatedWorker *m, const char *foreman) {
-  guint to = foreman ? number_of(f, foreman) : controllers(f);
-  if (to == controllers(f) || to == m->home) {
-    try_next(f, m);
+/* `name` NULL: the reply didn't name a controller. */
+static void follow_redirect(FkSimulatedWorkers *workers, FkSimulatedWorker *worker, const char *name) {
+  guint controller;
+  if (!name || !find_controller(workers, name, &controller) || controller == worker->controller) {
+    fail_over(workers, worker);
     return;
   }
-  m->home = to;
-  plan_report(f, m, g_rand_double_range(f->rand, 0, MOVE_MOST_S));
+  worker->controller = controller;
+  schedule_heartbeat(workers, worker, g_rand_double_range(workers->rand, 0, REDIRECT_DELAY_S_MAX));
 }
 
-/* A higher token is a change at most once in half of the lease. */
-static void note_token(FkSimulatedWorkers *f, FkSimulatedWorker *m, guint64 before) {
+/* ------------------------------------------------------------------ heartbeats and replies */
+
+/* A higher fencing token is a change of state, but at most once in half a lease. */
+static void note_token(FkSimulatedWorkers *workers, FkSimulatedWorker *worker, guint64 token_before) {
   gint64 now = g_get_monotonic_time();
-  if (m->model.fencing_token <= before || (double)(now - m->token_counted) / 1e6 < f->plan->lease_s / 2)
+  double since_s = (double)(now - worker->token_change_us) / 1e6;
+  if (worker->model.fencing_token <= token_before || since_s < workers->plan->lease_s / 2)
     return;
-  m->token_counted = now;
-  m->changed = TRUE;
-}
-
-static void take_answer(FkSimulatedWorkers *f, FkSimulatedWorker *m, const Report *r,
-                        const FkWorkerCommands *orders) {
-  guint64 token = m->model.fencing_token;
-  guint tasks = m->model.tasks->len;
-  fk_simulated_workers_check_lease(f, m, g_get_monotonic_time());
-  if (!fk_worker_model_heartbeat_answered(&m->model, &f->hooks, r->session, r->sent, orders->fencing_token,
-                                          orders->commands))
-    fk_metrics_log_add(f->series, "answers_dropped", 1);
-  note_token(f, m, token);
-  m->changed |= m->model.tasks->len != tasks;
-  plan_next(f, m);
-}
-
-static void report_answered(gpointer data, guint status, const char *body, gsize len) {
-  g_autofree Report *r = data;
-  FkSimulatedWorkers *f = r->fleet;
-  FkSimulatedWorker *m = r->machine;
-  if (m->report != r->report)
+  worker->token_change_us = now;
+  worker->state_changed = TRUE;
+}
+
+static void apply_reply(FkSimulatedWorkers *workers, FkSimulatedWorker *worker, const Heartbeat *heartbeat,
+                        const FkWorkerCommands *reply) {
+  guint64 token_before = worker->model.fencing_token;
+  guint tasks_before = worker->model.tasks->len;
+  fk_simulated_workers_check_lease(workers, worker, g_get_monotonic_time());
+  if (!fk_worker_model_heartbeat_answered(&worker->model, &workers->model_hooks, heartbeat->incarnation,
+                                          heartbeat->sent_us, reply->fencing_token, reply->commands))
+    fk_metrics_log_add(workers->metrics, "answers_dropped", 1);
+  note_token(workers, worker, token_before);
+  worker->state_changed |= worker->model.tasks->len != tasks_before;
+  schedule_next(workers, worker);
+}
+
+static void on_reply(gpointer data, guint status, const char *body, gsize len) {
+  g_autofree Heartbeat *heartbeat = data;
+  FkSimulatedWorkers *workers = heartbeat->workers;
+  FkSimulatedWorker *worker = heartbeat->worker;
+  if (worker->heartbeat_id != heartbeat->heartbeat_id)
     return;
-  m->under_way = FALSE;
-  fk_metrics_log_add(f->series, "answer_bytes", (double)len);
-  g_autoptr(FkWorkerCommands) orders = fk_worker_parse_reply(status, body, len);
-  if (status == 200 && orders) {
-    take_answer(f, m, r, orders);
+  worker->heartbeat_in_flight = FALSE;
+  fk_metrics_log_add(workers->metrics, "answer_bytes", (double)len);
+  g_autoptr(FkWorkerCommands) reply = fk_worker_parse_reply(status, body, len);
+  if (status == 200 && reply) {
+    apply_reply(workers, worker, heartbeat, reply);
   } else if (status == 421) {
-    fk_metrics_log_add(f->series, "reports_redirected", 1);
-    move(f, m, orders ? orders->redirect : NULL);
+    fk_metrics_log_add(workers->metrics, "reports_redirected", 1);
+    follow_redirect(workers, worker, reply ? reply->redirect : NULL);
   } else {
-    fk_metrics_log_add(f->series, "reports_unanswered", 1);
-    try_next(f, m);
+    fk_metrics_log_add(workers->metrics, "reports_unanswered", 1);
+    fail_over(workers, worker);
   }
 }
 
-static void send_report(gpointer fleet, gpointer data) {
-  FkSimulatedWorkers *f = fleet;
-  Report *r = data;
-  FkSimulatedWorker *m = r->machine;
-  if (m->report != r->report || !m->up) {
-    g_free(r);
+static void send_heartbeat(gpointer owner, gpointer data) {
+  FkSimulatedWorkers *workers = owner;
+  Heartbeat *heartbeat = data;
+  FkSimulatedWorker *worker = heartbeat->worker;
+  if (worker->heartbeat_id != heartbeat->heartbeat_id || !worker->up) {
+    g_free(heartbeat);
     return;
   }
   gint64 now = g_get_monotonic_time();
-  fk_simulated_workers_check_lease(f, m, now);
-  m->sent = r->sent = now;
-  m->changed = FALSE;
-  m->under_way = TRUE;
-  r->session = m->model.incarnation;
-  g_autoptr(FkHeartbeat) report = fk_worker_model_heartbeat(&m->model);
-  g_autofree char *body = fk_worker_print_heartbeat(report),
-                  *addr = fk_scale_user_addr(f->plan, f->region, m->home);
-  fk_metrics_log_add(f->series, "reports", 1);
-  fk_metrics_log_add(f->series, "report_bytes", (double)strlen(body));
-  fk_http_client_call(f->http, "POST", addr, "/hello", body, ANSWER_S, report_answered, r);
+  fk_simulated_workers_check_lease(workers, worker, now);
+  worker->heartbeat_sent_us = heartbeat->sent_us = now;
+  worker->state_changed = FALSE;
+  worker->heartbeat_in_flight = TRUE;
+  heartbeat->incarnation = worker->model.incarnation;
+  g_autoptr(FkHeartbeat) message = fk_worker_model_heartbeat(&worker->model);
+  g_autofree char *body = fk_worker_print_heartbeat(message),
+                  *addr = fk_scale_user_addr(workers->plan, workers->region, worker->controller);
+  fk_metrics_log_add(workers->metrics, "reports", 1);
+  fk_metrics_log_add(workers->metrics, "report_bytes", (double)strlen(body));
+  fk_http_client_call(workers->http, "POST", addr, "/hello", body, REPLY_TIMEOUT_S, on_reply, heartbeat);
 }
 
 /* ------------------------------------------------------------------ direct commands */
 
-static void answer_report(FkSimulatedWorkers *f, SoupServerMessage *msg, FkSimulatedWorker *m, guint status) {
-  g_autoptr(FkHeartbeat) report = fk_worker_model_heartbeat(&m->model);
-  char *body = fk_worker_print_heartbeat(report);
-  fk_metrics_log_add(f->series, "command_answer_bytes", (double)strlen(body));
-  fk_stand_in_respond(msg, status, body);
-}
-
-static void take_command(FkSimulatedWorkers *f, SoupServerMessage *msg, FkSimulatedWorker *m,
-                         const FkWorkerCommands *orders) {
-  guint64 token = m->model.fencing_token;
-  guint tasks = m->model.tasks->len;
-  fk_simulated_workers_check_lease(f, m, g_get_monotonic_time());
-  gboolean done = fk_worker_model_command(&m->model, &f->hooks, orders->incarnation, orders->fencing_token,
-                                          orders->commands);
-  answer_report(f, msg, m, done ? 200 : 409);
-  gboolean had_changed = m->changed;
-  note_token(f, m, token);
-  if (m->model.tasks->len != tasks || m->changed != had_changed) {
-    m->changed = had_changed;
-    fk_heartbeats_state_changed(f, m);
+/* Every answer to a command carries the worker's state. */
+static void respond_with_state(FkSimulatedWorkers *workers, SoupServerMessage *message,
+                               FkSimulatedWorker *worker, guint status) {
+  g_autoptr(FkHeartbeat) heartbeat = fk_worker_model_heartbeat(&worker->model);
+  char *body = fk_worker_print_heartbeat(heartbeat);
+  fk_metrics_log_add(workers->metrics, "command_answer_bytes", (double)strlen(body));
+  fk_stand_in_respond(message, status, body);
+}
+
+static void execute_commands(FkSimulatedWorkers *workers, SoupServerMessage *message,
+                             FkSimulatedWorker *worker, const FkWorkerCommands *request) {
+  guint64 token_before = worker->model.fencing_token;
+  guint tasks_before = worker->model.tasks->len;
+  fk_simulated_workers_check_lease(workers, worker, g_get_monotonic_time());
+  gboolean accepted = fk_worker_model_command(&worker->model, &workers->model_hooks, request->incarnation,
+                                              request->fencing_token, request->commands);
+  respond_with_state(workers, message, worker, accepted ? 200 : 409);
+  gboolean changed_before = worker->state_changed;
+  note_token(workers, worker, token_before);
+  if (worker->model.tasks->len != tasks_before || worker->state_changed != changed_before) {
+    worker->state_changed = changed_before;
+    on_state_changed(workers, worker);
   }
 }
 
-void fk_heartbeats_on_command(SoupServer *server, SoupServerMessage *msg, const char *path, GHashTable *query,
-                              gpointer fleet) {
-  FkSimulatedWorkers *f = fleet;
-  g_autofree char *addr = fk_stand_in_local_addr(msg);
-  FkSimulatedWorker *m = g_hash_table_lookup(f->by_addr, addr);
+static void on_request(SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
+                       gpointer data) {
+  FkSimulatedWorkers *workers = data;
+  g_autofree char *addr = fk_stand_in_local_addr(message);
+  FkSimulatedWorker *worker = g_hash_table_lookup(workers->by_addr, addr);
   gsize len;
-  const char *body = fk_stand_in_request_body(msg, &len);
-  fk_metrics_log_add(f->series, "commands", 1);
-  fk_metrics_log_add(f->series, "command_bytes", (double)len);
-  if (!m || !m->up) {
-    fk_stand_in_respond(msg, 503, g_strdup("{}"));
+  const char *body = fk_stand_in_request_body(message, &len);
+  fk_metrics_log_add(workers->metrics, "commands", 1);
+  fk_metrics_log_add(workers->metrics, "command_bytes", (double)len);
+  if (!worker || !worker->up) {
+    fk_stand_in_respond(message, 503, g_strdup("{}"));
     return;
   }
   if (g_str_equal(path, FK_WORKER_TERMINATE_PATH)) {
-    fk_simulated_workers_terminate(f, m);
-    fk_stand_in_respond(msg, 200, g_strdup("{}"));
+    fk_simulated_workers_terminate(workers, worker);
+    fk_stand_in_respond(message, 200, g_strdup("{}"));
     return;
   }
   if (g_str_equal(path, "/status")) {
-    answer_report(f, msg, m, 200);
+    respond_with_state(workers, message, worker, 200);
     return;
   }
-  g_autoptr(FkWorkerCommands) orders = fk_worker_parse_commands(body, len);
-  if (orders)
-    take_command(f, msg, m, orders);
+  g_autoptr(FkWorkerCommands) request = fk_worker_parse_commands(body, len);
+  if (request)
+    execute_commands(workers, message, worker, request);
   else
-    fk_stand_in_respond(msg, 400, g_strdup("{}"));
+    fk_stand_in_respond(message, 400, g_strdup("{}"));
+}
+
+gboolean fk_heartbeats_open(FkSimulatedWorkers *workers, GError **error) {
+  workers->hooks = (FkSimulatedWorkersHooks){start_heartbeats, on_state_changed};
+  workers->listener = fk_stand_in_listener_new(on_request, workers, error);
+  return workers->listener != NULL;
 }
--- /dev/null
+++ b/src/simulation/scale/heartbeats.h
@@ -0,0 +1,11 @@
+/* The exchange between simulated workers and controllers (PROTOCOL, "Workers -> controller nodes" and
+ * "Controller nodes -> workers"): heartbeats with their replies, and direct commands. */
+#pragma once
+#include "simulation/scale/simulated_workers.h"
+
+/* POST to a worker's address from the process with the cloud: the worker is terminated. */
+#define FK_WORKER_TERMINATE_PATH "/returned"
+
+/* Workers send heartbeats and accept commands from now on. FALSE with an error when the listener can't be
+ * created. */
+gboolean fk_heartbeats_open(FkSimulatedWorkers *workers, GError **error);
--- a/src/simulation/scale/scale.c
+++ b/src/simulation/scale/scale.c
@@ -37,7 +37,7 @@
   if (g_str_equal(o->play, "state"))
     return fk_scale_store_stand_in(p, (guint)o->region);
   if (g_str_equal(o->play, "fleet"))
-    return fk_scale_worker_stand_in(p, (guint)o->region, (guint)o->part);
+    return fk_worker_stand_in_run(p, (guint)o->region, (guint)o->part);
   return fk_scale_user_stand_in(p, (guint)o->region);
 }
 
--- a/src/simulation/scale/simulated_workers.c
+++ b/src/simulation/scale/simulated_workers.c
@@ -1,388 +1,321 @@
+#include "simulation/scale/simulated_workers.h"
+
 #include "simulation/scale/addresses.h"
-#include "simulation/scale/worker_stand_in.h"
 #include "simulation/scale/workload.h"
 
-#include "simulation/scale/simulated_workers.h"
+#define HTTP_CALLS_MAX 4000
+#define ANSWER_BYTES_MAX (1 << 20)
+#define INITIAL_BOOT_S_MAX 5.0 /* workers of the start are up by then */
+#define INITIAL_AGE_S 60.0     /* of the workers of the start, as the cloud lists them */
+#define CACHED_IMAGE_FETCH_S 0.02
+#define RESTART_S_MIN 1
+#define RESTART_S_MAX 5
+
+static gint64 now_plus(double delay_s) { return g_get_monotonic_time() + (gint64)(delay_s * 1e6); }
 
-#define CALLS_MOST 4000
-#define ANSWER_MOST (1 << 20)
-#define UP_WITHIN_S 5.0 /* of the beginning: machines that are there from the start */
-#define LISTED_BEFORE_S 60.0
-#define FETCHED_S 0.02 /* an image that is at hand */
-#define RACK 40
-#define RESTART_SHARE 0.951           /* 1,700 restarts for 88 failures a day */
-#define CHURN_A_DAY (1788.0 / 7600.0) /* a machine */
-
-void fk_simulated_workers_schedule(FkSimulatedWorkers *f, double seconds, FkEventQueueFn fn, gpointer data) {
-  fk_event_queue_add(f->agenda, g_get_monotonic_time() + (gint64)(seconds * 1e6), fn, data);
+void fk_simulated_workers_schedule(FkSimulatedWorkers *workers, double delay_s, FkEventQueueFn fn,
+                                   gpointer data) {
+  fk_event_queue_add(workers->event_queue, now_plus(delay_s), fn, data);
 }
 
-const FkSpec *fk_simulated_workers_spec(FkSimulatedWorkers *f, const char *job) {
-  FkSpec *s = g_hash_table_lookup(f->specs, job);
-  if (!s && (s = fk_scale_job(f->plan, job)))
-    g_hash_table_insert(f->specs, s->id, s);
-  return s;
+const FkSpec *fk_simulated_workers_spec(FkSimulatedWorkers *workers, const char *job) {
+  FkSpec *spec = g_hash_table_lookup(workers->specs, job);
+  if (!spec && (spec = fk_scale_job(workers->plan, job)))
+    g_hash_table_insert(workers->specs, spec->id, spec);
+  return spec;
 }
 
-/* ------------------------------------------------------------------ leases */
+/* ------------------------------------------------------------------ events of one boot */
 
-static gint64 lease_us(const FkSimulatedWorkers *f) { return (gint64)(f->plan->lease_s * 1e6); }
+typedef struct {
+  FkSimulatedWorker *worker;
+  guint boots;
+} BootEvent;
 
-gboolean fk_simulated_workers_check_lease(FkSimulatedWorkers *f, FkSimulatedWorker *m, gint64 now) {
-  if (!m->up || m->elsewhere)
-    return FALSE;
-  f->left_us = m->model.lease_start + lease_us(f);
-  gboolean ended = fk_worker_model_check_lease(&m->model, &f->hooks, now, f->plan->lease_s);
-  f->left_us = 0;
-  fk_metrics_log_add(f->series, "leases_ended", ended);
-  return ended;
+static void schedule_for_boot(FkSimulatedWorkers *workers, FkSimulatedWorker *worker, gint64 at_us,
+                              FkEventQueueFn fn) {
+  BootEvent *event = g_new0(BootEvent, 1);
+  *event = (BootEvent){worker, worker->boots};
+  fk_event_queue_add(workers->event_queue, at_us, fn, event);
 }
 
-/* As above; a report tells of the next session soon. */
-static void look_at_lease(FkSimulatedWorkers *f, FkSimulatedWorker *m, gint64 now) {
-  if (fk_simulated_workers_check_lease(f, m, now))
-    fk_heartbeats_state_changed(f, m);
+static gboolean boot_event_is_void(const BootEvent *event) {
+  return event->worker->terminated || event->worker->boots != event->boots;
 }
 
-/* What is planned for one life of a machine. */
-typedef struct {
-  FkSimulatedWorker *machine;
-  guint life;
-} Life;
-
-static void plan_life(FkSimulatedWorkers *f, FkSimulatedWorker *m, gint64 at, FkEventQueueFn fn) {
-  Life *l = g_new0(Life, 1);
-  *l = (Life){m, m->life};
-  fk_event_queue_add(f->agenda, at, fn, l);
+/* ------------------------------------------------------------------ leases */
+
+static gint64 lease_end_us(const FkSimulatedWorkers *workers, const FkSimulatedWorker *worker) {
+  return worker->model.lease_start + (gint64)(workers->plan->lease_s * 1e6);
+}
+
+gboolean fk_simulated_workers_check_lease(FkSimulatedWorkers *workers, FkSimulatedWorker *worker,
+                                          gint64 now) {
+  if (!worker->up || worker->remote)
+    return FALSE;
+  workers->release_time_us = lease_end_us(workers, worker);
+  gboolean expired =
+      fk_worker_model_check_lease(&worker->model, &workers->model_hooks, now, workers->plan->lease_s);
+  workers->release_time_us = 0;
+  fk_metrics_log_add(workers->metrics, "leases_ended", expired);
+  return expired;
 }
 
-static void lease_is_due(gpointer fleet, gpointer data);
+/* As above; a heartbeat soon reports the next incarnation. */
+static void check_lease_and_report(FkSimulatedWorkers *workers, FkSimulatedWorker *worker, gint64 now) {
+  if (fk_simulated_workers_check_lease(workers, worker, now))
+    workers->hooks.on_state_changed(workers, worker);
+}
+
+static void on_lease_timer(gpointer owner, gpointer data);
 
-/* The lease stands until its end, and is over right after. */
-static void watch_lease(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
-  plan_life(f, m, m->model.lease_start + lease_us(f) + 1, lease_is_due);
+/* The lease is valid up to and including its end: the timer is due right after. */
+static void start_lease_timer(FkSimulatedWorkers *workers, FkSimulatedWorker *worker) {
+  schedule_for_boot(workers, worker, lease_end_us(workers, worker) + 1, on_lease_timer);
 }
 
-/* Where it was renewed meanwhile, its new end is waited for. */
-static void lease_is_due(gpointer fleet, gpointer data) {
-  FkSimulatedWorkers *f = fleet;
-  g_autofree Life *l = data;
-  FkSimulatedWorker *m = l->machine;
-  if (m->gone || m->life != l->life)
+/* When the lease was renewed meanwhile, the timer is set to its new end. */
+static void on_lease_timer(gpointer owner, gpointer data) {
+  FkSimulatedWorkers *workers = owner;
+  g_autofree BootEvent *event = data;
+  if (boot_event_is_void(event))
     return;
-  look_at_lease(f, m, g_get_monotonic_time());
-  watch_lease(f, m);
+  check_lease_and_report(workers, event->worker, g_get_monotonic_time());
+  start_lease_timer(workers, event->worker);
 }
 
 /* ------------------------------------------------------------------ tasks */
 
 typedef struct {
-  FkSimulatedWorker *machine;
+  FkSimulatedWorker *worker;
   guint64 serial;
-} Step;
+} TaskEvent;
 
-static void schedule(FkSimulatedWorkers *f, FkSimulatedWorker *m, guint64 serial, double seconds,
-                     FkEventQueueFn fn) {
-  Step *s = g_new0(Step, 1);
-  *s = (Step){m, serial};
-  fk_simulated_workers_schedule(f, seconds, fn, s);
+static void schedule_for_task(FkSimulatedWorkers *workers, FkSimulatedWorker *worker, guint64 serial,
+                              double delay_s, FkEventQueueFn fn) {
+  TaskEvent *event = g_new0(TaskEvent, 1);
+  *event = (TaskEvent){worker, serial};
+  fk_simulated_workers_schedule(workers, delay_s, fn, event);
 }
 
-/* The task that the step is about; NULL: it is no more. */
-static FkWorkerTask *task_of(const Step *s) {
-  FkWorkerTask *t = s->machine->gone ? NULL : fk_worker_model_task(&s->machine->model, s->serial);
-  return t && t->state != FK_TASK_EXITED ? t : NULL;
+/* NULL when the task has exited or was released. */
+static FkWorkerTask *task_of_event(const TaskEvent *event) {
+  FkSimulatedWorker *worker = event->worker;
+  FkWorkerTask *task = worker->terminated ? NULL : fk_worker_model_task(&worker->model, event->serial);
+  return task && task->state != FK_TASK_EXITED ? task : NULL;
 }
 
-static char *task_key(const FkWorkerTask *t) { return g_strdup_printf("%s/%u", t->job, t->task); }
+static char *task_key(const FkWorkerTask *task) { return g_strdup_printf("%s/%u", task->job, task->task); }
 
-static void task_ends(gpointer fleet, gpointer data) {
-  FkSimulatedWorkers *f = fleet;
-  g_autofree Step *s = data;
+static void on_task_done(gpointer owner, gpointer data) {
+  FkSimulatedWorkers *workers = owner;
+  g_autofree TaskEvent *event = data;
+  FkSimulatedWorker *worker = event->worker;
   gint64 now = g_get_monotonic_time();
-  look_at_lease(f, s->machine, now);
-  FkWorkerTask *t = task_of(s);
-  if (!t)
+  check_lease_and_report(workers, worker, now);
+  FkWorkerTask *task = task_of_event(event);
+  if (!task)
     return;
-  g_hash_table_add(f->finished, task_key(t));
-  fk_event_log_add_at(f->events, now, FK_RUN_EVENT_TASK_DONE, t->job, t->task, s->machine->model.id);
-  fk_metrics_log_add(f->series, "ended", 1);
-  t->resident = FALSE; /* told already */
-  t->state = FK_TASK_EXITED;
-  t->exit_reason = FK_EXIT_DONE;
-  fk_heartbeats_state_changed(f, s->machine);
-}
-
-static void task_begins(gpointer fleet, gpointer data) {
-  FkSimulatedWorkers *f = fleet;
-  g_autofree Step *s = data;
+  g_hash_table_add(workers->finished_tasks, task_key(task));
+  fk_event_log_add_at(workers->events, now, FK_RUN_EVENT_TASK_DONE, task->job, task->task, worker->model.id);
+  fk_metrics_log_add(workers->metrics, "ended", 1);
+  task->resident = FALSE; /* its end is logged here, not by on_task_released */
+  task->state = FK_TASK_EXITED;
+  task->exit_reason = FK_EXIT_DONE;
+  workers->hooks.on_state_changed(workers, worker);
+}
+
+static void on_image_fetched(gpointer owner, gpointer data) {
+  FkSimulatedWorkers *workers = owner;
+  g_autofree TaskEvent *event = data;
+  FkSimulatedWorker *worker = event->worker;
   gint64 now = g_get_monotonic_time();
-  look_at_lease(f, s->machine, now);
-  FkWorkerTask *t = task_of(s);
-  if (!t)
+  check_lease_and_report(workers, worker, now);
+  FkWorkerTask *task = task_of_event(event);
+  if (!task)
     return;
-  const FkSpec *spec = fk_simulated_workers_spec(f, t->job);
-  g_autofree char *key = task_key(t);
-  g_hash_table_add(s->machine->images, g_strdup(spec->image));
-  t->state = FK_TASK_RUNNING;
-  t->resident = TRUE;
-  fk_event_log_add_at(f->events, now, FK_RUN_EVENT_TASK_STARTED, t->job, t->task, s->machine->model.id);
-  fk_metrics_log_add(f->series, "began", 1);
-  double run_s = g_hash_table_contains(f->finished, key) ? 0 : fk_scale_task_run_s(f->plan, spec, t->task);
-  schedule(f, s->machine, t->serial, run_s, task_ends);
-  fk_heartbeats_state_changed(f, s->machine);
+  const FkSpec *spec = fk_simulated_workers_spec(workers, task->job);
+  g_autofree char *key = task_key(task);
+  g_hash_table_add(worker->images, g_strdup(spec->image));
+  task->state = FK_TASK_RUNNING;
+  task->resident = TRUE;
+  fk_event_log_add_at(workers->events, now, FK_RUN_EVENT_TASK_STARTED, task->job, task->task,
+                      worker->model.id);
+  fk_metrics_log_add(workers->metrics, "began", 1);
+  gboolean finished_before = g_hash_table_contains(workers->finished_tasks, key);
+  double run_s = finished_before ? 0 : fk_scale_task_run_s(workers->plan, spec, task->task);
+  schedule_for_task(workers, worker, task->serial, run_s, on_task_done);
+  workers->hooks.on_state_changed(workers, worker);
 }
 
-static double cpus_of(gpointer fleet, const char *job) {
-  const FkSpec *s = fk_simulated_workers_spec(fleet, job);
-  return s ? s->cpus : -1;
+static double job_cpus(gpointer owner, const char *job) {
+  const FkSpec *spec = fk_simulated_workers_spec(owner, job);
+  return spec ? spec->cpus : -1;
 }
 
-static void task_accepted(gpointer fleet, FkWorkerModel *w, FkWorkerTask *t) {
-  FkSimulatedWorker *m = (FkSimulatedWorker *)w;
-  const FkSpec *s = fk_simulated_workers_spec(fleet, t->job);
-  double fetch_s = g_hash_table_contains(m->images, s->image) ? FETCHED_S : s->image_gb;
-  schedule(fleet, m, t->serial, fetch_s, task_begins);
+static void on_task_accepted(gpointer owner, FkWorkerModel *model, FkWorkerTask *task) {
+  FkSimulatedWorker *worker = (FkSimulatedWorker *)model;
+  const FkSpec *spec = fk_simulated_workers_spec(owner, task->job);
+  gboolean cached = g_hash_table_contains(worker->images, spec->image);
+  double fetch_s = cached ? CACHED_IMAGE_FETCH_S : spec->image_gb;
+  schedule_for_task(owner, worker, task->serial, fetch_s, on_image_fetched);
 }
 
-static void task_left(gpointer fleet, FkWorkerModel *w, FkWorkerTask *t) {
-  FkSimulatedWorkers *f = fleet;
-  gint64 at = f->left_us ? f->left_us : g_get_monotonic_time();
-  fk_event_log_add_at(f->events, at, FK_RUN_EVENT_TASK_LOST, t->job, t->task, w->id);
-  fk_metrics_log_add(f->series, "left", 1);
+static void on_task_released(gpointer owner, FkWorkerModel *model, FkWorkerTask *task) {
+  FkSimulatedWorkers *workers = owner;
+  gint64 at_us = workers->release_time_us ? workers->release_time_us : g_get_monotonic_time();
+  fk_event_log_add_at(workers->events, at_us, FK_RUN_EVENT_TASK_LOST, task->job, task->task, model->id);
+  fk_metrics_log_add(workers->metrics, "left", 1);
 }
 
 /* ------------------------------------------------------------------ machines */
 
-static void boots(gpointer fleet, gpointer data) {
-  FkSimulatedWorkers *f = fleet;
-  g_autofree Life *l = data;
-  FkSimulatedWorker *m = l->machine;
-  if (m->gone || m->life != l->life)
+static void on_boot(gpointer owner, gpointer data) {
+  FkSimulatedWorkers *workers = owner;
+  g_autofree BootEvent *event = data;
+  FkSimulatedWorker *worker = event->worker;
+  if (boot_event_is_void(event))
     return;
-  if (m->elsewhere) {
-    m->up = TRUE;
+  if (worker->remote) {
+    worker->up = TRUE;
     return;
   }
   g_autoptr(GError) error = NULL;
-  if (m->listening < 0)
-    m->listening = fk_stand_in_listener_add(f->addresses, m->model.addr, &error);
-  if (m->listening < 0) {
-    g_warning("a worker can't listen: %s", error->message);
+  if (worker->listener < 0)
+    worker->listener = fk_stand_in_listener_add(workers->listener, worker->model.addr, &error);
+  if (worker->listener < 0) {
+    g_warning("worker listen failed worker=%s error=%s", worker->model.id, error->message);
     return;
   }
-  m->up = TRUE;
-  m->model.lease_start = g_get_monotonic_time();
-  watch_lease(f, m);
-  fk_heartbeats_start(f, m);
+  worker->up = TRUE;
+  worker->model.lease_start = g_get_monotonic_time();
+  start_lease_timer(workers, worker);
+  workers->hooks.on_booted(workers, worker);
 }
 
-static void boot_in(FkSimulatedWorkers *f, FkSimulatedWorker *m, double seconds) {
-  plan_life(f, m, g_get_monotonic_time() + (gint64)(seconds * 1e6), boots);
+static void schedule_boot(FkSimulatedWorkers *workers, FkSimulatedWorker *worker, double delay_s) {
+  schedule_for_boot(workers, worker, now_plus(delay_s), on_boot);
 }
 
-FkSimulatedWorker *fk_simulated_workers_boot(FkSimulatedWorkers *f, const char *zone, gboolean spot,
+FkSimulatedWorker *fk_simulated_workers_boot(FkSimulatedWorkers *workers, const char *zone, gboolean spot,
                                              double boot_s) {
-  FkSimulatedWorker *m = g_new0(FkSimulatedWorker, 1);
-  m->number = f->machines->len;
-  m->listening = -1;
-  m->born = g_get_monotonic_time();
-  m->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  m->home = (guint)g_rand_int_range(f->rand, 0, (gint32)fk_scale_region_controllers(f->plan, f->region));
-  g_autofree char *id = g_strdup_printf("i-%u%05u", f->region + 1, m->number),
-                  *addr = fk_scale_worker_addr(f->plan, f->region, m->number);
-  fk_worker_model_init(&m->model, id, addr, FK_SCALE_INSTANCE_TYPE, zone, spot,
-                       fk_scale_worker_cpus(f->plan));
-  g_ptr_array_add(f->machines, m);
-  g_hash_table_insert(f->by_addr, m->model.addr, m);
-  boot_in(f, m, boot_s);
-  return m;
-}
-
-static void close_address(FkSimulatedWorker *m) {
-  fk_stand_in_listener_remove(m->listening);
-  m->listening = -1;
-}
-
-void fk_simulated_workers_terminate(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
-  if (m->gone)
+  guint controllers = fk_scale_region_controllers(workers->plan, workers->region);
+  FkSimulatedWorker *worker = g_new0(FkSimulatedWorker, 1);
+  worker->number = workers->all->len;
+  worker->listener = -1;
+  worker->created_us = g_get_monotonic_time();
+  worker->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  worker->controller = (guint)g_rand_int_range(workers->rand, 0, (gint32)controllers);
+  g_autofree char *id = g_strdup_printf("i-%u%05u", workers->region + 1, worker->number),
+                  *addr = fk_scale_worker_addr(workers->plan, workers->region, worker->number);
+  fk_worker_model_init(&worker->model, id, addr, FK_SCALE_INSTANCE_TYPE, zone, spot,
+                       fk_scale_worker_cpus(workers->plan));
+  g_ptr_array_add(workers->all, worker);
+  g_hash_table_insert(workers->by_addr, worker->model.addr, worker);
+  schedule_boot(workers, worker, boot_s);
+  return worker;
+}
+
+/* The machine is down: its tasks are lost, its address is closed and its heartbeats are void. */
+static void shut_down(FkSimulatedWorkers *workers, FkSimulatedWorker *worker) {
+  fk_simulated_workers_check_lease(workers, worker, g_get_monotonic_time());
+  fk_worker_model_clear_tasks(&worker->model, &workers->model_hooks);
+  worker->up = FALSE;
+  worker->heartbeat_id = ++workers->last_serial;
+  fk_stand_in_listener_remove(worker->listener);
+  worker->listener = -1;
+}
+
+void fk_simulated_workers_terminate(FkSimulatedWorkers *workers, FkSimulatedWorker *worker) {
+  if (worker->terminated)
     return;
-  fk_simulated_workers_check_lease(f, m, g_get_monotonic_time());
-  fk_worker_model_clear_tasks(&m->model, &f->hooks);
-  m->gone = TRUE;
-  m->up = FALSE;
-  m->report = ++f->serial;
-  close_address(m);
+  shut_down(workers, worker);
+  worker->terminated = TRUE;
 }
 
-static void die(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
-  if (m->gone)
+void fk_simulated_workers_fail(FkSimulatedWorkers *workers, FkSimulatedWorker *worker) {
+  if (worker->terminated)
     return;
-  fk_metrics_log_add(f->series, "died", !m->elsewhere);
-  m->died = g_get_monotonic_time();
-  fk_simulated_workers_terminate(f, m);
+  fk_metrics_log_add(workers->metrics, "died", !worker->remote);
+  worker->failed_us = g_get_monotonic_time();
+  fk_simulated_workers_terminate(workers, worker);
 }
 
-/* The machine is back within seconds, and knows nothing of before. */
-static void restart(FkSimulatedWorkers *f, FkSimulatedWorker *m) {
-  if (m->gone || !m->up)
+void fk_simulated_workers_restart(FkSimulatedWorkers *workers, FkSimulatedWorker *worker) {
+  if (worker->terminated || !worker->up)
     return;
-  fk_metrics_log_add(f->series, "restarted", !m->elsewhere);
-  fk_simulated_workers_check_lease(f, m, g_get_monotonic_time());
-  fk_worker_model_clear_tasks(&m->model, &f->hooks);
-  m->up = FALSE;
-  m->life++;
-  m->report = ++f->serial;
-  m->model.incarnation = 1;
-  m->model.sequence = m->model.fencing_token = 0;
-  g_hash_table_remove_all(m->images);
-  close_address(m);
-  boot_in(f, m, g_rand_double_range(f->rand, 1, 5));
-}
-
-guint fk_simulated_workers_count(const FkSimulatedWorkers *f) {
-  guint n = 0;
-  for (guint i = 0; i < f->machines->len; i++)
-    n += !((FkSimulatedWorker *)f->machines->pdata[i])->gone;
-  return n;
-}
-
-/* ------------------------------------------------------------------ faults */
-
-/* Faults meet any machine; with several processes, of those that all of them know. */
-static FkSimulatedWorker *any_machine(FkSimulatedWorkers *f) {
-  guint n = f->plan->worker_processes > 1 ? fk_scale_region_workers(f->plan, f->region) : f->machines->len;
-  return f->machines->pdata[g_rand_int_range(f->fault_rand, 0, (gint32)n)];
-}
-
-static void rack_dies(gpointer fleet, gpointer unused) {
-  FkSimulatedWorkers *f = fleet;
-  FkSimulatedWorker *first = any_machine(f);
-  guint left = RACK;
-  for (guint i = first->number; i < f->machines->len && left; i++) {
-    FkSimulatedWorker *m = f->machines->pdata[i];
-    if (m->gone || !g_str_equal(m->model.zone, first->model.zone))
-      continue;
-    die(f, m);
-    left--;
-  }
-}
-
-static void zone_dies(gpointer fleet, gpointer unused) {
-  FkSimulatedWorkers *f = fleet;
-  g_autofree char *zone = fk_scale_zone(f->region, 0);
-  for (guint i = 0; i < f->machines->len; i++) {
-    FkSimulatedWorker *m = f->machines->pdata[i];
-    if (!m->gone && g_str_equal(m->model.zone, zone))
-      die(f, m);
-  }
-}
-
-static void one_fails(gpointer fleet, gpointer unused) {
-  FkSimulatedWorkers *f = fleet;
-  FkSimulatedWorker *m = any_machine(f);
-  if (g_rand_double(f->fault_rand) < RESTART_SHARE)
-    restart(f, m);
-  else
-    die(f, m);
-}
-
-static void plan_churn(FkSimulatedWorkers *f, const FkScaleFault *fault) {
-  guint n = (guint)(CHURN_A_DAY * f->machines->len + 0.5);
-  for (guint i = 0; i < n; i++) {
-    double at_s = fault->at_s + g_rand_double(f->fault_rand) * fault->duration_s;
-    fk_event_queue_add(f->agenda, f->plan->start_us + (gint64)(at_s * 1e6), one_fails, NULL);
-  }
-}
-
-static void plan_faults(FkSimulatedWorkers *f) {
-  for (guint i = 0; i < f->plan->faults->len; i++) {
-    const FkScaleFault *fault = &g_array_index(f->plan->faults, FkScaleFault, i);
-    gint64 at = f->plan->start_us + (gint64)(fault->at_s * 1e6);
-    if (fault->kind == FK_SCALE_FAULT_CHURN)
-      plan_churn(f, fault);
-    else if (f->region == 0 && fault->kind == FK_SCALE_FAULT_RACK)
-      fk_event_queue_add(f->agenda, at, rack_dies, NULL);
-    else if (f->region == 0 && fault->kind == FK_SCALE_FAULT_ZONE)
-      fk_event_queue_add(f->agenda, at, zone_dies, NULL);
-  }
-}
-
-/* ------------------------------------------------------------------ the process */
-
-static void sample(gpointer data) {
-  FkSimulatedWorkers *f = data;
-  guint up = 0, on = 0, fetching = 0, exited = 0;
-  for (guint i = 0; i < f->machines->len; i++) {
-    const FkSimulatedWorker *m = f->machines->pdata[i];
-    up += m->up && !m->elsewhere;
-    for (guint k = 0; k < m->model.tasks->len; k++) {
-      const FkWorkerTask *t = m->model.tasks->pdata[k];
-      on += t->resident;
-      fetching += t->state == FK_TASK_FETCHING;
-      exited += t->state == FK_TASK_EXITED;
+  fk_metrics_log_add(workers->metrics, "restarted", !worker->remote);
+  shut_down(workers, worker);
+  worker->boots++;
+  worker->model.incarnation = 1;
+  worker->model.sequence = worker->model.fencing_token = 0;
+  g_hash_table_remove_all(worker->images);
+  schedule_boot(workers, worker, g_rand_double_range(workers->rand, RESTART_S_MIN, RESTART_S_MAX));
+}
+
+guint fk_simulated_workers_count(const FkSimulatedWorkers *workers) {
+  guint count = 0;
+  for (guint i = 0; i < workers->all->len; i++)
+    count += !((FkSimulatedWorker *)workers->all->pdata[i])->terminated;
+  return count;
+}
+
+/* ------------------------------------------------------------------ all workers of the process */
+
+void fk_simulated_workers_sample(FkSimulatedWorkers *workers) {
+  guint up = 0, running = 0, fetching = 0, exited = 0;
+  for (guint i = 0; i < workers->all->len; i++) {
+    const FkSimulatedWorker *worker = workers->all->pdata[i];
+    up += worker->up && !worker->remote;
+    for (guint k = 0; k < worker->model.tasks->len; k++) {
+      const FkWorkerTask *task = worker->model.tasks->pdata[k];
+      running += task->resident;
+      fetching += task->state == FK_TASK_FETCHING;
+      exited += task->state == FK_TASK_EXITED;
     }
   }
-  fk_metrics_log_set(f->series, "up", up);
-  fk_metrics_log_set(f->series, "running", on);
-  fk_metrics_log_set(f->series, "fetching", fetching);
-  fk_metrics_log_set(f->series, "exited", exited);
-}
-
-void fk_simulated_workers_boot_initial(FkSimulatedWorkers *f) {
-  guint zones = fk_scale_region_zones(f->plan, f->region);
-  for (guint i = 0; i < fk_scale_region_workers(f->plan, f->region); i++) {
-    g_autofree char *zone = fk_scale_zone(f->region, i % zones);
-    FkSimulatedWorker *m =
-        fk_simulated_workers_boot(f, zone, FALSE, g_rand_double_range(f->rand, 0, UP_WITHIN_S));
-    m->elsewhere = i % f->plan->worker_processes != f->part;
-    m->born -= (gint64)(LISTED_BEFORE_S * 1e6);
+  fk_metrics_log_set(workers->metrics, "up", up);
+  fk_metrics_log_set(workers->metrics, "running", running);
+  fk_metrics_log_set(workers->metrics, "fetching", fetching);
+  fk_metrics_log_set(workers->metrics, "exited", exited);
+}
+
+void fk_simulated_workers_boot_initial(FkSimulatedWorkers *workers) {
+  const FkScalePlan *plan = workers->plan;
+  guint zones = fk_scale_region_zones(plan, workers->region);
+  for (guint i = 0; i < fk_scale_region_workers(plan, workers->region); i++) {
+    g_autofree char *zone = fk_scale_zone(workers->region, i % zones);
+    double boot_s = g_rand_double_range(workers->rand, 0, INITIAL_BOOT_S_MAX);
+    FkSimulatedWorker *worker = fk_simulated_workers_boot(workers, zone, FALSE, boot_s);
+    worker->remote = i % plan->worker_processes != workers->process;
+    worker->created_us -= (gint64)(INITIAL_AGE_S * 1e6);
   }
 }
 
-gboolean fk_worker_stand_in_open(FkSimulatedWorkers *f, const FkScalePlan *p, guint region, guint part,
-                                 GError **error) {
-  g_autofree char *name = fk_scale_worker_process_name(region, part);
-  *f = (FkSimulatedWorkers){.plan = p, .region = region, .part = part};
-  f->rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + region));
-  f->fault_rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + region + 500));
-  f->agenda = fk_event_queue_new(f);
-  f->http = fk_http_client_new_for_many_hosts(CALLS_MOST, ANSWER_MOST);
-  f->machines = g_ptr_array_new();
-  f->by_addr = g_hash_table_new(g_str_hash, g_str_equal);
-  f->specs = g_hash_table_new(g_str_hash, g_str_equal);
-  f->finished = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  f->hires = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-  f->hooks = (FkWorkerHooks){cpus_of, task_accepted, task_left, f, &f->serial};
-  f->series = fk_metrics_log_new(p->output_dir, name, p->start_us, 0, error);
-  f->events = f->series ? fk_event_log_new(p->output_dir, name, error) : NULL;
-  f->addresses = f->events ? fk_stand_in_listener_new(fk_heartbeats_on_command, f, error) : NULL;
-  if (!f->addresses || (part == 0 && !fk_cloud_stand_in_open(f, error)))
-    return FALSE;
-  fk_event_queue_start_clock(f->agenda);
-  return TRUE;
-}
-
-void fk_worker_stand_in_close(FkSimulatedWorkers *f) {
-  for (guint i = 0; i < f->machines->len; i++) /* an answer that still comes is void */
-    ((FkSimulatedWorker *)f->machines->pdata[i])->report = ++f->serial;
-  fk_agenda_drop(f->agenda, g_free);
-  g_clear_pointer(&f->agenda, fk_event_queue_free);
-  g_clear_pointer(&f->events, fk_event_log_free);
-  g_clear_pointer(&f->series, fk_metrics_log_free);
-}
-
-int fk_scale_worker_stand_in(const FkScalePlan *p, guint region, guint part) {
-  g_autoptr(GError) error = NULL;
-  FkSimulatedWorkers f;
-  if (!fk_worker_stand_in_open(&f, p, region, part, &error)) {
-    g_autofree char *name = fk_scale_worker_process_name(region, part);
-    return fk_stand_in_start_failed(name, error);
-  }
-  fk_simulated_workers_boot_initial(&f);
-  plan_faults(&f);
-  fk_metrics_log_start(f.series, sample, &f);
-  fk_stand_in_run(p);
-  fk_worker_stand_in_close(&f);
-  return 0;
+gboolean fk_simulated_workers_open(FkSimulatedWorkers *workers, const FkScalePlan *plan, guint region,
+                                   guint process, GError **error) {
+  g_autofree char *name = fk_scale_worker_process_name(region, process);
+  *workers = (FkSimulatedWorkers){.plan = plan, .region = region, .process = process};
+  workers->rand = g_rand_new_with_seed((guint32)(plan->seed * 1000 + region));
+  workers->fault_rand = g_rand_new_with_seed((guint32)(plan->seed * 1000 + region + 500));
+  workers->event_queue = fk_event_queue_new(workers);
+  workers->http = fk_http_client_new_for_many_hosts(HTTP_CALLS_MAX, ANSWER_BYTES_MAX);
+  workers->all = g_ptr_array_new();
+  workers->by_addr = g_hash_table_new(g_str_hash, g_str_equal);
+  workers->specs = g_hash_table_new(g_str_hash, g_str_equal);
+  workers->finished_tasks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  workers->model_hooks =
+      (FkWorkerHooks){job_cpus, on_task_accepted, on_task_released, workers, &workers->last_serial};
+  workers->metrics = fk_metrics_log_new(plan->output_dir, name, plan->start_us, 0, error);
+  workers->events = workers->metrics ? fk_event_log_new(plan->output_dir, name, error) : NULL;
+  return workers->events != NULL;
+}
+
+void fk_simulated_workers_close(FkSimulatedWorkers *workers) {
+  for (guint i = 0; i < workers->all->len; i++) /* answers that still arrive are void */
+    ((FkSimulatedWorker *)workers->all->pdata[i])->heartbeat_id = ++workers->last_serial;
+  fk_agenda_drop(workers->event_queue, g_free);
+  g_clear_pointer(&workers->event_queue, fk_event_queue_free);
+  g_clear_pointer(&workers->events, fk_event_log_free);
+  g_clear_pointer(&workers->metrics, fk_metrics_log_free);
 }
--- a/src/simulation/scale/simulated_workers.h
+++ b/src/simulation/scale/simulated_workers.h
@@ -1,4 +1,10 @@
-/* What the files of the fleet's process share. */
+/* The simulated workers of one region and process: each has an address, an incarnation, a lease and tasks
+ * that end after their run time; none runs anything. With several processes, each knows all workers of the
+ * start but plays only its share; a worker that another one plays is kept here for the cloud's list and for
+ * faults.
+ *
+ * This module has the machines, leases and tasks. `heartbeats.h` adds the exchange with the controllers,
+ * `cloud_stand_in.h` the cloud, `worker_faults.h` the plan's faults. */
 #pragma once
 #include "net/http_client.h"
 #include "simulation/event_queue.h"
@@ -10,73 +16,78 @@
 #include "simulation/worker_model.h"
 
 typedef struct {
-  FkWorkerModel model; /* its first member: hooks find the machine by it */
-  guint number;
-  gboolean up, gone;
-  gboolean elsewhere; /* another process plays it; here it is for the cloud's list, and for faults */
-  gint64 born, died;  /* `died`: by itself; 0: it hasn't */
-  gint64 returned;    /* 0: it wasn't */
-  int listening;      /* of its address */
-  guint life;         /* timers of an earlier one are void */
-  guint home;         /* the controller that it reports to */
-  guint64 report;     /* the plan for the next report, or the report under way; others are void */
-  gboolean under_way;
-  gint64 sent; /* the latest report */
-  gboolean changed;
-  gint64 token_counted; /* when a higher token was last a reason to report */
-  GHashTable *images;
+  FkWorkerModel model; /* the first member: the model's hooks cast it to the worker */
+  guint number;        /* in the order of creation, in its region */
+  gboolean up, terminated;
+  gboolean remote;      /* played by another process of the region */
+  gint64 created_us;    /* as the cloud lists it */
+  gint64 failed_us;     /* 0: it didn't fail */
+  gint64 terminated_us; /* by a request to the cloud; 0: it wasn't */
+  int listener;         /* of its address; -1: not listening */
+  guint boots;          /* events planned for an earlier boot are void */
+  guint controller;     /* that it sends its heartbeats to */
+  guint64 heartbeat_id; /* the heartbeat that is planned or in flight; all others are void */
+  gboolean heartbeat_in_flight;
+  gint64 heartbeat_sent_us; /* of the latest heartbeat */
+  gboolean state_changed;   /* since the latest heartbeat */
+  gint64 token_change_us;   /* when a higher fencing token last counted as a change */
+  GHashTable *images;       /* names of the images that it has */
 } FkSimulatedWorker;
 
+typedef struct FkSimulatedWorkers FkSimulatedWorkers;
+
+/* Called by this module; set by `heartbeats.h`. */
 typedef struct {
+  void (*on_booted)(FkSimulatedWorkers *workers, FkSimulatedWorker *worker);
+  /* Something that a heartbeat would show has changed. */
+  void (*on_state_changed)(FkSimulatedWorkers *workers, FkSimulatedWorker *worker);
+} FkSimulatedWorkersHooks;
+
+struct FkSimulatedWorkers {
   const FkScalePlan *plan;
-  guint region, part;
+  guint region, process;
   GRand *rand;
-  GRand *fault_rand; /* the same in all processes of a region */
-  FkEventQueue *agenda;
+  GRand *fault_rand; /* yields the same sequence in all processes of a region */
+  FkEventQueue *event_queue;
   FkHttpClient *http;
-  FkMetricsLog *series;
+  FkMetricsLog *metrics;
   FkEventLog *events;
-  FkStandInListener *addresses;
-  SoupServer *cloud;
-  FkStoreRateLimit cloud_budget;
-  GPtrArray *machines;  /* Machine, by number */
-  GHashTable *by_addr;  /* address -> Machine */
-  GHashTable *specs;    /* job id -> FkSpec */
-  GHashTable *finished; /* "job/task" */
-  GHashTable *hires;    /* name -> GPtrArray of names */
-  FkWorkerHooks hooks;
-  guint64 serial;
-  gint64 left_us;   /* while a lease is ended: its end, when the tasks left; else 0: now */
-  GPtrArray *types; /* FkInstanceType */
-} FkSimulatedWorkers;
+  FkStandInListener *listener;
+  FkSimulatedWorkersHooks hooks;
+  FkWorkerHooks model_hooks;
+  GPtrArray *all;             /* FkSimulatedWorker, by number; never removed */
+  GHashTable *by_addr;        /* address -> FkSimulatedWorker */
+  GHashTable *specs;          /* job id -> FkSpec */
+  GHashTable *finished_tasks; /* "JOB/TASK" that ended in this process */
+  guint64 last_serial;        /* of tasks and heartbeats */
+  gint64 release_time_us;     /* while an expired lease is handled: its end; else 0 */
+};
 
-/* fleet.c */
-/* A fleet without machines, whose agenda runs by the clock; FALSE: a file or an address can't be had. */
-gboolean fk_worker_stand_in_open(FkSimulatedWorkers *f, const FkScalePlan *p, guint region, guint part,
-                                 GError **error);
-/* The machines that are there from the start. */
-void fk_simulated_workers_boot_initial(FkSimulatedWorkers *f);
-/* Its files are complete, and nothing happens there any more. */
-void fk_worker_stand_in_close(FkSimulatedWorkers *f);
-void fk_simulated_workers_schedule(FkSimulatedWorkers *f, double seconds, FkEventQueueFn fn, gpointer data);
-FkSimulatedWorker *fk_simulated_workers_boot(FkSimulatedWorkers *f, const char *zone, gboolean spot,
+/* No workers yet, and no events until the event queue's clock is started. FALSE with an error when a file
+ * can't be written. `listener` is left to the caller. */
+gboolean fk_simulated_workers_open(FkSimulatedWorkers *workers, const FkScalePlan *plan, guint region,
+                                   guint process, GError **error);
+/* Voids what is planned or in flight and closes the files. */
+void fk_simulated_workers_close(FkSimulatedWorkers *workers);
+/* Creates the workers that exist from the start. */
+void fk_simulated_workers_boot_initial(FkSimulatedWorkers *workers);
+void fk_simulated_workers_schedule(FkSimulatedWorkers *workers, double delay_s, FkEventQueueFn fn,
+                                   gpointer data);
+/* Creates a worker, which is up after `boot_s`; it belongs to `workers`. */
+FkSimulatedWorker *fk_simulated_workers_boot(FkSimulatedWorkers *workers, const char *zone, gboolean spot,
                                              double boot_s);
-/* It is no more, and nothing that ran there. */
-void fk_simulated_workers_terminate(FkSimulatedWorkers *f, FkSimulatedWorker *m);
-/* Where the machine's lease has run out by now, its tasks left at the lease's end, however late this is
- * noticed, and the next session has begun. Whether it has. */
-gboolean fk_simulated_workers_check_lease(FkSimulatedWorkers *f, FkSimulatedWorker *m, gint64 now);
-guint fk_simulated_workers_count(const FkSimulatedWorkers *f);
-const FkSpec *fk_simulated_workers_spec(FkSimulatedWorkers *f, const char *job);
-
-/* reports.c */
-#define FK_WORKER_TERMINATE_PATH "/returned" /* from the cloud to the process that plays the worker */
-/* The first report of a life goes out within a moment. */
-void fk_heartbeats_start(FkSimulatedWorkers *f, FkSimulatedWorker *m);
-/* Something that a report would show is new. */
-void fk_heartbeats_state_changed(FkSimulatedWorkers *f, FkSimulatedWorker *m);
-void fk_heartbeats_on_command(SoupServer *server, SoupServerMessage *msg, const char *path, GHashTable *query,
-                              gpointer fleet);
-
-/* cloud_service.c */
-gboolean fk_cloud_stand_in_open(FkSimulatedWorkers *f, GError **error);
+/* The worker and its tasks are gone for good; nothing happens when they already are. */
+void fk_simulated_workers_terminate(FkSimulatedWorkers *workers, FkSimulatedWorker *worker);
+/* The machine fails for good: terminated, and the cloud finds out later. */
+void fk_simulated_workers_fail(FkSimulatedWorkers *workers, FkSimulatedWorker *worker);
+/* The machine is back within seconds, in its first incarnation and without tasks or images. */
+void fk_simulated_workers_restart(FkSimulatedWorkers *workers, FkSimulatedWorker *worker);
+/* When the lease has expired by `now`, its tasks are released as of the lease's end, however late this is
+ * noticed, and the next incarnation begins. Whether it had expired. */
+gboolean fk_simulated_workers_check_lease(FkSimulatedWorkers *workers, FkSimulatedWorker *worker, gint64 now);
+/* Workers that aren't terminated. */
+guint fk_simulated_workers_count(const FkSimulatedWorkers *workers);
+/* Borrowed; NULL when the id is no job of the run. */
+const FkSpec *fk_simulated_workers_spec(FkSimulatedWorkers *workers, const char *job);
+/* Sets the gauges of the metrics log. */
+void fk_simulated_workers_sample(FkSimulatedWorkers *workers);
--- a/test/test_scale.c
+++ b/test/test_scale.c
@@ -9,8 +9,8 @@
 #include "simulation/scale/http_stand_in.h"
 #include "simulation/scale/load_balancer.h"
 #include "simulation/scale/plan.h"
-#include "simulation/scale/simulated_workers.h"
 #include "simulation/scale/summary.h"
+#include "simulation/scale/worker_stand_in.h"
 #include "simulation/scale/workload.h"
 #include "simulation/store_model.h"
 #include "simulation/worker_model.h"
@@ -410,9 +410,10 @@
   g_unlink(path);
 }
 
-/* One worker with a task that runs, of which no controller hears; the loop sleeps over its lease's end. */
+/* One worker with a running task, which no controller hears of; the main loop sleeps past its lease's end. */
 static void test_lease_ends(void) {
-  static FkSimulatedWorkers f;
+  static FkWorkerStandIn stand_in;
+  FkSimulatedWorkers *workers = &stand_in.workers;
   g_autoptr(FkScalePlan) p = small_plan();
   g_autoptr(GError) error = NULL;
   g_autoptr(GArray) events = fk_run_events_new();
@@ -421,28 +422,30 @@
   p->task_run_s = 3600;
   p->start_us = g_get_monotonic_time();
   p->output_dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
-  g_assert_true(fk_worker_stand_in_open(&f, p, 0, 0, &error));
+  g_assert_true(fk_worker_stand_in_open(&stand_in, p, 0, 0, &error));
   g_autofree char *zone = fk_scale_zone(0, 0), *job = fk_scale_job_id(0, BULK);
-  FkSimulatedWorker *m = fk_simulated_workers_boot(&f, zone, FALSE, 0);
-  while (!m->up)
+  FkSimulatedWorker *worker = fk_simulated_workers_boot(workers, zone, FALSE, 0);
+  while (!worker->up)
     g_main_context_iteration(NULL, TRUE);
-  m->report = ++f.serial; /* it never reports: only the lease's timer can end it */
-  gint64 end = m->model.lease_start + (gint64)(p->lease_s * 1e6);
+  worker->heartbeat_id =
+      ++workers->last_serial; /* it never sends a heartbeat: only the lease's timer can end the lease */
+  gint64 end = worker->model.lease_start + (gint64)(p->lease_s * 1e6);
   g_autoptr(GPtrArray) orders = g_ptr_array_new_with_free_func(order_free);
   g_ptr_array_add(orders, order(FK_COMMAND_START, job, 0, 1));
-  g_assert_true(fk_worker_model_command(&m->model, &f.hooks, 1, (FkFencingToken){1}, orders));
-  const FkWorkerTask *t = m->model.tasks->pdata[0];
-  while (m->model.incarnation == 1 && !t->resident)
+  g_assert_true(
+      fk_worker_model_command(&worker->model, &workers->model_hooks, 1, (FkFencingToken){1}, orders));
+  const FkWorkerTask *t = worker->model.tasks->pdata[0];
+  while (worker->model.incarnation == 1 && !t->resident)
     g_main_context_iteration(NULL, TRUE);
-  g_assert_cmpuint(m->model.incarnation, ==, 1);
-  m->report = ++f.serial; /* that it runs isn't reported either */
+  g_assert_cmpuint(worker->model.incarnation, ==, 1);
+  worker->heartbeat_id = ++workers->last_serial; /* no heartbeat about the running task either */
   g_usleep((gulong)MAX(0, end + 300000 - g_get_monotonic_time()));
   for (gint64 until = g_get_monotonic_time() + 3000000;
-       m->model.incarnation == 1 && g_get_monotonic_time() < until;)
+       worker->model.incarnation == 1 && g_get_monotonic_time() < until;)
     g_main_context_iteration(NULL, FALSE);
-  g_assert_cmpuint(m->model.incarnation, ==, 2);
-  g_assert_cmpuint(m->model.tasks->len, ==, 0);
-  fk_worker_stand_in_close(&f);
+  g_assert_cmpuint(worker->model.incarnation, ==, 2);
+  g_assert_cmpuint(worker->model.tasks->len, ==, 0);
+  fk_worker_stand_in_close(&stand_in);
   gint64 began = 0, left_us = 0;
   g_assert_true(fk_event_log_read(p->output_dir, "fleet-0", events, &error));
   g_assert_cmpuint(events_of(events, FK_RUN_EVENT_TASK_STARTED, &began), ==, 1);
@@ -454,55 +457,56 @@
   g_rmdir(p->output_dir);
 }
 
-/* Several processes play each machine of the start once, agree on their names and faults. */
-static void test_fleet_parts(void) {
-  enum { PARTS = 3 };
-  static FkSimulatedWorkers f[PARTS];
+/* Several processes play each initial worker once, and agree on names and faults. */
+static void test_worker_processes(void) {
+  enum { PROCESSES = 3 };
+  static FkWorkerStandIn stand_ins[PROCESSES];
   g_autoptr(FkScalePlan) p = small_plan();
   g_autoptr(GError) error = NULL;
   p->address_base = 212;
   p->workers = 8;
-  p->worker_processes = PARTS;
+  p->worker_processes = PROCESSES;
   p->start_us = g_get_monotonic_time();
   p->output_dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
-  for (guint k = 0; k < PARTS; k++) {
-    g_assert_true(fk_worker_stand_in_open(&f[k], p, 0, k, &error));
-    g_assert_true(!f[k].cloud == (k > 0));
-    fk_simulated_workers_boot_initial(&f[k]);
+  for (guint k = 0; k < PROCESSES; k++) {
+    g_assert_true(fk_worker_stand_in_open(&stand_ins[k], p, 0, k, &error));
+    g_assert_true(!stand_ins[k].cloud.server == (k > 0));
+    fk_simulated_workers_boot_initial(&stand_ins[k].workers);
   }
   for (guint i = 0; i < p->workers; i++) {
     guint players = 0;
-    const FkSimulatedWorker *first = f[0].machines->pdata[i];
-    for (guint k = 0; k < PARTS; k++) {
-      const FkSimulatedWorker *m = f[k].machines->pdata[i];
-      g_assert_cmpstr(m->model.id, ==, first->model.id);
-      g_assert_cmpstr(m->model.addr, ==, first->model.addr);
-      players += !m->elsewhere;
+    const FkSimulatedWorker *first = stand_ins[0].workers.all->pdata[i];
+    for (guint k = 0; k < PROCESSES; k++) {
+      const FkSimulatedWorker *worker = stand_ins[k].workers.all->pdata[i];
+      g_assert_cmpstr(worker->model.id, ==, first->model.id);
+      g_assert_cmpstr(worker->model.addr, ==, first->model.addr);
+      players += !worker->remote;
     }
     g_assert_cmpuint(players, ==, 1);
   }
   for (guint i = 0; i < 10; i++)
-    g_assert_cmpuint(g_rand_int(f[0].fault_rand), ==, g_rand_int(f[PARTS - 1].fault_rand));
-  /* nothing but its player listens at a machine's address */
+    g_assert_cmpuint(g_rand_int(stand_ins[0].workers.fault_rand), ==,
+                     g_rand_int(stand_ins[PROCESSES - 1].workers.fault_rand));
+  /* only the process that plays a worker listens at its address */
   for (gint64 until = g_get_monotonic_time() + 8000000; g_get_monotonic_time() < until;) {
     guint up = 0;
-    for (guint k = 0; k < PARTS; k++)
+    for (guint k = 0; k < PROCESSES; k++)
       for (guint i = 0; i < p->workers; i++)
-        up += ((FkSimulatedWorker *)f[k].machines->pdata[i])->up;
-    if (up == PARTS * p->workers)
+        up += ((FkSimulatedWorker *)stand_ins[k].workers.all->pdata[i])->up;
+    if (up == PROCESSES * p->workers)
       break;
     g_main_context_iteration(NULL, TRUE);
   }
-  for (guint k = 0; k < PARTS; k++)
+  for (guint k = 0; k < PROCESSES; k++)
     for (guint i = 0; i < p->workers; i++) {
-      const FkSimulatedWorker *m = f[k].machines->pdata[i];
-      g_assert_true(m->up);
-      g_assert_true((m->listening < 0) == m->elsewhere);
+      const FkSimulatedWorker *worker = stand_ins[k].workers.all->pdata[i];
+      g_assert_true(worker->up);
+      g_assert_true((worker->listener < 0) == worker->remote);
     }
-  for (guint k = 0; k < PARTS; k++) {
+  for (guint k = 0; k < PROCESSES; k++) {
     g_autofree char *name = fk_scale_worker_process_name(0, k), *events = g_strconcat(name, ".events", NULL),
                     *lines = g_strconcat(name, ".jsonl", NULL);
-    fk_worker_stand_in_close(&f[k]);
+    fk_worker_stand_in_close(&stand_ins[k]);
     remove_in(p->output_dir, events);
     remove_in(p->output_dir, lines);
   }
@@ -524,6 +528,6 @@
   g_test_add_func("/scale/redirects", test_redirects);
   g_test_add_func("/scale/malformed_reports", test_malformed_reports);
   g_test_add_func("/scale/lease_ends", test_lease_ends);
-  g_test_add_func("/scale/fleet_parts", test_fleet_parts);
+  g_test_add_func("/scale/fleet_parts", test_worker_processes);
   return g_test_run();
 }
