--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -1,6 +1,7 @@
 /* Submissions: whether a job can ever run, what is known of its dependencies, and the commit. */
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
+#include "core/scheduling/placement.h"
 #include "fair_share/quota.h"
 
 #define HTTP_CREATED 201
