--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -1,170 +1,19 @@
 /* The store as this controller sees it: a consistent prefix of its history, applied in order. */
 #pragma once
 #include "core/settings.h"
-#include "core/state/job.h"
+#include "core/state/live_job.h"
+#include "core/state/records.h"
 #include "dependency_graph/dependency_graph.h"
-#include "fair_share/fair_share.h"
 #include "fair_share/service_level.h"
 #include "fault_attribution/fault_attribution.h"
 
-typedef enum {
-  FK_KEY_OTHER,
-  FK_KEY_JOB,
-  FK_KEY_CHUNK,
-  FK_KEY_SHARD,
-  FK_KEY_MACHINE_PAGE,
-  FK_KEY_COMPLETIONS,
-  FK_KEY_LAUNCH_FENCE,
-  FK_KEY_NODE,
-  FK_KEY_TEAM,
-  FK_KEY_LEADER,
-  FK_KEY_WAIT_TIMES,
-  FK_KEY_TERMINAL_JOB
-} FkKeyKind;
-
-#define FK_STORE_ROOT "fk/"
-#define FK_STORE_LIVE_ROOT "fk/l/"
-
-/* What a machine is. It never changes, but for the mark: why the machine should go, or NULL. */
-typedef struct {
-  char *id, *addr;
-  const char *type, *zone; /* interned */
-  gboolean spot;
-  const char *drain_reason; /* interned */
-  double notice_s;
-} FkMachineRecord;
-
-/* What has ended of one chunk's bookings, as a home wrote it down: tasks that are done, and attempts that
- * ended without a result. It counts until the chunk itself says so. */
-typedef struct {
-  char *chunk;        /* "job/index" */
-  GByteArray *done;   /* a byte a task */
-  GArray *released;   /* FkReleasedAttempt */
-  gconstpointer page; /* the FkCompletionPage that has it, in the view; NULL once replaced */
-} FkCompletionRecord;
-typedef struct {
-  guint32 task;
-  guint32 task_failed; /* the worker said so: not stopped, nor lost with its machine */
-  FkAttempt attempt;
-} FkReleasedAttempt;
-FkCompletionRecord *fk_completion_record_new(const char *chunk);
-FkCompletionRecord *fk_completion_record_copy(const FkCompletionRecord *e);
-void fk_completion_record_free(gpointer e);
-void fk_machine_record_free(gpointer m);
-
-/* A controller's short tasks' waits of one window: all of them, and with no job counting for more than a few.
- */
-typedef struct {
-  guint64 window;
-  double capped_sum_s;
-  guint64 capped_count;
-  double sum_s;
-  guint64 count;
-} FkWaitTimes;
-
-void fk_wait_times_add(FkWaitTimes *to, const FkWaitTimes *more);
-
-/* What goes under one key. Which members count depends on `kind`. */
-typedef struct {
-  FkKeyKind kind;
-  FkSpec *spec;                   /* JOB */
-  gboolean cancelled;             /* JOB */
-  FkChunk *chunk;                 /* CHUNK */
-  GPtrArray *machines;            /* PAGE: FkMachineRecord */
-  GPtrArray *completions;         /* ENDS: FkCompletionRecord */
-  GHashTable *partition;          /* TEAM: controller -> double* CPUs, or NULL: the limit is shared */
-  char *node, *incarnation;       /* NODE, LEADER, GROUP: the home */
-  FkPhase phase;                  /* FINAL */
-  guint32 tasks;                  /* FINAL */
-  FkWaitTimes wait_times;         /* WAITS */
-  gboolean supports_dependencies; /* FENCE */
-  gint64 ended_at_ms;             /* FINAL: when it ended, time of day; 0: not said */
-} FkRecord;
-
-FkRecord *fk_record_new(FkKeyKind kind);
-void fk_record_free(FkRecord *r);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkRecord, fk_record_free)
-FkMachineRecord *fk_machine_record_copy(const FkMachineRecord *m);
+/* A page of completions. */
 typedef struct {
   FkRev rev;
   GPtrArray *ends; /* FkCompletionRecord */
 } FkCompletionPage;
 
-/* Splits a path. `id` and `chunk` are set where the kind has them. */
-FkKeyKind fk_key_parse(const char *path, char **id, guint32 *chunk);
-char *fk_key_path(FkKeyKind kind, const char *id);
-char *fk_key_chunk_path(const char *job, guint32 chunk);
-char *fk_key_machine_page_path(const char *group, guint part);
-/* What a machine takes of a page, and what the page itself does, in bytes at the most. */
-guint fk_machine_record_bytes(const FkMachineRecord *m);
-#define FK_MACHINE_PAGE_OVERHEAD_BYTES 100
-#define FK_MACHINE_PAGE_MAX_BYTES(value_kb) ((guint)((value_kb)*1000) - 100)
-
-typedef struct {
-  char *path;
-  FkRecord *record; /* NULL: deleted */
-  FkRev rev;
-} FkStoreEvent;
-void fk_store_event_free(FkStoreEvent *e);
-
-typedef struct {
-  gint ref_count;   /* the view's, and one for each probe */
-  gboolean removed; /* the view has it no more: nothing of it waits */
-  guint list_index; /* its place in the view's list of jobs */
-  FkSpec *spec;
-  FkRev rev;
-  gboolean cancelled;
-  FkTime cancelled_at; /* when this controller first saw that */
-  guint32 chunk_count;
-  FkChunk **base_chunks; /* the chunks' records; NULL: no task of it was ever started */
-  FkChunk **chunks;      /* ... with what homes have written down of ends */
-  guint32 done, allocated;
-  guint32 unstarted_hint;    /* no chunk before this one has a waiting task */
-  FkTime first_seen_at;      /* when this controller first saw it */
-  FkTime attempt_lost_at;    /* when a task of it lost its place last, its result not there yet */
-  FkTime retry_at;           /* slowed after failures */
-  gboolean has_failed;       /* a task of it has failed */
-  gboolean failing;          /* it seems to fail everywhere: one task at a time */
-  FkTime cycle_tried_at;     /* ... and the look that it went into */
-  guint64 wait_times_window; /* of its waits so many were counted in this window */
-  guint wait_times_counted;
-  FkAttempt gang_attempt;           /* the number of the launch under way */
-  guint32 gang_allocated;           /* tasks that it has booked so far */
-  FkTime preempted_for_at;          /* room for it was asked for lately */
-  double waiting_cpu_s;             /* work that waits; sorts the queue */
-  FkJobPriority effective_priority; /* its place in the queue: its rank, or what its team has a claim to */
-  FkStanding fair_share_standing;   /* its team's, among those who want room */
-  guint queue_position;             /* in the queue, from 1; 0: never yet */
-  gboolean urgent;                  /* goes first among its rank and its team's standing */
-  gboolean
-      quota_available; /* its team's limit had room for one more task, at the look that it went into last */
-  double demand_cpus;  /* of the fleet, in CPUs; as counted for its team (turn.c) */
-  guint waiting_services; /* tasks of a service that wait, as counted (turn.c) */
-  guint64 last_cycle;     /* the look that it went into last */
-  gboolean size_recorded; /* its size is in the books */
-  FkTime probed_at;
-  double latest_start_s; /* how far off its latest useful start is; sorts the queue */
-  FkTime gang_until;     /* a gang's launch may go on in further transactions until then */
-  gint64 submitted_us;   /* on the steady clock, by the time of day */
-  gint64
-      startable_us; /* since when it could start: its submission, or the end of the last job that it needs */
-  gint64 deadline_us; /* on the steady clock; G_MAXINT64: never. Its own deadline, or what those need that
-                         need it */
-  FkJobPriority
-      inherited_priority; /* the highest of those that need it, directly or through others, and its own */
-  gboolean blocked; /* a job that it needs isn't done: it waits for nothing else, and takes part in nothing */
-  gboolean ancestor_cancelled; /* cancelled with a job that it needs; its own record needn't say so */
-} FkJob;
-
-typedef struct {
-  FkJob *job;
-  guint32 task;
-  FkAttempt attempt;
-  gboolean stop_requested;
-  FkTime first_seen_at;
-} FkAllocationRef;
-
-/* How a booking ended. */
+/* How an allocation ended. */
 typedef enum {
   FK_COMPLETION_DONE,
   FK_COMPLETION_RELEASED, /* stopped, refused, or lost with its machine */
@@ -178,8 +27,8 @@
   FkTime last_at, previous_at;
 } FkHandback;
 
-/* A group's page is one record while a value holds it, then several: "zone.k", "zone.k+1", ... Only versions
- * that know of chains read those with a number. */
+/* The most parts of a shard's machine page. It is one record while a value holds it, then several: "zone.k",
+ * "zone.k+1", ... Only versions that support dependencies read those with a number. */
 #define FK_SHARD_PAGES_MAX 8
 
 /* Machines of one zone that have one home together: the claim's revision is the token of them all. */
@@ -238,23 +87,24 @@
   FkRev rev;
 } FkControllerNode;
 
+/* What a team has allocated, and how its quota is kept (scheduling/quota_partition.c). */
 typedef struct {
   FkRev rev;
-  double cpus, gpus; /* booked by the team's tasks */
+  double cpus, gpus; /* allocated to the team's tasks */
   double reserved_cpus, reserved_gpus;
-  gboolean share_exhausted; /* our share is too small, though the team has room */
+  gboolean share_exhausted; /* this controller's share is used up, the team's quota is not */
   FkTime serialized_since, changed_at;
-  char *last_exhausted_by; /* the controller that ran out of its share last, or NULL */
+  char *last_exhausted_by; /* the controller that used up its share last, or NULL */
   double serialized_min_s;
-  GHashTable *cpus_by_controller; /* controller (interned) -> double*: CPUs of what it launched */
-  GHashTable *partition;          /* controller -> double*: its share of the limit; NULL: shared */
+  GHashTable *cpus_by_controller; /* controller (interned) -> double*: allocated by its launches */
+  GHashTable *partition; /* controller -> double*: its share of the quota; NULL: launches are serialized */
 } FkTeamUsage;
 
-/* The guard of a controller's launches. Each of its lives writes it before it launches anything, so that it
- * also says what the version knows that wrote it last. */
+/* The guard of a controller's launches. Each incarnation writes it before it launches anything, so that it
+ * also says what the version that wrote it last supports. */
 typedef struct {
   FkRev rev;
-  gboolean supports_dependencies; /* jobs that need others, records in parts */
+  gboolean supports_dependencies; /* between jobs, and machine pages in parts */
 } FkLaunchFence;
 
 typedef struct FkView FkView;
@@ -267,7 +117,7 @@
   GHashTable *completion_pages;     /* "node/n" -> FkCompletionPage */
   GHashTable *completions_by_chunk; /* "job/index" -> GPtrArray of FkCompletionRecord, the pages' */
   GHashTable *launch_fences;        /* node -> FkLaunchFence* */
-  FkDependencyGraph *dependencies;  /* who waits for whom, of the live jobs */
+  FkDependencyGraph *dependencies;  /* of the live jobs */
   GHashTable *nodes;                /* name -> FkControllerNode */
   GHashTable *teams;                /* name -> FkTeamUsage */
   GHashTable *wait_times;           /* node -> FkWaitTimes */
@@ -276,10 +126,10 @@
   GQueue *terminal_order;
   GHashTable *estimate_corrections; /* class -> double*: how long tasks really take, by their estimate */
   FkSpec *latest_service;           /* the latest service seen, or NULL */
-  double service_rate;              /* services seen a second, smoothed */
-  guint services_since_rate;        /* since the rate was worked out last */
+  double service_rate;              /* services that arrive a second, smoothed */
+  guint services_since_rate;        /* since the rate was updated last */
   FkTime service_rate_at;
-  double finished_run_s; /* of arrays' tasks done in this window: from booking to end, summed */
+  double finished_run_s; /* of arrays' tasks done in this window: from allocation to end, summed */
   guint finished_count;
   double lost_cpu_s; /* of arrays' tasks that ended without a result in this window */
   FkServiceLevel *service_level;
@@ -288,51 +138,56 @@
   GHashTable *orphan_chunks; /* paths of chunks without a job -> FkRev* */
   char *leader, *leader_incarnation;
   FkRev leader_rev;
-  GHashTable *changed_machines; /* machines whose bookings changed since the last look */
-  GPtrArray
-      *capacity_removed; /* machines that are no more, for the index of rooms: names, not to be followed */
-  GHashTable *capacity_changed; /* the same, for the index of rooms */
+  GHashTable *changed_machines; /* ids: allocations, record or owner changed since the last cycle */
+  GPtrArray *capacity_removed;  /* addresses of freed machines, for the capacity index: not to be followed */
+  GHashTable *capacity_changed; /* ids, as above, for the capacity index */
   GPtrArray *live_jobs;         /* FkJob: those of `jobs`, in no order */
-  GHashTable *changed_jobs; /* FkJob, with a reference: whose waiting may have changed since the last look */
-  guint64 allocation_updates; /* bookings counted in or out: what applying changes costs */
-  gboolean caught_up;         /* what comes now has just happened: the past has been read */
+  GHashTable *changed_jobs; /* FkJob, with a reference: waiting tasks may have changed since the last cycle */
+  guint64 allocation_updates; /* allocations counted in or out: the cost of applying changes */
+  gboolean caught_up;         /* what comes now has just happened: the list and its catch-up are over */
   FkTime now;                 /* set by the owner before applying */
   gint64 wall_offset_us;      /* steady = time of day - offset */
 };
 
-FkView *fk_view_new(const FkSettings *s);
-void fk_view_free(FkView *v);
-void fk_view_clear(FkView *v);
-void fk_view_apply(FkView *v, const char *path, FkRecord *record /* taken, NULL: gone */, FkRev rev);
-FkJob *fk_view_find_job(FkView *v, const char *id);
-FkMachine *fk_view_find_machine(FkView *v, const char *id);
-FkMachine *fk_view_ensure_machine(FkView *v, const char *id);
-void fk_view_remove_machine(FkView *v, FkMachine *m);
-FkShard *fk_view_ensure_shard(FkView *v, const char *id);
-/* The group that a machine belongs to, for good, by its zone and id. */
+FkView *fk_view_new(const FkSettings *settings); /* `settings` must outlive it */
+void fk_view_free(FkView *view);                 /* NULL is fine */
+/* Forgets everything but terminal jobs, which never change, before the store is listed again. */
+void fk_view_clear(FkView *view);
+/* Applies one change. `record` is taken; NULL: the key was deleted. What is older than the view is ignored.
+ */
+void fk_view_apply(FkView *view, const char *path, FkRecord *record, FkRev rev);
+
+/* Borrowed; NULL: not in the view. */
+FkJob *fk_view_find_job(FkView *view, const char *id);
+FkMachine *fk_view_find_machine(FkView *view, const char *id);
+/* Made if the view does not have it: other records may name it before its own comes. */
+FkMachine *fk_view_ensure_machine(FkView *view, const char *id);
+FkShard *fk_view_ensure_shard(FkView *view, const char *id);
+FkTeamUsage *fk_view_ensure_team(FkView *view, const char *name);
+/* Frees the machine. */
+void fk_view_remove_machine(FkView *view, FkMachine *machine);
+/* The shard of a machine, for good, by its zone and id; owned by the caller. */
 char *fk_shard_id_for_machine(const char *zone, const char *machine);
-void fk_view_assign_shard(FkView *v, FkMachine *m, const char *zone);
-FkRev fk_view_launch_fence_rev(FkView *v, const char *node);
-FkTeamUsage *fk_view_ensure_team(FkView *v, const char *name);
-gboolean fk_view_find_terminal_job(FkView *v, const char *id, FkPhase *phase, guint32 *tasks);
-/* `at_ms`: when it ended, time of day; 0: not known. */
-void fk_view_add_terminal_job(FkView *v, const char *id, FkPhase phase, guint32 tasks, gint64 at_ms);
-/* When it must be done by its own deadline, on the steady clock; G_MAXINT64: at any time. */
-gint64 fk_job_own_deadline_us(const FkJob *j);
-/* Seconds from when the job could start until it must be done; < 0: at any time. */
-double fk_job_allowed_s(const FkJob *j);
-/* The owner's estimate, corrected by what finished tasks of the class took. */
-double fk_view_expected_run_s(FkView *v, const FkSpec *s);
-/* Now and then: which jobs seem to fail everywhere, by what has outlived their failures since. */
-void fk_view_review_failing_jobs(FkView *v);
-/* Once a second or so: how fast services arrive. */
-void fk_view_update_service_rate(FkView *v);
-FkJob *fk_job_ref(FkJob *j);
-void fk_job_unref(gpointer j);
-/* By its id and not by its address, so that tables of jobs have the same order in every run. */
-guint fk_job_hash(gconstpointer j);
-FkPhase fk_job_phase(const FkJob *j);
-gboolean fk_job_is_complete(const FkJob *j);
-/* Tasks that want a place. Of a job that seems to fail everywhere that is one, and only when none is under
- * way: nothing is rented, displaced or kept for the others. */
-guint32 fk_job_waiting_tasks(const FkJob *j);
+/* Puts a machine that has no shard into its own. */
+void fk_view_assign_shard(FkView *view, FkMachine *machine, const char *zone);
+/* The revision of a controller's launch fence; 0: it has none. */
+FkRev fk_view_launch_fence_rev(FkView *view, const char *node);
+
+/* terminal_jobs.c */
+
+/* FALSE: the job is not known as terminal, which does not mean that it isn't. */
+gboolean fk_view_find_terminal_job(FkView *view, const char *id, FkPhase *phase, guint32 *tasks);
+/* `ended_at_ms`: time of day; 0: not known. */
+void fk_view_add_terminal_job(FkView *view, const char *id, FkPhase phase, guint32 tasks, gint64 ended_at_ms);
+
+/* run_estimates.c */
+
+/* Seconds that a task is expected to run: the user's estimate, corrected by what tasks of its class took. */
+double fk_view_expected_run_s(FkView *view, const FkSpec *spec);
+/* Updates the rate at which services arrive; at most once a second, calls between do nothing. */
+void fk_view_update_service_rate(FkView *view);
+
+/* failing_jobs.c */
+
+/* Reviews, at most once a second, which jobs still seem to fail on every machine. */
+void fk_view_review_failing_jobs(FkView *view);
--- a/src/core/state/view_apply.c
+++ b/src/core/state/view_apply.c
@@ -1,166 +1,183 @@
-/* The view, brought up to date: one change of the store at a time. */
+/* One change of the store, applied to the view. */
 #include "core/state/view_internal.h"
 
 #include <string.h>
 
-static void set_shard(FkView *v, const char *id, FkRecord *r, FkRev rev) {
-  FkShard *g = fk_view_ensure_shard(v, id);
-  if (g->rev.n >= rev.n)
+static void set_shard(FkView *v, const char *id, FkRecord *record, FkRev rev) {
+  FkShard *shard = fk_view_ensure_shard(v, id);
+  if (shard->rev.n >= rev.n)
     return;
-  g_clear_pointer(&g->owner, g_free);
-  g_clear_pointer(&g->owner_incarnation, g_free);
-  g->rev = r ? rev : (FkRev){0};
-  if (r) {
-    g->owner = g_strdup(r->node);
-    g->owner_incarnation = g_strdup(r->incarnation);
+  g_clear_pointer(&shard->owner, g_free);
+  g_clear_pointer(&shard->owner_incarnation, g_free);
+  shard->rev = record ? rev : (FkRev){0};
+  if (record) {
+    shard->owner = g_strdup(record->node);
+    shard->owner_incarnation = g_strdup(record->incarnation);
   }
-  for (guint i = 0; i < g->machines->len; i++)
-    fk_view_mark_machine_changed(v, g->machines->pdata[i]);
+  for (guint i = 0; i < shard->machines->len; i++)
+    fk_view_mark_machine_changed(v, shard->machines->pdata[i]);
 }
 
-/* A machine that a part of its page no longer has, and no other has now, is proven gone: its bookings have
- * ended before. One that moves is in its new part by the same transaction. */
-static void set_machine_page(FkView *v, const char *id, FkRecord *r, FkRev rev) {
+/* Takes over how the page describes the machine. */
+static void set_machine_record(FkView *v, FkMachine *machine, const FkMachineRecord *record) {
+  gboolean fresh = !machine->record, changed = machine->drain_reason != record->drain_reason;
+  if (changed) {
+    machine->drain_reason = record->drain_reason;
+    machine->notice_s = record->notice_s;
+    machine->drain_reason_since = v->now;
+  }
+  if (fresh) {
+    machine->record = fk_machine_record_copy(record);
+    machine->record_seen = machine->idle_since = v->now;
+  }
+  if (fresh || changed)
+    fk_view_mark_machine_changed(v, machine);
+}
+
+/* A machine that a part of its page no longer has, and no other part has now, is proven gone: its allocations
+ * have ended before. One that moves is in its new part by the same transaction. */
+static void forget_missing_machines(FkView *v, FkShard *shard, guint64 part, FkRev rev) {
+  for (guint i = 0; i < shard->machines->len; i++) {
+    FkMachine *machine = shard->machines->pdata[i];
+    if (machine->page_part != part || machine->page_rev.n == rev.n || !machine->record)
+      continue;
+    g_clear_pointer(&machine->record, fk_machine_record_free);
+    machine->drain_reason = NULL;
+    machine->type = NULL;
+    fk_view_mark_machine_changed(v, machine);
+  }
+}
+
+static void set_machine_page(FkView *v, const char *id, FkRecord *record, FkRev rev) {
   const char *plus = strrchr(id, '+');
-  g_autofree char *group = plus ? g_strndup(id, plus - id) : g_strdup(id);
+  g_autofree char *shard_id = plus ? g_strndup(id, plus - id) : g_strdup(id);
   guint64 part = plus ? g_ascii_strtoull(plus + 1, NULL, 10) : 0;
   if (part >= FK_SHARD_PAGES_MAX)
     return;
-  FkShard *g = fk_view_ensure_shard(v, group);
-  if (g->page_revs[part].n >= rev.n)
+  FkShard *shard = fk_view_ensure_shard(v, shard_id);
+  if (shard->page_revs[part].n >= rev.n)
     return;
-  g->page_revs[part] = rev;
+  shard->page_revs[part] = rev;
   guint bytes = FK_MACHINE_PAGE_OVERHEAD_BYTES;
-  for (guint i = 0; r && i < r->machines->len; i++) {
-    FkMachineRecord *rec = r->machines->pdata[i];
-    FkMachine *m = fk_view_ensure_machine(v, rec->id);
-    fk_view_join_shard(m, g);
-    m->page_rev = rev;
-    m->page_part = (guint)part;
-    bytes += fk_machine_record_bytes(rec);
-    gboolean fresh = !m->record, changed = m->drain_reason != rec->drain_reason;
-    if (changed) {
-      m->drain_reason = rec->drain_reason;
-      m->notice_s = rec->notice_s;
-      m->drain_reason_since = v->now;
-    }
-    if (fresh) {
-      m->record = fk_machine_record_copy(rec);
-      m->record_seen = m->idle_since = v->now;
-    }
-    if (fresh || changed)
-      fk_view_mark_machine_changed(v, m);
+  for (guint i = 0; record && i < record->machines->len; i++) {
+    const FkMachineRecord *machine_record = record->machines->pdata[i];
+    FkMachine *machine = fk_view_ensure_machine(v, machine_record->id);
+    fk_view_join_shard(machine, shard);
+    machine->page_rev = rev;
+    machine->page_part = (guint)part;
+    bytes += fk_machine_record_bytes(machine_record);
+    set_machine_record(v, machine, machine_record);
   }
-  g->oversized |= bytes > FK_MACHINE_PAGE_MAX_BYTES(v->settings->value_kb);
-  for (guint i = 0; i < g->machines->len; i++) {
-    FkMachine *m = g->machines->pdata[i];
-    if (m->page_part != part || m->page_rev.n == rev.n || !m->record)
-      continue;
-    g_clear_pointer(&m->record, fk_machine_record_free);
-    m->drain_reason = NULL;
-    m->type = NULL;
-    fk_view_mark_machine_changed(v, m);
+  shard->oversized |= bytes > FK_MACHINE_PAGE_MAX_BYTES(v->settings->value_kb);
+  forget_missing_machines(v, shard, part, rev);
+}
+
+static void set_team(FkView *v, const char *id, FkRecord *record, FkRev rev) {
+  FkTeamUsage *team = fk_view_ensure_team(v, id);
+  team->rev = record ? rev : (FkRev){0};
+  team->changed_at = v->now;
+  g_clear_pointer(&team->partition, g_hash_table_unref);
+  if (!record)
+    return;
+  team->partition = g_steal_pointer(&record->partition);
+  if (record->node) {
+    g_free(team->last_exhausted_by);
+    team->last_exhausted_by = g_steal_pointer(&record->node);
   }
 }
 
-static void set_team(FkView *v, const char *id, FkRecord *r, FkRev rev) {
-  FkTeamUsage *t = fk_view_ensure_team(v, id);
-  t->rev = r ? rev : (FkRev){0};
-  t->changed_at = v->now;
-  g_clear_pointer(&t->partition, g_hash_table_unref);
-  if (!r)
+static void set_node(FkView *v, const char *id, const FkRecord *record, FkRev rev) {
+  if (!record) {
+    g_hash_table_remove(v->nodes, id);
     return;
-  t->partition = g_steal_pointer(&r->partition);
-  if (r->node) {
-    g_free(t->last_exhausted_by);
-    t->last_exhausted_by = g_steal_pointer(&r->node);
   }
+  FkControllerNode *node = g_new0(FkControllerNode, 1);
+  node->name = g_strdup(id);
+  node->incarnation = g_strdup(record->incarnation);
+  node->rev = rev;
+  g_hash_table_replace(v->nodes, node->name, node);
 }
 
-static void set_other(FkView *v, FkKeyKind kind, const char *id, FkRecord *r, FkRev rev) {
-  switch (kind) {
-  case FK_KEY_NODE:
-    if (r) {
-      FkControllerNode *n = g_new0(FkControllerNode, 1);
-      n->name = g_strdup(id);
-      n->incarnation = g_strdup(r->incarnation);
-      n->rev = rev;
-      g_hash_table_replace(v->nodes, n->name, n);
-    } else {
-      g_hash_table_remove(v->nodes, id);
-    }
-    break;
-  case FK_KEY_TEAM:
-    set_team(v, id, r, rev);
-    break;
-  case FK_KEY_LAUNCH_FENCE:
-    if (r) {
-      FkLaunchFence f = {rev, r->supports_dependencies};
-      g_hash_table_replace(v->launch_fences, g_strdup(id), g_memdup2(&f, sizeof f));
-    } else
-      g_hash_table_remove(v->launch_fences, id);
-    break;
-  case FK_KEY_LEADER:
-    g_clear_pointer(&v->leader, g_free);
-    g_clear_pointer(&v->leader_incarnation, g_free);
-    v->leader_rev.n = 0;
-    if (r) {
-      v->leader = g_strdup(r->node);
-      v->leader_incarnation = g_strdup(r->incarnation);
-      v->leader_rev = rev;
-    }
-    break;
-  case FK_KEY_WAIT_TIMES:
-    if (r) {
-      FkWaitTimes *w = g_new0(FkWaitTimes, 1);
-      *w = r->wait_times;
-      g_hash_table_replace(v->wait_times, g_strdup(id), w);
-    } else {
-      g_hash_table_remove(v->wait_times, id);
-    }
-    break;
-  default:
-    break;
+static void set_launch_fence(FkView *v, const char *id, const FkRecord *record, FkRev rev) {
+  if (!record) {
+    g_hash_table_remove(v->launch_fences, id);
+    return;
   }
+  FkLaunchFence fence = {rev, record->supports_dependencies};
+  g_hash_table_replace(v->launch_fences, g_strdup(id), g_memdup2(&fence, sizeof fence));
+}
+
+static void set_leader(FkView *v, const FkRecord *record, FkRev rev) {
+  g_free(v->leader);
+  g_free(v->leader_incarnation);
+  v->leader = record ? g_strdup(record->node) : NULL;
+  v->leader_incarnation = record ? g_strdup(record->incarnation) : NULL;
+  v->leader_rev = record ? rev : (FkRev){0};
 }
 
-void fk_view_apply(FkView *v, const char *path, FkRecord *record, FkRev rev) {
-  g_autoptr(FkRecord) r = record;
+static void set_wait_times(FkView *v, const char *id, const FkRecord *record) {
+  if (record)
+    g_hash_table_replace(v->wait_times, g_strdup(id),
+                         g_memdup2(&record->wait_times, sizeof record->wait_times));
+  else
+    g_hash_table_remove(v->wait_times, id);
+}
+
+/* A chunk may come before its job, or outlast it: then its path is kept, to be deleted. */
+static void set_chunk(FkView *v, const char *path, const char *id, guint32 index, FkRecord *record,
+                      FkRev rev) {
+  FkJob *job = fk_view_find_job(v, id);
+  if (job)
+    fk_view_set_chunk(v, job, index, record ? g_steal_pointer(&record->chunk) : NULL, rev);
+  if (record && !job)
+    g_hash_table_replace(v->orphan_chunks, g_strdup(path), g_memdup2(&rev, sizeof rev));
+  else
+    g_hash_table_remove(v->orphan_chunks, path); /* the job has come since, or the chunk is gone */
+}
+
+void fk_view_apply(FkView *v, const char *path, FkRecord *taken, FkRev rev) {
+  g_autoptr(FkRecord) record = taken;
   g_autofree char *id = NULL;
   guint32 chunk = 0;
   FkKeyKind kind = fk_key_parse(path, &id, &chunk);
-  if (r && r->kind != kind)
+  if (record && record->kind != kind)
     return;
   switch (kind) {
   case FK_KEY_OTHER:
     break;
   case FK_KEY_JOB:
-    fk_view_set_job(v, id, r, rev);
+    fk_view_set_job(v, id, record, rev);
     break;
-  case FK_KEY_CHUNK: {
-    FkJob *j = fk_view_find_job(v, id);
-    if (j)
-      fk_view_set_chunk(v, j, chunk, r ? g_steal_pointer(&r->chunk) : NULL, rev);
-    if (r && !j)
-      g_hash_table_replace(v->orphan_chunks, g_strdup(path), g_memdup2(&rev, sizeof rev));
-    else
-      g_hash_table_remove(v->orphan_chunks, path); /* the job has come since, or the chunk is gone */
+  case FK_KEY_CHUNK:
+    set_chunk(v, path, id, chunk, record, rev);
     break;
-  }
   case FK_KEY_SHARD:
-    set_shard(v, id, r, rev);
+    set_shard(v, id, record, rev);
     break;
   case FK_KEY_MACHINE_PAGE:
-    set_machine_page(v, id, r, rev);
+    set_machine_page(v, id, record, rev);
     break;
   case FK_KEY_COMPLETIONS:
-    fk_view_set_completions(v, id, r, rev);
+    fk_view_set_completions(v, id, record, rev);
+    break;
+  case FK_KEY_LAUNCH_FENCE:
+    set_launch_fence(v, id, record, rev);
+    break;
+  case FK_KEY_NODE:
+    set_node(v, id, record, rev);
+    break;
+  case FK_KEY_TEAM:
+    set_team(v, id, record, rev);
+    break;
+  case FK_KEY_LEADER:
+    set_leader(v, record, rev);
+    break;
+  case FK_KEY_WAIT_TIMES:
+    set_wait_times(v, id, record);
     break;
   case FK_KEY_TERMINAL_JOB:
-    if (r)
-      fk_view_add_terminal_job(v, id, r->phase, r->tasks, r->ended_at_ms);
+    if (record)
+      fk_view_add_terminal_job(v, id, record->phase, record->tasks, record->ended_at_ms);
     break;
-  default:
-    set_other(v, kind, id, r, rev);
   }
 }
