--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -1,11 +1,16 @@
-/* The controller: its calls to the store, its life and its clock. */
+/* The controller: its life cycle, and the order in which its parts act on a tick and on a change of the view.
+ */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 #include "core/scheduling/backfill_reservation.h"
 #include "core/scheduling/capacity_index.h"
 #include "core/scheduling/scheduling_queue.h"
 
-/* ------------------------------------------------------------------ shares, and whether it serves */
+#define TYPES_INTERVAL_S 60 /* between queries of the cloud's instance types */
+#define TYPES_RETRY_MIN_S 0.6
+#define TYPES_RETRY_MAX_S 1.4
+
+/* ------------------------------------------------------------------ outputs and state */
 
 FkOutput *fk_controller_next_output(FkController *c) { return g_queue_pop_head(c->outputs); }
 
@@ -21,21 +26,22 @@
 
 gboolean fk_controller_is_serving(FkController *c, FkTime now) { return fk_controller_can_serve(c, now); }
 
-/* ------------------------------------------------------------------ life */
+/* ------------------------------------------------------------------ life cycle */
 
-static void redirect_free(gpointer p) {
-  FkRedirect *r = p;
-  g_free(r->target);
-  g_free(r);
+static void redirect_free(gpointer data) {
+  FkRedirect *redirect = data;
+  g_free(redirect->target);
+  g_free(redirect);
 }
 
-FkController *fk_controller_new(const FkSettings *s, const char *life, guint32 seed, FkTime now) {
+FkController *fk_controller_new(const FkSettings *settings, const char *incarnation, guint32 seed,
+                                FkTime now) {
   FkController *c = g_new0(FkController, 1);
-  c->settings = s;
-  c->incarnation = g_strdup(life);
+  c->settings = settings;
+  c->incarnation = g_strdup(incarnation);
   c->rand = g_rand_new_with_seed(seed);
   c->now = c->started_at = now;
-  c->view = fk_view_new(s);
+  c->view = fk_view_new(settings);
   c->outputs = g_queue_new();
   c->calls.pending_transactions = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, fk_call_free);
   c->calls.pending_reads = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, fk_call_free);
@@ -57,22 +63,22 @@
   c->workers.zones = g_array_new(FALSE, FALSE, sizeof(FkZoneReachability));
   c->autoscaling.autoscaler = fk_autoscaler_new(now);
   c->autoscaling.cost_accounting = fk_cost_accounting_new();
-  c->leader.scheduling_queue = fk_scheduling_queue_new(s);
+  c->leader.scheduling_queue = fk_scheduling_queue_new(settings);
   c->leader.capacity_index = fk_capacity_index_new();
   c->leader.backfill_reservations = fk_backfill_reservation_new();
   c->launches.reservations = g_array_new(FALSE, FALSE, sizeof(FkReservation));
-  c->window.end = fk_time_add(now, s->tuning.window_s);
+  c->window.end = fk_time_add(now, settings->tuning.window_s);
   c->store_session.store_answered_at = now;
-  c->launches.write_room = s->transaction_ops_max;
+  c->launches.write_room = settings->transaction_ops_max;
   return c;
 }
 
 void fk_controller_free(FkController *c) {
   if (!c)
     return;
-  FkOutput *o;
-  while ((o = fk_controller_next_output(c)))
-    fk_output_free(o);
+  FkOutput *output;
+  while ((output = fk_controller_next_output(c)))
+    fk_output_free(output);
   g_queue_free(c->outputs);
   g_hash_table_unref(c->calls.pending_transactions);
   g_hash_table_unref(c->calls.pending_reads);
@@ -82,10 +88,10 @@
   g_hash_table_unref(c->requests.terminal_states_requested);
   g_hash_table_unref(c->requests.pending);
   fk_cancellation_barrier_free(c->requests.cancellation_barrier);
-  FkHeldHeartbeat *h;
-  while ((h = g_queue_pop_head(c->workers.held_heartbeats))) {
-    fk_heartbeat_free(h->heartbeat);
-    g_free(h);
+  FkHeldHeartbeat *held;
+  while ((held = g_queue_pop_head(c->workers.held_heartbeats))) {
+    fk_heartbeat_free(held->heartbeat);
+    g_free(held);
   }
   g_queue_free(c->workers.held_heartbeats);
   g_hash_table_unref(c->store_session.peer_confirmed_at);
@@ -109,42 +115,43 @@
   g_free(c);
 }
 
-void fk_controller_request_closed(FkController *c, FkRequestId r) {
-  /* Answers to requests that are gone are dropped by the shell; only reports that wait are worth dropping
-   * here. */
-  for (GList *l = c->workers.held_heartbeats->head; l; l = l->next) {
-    FkHeldHeartbeat *h = l->data;
-    if (h->request.n == r.n) {
-      fk_heartbeat_free(h->heartbeat);
-      g_free(h);
-      g_queue_delete_link(c->workers.held_heartbeats, l);
+void fk_controller_request_closed(FkController *c, FkRequestId request_id) {
+  /* the daemon drops replies that nobody waits for; only held heartbeats are worth dropping here */
+  for (GList *link = c->workers.held_heartbeats->head; link; link = link->next) {
+    FkHeldHeartbeat *held = link->data;
+    if (held->request.n == request_id.n) {
+      fk_heartbeat_free(held->heartbeat);
+      g_free(held);
+      g_queue_delete_link(c->workers.held_heartbeats, link);
       return;
     }
   }
 }
 
-void fk_controller_instance_types_received(FkController *c, FkTime now, FkOutcome o, GPtrArray *types) {
+void fk_controller_instance_types_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *types) {
   c->now = now;
   c->autoscaling.types_pending = FALSE;
-  if (o != FK_OUTCOME_OK) {
-    c->autoscaling.next_types_query = fk_time_add(now, g_rand_double_range(c->rand, 0.6, 1.4));
+  if (outcome != FK_OUTCOME_OK) {
+    c->autoscaling.next_types_query =
+        fk_time_add(now, g_rand_double_range(c->rand, TYPES_RETRY_MIN_S, TYPES_RETRY_MAX_S));
     return;
   }
-  c->autoscaling.next_types_query = fk_time_add(now, 60);
+  c->autoscaling.next_types_query = fk_time_add(now, TYPES_INTERVAL_S);
   for (guint i = 0; i < types->len; i++) {
-    FkInstanceType *t = types->pdata[i], *known = g_hash_table_lookup(c->autoscaling.instance_types, t->name);
+    FkInstanceType *type = types->pdata[i],
+                   *known = g_hash_table_lookup(c->autoscaling.instance_types, type->name);
     types->pdata[i] = NULL;
     if (!known) {
-      g_hash_table_replace(c->autoscaling.instance_types, t->name, t);
+      g_hash_table_replace(c->autoscaling.instance_types, type->name, type);
       continue;
     }
-    /* in place: machines hold on to theirs */
+    /* in place: machines keep pointers to theirs */
     FkInstanceType old = *known;
-    *known = *t;
+    *known = *type;
     known->name = old.name; /* the table's key */
-    old.name = t->name;
-    *t = old;
-    fk_instance_type_free(t);
+    old.name = type->name;
+    *type = old;
+    fk_instance_type_free(type);
   }
 }
 
@@ -178,12 +185,12 @@
   fk_cpu_profile_run(c, FK_CPU_SCHEDULING, fk_scheduling_cycle_run);
 }
 
-/* What has changed is acted on at once. */
-void fk_controller_watch_received(FkController *c, FkTime now, FkOutcome o, GPtrArray *events, FkRev epoch,
-                                  FkTime sent) {
+/* The parts act on what has changed at once. */
+void fk_controller_watch_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
+                                  FkRev epoch, FkTime sent) {
   c->now = now;
-  fk_store_session_watch_received(c, o, events, epoch, sent);
-  if (o != FK_OUTCOME_OK || !fk_controller_is_ready(c))
+  fk_store_session_watch_received(c, outcome, events, epoch, sent);
+  if (outcome != FK_OUTCOME_OK || !fk_controller_is_ready(c))
     return;
   fk_cpu_profile_run(c, FK_CPU_SHARDS, fk_shard_ownership_tick);
   fk_cpu_profile_run(c, FK_CPU_WORKERS, fk_workers_view_changed);
@@ -192,10 +199,11 @@
   fk_cpu_profile_run(c, FK_CPU_PREEMPTION, fk_leader_view_changed);
 }
 
-void fk_controller_peer_progress_received(FkController *c, FkTime now, const char *peer, const char *life,
-                                          FkRev seen, FkRev applied, double store_age_s, FkTime sent) {
+void fk_controller_peer_progress_received(FkController *c, FkTime now, const char *peer,
+                                          const char *incarnation, FkRev seen, FkRev applied,
+                                          double store_age_s, FkTime sent) {
   c->now = c->store_session.peer_answered_at = now;
   fk_cancellation_barrier_note_applied(c->requests.cancellation_barrier, peer, applied);
   fk_requests_reply_cancelled(c);
-  fk_read_freshness_peer_received(c, peer, life, seen, store_age_s, sent);
+  fk_read_freshness_peer_received(c, peer, incarnation, seen, store_age_s, sent);
 }
--- a/src/core/cpu_profile.h
+++ b/src/core/cpu_profile.h
@@ -1,22 +1,22 @@
-/* Processor time by purpose. The clock is an input: the shell gives one, tests may give none. What is going
- * on is a small stack kept by the callers: fk_cpu_profile_enter() says what begins, and returns what went on
- * before, to be handed to fk_cpu_profile_leave(). Time is charged to the innermost purpose only. */
+/* Processor time by purpose. The clock is an input: the daemon gives one, tests may give none. Purposes nest,
+ * and callers keep the stack: fk_cpu_profile_enter() returns the outer purpose, which is handed to
+ * fk_cpu_profile_leave(). Time is charged to the innermost purpose only. */
 #pragma once
 #include <glib.h>
 
 typedef enum {
-  FK_CPU_LOOP,          /* HTTP, sockets and the main loop: all that has no name of its own */
-  FK_CPU_HEARTBEATS,    /* what workers say, and the answers */
-  FK_CPU_DECODE,        /* the store's answers become records */
-  FK_CPU_APPLY,         /* records become the view */
-  FK_CPU_ENCODE,        /* transactions become bodies */
+  FK_CPU_LOOP,          /* HTTP, sockets and the main loop: all that has no purpose of its own */
+  FK_CPU_HEARTBEATS,    /* of workers, and the replies */
+  FK_CPU_DECODE,        /* answers of the store to records */
+  FK_CPU_APPLY,         /* records to the view */
+  FK_CPU_ENCODE,        /* transactions to request bodies */
   FK_CPU_USER_REQUESTS, /* submissions, polls, cancellations */
-  FK_CPU_SCHEDULING,    /* placement */
-  FK_CPU_PREEMPTION,    /* what must leave its machine */
-  FK_CPU_AUTOSCALER,    /* renting and returning */
-  FK_CPU_WORKERS,       /* machines in this home's care, and their ends */
-  FK_CPU_SHARDS,        /* claims, machines' pages, shares, session */
-  FK_CPU_IDLE,          /* waiting: nothing, where the clock is of processor time alone */
+  FK_CPU_SCHEDULING,    /* the scheduling cycle */
+  FK_CPU_PREEMPTION,    /* the leader's stops */
+  FK_CPU_AUTOSCALER,    /* scale-out and scale-in */
+  FK_CPU_WORKERS,       /* owned machines, and completions */
+  FK_CPU_SHARDS,        /* ownership, machine pages, quota partitions */
+  FK_CPU_IDLE,          /* waiting; nothing where the clock is of processor time alone */
   FK_CPU_PURPOSES
 } FkCpuPurpose;
 
@@ -28,31 +28,34 @@
   guint entries[FK_CPU_PURPOSES];
 } FkCpuProfile;
 
-static inline FkCpuPurpose fk_cpu_profile_enter(FkCpuProfile *m, FkCpuPurpose what) {
-  FkCpuPurpose before = m->current;
-  if (m->clock_ns && what != before) {
-    gint64 t = m->clock_ns();
-    m->spent_ns[before] += t - m->last_ns;
-    m->last_ns = t;
-    m->current = what;
+/* Charges to `purpose` from now on; returns the outer one. */
+static inline FkCpuPurpose fk_cpu_profile_enter(FkCpuProfile *profile, FkCpuPurpose purpose) {
+  FkCpuPurpose outer = profile->current;
+  if (profile->clock_ns && purpose != outer) {
+    gint64 now_ns = profile->clock_ns();
+    profile->spent_ns[outer] += now_ns - profile->last_ns;
+    profile->last_ns = now_ns;
+    profile->current = purpose;
   }
-  m->entries[what]++;
-  return before;
+  profile->entries[purpose]++;
+  return outer;
 }
 
-static inline void fk_cpu_profile_leave(FkCpuProfile *m, FkCpuPurpose before) {
-  if (m->clock_ns && m->current != before) {
-    gint64 t = m->clock_ns();
-    m->spent_ns[m->current] += t - m->last_ns;
-    m->last_ns = t;
-    m->current = before;
+/* Charges to the outer purpose again. */
+static inline void fk_cpu_profile_leave(FkCpuProfile *profile, FkCpuPurpose outer) {
+  if (profile->clock_ns && profile->current != outer) {
+    gint64 now_ns = profile->clock_ns();
+    profile->spent_ns[profile->current] += now_ns - profile->last_ns;
+    profile->last_ns = now_ns;
+    profile->current = outer;
   }
 }
 
-/* Measures from here on. */
-static inline void fk_cpu_profile_start(FkCpuProfile *m, gint64 (*clock_ns)(void)) {
-  m->clock_ns = clock_ns;
-  m->last_ns = clock_ns();
+/* Measures from now on. */
+static inline void fk_cpu_profile_start(FkCpuProfile *profile, gint64 (*clock_ns)(void)) {
+  profile->clock_ns = clock_ns;
+  profile->last_ns = clock_ns();
 }
 
-const char *fk_cpu_purpose_name(FkCpuPurpose c);
+/* As the log has it; static. */
+const char *fk_cpu_purpose_name(FkCpuPurpose purpose);
--- a/src/core/messages.c
+++ b/src/core/messages.c
@@ -1,77 +1,78 @@
+/* How messages are made and freed. */
 #include "core/messages.h"
 
-static void task_status_free(gpointer p) {
-  FkTaskStatus *t = p;
-  g_free(t->job);
-  g_free(t);
+static void task_status_free(gpointer data) {
+  FkTaskStatus *status = data;
+  g_free(status->job);
+  g_free(status);
 }
 
 FkHeartbeat *fk_heartbeat_new(void) {
-  FkHeartbeat *r = g_new0(FkHeartbeat, 1);
-  r->tasks = g_ptr_array_new_with_free_func(task_status_free);
-  r->termination_notice_s = -1;
-  return r;
+  FkHeartbeat *heartbeat = g_new0(FkHeartbeat, 1);
+  heartbeat->tasks = g_ptr_array_new_with_free_func(task_status_free);
+  heartbeat->termination_notice_s = -1;
+  return heartbeat;
 }
 
-void fk_heartbeat_free(FkHeartbeat *r) {
-  if (!r)
+void fk_heartbeat_free(FkHeartbeat *heartbeat) {
+  if (!heartbeat)
     return;
-  g_free(r->machine);
-  g_free(r->addr);
-  g_free(r->type);
-  g_free(r->zone);
-  g_ptr_array_unref(r->tasks);
-  g_free(r);
+  g_free(heartbeat->machine);
+  g_free(heartbeat->addr);
+  g_free(heartbeat->type);
+  g_free(heartbeat->zone);
+  g_ptr_array_unref(heartbeat->tasks);
+  g_free(heartbeat);
 }
 
-void fk_instance_type_free(gpointer p) {
-  FkInstanceType *t = p;
-  g_free(t->name);
-  g_strfreev(t->zones);
-  g_free(t);
+void fk_instance_type_free(gpointer data) {
+  FkInstanceType *type = data;
+  g_free(type->name);
+  g_strfreev(type->zones);
+  g_free(type);
 }
 
-void fk_cloud_machine_free(gpointer p) {
-  FkCloudMachine *l = p;
-  g_free(l->id);
-  g_free(l->addr);
-  g_free(l->type);
-  g_free(l->zone);
-  g_free(l);
+void fk_cloud_machine_free(gpointer data) {
+  FkCloudMachine *machine = data;
+  g_free(machine->id);
+  g_free(machine->addr);
+  g_free(machine->type);
+  g_free(machine->zone);
+  g_free(machine);
 }
 
-FkOutput *fk_output_ref(FkOutput *o) {
-  o->extra_refs++;
-  return o;
+FkOutput *fk_output_ref(FkOutput *output) {
+  output->extra_refs++;
+  return output;
 }
 
-void fk_output_free(FkOutput *o) {
-  if (!o || o->extra_refs--)
+void fk_output_free(FkOutput *output) {
+  if (!output || output->extra_refs--)
     return;
-  g_free(o->job);
-  if (o->commands)
-    g_ptr_array_unref(o->commands);
-  g_free(o->redirect_to);
-  if (o->guards) {
-    for (guint i = 0; i < o->guards->len; i++)
-      g_free(g_array_index(o->guards, FkGuard, i).path);
-    g_array_unref(o->guards);
+  g_free(output->job);
+  if (output->commands)
+    g_ptr_array_unref(output->commands);
+  g_free(output->redirect_to);
+  if (output->guards) {
+    for (guint i = 0; i < output->guards->len; i++)
+      g_free(g_array_index(output->guards, FkGuard, i).path);
+    g_array_unref(output->guards);
   }
-  if (o->writes) {
-    for (guint i = 0; i < o->writes->len; i++) {
-      g_free(g_array_index(o->writes, FkWrite, i).path);
-      fk_record_free(g_array_index(o->writes, FkWrite, i).record);
+  if (output->writes) {
+    for (guint i = 0; i < output->writes->len; i++) {
+      g_free(g_array_index(output->writes, FkWrite, i).path);
+      fk_record_free(g_array_index(output->writes, FkWrite, i).record);
     }
-    g_array_unref(o->writes);
+    g_array_unref(output->writes);
   }
-  g_free(o->path);
-  g_free(o->after);
-  g_free(o->machine);
-  g_free(o->addr);
-  g_free(o->name);
-  g_free(o->type);
-  g_free(o->zone);
-  if (o->names)
-    g_ptr_array_unref(o->names);
-  g_free(o);
+  g_free(output->path);
+  g_free(output->after);
+  g_free(output->machine);
+  g_free(output->addr);
+  g_free(output->name);
+  g_free(output->type);
+  g_free(output->zone);
+  if (output->names)
+    g_ptr_array_unref(output->names);
+  g_free(output);
 }
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -1,19 +1,23 @@
-/* What the core is told and what it wants done: plain data, owned as said. */
+/* Messages of the core: what it receives, and the outputs that it wants carried out. Plain data; a struct
+ * owns what it points to unless it says otherwise. */
 #pragma once
 #include "core/state/view.h"
 
-/* ---- what workers and the cloud say ---- */
+/* ---- received from workers and the cloud ---- */
+
+/* OTHER: a state that this version does not know. */
 typedef enum { FK_TASK_FETCHING, FK_TASK_RUNNING, FK_TASK_SAVING, FK_TASK_EXITED, FK_TASK_OTHER } FkTaskState;
 typedef enum {
-  FK_EXIT_NONE,
+  FK_EXIT_NONE, /* it has not exited */
   FK_EXIT_DONE,
-  FK_EXIT_STOPPED,
-  FK_EXIT_ERROR,
-  FK_EXIT_FULL,
-  FK_EXIT_BUSY,
+  FK_EXIT_STOPPED, /* by a command */
+  FK_EXIT_ERROR,   /* the task failed */
+  FK_EXIT_FULL,    /* refused: the machine has no capacity for it */
+  FK_EXIT_BUSY,    /* refused: the worker is busy */
   FK_EXIT_UNKNOWN
 } FkExitReason;
 
+/* One attempt on a worker. */
 typedef struct {
   char *job;
   guint32 task;
@@ -22,6 +26,7 @@
   FkExitReason exit_reason;
 } FkTaskStatus;
 
+/* A worker's heartbeat. */
 typedef struct {
   char *machine, *addr, *type, *zone;
   gboolean spot;
@@ -32,20 +37,22 @@
 } FkHeartbeat;
 
 FkHeartbeat *fk_heartbeat_new(void);
-void fk_heartbeat_free(FkHeartbeat *r);
+void fk_heartbeat_free(FkHeartbeat *heartbeat); /* NULL is fine */
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkHeartbeat, fk_heartbeat_free)
 
+/* A type of machines that the cloud offers. Prices are an hour's. */
 typedef struct FkInstanceType {
   char *name;
   double cpus, gpus, mem_gb, fetch_gb_per_s, price, spot_price, boot_s;
   char **zones;
 } FkInstanceType;
 
-/* What such a machine costs now, an hour. */
-static inline double fk_instance_type_price(const FkInstanceType *t, gboolean spot) {
-  return spot ? t->spot_price : t->price;
+/* The present price of such a machine, an hour. */
+static inline double fk_instance_type_price(const FkInstanceType *type, gboolean spot) {
+  return spot ? type->spot_price : type->price;
 }
 
+/* A machine in the cloud's list. */
 typedef struct {
   char *id, *addr, *type, *zone;
   gboolean spot;
@@ -53,19 +60,23 @@
   double age_s;
 } FkCloudMachine;
 
-void fk_instance_type_free(gpointer t);
-void fk_cloud_machine_free(gpointer l);
+void fk_instance_type_free(gpointer type);
+void fk_cloud_machine_free(gpointer machine);
 
 /* ---- outputs ---- */
+
+/* START launches an attempt, STOP ends it, FORGET drops an attempt that has ended from the worker's
+ * heartbeats. */
 typedef enum { FK_COMMAND_START, FK_COMMAND_STOP, FK_COMMAND_FORGET } FkCommandKind;
 typedef struct {
   FkCommandKind kind;
   char *job;
   guint32 task;
   FkAttempt attempt;
-  double grace_s;
+  double grace_s; /* STOP: until the task is killed */
 } FkCommand;
 
+/* The key must still have that revision; 0: it must not exist. */
 typedef struct {
   char *path;
   FkRev rev;
@@ -74,9 +85,10 @@
 typedef struct {
   char *path;
   FkRecord *record; /* NULL: delete */
-  FkRev lease;      /* 0: none */
+  FkRev lease;      /* the key ends with it; 0: none */
 } FkWrite;
 
+/* What goes first when the write budget is short, in this order. */
 typedef enum {
   FK_PRIORITY_LEASE,
   FK_PRIORITY_USER,
@@ -85,23 +97,25 @@
   FK_PRIORITY_RESULT
 } FkTransactionPriority;
 
+/* What is to be done, and the members of FkOutput that it has. */
 typedef enum {
   FK_OUTPUT_USER_REPLY,      /* to a user: status, job, phase, done, running, retry_s */
-  FK_OUTPUT_HEARTBEAT_REPLY, /* to a worker: status, token, orders, report_to */
-  FK_OUTPUT_COMMIT,          /* call, guards, writes, prio */
+  FK_OUTPUT_HEARTBEAT_REPLY, /* to a worker: status, fencing_token, commands, redirect_to */
+  FK_OUTPUT_COMMIT,          /* call, guards, writes, priority */
   FK_OUTPUT_GET,             /* call, path */
   FK_OUTPUT_LIST,            /* path (prefix), after */
   FK_OUTPUT_WATCH,           /* rev, seconds, delay_s */
   FK_OUTPUT_LEASE_GRANT,     /* seconds */
-  FK_OUTPUT_LEASE_KEEPALIVE, /* rev (the hold) */
-  FK_OUTPUT_COMMANDS,        /* call, machine, addr, token, session, orders */
-  FK_OUTPUT_PEER_QUERY,      /* name, addr: ask another controller what it has seen */
+  FK_OUTPUT_LEASE_KEEPALIVE, /* rev (the lease) */
+  FK_OUTPUT_COMMANDS,        /* call, machine, addr, fencing_token, incarnation, commands */
+  FK_OUTPUT_PEER_QUERY,      /* name, addr: asks another controller for its progress */
   FK_OUTPUT_LIST_INSTANCE_TYPES,
   FK_OUTPUT_PROVISION,    /* call, name, type, zone, spot, count */
   FK_OUTPUT_TERMINATE,    /* call, names */
   FK_OUTPUT_LIST_MACHINES /* after */
 } FkOutputKind;
 
+/* Its layout is shared with the version in production (test versions_layout). */
 typedef struct {
   FkOutputKind kind;
   FkRequestId request;
@@ -124,19 +138,21 @@
   GPtrArray *names;
   FkRev rev;
   double seconds, delay_s;
-  guint budget_refusals; /* the shell's: times refused for want of budget */
+  guint budget_refusals; /* the daemon's: how often the budget has refused it */
   guint extra_refs;      /* references beside the first */
 } FkOutput;
 
-FkOutput *fk_output_ref(FkOutput *o);
-void fk_output_free(FkOutput *o); /* NULL is fine; gives one reference back */
+FkOutput *fk_output_ref(FkOutput *output);
+/* Drops one reference; the last one frees. NULL is fine. */
+void fk_output_free(FkOutput *output);
 
-/* The outcome of a call to another process. */
+/* The outcome of a call to the store, the cloud, a worker or another controller; HTTP statuses for instance.
+ */
 typedef enum {
   FK_OUTCOME_OK,       /* 200 */
   FK_OUTCOME_CONFLICT, /* 409 */
   FK_OUTCOME_GONE,     /* 404, 410 */
-  FK_OUTCOME_REFUSED,  /* certainly not carried out (503, 429, never sent) */
+  FK_OUTCOME_REFUSED,  /* certainly not carried out: 503, 429, never sent */
   FK_OUTCOME_INVALID,  /* 400 */
-  FK_OUTCOME_UNKNOWN   /* no answer: carried out, or not, or later */
+  FK_OUTCOME_UNKNOWN   /* no answer: it was carried out, or was not, or will be */
 } FkOutcome;
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -1,8 +1,8 @@
-/* Jobs, their tasks, and the legal changes of a task's state. */
+/* Specifications of jobs, and the chunks that hold the states of their tasks with the legal changes. */
 #pragma once
 #include "core/types.h"
 
-/* A gang's tasks run only all together. */
+/* An array's tasks run one by one, a service's until it is cancelled, a gang's only all together. */
 typedef enum { FK_SHAPE_ARRAY, FK_SHAPE_SERVICE, FK_SHAPE_GANG } FkShape;
 /* Lower value: goes first. */
 typedef enum {
@@ -13,7 +13,7 @@
 } FkJobPriority;
 typedef enum { FK_PHASE_QUEUED, FK_PHASE_RUNNING, FK_PHASE_DONE, FK_PHASE_CANCELLED } FkPhase;
 
-/* What the user asked for. Never changes once accepted, and is shared by reference. */
+/* What the user submitted. Never changes once accepted, and is shared by reference. */
 typedef struct {
   gint ref_count;
   char *id, *class_name, *team;
@@ -29,32 +29,33 @@
   double estimate_s, checkpoint_s, save_s;
   double deadline_s;   /* < 0: none */
   gint64 submitted_ms; /* time of day */
-  char *owner;         /* the controller that accepted it: places it while it is short */
+  char *owner;         /* the controller that accepted it, whose short path places it */
   guint32 chunk_tasks; /* tasks a chunk */
   char **dependencies; /* jobs that must be done before any of its tasks starts; NULL: none */
 } FkSpec;
 
 FkSpec *fk_spec_new(void);
-FkSpec *fk_spec_ref(FkSpec *s);
-void fk_spec_unref(FkSpec *s);
+FkSpec *fk_spec_ref(FkSpec *spec);
+void fk_spec_unref(FkSpec *spec);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkSpec, fk_spec_unref)
-/* What all of its tasks take together, by their owner's estimate, in CPU-seconds. */
-double fk_spec_cpu_seconds(const FkSpec *s);
-guint32 fk_spec_chunk_count(const FkSpec *s);
-guint32 fk_spec_chunk_tasks(const FkSpec *s, guint32 chunk);
+/* CPU-seconds of all tasks together, by the user's estimate. */
+double fk_spec_cpu_seconds(const FkSpec *spec);
+guint32 fk_spec_chunk_count(const FkSpec *spec);
+guint32 fk_spec_chunk_tasks(const FkSpec *spec, guint32 chunk);
 
-/* A task's place on a machine. It ends only on proof that the task is not, and won't be, there. */
+/* An attempt to run a task on a machine. It ends only on proof that the task does not, and will not, run
+ * there. */
 typedef struct {
   guint32 task;
   FkAttempt attempt;
   const char *machine;     /* interned */
-  const char *launched_by; /* interned: the controller that launched it; its share of the team's limit pays */
-  gboolean stop_requested; /* a controller decided that the task must leave */
+  const char *launched_by; /* interned: the controller whose share of the team's quota it uses */
+  gboolean stop_requested; /* the task is to be stopped */
   FkTime first_seen_at;    /* when this controller first saw it; not in the store */
-  gboolean start_observed; /* `since` is when it was made, not when we came to know of it */
+  gboolean start_observed; /* that was when it was made, not when this controller came to know of it */
 } FkAllocation;
 
-/* The state of up to `chunk` neighbouring tasks, one store record. */
+/* The state of up to `chunk_tasks` neighbouring tasks: one record of the store. */
 typedef struct {
   FkRev rev;
   guint32 first_task, task_count;
@@ -65,22 +66,26 @@
 } FkChunk;
 
 FkChunk *fk_chunk_new(guint32 first, guint32 count);
-FkChunk *fk_chunk_copy(const FkChunk *c);
-void fk_chunk_free(FkChunk *c);
+FkChunk *fk_chunk_copy(const FkChunk *chunk);
+void fk_chunk_free(FkChunk *chunk);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkChunk, fk_chunk_free)
-/* Whether its record stays within so many KiB, with one more booking (NULL: as it is). */
-gboolean fk_chunk_fits(const FkChunk *c, double value_kb, const char *machine, const char *by);
-/* Tasks a chunk of which every one may be booked within so many KiB, by controllers with names of that
- * length. */
-guint32 fk_chunk_max_tasks(double value_kb, const char *by);
-FkAllocation *fk_chunk_find_allocation(const FkChunk *c, guint32 task);
+/* Whether its record stays within so many KiB, with one more allocation (`machine` NULL: as it is). */
+gboolean fk_chunk_fits(const FkChunk *chunk, double value_kb, const char *machine, const char *controller);
+/* The most tasks of a chunk that all fit its record when allocated by controllers with names of that length.
+ */
+guint32 fk_chunk_max_tasks(double value_kb, const char *controller);
+/* Borrowed, until the next change; NULL: the task has no allocation. */
+FkAllocation *fk_chunk_find_allocation(const FkChunk *chunk, guint32 task);
 
-/* The legal changes. Each returns FALSE, and changes nothing, when the change isn't legal. */
-gboolean fk_chunk_allocate(FkChunk *c, guint32 task, const char *machine, const char *by);
-/* A gang's tasks start together only under one number; it must be above all earlier ones. */
-gboolean fk_chunk_allocate_attempt(FkChunk *c, guint32 task, const char *machine, const char *by,
+/* The legal changes. Each returns FALSE, and changes nothing, when the change is not legal. */
+/* A task that is neither done nor allocated, under the next attempt number. */
+gboolean fk_chunk_allocate(FkChunk *chunk, guint32 task, const char *machine, const char *controller);
+/* A gang's tasks start together under one attempt number; it must be above all earlier ones. */
+gboolean fk_chunk_allocate_attempt(FkChunk *chunk, guint32 task, const char *machine, const char *controller,
                                    FkAttempt attempt);
-gboolean fk_chunk_release(FkChunk *c, guint32 task, FkAttempt attempt);
-gboolean fk_chunk_finish(FkChunk *c, guint32 task, FkAttempt attempt);
-/* Asks a booked task to leave; the booking stays until the task has. */
-gboolean fk_chunk_request_stop(FkChunk *c, guint32 task);
+/* The attempt has ended without a result. */
+gboolean fk_chunk_release(FkChunk *chunk, guint32 task, FkAttempt attempt);
+/* The attempt has ended, and the task is done. */
+gboolean fk_chunk_finish(FkChunk *chunk, guint32 task, FkAttempt attempt);
+/* Marks an allocated task to be stopped; the allocation stays until it has ended. */
+gboolean fk_chunk_request_stop(FkChunk *chunk, guint32 task);
