--- a/src/core/workers/failure_detector.c
+++ b/src/core/workers/failure_detector.c
@@ -1,115 +1,131 @@
+/* The failure detector of one worker; failure_detector.h says what counts as proof, and of what. */
 #include "core/workers/failure_detector.h"
 
-#define PARTITION_MISSED_PROBES 2 /* questions in a row without an answer ... */
-#define PARTITION_AFTER_S 3.0     /* ... over so long ... */
-#define PARTITION_REPLIES                                                                                    \
-  2 /* ... and so many answers to its reports without an effect: the second was given to a                   \
-       report that shows nothing of the first */
-#define LEASE_LAPSE_SLACK_S                                                                                  \
-  6.0 /* a report's way, and the time that its answer may take, are part of the lease */
-
-void fk_failure_detector_acquired(FkFailureDetector *e, FkTime now) {
-  e->owned_since = now;
-  e->token_first_echoed_at.us = e->last_replied_at.us = 0;
+/* A one-way partition: so many probes in a row missed, over so long, and so many replies to heartbeats
+ * without an effect. The second reply was to a heartbeat that shows nothing of the first. */
+#define PARTITION_MISSED_PROBES 2
+#define PARTITION_AFTER_S 3.0
+#define PARTITION_REPLIES 2
+
+/* A heartbeat's way, and the time that its reply may take, are part of the lease. */
+#define LEASE_LAPSE_SLACK_S 6.0
+
+void fk_failure_detector_acquired(FkFailureDetector *detector, FkTime now) {
+  detector->owned_since = now;
+  detector->token_first_echoed_at.us = detector->last_replied_at.us = 0;
+}
+
+static void note_receiving(FkFailureDetector *detector) {
+  detector->first_missed_at.us = 0;
+  detector->missed_probes = detector->replies_without_effect = 0;
+  detector->lease_lapsed = FALSE;
 }
 
-static void note_receiving(FkFailureDetector *e) {
-  e->first_missed_at.us = 0;
-  e->missed_probes = e->replies_without_effect = 0;
-  e->lease_lapsed = FALSE;
+static gboolean sequence_is_known(FkHeartbeatSequence sequence) {
+  return sequence.incarnation || sequence.sequence;
 }
 
-static gboolean sequence_is_known(FkHeartbeatSequence t) { return t.incarnation || t.sequence; }
-
-static void accept_message(FkFailureDetector *e, FkHeartbeatSequence at, double lease_s, FkTime now) {
-  gboolean next = sequence_is_known(e->newest_message) && at.incarnation > e->newest_message.incarnation;
-  /* A session ends when no answer to a report of the last `lease_s` arrived. */
-  if (next && e->last_replied_at.us && e->replied_incarnation == e->newest_message.incarnation &&
-      fk_time_between(e->last_replied_at, now) < lease_s - LEASE_LAPSE_SLACK_S)
-    e->lease_lapsed = TRUE;
-  if (!sequence_is_known(e->newest_message) || next)
-    e->incarnation_began = now;
-  e->newest_message = at;
+static void accept_message(FkFailureDetector *detector, FkHeartbeatSequence sequence, double lease_s,
+                           FkTime now) {
+  gboolean next_incarnation = sequence_is_known(detector->newest_message) &&
+                              sequence.incarnation > detector->newest_message.incarnation;
+  /* An incarnation ends when no reply to a heartbeat of the last `lease_s` arrived. */
+  if (next_incarnation && detector->last_replied_at.us &&
+      detector->replied_incarnation == detector->newest_message.incarnation &&
+      fk_time_between(detector->last_replied_at, now) < lease_s - LEASE_LAPSE_SLACK_S)
+    detector->lease_lapsed = TRUE;
+  if (!sequence_is_known(detector->newest_message) || next_incarnation)
+    detector->incarnation_began = now;
+  detector->newest_message = sequence;
 }
 
-FkHeartbeatFreshness fk_failure_detector_heartbeat(FkFailureDetector *e, FkHeartbeatSequence at,
+FkHeartbeatFreshness fk_failure_detector_heartbeat(FkFailureDetector *detector, FkHeartbeatSequence sequence,
                                                    double lease_s, FkTime now) {
-  if (sequence_is_known(e->newest_heartbeat) && !fk_heartbeat_sequence_after(at, e->newest_heartbeat))
+  if (sequence_is_known(detector->newest_heartbeat) &&
+      !fk_heartbeat_sequence_after(sequence, detector->newest_heartbeat))
     return FK_HEARTBEAT_DUPLICATE;
-  e->newest_heartbeat = at;
-  if (sequence_is_known(e->newest_message) && !fk_heartbeat_sequence_after(at, e->newest_message))
+  detector->newest_heartbeat = sequence;
+  if (sequence_is_known(detector->newest_message) &&
+      !fk_heartbeat_sequence_after(sequence, detector->newest_message))
     return FK_HEARTBEAT_STALE;
-  accept_message(e, at, lease_s, now);
+  accept_message(detector, sequence, lease_s, now);
   return FK_HEARTBEAT_NEW;
 }
 
-void fk_failure_detector_probe_sent(FkFailureDetector *e) { e->newest_at_probe = e->newest_message; }
-
-FkHeartbeatFreshness fk_failure_detector_probe_answered(FkFailureDetector *e, FkHeartbeatSequence at,
-                                                        double lease_s, FkTime now) {
-  /* What it says now is older than what it had said before it was asked: its count began anew. */
-  if (sequence_is_known(e->newest_at_probe) && !fk_heartbeat_sequence_after(at, e->newest_at_probe)) {
-    e->newest_heartbeat = (FkHeartbeatSequence){0, 0};
-    e->newest_message = at;
-    e->incarnation_began = now;
-    e->token_echoed.n = 0;
-    note_receiving(e);
+void fk_failure_detector_probe_sent(FkFailureDetector *detector) {
+  detector->newest_at_probe = detector->newest_message;
+}
+
+FkHeartbeatFreshness fk_failure_detector_probe_answered(FkFailureDetector *detector,
+                                                        FkHeartbeatSequence sequence, double lease_s,
+                                                        FkTime now) {
+  /* What it says now is older than what it had said before the probe: its count began again. */
+  if (sequence_is_known(detector->newest_at_probe) &&
+      !fk_heartbeat_sequence_after(sequence, detector->newest_at_probe)) {
+    detector->newest_heartbeat = (FkHeartbeatSequence){0, 0};
+    detector->newest_message = sequence;
+    detector->incarnation_began = now;
+    detector->token_echoed.n = 0;
+    note_receiving(detector);
     return FK_HEARTBEAT_RESTARTED;
   }
-  note_receiving(e);
-  e->last_heard_at = now;
-  if (sequence_is_known(e->newest_message) && !fk_heartbeat_sequence_after(at, e->newest_message))
+  note_receiving(detector);
+  detector->last_heard_at = now;
+  if (sequence_is_known(detector->newest_message) &&
+      !fk_heartbeat_sequence_after(sequence, detector->newest_message))
     return FK_HEARTBEAT_STALE;
-  accept_message(e, at, lease_s, now);
-  e->lease_lapsed = FALSE; /* whatever was lost before: it hears now */
+  accept_message(detector, sequence, lease_s, now);
+  detector->lease_lapsed = FALSE; /* whatever was lost before: it receives now */
   return FK_HEARTBEAT_NEW;
 }
 
-void fk_failure_detector_probe_missed(FkFailureDetector *e, FkTime now) {
-  if (!e->missed_probes++)
-    e->first_missed_at = now;
+void fk_failure_detector_probe_missed(FkFailureDetector *detector, FkTime now) {
+  if (!detector->missed_probes++)
+    detector->first_missed_at = now;
 }
 
-void fk_failure_detector_replied(FkFailureDetector *e, FkTime now) {
-  e->last_replied_at = now;
-  e->replied_incarnation = e->newest_message.incarnation;
-  e->replies_without_effect += e->missed_probes > 0;
+void fk_failure_detector_replied(FkFailureDetector *detector, FkTime now) {
+  detector->last_replied_at = now;
+  detector->replied_incarnation = detector->newest_message.incarnation;
+  detector->replies_without_effect += detector->missed_probes > 0;
 }
 
-gboolean fk_failure_detector_token_echoed(FkFailureDetector *e, FkRev claim, FkTime now) {
-  e->last_heard_at = now;
-  if (fk_rev_equal(e->token_echoed, claim))
+gboolean fk_failure_detector_token_echoed(FkFailureDetector *detector, FkRev token, FkTime now) {
+  detector->last_heard_at = now;
+  if (fk_rev_equal(detector->token_echoed, token))
     return FALSE;
-  e->token_echoed = claim;
-  if (!e->token_first_echoed_at.us)
-    e->token_first_echoed_at = now;
-  note_receiving(e);
+  detector->token_echoed = token;
+  if (!detector->token_first_echoed_at.us)
+    detector->token_first_echoed_at = now;
+  note_receiving(detector);
   return TRUE;
 }
 
-void fk_failure_detector_effect_seen(FkFailureDetector *e) { note_receiving(e); }
+void fk_failure_detector_effect_seen(FkFailureDetector *detector) { note_receiving(detector); }
 
-gboolean fk_failure_detector_is_suspected(const FkFailureDetector *e) {
-  return e->missed_probes || e->lease_lapsed;
+gboolean fk_failure_detector_is_suspected(const FkFailureDetector *detector) {
+  return detector->missed_probes || detector->lease_lapsed;
 }
 
-gboolean fk_failure_detector_is_partitioned(const FkFailureDetector *e, FkTime now) {
-  return e->lease_lapsed ||
-         (e->missed_probes >= PARTITION_MISSED_PROBES && e->replies_without_effect >= PARTITION_REPLIES &&
-          fk_time_between(e->first_missed_at, now) > PARTITION_AFTER_S);
+gboolean fk_failure_detector_is_partitioned(const FkFailureDetector *detector, FkTime now) {
+  return detector->lease_lapsed || (detector->missed_probes >= PARTITION_MISSED_PROBES &&
+                                    detector->replies_without_effect >= PARTITION_REPLIES &&
+                                    fk_time_between(detector->first_missed_at, now) > PARTITION_AFTER_S);
 }
 
-FkTime fk_failure_detector_silent_since(const FkFailureDetector *e) {
-  return e->last_heard_at.us > e->owned_since.us ? e->last_heard_at : e->owned_since;
+FkTime fk_failure_detector_silent_since(const FkFailureDetector *detector) {
+  return detector->last_heard_at.us > detector->owned_since.us ? detector->last_heard_at
+                                                               : detector->owned_since;
 }
 
-FkTime fk_failure_detector_lease_from(const FkFailureDetector *e, double trust_s) {
-  /* until the worker has seen our token, an earlier home may have gone on answering for as long as it trusted
-   * its view */
-  FkTime from = e->token_first_echoed_at.us ? e->token_first_echoed_at : fk_time_add(e->owned_since, trust_s);
-  if (e->last_replied_at.us > from.us)
-    from = e->last_replied_at;
-  /* A new session has a lease of its own from its start, answered or not: starts that we sent straight to it
-   * may be carried out until that ends. */
-  return e->incarnation_began.us > from.us ? e->incarnation_began : from;
+FkTime fk_failure_detector_lease_from(const FkFailureDetector *detector, double trust_s) {
+  /* Until the worker has seen our token, an earlier owner may have gone on replying for as long as it trusted
+   * its view. */
+  FkTime from = detector->token_first_echoed_at.us ? detector->token_first_echoed_at
+                                                   : fk_time_add(detector->owned_since, trust_s);
+  if (detector->last_replied_at.us > from.us)
+    from = detector->last_replied_at;
+  /* A new incarnation has a lease of its own from its start, replied to or not: starts that we sent straight
+   * to it may be carried out until that ends. */
+  return detector->incarnation_began.us > from.us ? detector->incarnation_began : from;
 }
--- a/src/core/workers/failure_detector.h
+++ b/src/core/workers/failure_detector.h
@@ -1,12 +1,15 @@
-/* What is known of one machine: that it speaks, and that it hears. The two are different facts: one whose
- * answers are lost reports on, loses its lease again and again, looks empty, and takes launches that never
- * start. A report by itself proves neither: it may be a copy of any age, told to any controller, in any of
- * its lives. What proves something is what shows an effect of ours, and the answer to a question that was
- * asked just now. Pure; the owner says what came and what was sent. */
+/* The failure detector: what is known of one worker, that it is alive and that it receives our messages.
+ *
+ * The two are different facts. A worker that is cut off in one direction goes on sending heartbeats, loses
+ * its lease again and again, looks empty, and takes launches that never start. A heartbeat by itself proves
+ * neither: it may be a duplicate of any age, sent to any controller, in any of its incarnations. What proves
+ * something is what shows an effect of ours, and the reply to a probe that was sent just now.
+ *
+ * Pure: the owner says what was received and what was sent. */
 #pragma once
 #include "core/types.h"
 
-/* A message of the machine's own count: the larger is the newer, within one life of the machine. */
+/* A message of the worker's own count: the larger is the newer, until the worker's machine restarts. */
 typedef struct {
   guint64 incarnation, sequence;
 } FkHeartbeatSequence;
@@ -16,57 +19,57 @@
 }
 
 typedef struct {
-  FkTime owned_since;           /* this stretch of ours as its home began */
-  FkTime token_first_echoed_at; /* when a message first showed a token of this stretch; 0: none has */
+  FkTime owned_since; /* the beginning of our present ownership */
+  /* Whether it is alive. */
+  FkTime token_first_echoed_at; /* when a message first showed a token of this ownership; 0: none has */
   FkRev token_echoed;           /* the latest of our tokens that it has shown */
   FkTime last_heard_at;         /* when something that proves it alive came last */
-  FkTime last_replied_at;       /* when we last answered a report of this stretch; 0: never */
-  guint64 replied_incarnation;
-  FkHeartbeatSequence newest_message; /* the newest message, and ... */
-  FkHeartbeatSequence
-      newest_heartbeat; /* ... the newest report: an answer to a question may overtake a report */
-  FkHeartbeatSequence newest_at_probe; /* what was the newest when the question under way was put */
-  FkTime incarnation_began;            /* the present session began before this */
-  /* Whether it hears us. */
-  FkTime
-      first_missed_at; /* the first of the questions in a row that it hasn't answered was given up; 0: none */
-  guint missed_probes; /* how many there are */
-  guint replies_without_effect; /* reports answered since then without an effect */
-  gboolean lease_lapsed;        /* its lease ran out although we answered in time */
+  FkTime last_replied_at;       /* when we last replied to a heartbeat during this ownership; 0: never ... */
+  guint64 replied_incarnation;  /* ... and the worker's incarnation then */
+  FkHeartbeatSequence newest_message;   /* the newest message, and ... */
+  FkHeartbeatSequence newest_heartbeat; /* ... the newest heartbeat: a probe's reply may overtake one */
+  FkHeartbeatSequence newest_at_probe;  /* what was the newest when the probe under way was sent */
+  FkTime incarnation_began;             /* the present incarnation began before this */
+  /* Whether it receives our messages. */
+  FkTime first_missed_at;       /* when the first of the missed probes in a row was given up; 0: none */
+  guint missed_probes;          /* how many there are in a row */
+  guint replies_without_effect; /* heartbeats that we replied to since then, without an effect */
+  gboolean lease_lapsed;        /* its lease ran out although we replied in time */
 } FkFailureDetector;
 
+/* What a message says, compared with what is known. */
 typedef enum {
-  FK_HEARTBEAT_NEW,       /* the machine's present state, as far as anybody knows */
-  FK_HEARTBEAT_STALE,     /* true, and older than what is known; who sent it waits for an answer */
-  FK_HEARTBEAT_DUPLICATE, /* nobody waits for an answer; or the machine has begun anew: only a question can
-                             tell */
-  FK_HEARTBEAT_RESTARTED  /* the answer to a question shows that its count began anew: so did the machine */
+  FK_HEARTBEAT_NEW,       /* the worker's present state, as far as anybody knows */
+  FK_HEARTBEAT_STALE,     /* true, and older than what is known; its sender waits for the reply */
+  FK_HEARTBEAT_DUPLICATE, /* nobody waits for the reply; or the worker has restarted: only a probe can tell */
+  FK_HEARTBEAT_RESTARTED  /* the reply to a probe shows that the worker's count began again: it restarted */
 } FkHeartbeatFreshness;
 
-/* We are home to it from now on, after not having been. */
-void fk_failure_detector_acquired(FkFailureDetector *e, FkTime now);
-/* A report has come. `lease_s`: the shortest that its lease lasts after an answer. */
-FkHeartbeatFreshness fk_failure_detector_heartbeat(FkFailureDetector *e, FkHeartbeatSequence at,
+/* We own the worker from now on, after not having owned it. */
+void fk_failure_detector_acquired(FkFailureDetector *detector, FkTime now);
+/* A heartbeat was received. `lease_s`: the shortest that the worker's lease lasts after a reply. */
+FkHeartbeatFreshness fk_failure_detector_heartbeat(FkFailureDetector *detector, FkHeartbeatSequence sequence,
                                                    double lease_s, FkTime now);
-/* A question is asked, or orders are sent, straight to it. */
-void fk_failure_detector_probe_sent(FkFailureDetector *e);
-/* It has answered that. */
-FkHeartbeatFreshness fk_failure_detector_probe_answered(FkFailureDetector *e, FkHeartbeatSequence at,
-                                                        double lease_s, FkTime now);
+/* A direct call, with or without commands, was sent to the worker. */
+void fk_failure_detector_probe_sent(FkFailureDetector *detector);
+/* The worker has replied to it. */
+FkHeartbeatFreshness fk_failure_detector_probe_answered(FkFailureDetector *detector,
+                                                        FkHeartbeatSequence sequence, double lease_s,
+                                                        FkTime now);
 /* It hasn't in time. */
-void fk_failure_detector_probe_missed(FkFailureDetector *e, FkTime now);
-/* We have answered its latest report. */
-void fk_failure_detector_replied(FkFailureDetector *e, FkTime now);
-/* A message that is the newest shows our claim's token. Returns TRUE when it is the first to do so. */
-gboolean fk_failure_detector_token_echoed(FkFailureDetector *e, FkRev claim, FkTime now);
-/* Something that only orders of ours can have brought about shows. */
-void fk_failure_detector_effect_seen(FkFailureDetector *e);
-/* Nothing new goes there until it answers. */
-gboolean fk_failure_detector_is_suspected(const FkFailureDetector *e);
-/* It speaks, and doesn't hear: questions and answers are lost on the way to it. */
-gboolean fk_failure_detector_is_partitioned(const FkFailureDetector *e, FkTime now);
-/* Since when it has been quiet. */
-FkTime fk_failure_detector_silent_since(const FkFailureDetector *e);
-/* The moment from which a lease that nobody renews runs. `trust_s`: how long an earlier home may have gone on
- * answering after our claim. */
-FkTime fk_failure_detector_lease_from(const FkFailureDetector *e, double trust_s);
+void fk_failure_detector_probe_missed(FkFailureDetector *detector, FkTime now);
+/* We have replied to its newest heartbeat. */
+void fk_failure_detector_replied(FkFailureDetector *detector, FkTime now);
+/* The newest message shows our present fencing token. Returns TRUE when it is the first to do so. */
+gboolean fk_failure_detector_token_echoed(FkFailureDetector *detector, FkRev token, FkTime now);
+/* A message shows something that only a command of ours can have brought about. */
+void fk_failure_detector_effect_seen(FkFailureDetector *detector);
+/* It may be gone or cut off: nothing new is started there until it replies. */
+gboolean fk_failure_detector_is_suspected(const FkFailureDetector *detector);
+/* A one-way partition: it is heard, and our probes and replies are lost on the way to it. */
+gboolean fk_failure_detector_is_partitioned(const FkFailureDetector *detector, FkTime now);
+/* Since when it hasn't been heard. */
+FkTime fk_failure_detector_silent_since(const FkFailureDetector *detector);
+/* The moment from which a lease that nobody renews runs. `trust_s`: seconds that an earlier owner may have
+ * gone on replying after we acquired the shard. */
+FkTime fk_failure_detector_lease_from(const FkFailureDetector *detector, double trust_s);
