--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -173,66 +173,69 @@
 
 typedef struct FkWorkerState FkWorkerState;
 
-/* A machine that was sent to its home and came back: the last two times. */
+/* When a worker that was redirected to its shard's owner last came back from there, and the time before. */
 typedef struct {
   FkTime last_at, previous_at;
-} FkHandback;
+} FkReturnedWorker;
 
 /* A group's page is one record while a value holds it, then several: "zone.k", "zone.k+1", ... Only versions
  * that know of chains read those with a number. */
 #define FK_SHARD_PAGES_MAX 8
 
-/* Machines of one zone that have one home together: the claim's revision is the token of them all. */
+/* Machines of one zone that have one owner together: the revision of the record that names the owner is the
+ * fencing token of them all. */
 typedef struct {
   const char *id, *zone;               /* interned */
-  char *owner, *owner_incarnation;     /* the controller, and which of its lives; NULL: none yet */
-  FkRev rev;                           /* the claim's; 0: none */
-  FkRev page_revs[FK_SHARD_PAGES_MAX]; /* of its page's parts */
-  gboolean oversized;                  /* a part was written under larger limits than those to come */
-  GPtrArray *machines;                 /* FkMachine: those described in the page, and others heard of */
-  FkTime acquire_after, no_handback_until;
-  FkTime
-      ignore_returns_until; /* another has just taken it from us: that its workers come back proves nothing */
-  gboolean was_owned;
-  FkRev later_token; /* the highest token that its workers have shown us while our view was old: above `rev`,
-                  another     has claimed it */
-  guint announcements_due; /* machines to be shown the claim at once */
-  gboolean
-      acquire_wanted;  /* to be claimed: its workers can't reach their home, or a start must be made void */
-  gboolean page_dirty; /* its page is to be written ... */
+  char *owner, *owner_incarnation;     /* the controller; NULL: none yet */
+  FkRev rev;                           /* of the owner's record; 0: none */
+  FkRev page_revs[FK_SHARD_PAGES_MAX]; /* of the pages that describe its machines */
+  gboolean oversized;                  /* a page was written under larger limits than those to come */
+  GPtrArray *machines;                 /* FkMachine: those in the pages, and others that were heard */
+  gboolean was_owned;                  /* by this controller, at the last tick */
+  gboolean acquire_wanted;             /* its workers can't reach their owner, or need a new fencing token */
+  FkTime acquire_after;
+  FkTime no_handback_until;      /* its workers couldn't reach this controller: it is left with its owner */
+  FkTime ignore_returns_until;   /* another has just taken it from us: workers that come back prove nothing */
+  GHashTable *returned_machines; /* id -> FkReturnedWorker*: those that came back from their owner lately */
+  FkRev later_token; /* the highest token that its workers have shown while our view was old: above `rev`,
+                        another controller owns it by now */
+  guint announcements_due; /* workers to be shown a new token at once */
+  gboolean page_dirty;     /* a page is to be written ... */
   FkTime page_dirty_since;
-  FkTime removal_due;            /* ... by then at the latest: somebody is to be taken out of it; 0: nobody */
-  GHashTable *returned_machines; /* machines that came back from their home lately -> FkHandback* */
+  FkTime removal_due; /* ... by then at the latest, since a machine is to be removed; 0: none is */
 } FkShard;
 
 typedef struct {
-  const char *id;                   /* interned */
-  FkMachineRecord *record;          /* NULL: not described in its group's page */
-  FkShard *shard;                   /* NULL: its zone isn't known */
-  FkRev page_rev;                   /* the latest part of its group's page that had it, */
-  guint page_part;                  /* and which that is */
-  FkMachineRecord *pending_record;  /* what is to be written of it */
-  const char *pending_drain_reason; /* interned: the mark to be written, or NULL: as it is */
+  const char *id;          /* interned */
+  FkMachineRecord *record; /* NULL: not registered */
+  FkShard *shard;          /* NULL: its zone isn't known */
+  FkRev page_rev;          /* the latest of its shard's pages that described it ... */
+  guint page_part;         /* ... and which that is */
+  /* What this controller asks the registry to write of it. */
+  FkMachineRecord *pending_record;  /* owned; NULL: it needn't be added */
+  const char *pending_drain_reason; /* interned; NULL: it stays as it is */
   double pending_notice_s;
-  gboolean pending_clear, pending_removal;
-  struct FkInstanceType *type;                             /* cached */
-  GArray *allocations;                                     /* FkAllocationRef */
-  double allocated_cpus, allocated_gpus, allocated_mem_gb; /* booked */
-  double reserved_cpus, reserved_gpus, reserved_mem_gb;    /* in transactions under way */
-  double allocated_long_cpus;
-  const char *drain_reason; /* interned: why it should go, or NULL */
-  FkTime drain_reason_since;
-  FkTime record_seen;
-  double notice_s;
+  gboolean pending_clear;      /* it needn't go any more */
+  gboolean pending_removal;    /* it is gone */
+  struct FkInstanceType *type; /* cached */
+  GArray *allocations;         /* FkAllocationRef */
+  double allocated_cpus, allocated_gpus, allocated_mem_gb;
+  double reserved_cpus, reserved_gpus, reserved_mem_gb; /* by launches under way */
+  double allocated_long_cpus;                           /* of those allocated, to the long path's tasks */
+  const char *drain_reason;                             /* interned: why it should go, or NULL ... */
+  FkTime drain_reason_since;                            /* ... and since when this controller knows */
+  FkTime record_seen;                                   /* when this controller first saw its record */
+  double notice_s; /* seconds from then until its termination; < 0: none was given */
   FkTime idle_since;
-  gboolean blacklisted;
+  gboolean blacklisted;             /* in the short partition: closed to newly arrived long jobs */
   FkTime full_until;                /* it refused a start: nothing new for a while */
-  FkWorkerState *worker;            /* this controller's dealings with it, if it is home */
-  GDestroyNotify worker_state_free; /* of `home` */
-  GHashTable *images;               /* images started there lately (interned) */
+  FkWorkerState *worker;            /* what this controller keeps of it as its owner, or NULL */
+  GDestroyNotify worker_state_free; /* of `worker` */
+  GHashTable *images;               /* interned: images started there lately */
   GPtrArray *probes; /* FkJob, with a reference: short jobs that may start here; NULL: none yet */
 } FkMachine;
 
+/* A live controller. */
 typedef struct {
   char *name, *incarnation;
   FkRev rev;
--- a/src/core/workers/redirects.c
+++ b/src/core/workers/redirects.c
@@ -34,9 +34,9 @@
 }
 
 static void remember_return(FkController *c, FkShard *shard, const char *machine) {
-  FkHandback *returned = g_hash_table_lookup(shard->returned_machines, machine);
+  FkReturnedWorker *returned = g_hash_table_lookup(shard->returned_machines, machine);
   if (!returned) {
-    returned = g_new0(FkHandback, 1);
+    returned = g_new0(FkReturnedWorker, 1);
     g_hash_table_insert(shard->returned_machines, g_strdup(machine), returned);
   }
   returned->previous_at = returned->last_at;
@@ -51,7 +51,7 @@
   gpointer value;
   g_hash_table_iter_init(&iter, shard->returned_machines);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const FkHandback *returned = value;
+    const FkReturnedWorker *returned = value;
     double age_s = fk_time_between(returned->last_at, c->now);
     gboolean twice = returned->previous_at.us &&
                      fk_time_between(returned->previous_at, returned->last_at) < RETURN_MEMORY_S;
