--- a/src/dependency_graph/dependency_graph.c
+++ b/src/dependency_graph/dependency_graph.c
@@ -1,266 +1,293 @@
 #include "dependency_graph/dependency_graph.h"
 
-#include <string.h>
-
 typedef struct {
   char *id;
   FkDependencyState state;
-  gboolean live;         /* added, and not removed */
-  GPtrArray *needs;      /* Node; while it is live */
-  GHashTable *needed_by; /* Node set: live ones */
-  guint open;
+  gboolean live;           /* added, and not removed */
+  GPtrArray *dependencies; /* Node; empty unless the job is live */
+  GHashTable *dependents;  /* Node set: live jobs that name it */
+  guint open;              /* dependencies that aren't known to be done */
   gint64 ended_ms;
-  guint64 round; /* of the walk that has seen it last */
-  guint waits;   /* dependents whose pull isn't known yet, in a walk */
-  FkInheritedPriority pull;
+  guint64 visited_by; /* the number of the latest walk that has seen it */
+  guint dependents_left;
+  FkInheritedPriority inherited; /* both while priorities are passed on */
 } Node;
 
 struct FkDependencyGraph {
   GHashTable *nodes;   /* id -> Node */
-  GHashTable *unknown; /* Node set: those that somebody needs and of whom nothing is known */
+  GHashTable *unknown; /* Node set: those in state UNKNOWN that a live job names */
   FkDependencyChangedFunc changed;
   gpointer data;
-  guint64 round;
+  guint64 walk; /* number of the latest walk */
 };
 
-/* By its id and not by its address, so that tables of nodes have the same order in every run. */
-static guint node_hash(gconstpointer p) { return g_str_hash(((const Node *)p)->id); }
+/* By id, not by address, so that tables of nodes have the same order in every run. */
+static guint node_hash(gconstpointer node) { return g_str_hash(((const Node *)node)->id); }
 
-static void node_free(gpointer p) {
-  Node *n = p;
-  g_free(n->id);
-  g_ptr_array_unref(n->needs);
-  g_hash_table_unref(n->needed_by);
-  g_free(n);
+static void node_free(gpointer value) {
+  Node *node = value;
+  g_free(node->id);
+  g_ptr_array_unref(node->dependencies);
+  g_hash_table_unref(node->dependents);
+  g_free(node);
 }
 
 FkDependencyGraph *fk_dependency_graph_new(FkDependencyChangedFunc changed, gpointer data) {
-  FkDependencyGraph *g = g_new0(FkDependencyGraph, 1);
-  g->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
-  g->unknown = g_hash_table_new(node_hash, g_direct_equal);
-  g->changed = changed;
-  g->data = data;
-  return g;
+  FkDependencyGraph *graph = g_new0(FkDependencyGraph, 1);
+  graph->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
+  graph->unknown = g_hash_table_new(node_hash, g_direct_equal);
+  graph->changed = changed;
+  graph->data = data;
+  return graph;
 }
 
-void fk_dependency_graph_free(FkDependencyGraph *g) {
-  if (!g)
+void fk_dependency_graph_free(FkDependencyGraph *graph) {
+  if (!graph)
     return;
-  g_hash_table_unref(g->unknown);
-  g_hash_table_unref(g->nodes);
-  g_free(g);
+  g_hash_table_unref(graph->unknown);
+  g_hash_table_unref(graph->nodes);
+  g_free(graph);
 }
 
-void fk_dependency_graph_clear(FkDependencyGraph *g) {
-  g_hash_table_remove_all(g->unknown);
-  g_hash_table_remove_all(g->nodes);
+void fk_dependency_graph_clear(FkDependencyGraph *graph) {
+  g_hash_table_remove_all(graph->unknown);
+  g_hash_table_remove_all(graph->nodes);
 }
 
-static Node *find(const FkDependencyGraph *g, const char *id) { return g_hash_table_lookup(g->nodes, id); }
+static Node *find_node(const FkDependencyGraph *graph, const char *id) {
+  return g_hash_table_lookup(graph->nodes, id);
+}
 
-static Node *ensure(FkDependencyGraph *g, const char *id) {
-  Node *n = find(g, id);
-  if (!n) {
-    n = g_new0(Node, 1);
-    n->id = g_strdup(id);
-    n->needs = g_ptr_array_new();
-    n->needed_by = g_hash_table_new(node_hash, g_direct_equal);
-    g_hash_table_insert(g->nodes, n->id, n);
+static Node *ensure_node(FkDependencyGraph *graph, const char *id) {
+  Node *node = find_node(graph, id);
+  if (!node) {
+    node = g_new0(Node, 1);
+    node->id = g_strdup(id);
+    node->dependencies = g_ptr_array_new();
+    node->dependents = g_hash_table_new(node_hash, g_direct_equal);
+    g_hash_table_insert(graph->nodes, node->id, node);
   }
-  return n;
+  return node;
 }
 
-/* Nobody needs it, and it waits for nobody: what is known of it is known elsewhere. */
-static void drop_if_idle(FkDependencyGraph *g, Node *n) {
-  if (n->live || g_hash_table_size(n->needed_by))
+/* Drops a node without edges. */
+static void drop_if_unused(FkDependencyGraph *graph, Node *node) {
+  if (node->live || g_hash_table_size(node->dependents))
     return;
-  g_hash_table_remove(g->unknown, n);
-  g_hash_table_remove(g->nodes, n->id);
+  g_hash_table_remove(graph->unknown, node);
+  g_hash_table_remove(graph->nodes, node->id);
 }
 
-/* It is cancelled, and with it all that need it. */
-static void cancel_descendants(FkDependencyGraph *g, Node *first) {
+/* ------------------------------------------------------------------ changes */
+
+static gboolean is_terminal(const Node *node) { return node->state >= FK_DEPENDENCY_CANCELLED; }
+
+static void cancel_descendants(FkDependencyGraph *graph, Node *first) {
   g_autoptr(GPtrArray) todo = g_ptr_array_new();
   g_ptr_array_add(todo, first);
   while (todo->len) {
-    Node *n = g_ptr_array_steal_index_fast(todo, todo->len - 1);
+    Node *node = g_ptr_array_steal_index_fast(todo, todo->len - 1);
     GHashTableIter it;
-    gpointer p;
-    g_hash_table_iter_init(&it, n->needed_by);
-    while (g_hash_table_iter_next(&it, &p, NULL)) {
-      Node *d = p;
-      if (d->state >= FK_DEPENDENCY_CANCELLED)
+    gpointer value;
+    g_hash_table_iter_init(&it, node->dependents);
+    while (g_hash_table_iter_next(&it, &value, NULL)) {
+      Node *dependent = value;
+      if (is_terminal(dependent))
         continue;
-      d->state = FK_DEPENDENCY_CANCELLED;
-      g_ptr_array_add(todo, d);
-      g->changed(g->data, d->id, TRUE);
+      dependent->state = FK_DEPENDENCY_CANCELLED;
+      g_ptr_array_add(todo, dependent);
+      graph->changed(graph->data, dependent->id, TRUE);
     }
   }
 }
 
-static void mark_done(FkDependencyGraph *g, Node *n) {
+/* The node is done: its dependents have one open dependency less. */
+static void release_dependents(FkDependencyGraph *graph, Node *node) {
   GHashTableIter it;
-  gpointer p;
-  g_hash_table_iter_init(&it, n->needed_by);
-  while (g_hash_table_iter_next(&it, &p, NULL)) {
-    Node *d = p;
-    if (!--d->open && d->state < FK_DEPENDENCY_CANCELLED)
-      g->changed(g->data, d->id, FALSE);
+  gpointer value;
+  g_hash_table_iter_init(&it, node->dependents);
+  while (g_hash_table_iter_next(&it, &value, NULL)) {
+    Node *dependent = value;
+    if (!--dependent->open && !is_terminal(dependent))
+      graph->changed(graph->data, dependent->id, FALSE);
   }
 }
 
-void fk_dependency_graph_set_state(FkDependencyGraph *g, const char *id, FkDependencyState state,
+void fk_dependency_graph_set_state(FkDependencyGraph *graph, const char *id, FkDependencyState state,
                                    gint64 at_ms) {
-  Node *n = find(g, id);
-  if (!n || n->state >= FK_DEPENDENCY_CANCELLED)
+  Node *node = find_node(graph, id);
+  if (!node || is_terminal(node))
     return;
-  n->state = state;
-  n->ended_ms = at_ms;
-  if (state == FK_DEPENDENCY_UNKNOWN && g_hash_table_size(n->needed_by))
-    g_hash_table_add(g->unknown, n);
+  node->state = state;
+  node->ended_ms = at_ms;
+  if (state == FK_DEPENDENCY_UNKNOWN && g_hash_table_size(node->dependents))
+    g_hash_table_add(graph->unknown, node);
   else
-    g_hash_table_remove(g->unknown, n);
+    g_hash_table_remove(graph->unknown, node);
   if (state == FK_DEPENDENCY_CANCELLED)
-    cancel_descendants(g, n);
+    cancel_descendants(graph, node);
   else if (state == FK_DEPENDENCY_DONE)
-    mark_done(g, n);
+    release_dependents(graph, node);
+}
+
+/* Adds the edge, unless it is there or leads to the node itself. */
+static void add_dependency(FkDependencyGraph *graph, Node *node, const char *id) {
+  Node *dependency = ensure_node(graph, id);
+  if (dependency == node || !g_hash_table_add(dependency->dependents, node))
+    return;
+  g_ptr_array_add(node->dependencies, dependency);
+  node->open += dependency->state != FK_DEPENDENCY_DONE;
+  if (dependency->state == FK_DEPENDENCY_UNKNOWN)
+    g_hash_table_add(graph->unknown, dependency);
 }
 
-void fk_dependency_graph_add(FkDependencyGraph *g, const char *id, char *const *dependencies) {
-  Node *known = find(g, id);
+static gboolean has_cancelled_dependency(const Node *node) {
+  for (guint i = 0; i < node->dependencies->len; i++)
+    if (((Node *)node->dependencies->pdata[i])->state == FK_DEPENDENCY_CANCELLED)
+      return TRUE;
+  return FALSE;
+}
+
+void fk_dependency_graph_add(FkDependencyGraph *graph, const char *id, char *const *dependencies) {
+  const Node *known = find_node(graph, id);
   if (!dependencies || !*dependencies || (known && known->live))
     return;
-  Node *n = ensure(g, id);
-  gboolean cancelled = FALSE;
-  n->live = TRUE;
-  n->open = 0;
-  if (n->state == FK_DEPENDENCY_UNKNOWN)
-    fk_dependency_graph_set_state(g, id, FK_DEPENDENCY_LIVE, 0);
-  for (; *dependencies; dependencies++) {
-    Node *d = ensure(g, *dependencies);
-    if (d == n || !g_hash_table_add(d->needed_by, n))
-      continue;
-    g_ptr_array_add(n->needs, d);
-    n->open += d->state != FK_DEPENDENCY_DONE;
-    cancelled |= d->state == FK_DEPENDENCY_CANCELLED;
-    if (d->state == FK_DEPENDENCY_UNKNOWN)
-      g_hash_table_add(g->unknown, d);
-  }
-  if (cancelled && n->state < FK_DEPENDENCY_CANCELLED) {
-    n->state = FK_DEPENDENCY_CANCELLED;
-    g->changed(g->data, n->id, TRUE);
-    cancel_descendants(g, n);
-  } else if (!n->open && n->state < FK_DEPENDENCY_CANCELLED) {
-    g->changed(g->data, n->id, FALSE);
+  Node *node = ensure_node(graph, id);
+  node->live = TRUE;
+  node->open = 0;
+  if (node->state == FK_DEPENDENCY_UNKNOWN)
+    fk_dependency_graph_set_state(graph, id, FK_DEPENDENCY_LIVE, 0);
+  for (; *dependencies; dependencies++)
+    add_dependency(graph, node, *dependencies);
+  if (is_terminal(node))
+    return;
+  if (has_cancelled_dependency(node)) {
+    node->state = FK_DEPENDENCY_CANCELLED;
+    graph->changed(graph->data, node->id, TRUE);
+    cancel_descendants(graph, node);
+  } else if (!node->open) {
+    graph->changed(graph->data, node->id, FALSE);
   }
 }
 
-void fk_dependency_graph_remove(FkDependencyGraph *g, const char *id) {
-  Node *n = find(g, id);
-  if (!n || !n->live)
+void fk_dependency_graph_remove(FkDependencyGraph *graph, const char *id) {
+  Node *node = find_node(graph, id);
+  if (!node || !node->live)
     return;
-  n->live = FALSE;
-  for (guint i = 0; i < n->needs->len; i++) {
-    Node *d = n->needs->pdata[i];
-    g_hash_table_remove(d->needed_by, n);
-    drop_if_idle(g, d);
+  node->live = FALSE;
+  for (guint i = 0; i < node->dependencies->len; i++) {
+    Node *dependency = node->dependencies->pdata[i];
+    g_hash_table_remove(dependency->dependents, node);
+    drop_if_unused(graph, dependency);
   }
-  g_ptr_array_set_size(n->needs, 0);
-  drop_if_idle(g, n);
+  g_ptr_array_set_size(node->dependencies, 0);
+  drop_if_unused(graph, node);
 }
 
-guint fk_dependency_graph_open_count(const FkDependencyGraph *g, const char *id) {
-  const Node *n = find(g, id);
-  return n && n->live ? n->open : 0;
+/* ------------------------------------------------------------------ queries */
+
+guint fk_dependency_graph_open_count(const FkDependencyGraph *graph, const char *id) {
+  const Node *node = find_node(graph, id);
+  return node && node->live ? node->open : 0;
 }
 
-gint64 fk_dependency_graph_ready_ms(const FkDependencyGraph *g, const char *id) {
-  const Node *n = find(g, id);
-  gint64 latest = 0;
-  for (guint i = 0; n && i < n->needs->len; i++)
-    latest = MAX(latest, ((Node *)n->needs->pdata[i])->ended_ms);
-  return latest;
+gint64 fk_dependency_graph_ready_ms(const FkDependencyGraph *graph, const char *id) {
+  const Node *node = find_node(graph, id);
+  gint64 latest_ms = 0;
+  for (guint i = 0; node && i < node->dependencies->len; i++)
+    latest_ms = MAX(latest_ms, ((Node *)node->dependencies->pdata[i])->ended_ms);
+  return latest_ms;
 }
 
-gboolean fk_dependency_graph_has_dependents(const FkDependencyGraph *g, const char *id) {
-  const Node *n = find(g, id);
-  return n && g_hash_table_size(n->needed_by);
+gboolean fk_dependency_graph_has_dependents(const FkDependencyGraph *graph, const char *id) {
+  const Node *node = find_node(graph, id);
+  return node && g_hash_table_size(node->dependents);
 }
 
-gboolean fk_dependency_graph_is_known(FkDependencyGraph *g, const char *id) {
-  Node *first = find(g, id);
-  if (!first || !g_hash_table_size(g->unknown))
+gboolean fk_dependency_graph_is_known(FkDependencyGraph *graph, const char *id) {
+  Node *first = find_node(graph, id);
+  if (!first || !g_hash_table_size(graph->unknown))
     return TRUE;
   g_autoptr(GPtrArray) todo = g_ptr_array_new();
   g_ptr_array_add(todo, first);
-  first->round = ++g->round;
+  first->visited_by = ++graph->walk;
   while (todo->len) {
-    Node *n = g_ptr_array_steal_index_fast(todo, todo->len - 1);
-    for (guint i = 0; i < n->needs->len; i++) {
-      Node *d = n->needs->pdata[i];
-      if (d->state == FK_DEPENDENCY_UNKNOWN)
+    const Node *node = g_ptr_array_steal_index_fast(todo, todo->len - 1);
+    for (guint i = 0; i < node->dependencies->len; i++) {
+      Node *dependency = node->dependencies->pdata[i];
+      if (dependency->state == FK_DEPENDENCY_UNKNOWN)
         return FALSE;
-      if (d->round == g->round || d->state == FK_DEPENDENCY_DONE)
+      if (dependency->visited_by == graph->walk || dependency->state == FK_DEPENDENCY_DONE)
         continue;
-      d->round = g->round;
-      g_ptr_array_add(todo, d);
+      dependency->visited_by = graph->walk;
+      g_ptr_array_add(todo, dependency);
     }
   }
   return TRUE;
 }
 
-guint fk_dependency_graph_for_each_unknown(const FkDependencyGraph *g,
+guint fk_dependency_graph_for_each_unknown(const FkDependencyGraph *graph,
                                            void (*fn)(gpointer data, const char *id), gpointer data,
-                                           guint most) {
-  guint n = 0;
+                                           guint count_max) {
+  guint count = 0;
   GHashTableIter it;
-  gpointer p;
-  g_hash_table_iter_init(&it, g->unknown);
-  while (n < most && g_hash_table_iter_next(&it, &p, NULL)) {
-    fn(data, ((Node *)p)->id);
-    n++;
+  gpointer node;
+  g_hash_table_iter_init(&it, graph->unknown);
+  while (count < count_max && g_hash_table_iter_next(&it, &node, NULL)) {
+    fn(data, ((Node *)node)->id);
+    count++;
   }
-  return n;
+  return count;
 }
 
-guint fk_dependency_graph_size(const FkDependencyGraph *g) { return g_hash_table_size(g->nodes); }
+guint fk_dependency_graph_size(const FkDependencyGraph *graph) { return g_hash_table_size(graph->nodes); }
+
+/* ------------------------------------------------------------------ inherited priorities */
 
-static void propagate_priority(Node *n, FkInheritedPriority own, gint64 run_us, FkInheritedPriority *to) {
-  FkInheritedPriority all = {MIN(own.rank, n->pull.rank), MIN(own.due_us, n->pull.due_us)};
-  to->rank = MIN(to->rank, all.rank);
-  if (all.due_us != G_MAXINT64)
-    to->due_us = MIN(to->due_us, all.due_us - run_us);
+/* Passes on what the node has itself and inherits: its dependency must end before the node has to start. */
+static void pass_on_priority(const Node *node, FkInheritedPriority own, gint64 run_us, Node *dependency) {
+  FkInheritedPriority *to = &dependency->inherited;
+  gint64 due_us = MIN(own.due_us, node->inherited.due_us);
+  to->rank = MIN(to->rank, MIN(own.rank, node->inherited.rank));
+  if (due_us != G_MAXINT64)
+    to->due_us = MIN(to->due_us, due_us - run_us);
 }
 
-void fk_dependency_graph_inherit_priorities(FkDependencyGraph *g, FkOwnPriorityFunc own,
-                                            void (*fn)(gpointer data, const char *id,
-                                                       FkInheritedPriority pull),
-                                            gpointer data) {
-  g_autoptr(GPtrArray) ready = g_ptr_array_new();
+/* Resets what all nodes inherit. Returns those without dependents (Node), which a topological walk begins
+ * with. */
+static GPtrArray *begin_inheritance(FkDependencyGraph *graph) {
+  GPtrArray *ready = g_ptr_array_new();
   GHashTableIter it;
-  gpointer p;
-  g_hash_table_iter_init(&it, g->nodes);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    Node *n = p;
-    n->waits = g_hash_table_size(n->needed_by);
-    n->pull = (FkInheritedPriority){G_MAXINT, G_MAXINT64};
-    if (!n->waits)
-      g_ptr_array_add(ready, n);
+  gpointer value;
+  g_hash_table_iter_init(&it, graph->nodes);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    Node *node = value;
+    node->dependents_left = g_hash_table_size(node->dependents);
+    node->inherited = (FkInheritedPriority){G_MAXINT, G_MAXINT64};
+    if (!node->dependents_left)
+      g_ptr_array_add(ready, node);
   }
+  return ready;
+}
+
+void fk_dependency_graph_inherit_priorities(FkDependencyGraph *graph, FkOwnPriorityFunc own_priority,
+                                            void (*fn)(gpointer data, const char *id,
+                                                       FkInheritedPriority inherited),
+                                            gpointer data) {
+  g_autoptr(GPtrArray) ready = begin_inheritance(graph);
   while (ready->len) {
-    Node *n = g_ptr_array_steal_index_fast(ready, ready->len - 1);
-    FkInheritedPriority mine = {G_MAXINT, G_MAXINT64};
+    const Node *node = g_ptr_array_steal_index_fast(ready, ready->len - 1);
+    FkInheritedPriority own = {G_MAXINT, G_MAXINT64};
     gint64 run_us = 0;
-    gboolean counts =
-        n->state < FK_DEPENDENCY_CANCELLED && own(data, n->id, &mine.rank, &mine.due_us, &run_us);
-    if (n->pull.rank != G_MAXINT && n->state < FK_DEPENDENCY_CANCELLED)
-      fn(data, n->id, n->pull);
-    for (guint i = 0; i < n->needs->len; i++) {
-      Node *d = n->needs->pdata[i];
+    gboolean counts = !is_terminal(node) && own_priority(data, node->id, &own.rank, &own.due_us, &run_us);
+    if (node->inherited.rank != G_MAXINT && !is_terminal(node))
+      fn(data, node->id, node->inherited);
+    for (guint i = 0; i < node->dependencies->len; i++) {
+      Node *dependency = node->dependencies->pdata[i];
       if (counts)
-        propagate_priority(n, mine, run_us, &d->pull);
-      if (!--d->waits)
-        g_ptr_array_add(ready, d);
+        pass_on_priority(node, own, run_us, dependency);
+      if (!--dependency->dependents_left)
+        g_ptr_array_add(ready, dependency);
     }
   }
 }
--- a/src/dependency_graph/dependency_graph.h
+++ b/src/dependency_graph/dependency_graph.h
@@ -1,14 +1,14 @@
-/* Who waits for whom: a graph of jobs, told of what has come, ended and been cancelled in any order. Pure;
- * ids are copied, all work is proportional to the edges touched, and nothing recurses.
+/* The dependency graph of jobs (a DAG). It is told of jobs that are submitted, end and are cancelled, in any
+ * order. Pure; ids are copied, all work is proportional to the edges touched, and nothing recurses.
  *
- * A job with dependencies is ready once each of them has ended as done. One that is cancelled decides for all
- * of its descendants. Both are for good. A job that only others name is in the graph for as long as one of
- * them lives. */
+ * A job with dependencies is ready once each of them is done. If one is cancelled, so are all of its
+ * descendants. Both are final. A job that is only named as a dependency is in the graph for as long as a job
+ * that names it is live. */
 #pragma once
 #include <glib.h>
 
 typedef enum {
-  FK_DEPENDENCY_UNKNOWN, /* it isn't live as far as we know, and its end hasn't been seen: to be asked for */
+  FK_DEPENDENCY_UNKNOWN, /* not live as far as is known, and how it ended isn't known: to be looked up */
   FK_DEPENDENCY_LIVE,
   FK_DEPENDENCY_CANCELLED,
   FK_DEPENDENCY_DONE
@@ -16,47 +16,49 @@
 
 typedef struct FkDependencyGraph FkDependencyGraph;
 
-/* A job has become ready, or is cancelled because an ancestor is: it is live, and named some. At most one
- * call of each a job. The graph must not be changed from it. */
+/* A live job with dependencies has become ready, or is cancelled because an ancestor is. Each happens to a
+ * job once at most. The graph must not be changed from the call. */
 typedef void (*FkDependencyChangedFunc)(gpointer data, const char *id, gboolean cancelled);
 
 FkDependencyGraph *fk_dependency_graph_new(FkDependencyChangedFunc changed, gpointer data);
-void fk_dependency_graph_free(FkDependencyGraph *g);
-void fk_dependency_graph_clear(FkDependencyGraph *g);
-/* A live job, and those it waits for (NULL or empty: none). Again: nothing happens. */
-void fk_dependency_graph_add(FkDependencyGraph *g, const char *id, char *const *dependencies);
-/* What is known of a job, whether or not somebody names it; UNKNOWN: its record has gone, its end isn't known
- * yet. A final state stays. `at_ms`: when it ended, time of day; 0: not known. */
-void fk_dependency_graph_set_state(FkDependencyGraph *g, const char *id, FkDependencyState state,
+void fk_dependency_graph_free(FkDependencyGraph *graph);
+void fk_dependency_graph_clear(FkDependencyGraph *graph);
+/* Adds a live job and its dependencies (NULL or empty: none). Does nothing if it was added before. */
+void fk_dependency_graph_add(FkDependencyGraph *graph, const char *id, char *const *dependencies);
+/* Sets what is known of a job, whether or not another names it. UNKNOWN: its record is gone, and how it ended
+ * isn't known yet. A terminal state doesn't change any more. `at_ms`: when it ended, wall clock; 0: not
+ * known. */
+void fk_dependency_graph_set_state(FkDependencyGraph *graph, const char *id, FkDependencyState state,
                                    gint64 at_ms);
-/* A live job has gone: it waits for nobody any more. What became of it is noted apart. */
-void fk_dependency_graph_remove(FkDependencyGraph *g, const char *id);
+/* A live job is gone and has no dependencies any more. Its state is set separately. */
+void fk_dependency_graph_remove(FkDependencyGraph *graph, const char *id);
 
-/* Dependencies of it that aren't known to be done. */
-guint fk_dependency_graph_open_count(const FkDependencyGraph *g, const char *id);
-/* The latest end among those that are done, in ms; 0: none is known. */
-gint64 fk_dependency_graph_ready_ms(const FkDependencyGraph *g, const char *id);
-/* A live job names it. */
-gboolean fk_dependency_graph_has_dependents(const FkDependencyGraph *g, const char *id);
-/* What is known of everything that it needs, directly or through others: nobody has to be asked. */
-gboolean fk_dependency_graph_is_known(FkDependencyGraph *g, const char *id);
-/* Calls `fn` with each job whose state is to be asked for, `most` at the most. */
-guint fk_dependency_graph_for_each_unknown(const FkDependencyGraph *g,
+/* How many of the job's dependencies aren't known to be done. */
+guint fk_dependency_graph_open_count(const FkDependencyGraph *graph, const char *id);
+/* When the last of its dependencies ended, wall clock in ms; 0: not known of any. */
+gint64 fk_dependency_graph_ready_ms(const FkDependencyGraph *graph, const char *id);
+/* A live job names it as a dependency. */
+gboolean fk_dependency_graph_has_dependents(const FkDependencyGraph *graph, const char *id);
+/* The states of all its ancestors are known: none has to be looked up. */
+gboolean fk_dependency_graph_is_known(FkDependencyGraph *graph, const char *id);
+/* Calls `fn` with each job whose state is to be looked up, up to `count_max` of them. Returns how many. */
+guint fk_dependency_graph_for_each_unknown(const FkDependencyGraph *graph,
                                            void (*fn)(gpointer data, const char *id), gpointer data,
-                                           guint most);
-guint fk_dependency_graph_size(const FkDependencyGraph *g);
+                                           guint count_max);
+/* Jobs in the graph. */
+guint fk_dependency_graph_size(const FkDependencyGraph *graph);
 
-/* What a live job takes over from those that need it. */
+/* What a job inherits from its descendants. */
 typedef struct {
-  int rank;      /* lower goes first; G_MAXINT: nobody needs it */
-  gint64 due_us; /* by when it must be over, so that each of them can be in time; G_MAXINT64: no matter */
+  int rank;      /* priority: lower goes first; G_MAXINT: it has no descendants */
+  gint64 due_us; /* when it must end so that all of them can meet their deadlines; G_MAXINT64: at any time */
 } FkInheritedPriority;
-/* A job's own: its rank, when it is due (G_MAXINT64: never) and how long it runs. FALSE: it isn't known. */
+/* A job's own priority, deadline (G_MAXINT64: none) and expected run time. FALSE: they aren't known. */
 typedef gboolean (*FkOwnPriorityFunc)(gpointer data, const char *id, int *rank, gint64 *due_us,
                                       gint64 *run_us);
-/* Works the pulls out for all jobs that a live one names, the dependents' before their dependencies', and
- * calls `fn` with each. */
-void fk_dependency_graph_inherit_priorities(FkDependencyGraph *g, FkOwnPriorityFunc own,
+/* Calls `fn` with what each job inherits that a live job depends on; descendants come before their
+ * ancestors. */
+void fk_dependency_graph_inherit_priorities(FkDependencyGraph *graph, FkOwnPriorityFunc own,
                                             void (*fn)(gpointer data, const char *id,
-                                                       FkInheritedPriority pull),
+                                                       FkInheritedPriority inherited),
                                             gpointer data);
--- a/src/fault_attribution/fault_attribution.c
+++ b/src/fault_attribution/fault_attribution.c
@@ -1,201 +1,219 @@
 #include "fault_attribution/fault_attribution.h"
 
 #define SITES_MAX 8               /* machines remembered of a job, and jobs of a machine: the latest */
-#define FAILING_JOB_SITES_MIN 2   /* machines that a job must fail on, having succeeded nowhere */
-#define FAULTY_MACHINE_FAILURES 3 /* in a row */
-#define UNPROVEN_FAILURES_MAX 2 /* ... of which one job of which nothing else is known may have so many ...  \
-                                 */
-#define UNPROVEN_WEIGHT 0.5     /* ... and each counts so much */
-#define AVOID_MACHINE_S 60.0    /* a machine may have been mended */
-#define IMMEDIATE_RETRIES 3     /* of a job that has succeeded somewhere, before it pauses */
+#define FAILING_JOB_SITES_MIN 2   /* machines that a job must fail on, without any success */
+#define FAULTY_MACHINE_FAILURES 3 /* in a row, ... */
+#define UNPROVEN_FAILURES_MAX 2   /* ... of which one job that has worked nowhere yet may add so many ... */
+#define UNPROVEN_WEIGHT 0.5       /* ... of this weight each */
+#define AVOID_MACHINE_S 60.0      /* after that it may have been repaired */
+#define SURVIVAL_FACTOR 3.0       /* times as long as the failed tasks took ... */
+#define SURVIVAL_MARGIN_S 5.0     /* ... and so much longer, since an image may come late */
+#define IMMEDIATE_RETRIES 3       /* of a job that isn't failing everywhere */
 #define RETRY_DELAY_S 0.5
 #define RETRY_DELAY_MAX_S 30.0
-#define FAILING_RETRY_DELAY_S 2.0 /* twice as long after each failure more */
+#define FAILING_RETRY_DELAY_S 2.0 /* twice as long after each further failure */
 #define FAILING_RETRY_DELAY_MAX_S 60.0
 
-/* What failed where: on a machine by job, or of a job by machine. */
+/* The failures of one job on one machine. */
 typedef struct {
-  char *id;
+  char *id; /* the machine in a job's history, the job in a machine's */
   guint times;
   FkTime last;
 } FailureSite;
 
+/* The failures of one job, or on one machine. */
 typedef struct {
-  GArray *sites;      /* Place */
+  GArray *sites;      /* FailureSite */
   guint consecutive;  /* failures since the latest success */
-  gboolean succeeded; /* a success was seen */
-  gboolean survives;  /* a task of it has outlived those that failed */
-  double longest_s;   /* the longest that one of them took */
+  gboolean succeeded; /* a task of the job has succeeded */
+  gboolean survives;  /* a running task of the job has outlived the failed ones */
+  double longest_s;   /* the longest that a failed task took */
 } FailureHistory;
 
 struct FkFaultAttribution {
-  GHashTable *jobs, *machines; /* id -> Faults */
+  GHashTable *jobs, *machines; /* id -> FailureHistory */
 };
 
-static void site_clear(gpointer p) { g_free(((FailureSite *)p)->id); }
+static void site_clear(gpointer site) { g_free(((FailureSite *)site)->id); }
 
-static void history_free(gpointer p) {
-  FailureHistory *f = p;
-  g_array_unref(f->sites);
-  g_free(f);
+static void history_free(gpointer value) {
+  FailureHistory *history = value;
+  g_array_unref(history->sites);
+  g_free(history);
 }
 
 FkFaultAttribution *fk_fault_attribution_new(void) {
-  FkFaultAttribution *b = g_new0(FkFaultAttribution, 1);
-  b->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, history_free);
-  b->machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, history_free);
-  return b;
+  FkFaultAttribution *attribution = g_new0(FkFaultAttribution, 1);
+  attribution->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, history_free);
+  attribution->machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, history_free);
+  return attribution;
 }
 
-void fk_fault_attribution_free(FkFaultAttribution *b) {
-  if (!b)
+void fk_fault_attribution_free(FkFaultAttribution *attribution) {
+  if (!attribution)
     return;
-  g_hash_table_unref(b->jobs);
-  g_hash_table_unref(b->machines);
-  g_free(b);
+  g_hash_table_unref(attribution->jobs);
+  g_hash_table_unref(attribution->machines);
+  g_free(attribution);
 }
 
-void fk_fault_attribution_clear(FkFaultAttribution *b) {
-  g_hash_table_remove_all(b->jobs);
-  g_hash_table_remove_all(b->machines);
+void fk_fault_attribution_clear(FkFaultAttribution *attribution) {
+  g_hash_table_remove_all(attribution->jobs);
+  g_hash_table_remove_all(attribution->machines);
 }
 
+/* ------------------------------------------------------------------ evidence */
+
 static FailureHistory *history_ensure(GHashTable *table, const char *id) {
-  FailureHistory *f = g_hash_table_lookup(table, id);
-  if (!f) {
-    f = g_new0(FailureHistory, 1);
-    f->sites = g_array_new(FALSE, FALSE, sizeof(FailureSite));
-    g_array_set_clear_func(f->sites, site_clear);
-    g_hash_table_insert(table, g_strdup(id), f);
+  FailureHistory *history = g_hash_table_lookup(table, id);
+  if (!history) {
+    history = g_new0(FailureHistory, 1);
+    history->sites = g_array_new(FALSE, FALSE, sizeof(FailureSite));
+    g_array_set_clear_func(history->sites, site_clear);
+    g_hash_table_insert(table, g_strdup(id), history);
   }
-  return f;
+  return history;
 }
 
-static FailureSite *find_site(const FailureHistory *f, const char *id) {
-  for (guint i = 0; f && i < f->sites->len; i++)
-    if (g_str_equal(g_array_index(f->sites, FailureSite, i).id, id))
-      return &g_array_index(f->sites, FailureSite, i);
+/* `history` may be NULL. */
+static FailureSite *find_site(const FailureHistory *history, const char *id) {
+  for (guint i = 0; history && i < history->sites->len; i++)
+    if (g_str_equal(g_array_index(history->sites, FailureSite, i).id, id))
+      return &g_array_index(history->sites, FailureSite, i);
   return NULL;
 }
 
-static void add_failure(FailureHistory *f, const char *id, FkTime now) {
-  FailureSite *p = find_site(f, id);
-  f->consecutive++;
-  if (p) {
-    p->times++;
-    p->last = now;
+static void add_failure(FailureHistory *history, const char *id, FkTime now) {
+  FailureSite *site = find_site(history, id);
+  history->consecutive++;
+  if (site) {
+    site->times++;
+    site->last = now;
     return;
   }
-  if (f->sites->len >= SITES_MAX)
-    g_array_remove_index(f->sites, 0); /* the oldest */
-  FailureSite fresh = {g_strdup(id), 1, now};
-  g_array_append_val(f->sites, fresh);
+  if (history->sites->len >= SITES_MAX)
+    g_array_remove_index(history->sites, 0); /* the oldest */
+  FailureSite first = {g_strdup(id), 1, now};
+  g_array_append_val(history->sites, first);
 }
 
-#define SURVIVAL_FACTOR 3.0   /* times as long as those that failed took ... */
-#define SURVIVAL_MARGIN_S 5.0 /* ... and so much longer: an image may come late */
-
-void fk_fault_attribution_task_survives(FkFaultAttribution *b, const char *job, double oldest_s) {
-  FailureHistory *j = g_hash_table_lookup(b->jobs, job);
-  if (j)
-    j->survives = oldest_s > SURVIVAL_FACTOR * j->longest_s + SURVIVAL_MARGIN_S;
+void fk_fault_attribution_task_survives(FkFaultAttribution *attribution, const char *job, double oldest_s) {
+  FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
+  if (history)
+    history->survives = oldest_s > SURVIVAL_FACTOR * history->longest_s + SURVIVAL_MARGIN_S;
 }
 
-void fk_fault_attribution_task_failed(FkFaultAttribution *b, const char *job, const char *machine,
+void fk_fault_attribution_task_failed(FkFaultAttribution *attribution, const char *job, const char *machine,
                                       double took_s, gboolean succeeded, FkTime now) {
-  FailureHistory *j = history_ensure(b->jobs, job);
-  j->succeeded |= succeeded;
-  j->longest_s = MAX(j->longest_s, took_s);
-  add_failure(j, machine, now);
-  add_failure(history_ensure(b->machines, machine), job, now);
-}
-
-/* Only who has failed, or fails later, needs an entry: of all others nothing is kept but that a job which
- * has an entry did succeed once. */
-void fk_fault_attribution_task_succeeded(FkFaultAttribution *b, const char *job, const char *machine) {
-  FailureHistory *j = g_hash_table_lookup(b->jobs, job);
-  if (j) {
-    j->succeeded = TRUE;
-    j->consecutive = 0;
+  FailureHistory *history = history_ensure(attribution->jobs, job);
+  history->succeeded |= succeeded;
+  history->longest_s = MAX(history->longest_s, took_s);
+  add_failure(history, machine, now);
+  add_failure(history_ensure(attribution->machines, machine), job, now);
+}
+
+/* Jobs and machines without failures have no entry. */
+void fk_fault_attribution_task_succeeded(FkFaultAttribution *attribution, const char *job,
+                                         const char *machine) {
+  FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
+  if (history) {
+    history->succeeded = TRUE;
+    history->consecutive = 0;
   }
-  g_hash_table_remove(b->machines, machine);
+  g_hash_table_remove(attribution->machines, machine);
 }
 
-void fk_fault_attribution_remove_job(FkFaultAttribution *b, const char *job) {
-  g_hash_table_remove(b->jobs, job);
+void fk_fault_attribution_remove_job(FkFaultAttribution *attribution, const char *job) {
+  g_hash_table_remove(attribution->jobs, job);
 }
 
-void fk_fault_attribution_remove_machine(FkFaultAttribution *b, const char *machine) {
-  g_hash_table_remove(b->machines, machine);
+void fk_fault_attribution_remove_machine(FkFaultAttribution *attribution, const char *machine) {
+  g_hash_table_remove(attribution->machines, machine);
 }
 
-/* Other jobs than this one have failed there, often enough to say nothing of this one. */
-static gboolean fails_other_jobs(const FkFaultAttribution *b, const char *machine, const char *job) {
-  const FailureHistory *m = g_hash_table_lookup(b->machines, machine);
-  guint others = 0;
-  for (guint i = 0; m && i < m->sites->len; i++) {
-    const FailureSite *p = &g_array_index(m->sites, FailureSite, i);
-    const FailureHistory *j = g_str_equal(p->id, job) ? NULL : g_hash_table_lookup(b->jobs, p->id);
-    /* one that has failed at that machine alone, or has succeeded elsewhere */
-    if (j && (j->succeeded || j->survives || j->sites->len == 1))
-      others += p->times;
+/* ------------------------------------------------------------------ verdicts */
+
+/* The job is known to work somewhere. */
+static gboolean is_proven(const FailureHistory *job) { return job->succeeded || job->survives; }
+
+/* Whether so many other jobs' tasks have failed on the machine that a failure there says nothing about this
+ * job. Counted are jobs that are proven, or have failed on that machine only. */
+static gboolean fails_other_jobs(const FkFaultAttribution *attribution, const char *machine,
+                                 const char *job) {
+  const FailureHistory *history = g_hash_table_lookup(attribution->machines, machine);
+  guint failures = 0;
+  for (guint i = 0; history && i < history->sites->len; i++) {
+    const FailureSite *site = &g_array_index(history->sites, FailureSite, i);
+    if (g_str_equal(site->id, job))
+      continue;
+    const FailureHistory *other = g_hash_table_lookup(attribution->jobs, site->id);
+    if (other && (is_proven(other) || other->sites->len == 1))
+      failures += site->times;
   }
-  return others >= FAULTY_MACHINE_FAILURES;
+  return failures >= FAULTY_MACHINE_FAILURES;
 }
 
-gboolean fk_fault_attribution_job_is_failing(const FkFaultAttribution *b, const char *job) {
-  const FailureHistory *j = g_hash_table_lookup(b->jobs, job);
-  if (!j || j->succeeded || j->survives || j->sites->len < FAILING_JOB_SITES_MIN)
+gboolean fk_fault_attribution_job_is_failing(const FkFaultAttribution *attribution, const char *job) {
+  const FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
+  if (!history || is_proven(history) || history->sites->len < FAILING_JOB_SITES_MIN)
     return FALSE;
-  guint sound = 0;
-  for (guint i = 0; i < j->sites->len; i++)
-    sound += !fails_other_jobs(b, g_array_index(j->sites, FailureSite, i).id, job);
-  return sound >= FAILING_JOB_SITES_MIN;
+  guint sound_machines = 0;
+  for (guint i = 0; i < history->sites->len; i++) {
+    const FailureSite *site = &g_array_index(history->sites, FailureSite, i);
+    sound_machines += !fails_other_jobs(attribution, site->id, job);
+  }
+  return sound_machines >= FAILING_JOB_SITES_MIN;
 }
 
-static double backoff_s(double first, guint times, double most) {
-  double s = first;
-  for (guint i = 0; i < times && s < most; i++)
-    s *= 2;
-  return MIN(s, most);
+static double exponential_backoff_s(double first_s, guint doublings, double max_s) {
+  double delay_s = first_s;
+  for (guint i = 0; i < doublings && delay_s < max_s; i++)
+    delay_s *= 2;
+  return MIN(delay_s, max_s);
 }
 
-double fk_fault_attribution_retry_delay_s(const FkFaultAttribution *b, const char *job) {
-  const FailureHistory *j = g_hash_table_lookup(b->jobs, job);
-  if (!j || !j->consecutive)
+double fk_fault_attribution_retry_delay_s(const FkFaultAttribution *attribution, const char *job) {
+  const FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
+  if (!history || !history->consecutive)
     return 0;
-  if (fk_fault_attribution_job_is_failing(b, job)) {
-    /* all tasks of its first launch fail at about the same time: that is one try, not hundreds */
-    guint tries = MIN(j->sites->len, j->consecutive);
-    return backoff_s(FAILING_RETRY_DELAY_S, tries - FAILING_JOB_SITES_MIN, FAILING_RETRY_DELAY_MAX_S);
+  if (fk_fault_attribution_job_is_failing(attribution, job)) {
+    /* all tasks of its first launch fail at about the same time: that is one attempt, not hundreds */
+    guint attempts = MIN(history->sites->len, history->consecutive);
+    return exponential_backoff_s(FAILING_RETRY_DELAY_S, attempts - FAILING_JOB_SITES_MIN,
+                                 FAILING_RETRY_DELAY_MAX_S);
   }
-  return j->consecutive <= IMMEDIATE_RETRIES ? 0 : MIN(RETRY_DELAY_MAX_S, RETRY_DELAY_S * j->consecutive);
+  if (history->consecutive <= IMMEDIATE_RETRIES)
+    return 0;
+  return MIN(RETRY_DELAY_MAX_S, RETRY_DELAY_S * history->consecutive);
 }
 
-gboolean fk_fault_attribution_job_avoids(const FkFaultAttribution *b, const char *job, const char *machine,
-                                         FkTime now) {
-  const FailureSite *p = find_site(g_hash_table_lookup(b->jobs, job), machine);
-  return p && fk_time_between(p->last, now) < AVOID_MACHINE_S;
+gboolean fk_fault_attribution_job_avoids(const FkFaultAttribution *attribution, const char *job,
+                                         const char *machine, FkTime now) {
+  const FailureSite *site = find_site(g_hash_table_lookup(attribution->jobs, job), machine);
+  return site && fk_time_between(site->last, now) < AVOID_MACHINE_S;
 }
 
-gboolean fk_fault_attribution_machine_is_faulty(const FkFaultAttribution *b, const char *machine) {
-  const FailureHistory *m = g_hash_table_lookup(b->machines, machine);
-  double against = 0;
-  for (guint i = 0; m && i < m->sites->len; i++) {
-    const FailureSite *p = &g_array_index(m->sites, FailureSite, i);
-    const FailureHistory *j = g_hash_table_lookup(b->jobs, p->id);
-    if (fk_fault_attribution_job_is_failing(b, p->id))
-      continue;
-    /* The failures here of a job that has worked nowhere yet say little, however many tasks it had: it may
-     * fail everywhere. Its next try, which is elsewhere and soon, tells. */
-    against += j && (j->succeeded || j->survives) ? p->times
-                                                  : UNPROVEN_WEIGHT * MIN(p->times, UNPROVEN_FAILURES_MAX);
-  }
-  return against >= FAULTY_MACHINE_FAILURES;
+/* What one job's failures weigh against a machine. Those of a job that has worked nowhere yet say little,
+ * however many tasks it had: it may fail everywhere. Its next attempt, elsewhere and soon, will tell. */
+static double failure_weight(const FkFaultAttribution *attribution, const FailureSite *site) {
+  const FailureHistory *job = g_hash_table_lookup(attribution->jobs, site->id);
+  if (fk_fault_attribution_job_is_failing(attribution, site->id))
+    return 0;
+  return job && is_proven(job) ? site->times : UNPROVEN_WEIGHT * MIN(site->times, UNPROVEN_FAILURES_MAX);
 }
 
-guint fk_fault_attribution_job_count(const FkFaultAttribution *b) { return g_hash_table_size(b->jobs); }
+gboolean fk_fault_attribution_machine_is_faulty(const FkFaultAttribution *attribution, const char *machine) {
+  const FailureHistory *history = g_hash_table_lookup(attribution->machines, machine);
+  double weight = 0;
+  for (guint i = 0; history && i < history->sites->len; i++)
+    weight += failure_weight(attribution, &g_array_index(history->sites, FailureSite, i));
+  return weight >= FAULTY_MACHINE_FAILURES;
+}
+
+guint fk_fault_attribution_job_count(const FkFaultAttribution *attribution) {
+  return g_hash_table_size(attribution->jobs);
+}
 
-guint fk_fault_attribution_machine_count(const FkFaultAttribution *b) {
-  return g_hash_table_size(b->machines);
+guint fk_fault_attribution_machine_count(const FkFaultAttribution *attribution) {
+  return g_hash_table_size(attribution->machines);
 }
