--- a/src/fair_share/fair_share.c
+++ b/src/fair_share/fair_share.c
@@ -1,53 +1,60 @@
 #include "fair_share/fair_share.h"
 
-/* So far from what is due is no injustice yet: within it other reasons decide whose turn it is, and what runs
- * for a minute leaves nobody more exact. */
+/* Use within this of the share counts as fair: other criteria decide the order there, and since tasks run for
+ * a minute or so, use can't follow the share more exactly. */
 #define SHARE_TOLERANCE 0.2
-#define EPS 1e-6
+#define AMOUNT_EPSILON 1e-6 /* amounts are sums of fractions */
+#define BISECTION_STEPS 40  /* to a millionth, whatever the amounts */
 
 double fk_fair_share_dominant(double cpus, double gpus, double all_cpus, double all_gpus) {
   return all_gpus > 0 ? MAX(cpus, gpus / all_gpus * all_cpus) : cpus;
 }
 
-static double demand(const FkFairShareDemand *c) { return MIN(c->used + c->wanted, c->quota); }
+/* What it would use: never more than its quota. */
+static double total_demand(const FkFairShareDemand *demand) {
+  return MIN(demand->used + demand->wanted, demand->quota);
+}
 
-static double guaranteed(const FkFairShareDemand *c) { return MIN(c->guarantee, demand(c)); }
+/* What it would use of its guarantee. */
+static double guaranteed(const FkFairShareDemand *demand) {
+  return MIN(demand->guarantee, total_demand(demand));
+}
 
-/* What all are due together when those who want more than their guarantee are filled up to `level` above it.
- */
-static double total_at_level(const FkFairShareDemand *claimants, guint n, double level) {
+/* The sum of all shares when each is filled up to `level` above its guarantee, as far as it demands. */
+static double total_at_level(const FkFairShareDemand *demands, guint count, double level) {
   double sum = 0;
-  for (guint i = 0; i < n; i++)
-    sum += MIN(demand(&claimants[i]), guaranteed(&claimants[i]) + level);
+  for (guint i = 0; i < count; i++)
+    sum += MIN(total_demand(&demands[i]), guaranteed(&demands[i]) + level);
   return sum;
 }
 
-void fk_fair_share_divide(FkFairShareDemand *claimants, guint n, double room) {
-  double sure = total_at_level(claimants, n, 0), most = 0, level = 0;
-  for (guint i = 0; i < n; i++)
-    most = MAX(most, demand(&claimants[i]));
-  if (total_at_level(claimants, n, most) <= room) {
-    level = most;
-  } else if (sure < room) {
-    /* the sum grows with the level: halving finds it to a millionth in 40 steps, whatever the numbers */
-    double low = 0, high = most;
-    for (guint i = 0; i < 40; i++) {
+void fk_fair_share_divide(FkFairShareDemand *demands, guint count, double capacity) {
+  double guaranteed_sum = total_at_level(demands, count, 0), highest = 0, level = 0;
+  for (guint i = 0; i < count; i++)
+    highest = MAX(highest, total_demand(&demands[i]));
+  if (total_at_level(demands, count, highest) <= capacity) {
+    level = highest;
+  } else if (guaranteed_sum < capacity) {
+    /* water-filling: the sum grows with the level, which is found by bisection */
+    double low = 0, high = highest;
+    for (guint i = 0; i < BISECTION_STEPS; i++) {
       level = (low + high) / 2;
-      *(total_at_level(claimants, n, level) <= room ? &low : &high) = level;
+      *(total_at_level(demands, count, level) <= capacity ? &low : &high) = level;
     }
     level = low;
   }
-  /* more guaranteed than there is: all give way alike */
-  double scale = sure > room && sure > 0 ? room / sure : 1;
-  for (guint i = 0; i < n; i++)
-    claimants[i].share = scale < 1 ? scale * guaranteed(&claimants[i])
-                                   : MIN(demand(&claimants[i]), guaranteed(&claimants[i]) + level);
+  /* more is guaranteed than there is: all are scaled down alike */
+  double scale = guaranteed_sum > capacity && guaranteed_sum > 0 ? capacity / guaranteed_sum : 1;
+  for (guint i = 0; i < count; i++)
+    demands[i].share = scale < 1 ? scale * guaranteed(&demands[i])
+                                 : MIN(total_demand(&demands[i]), guaranteed(&demands[i]) + level);
 }
 
-FkStanding fk_fair_share_standing(const FkFairShareDemand *c) {
-  if (c->guarantee > 0 && c->used + c->wanted <= c->guarantee + EPS)
+FkStanding fk_fair_share_standing(const FkFairShareDemand *demand) {
+  if (demand->guarantee > 0 && demand->used + demand->wanted <= demand->guarantee + AMOUNT_EPSILON)
     return FK_STANDING_PROTECTED;
-  if (c->used < (1 - SHARE_TOLERANCE) * c->share - EPS)
+  if (demand->used < (1 - SHARE_TOLERANCE) * demand->share - AMOUNT_EPSILON)
     return FK_STANDING_SHORT;
-  return c->used > (1 + SHARE_TOLERANCE) * c->share + EPS ? FK_STANDING_OVER : FK_STANDING_FAIR;
+  return demand->used > (1 + SHARE_TOLERANCE) * demand->share + AMOUNT_EPSILON ? FK_STANDING_OVER
+                                                                               : FK_STANDING_FAIR;
 }
--- a/src/fair_share/fair_share.h
+++ b/src/fair_share/fair_share.h
@@ -1,30 +1,33 @@
-/* Who is owed what of the room there is: guarantees first, then what is left by water-filling among all who
- * want more, each to the same level, a guest like any other. Never first come, first served: a guest's 25,000
- * tasks are one claimant. Pure. Amounts are in one unit, the dominant share (the larger part of the fleet's
- * CPUs or GPUs), given in CPUs. Ways weighed: docs/guests.md, "Borrowed room". */
+/* Fair shares of the fleet's capacity: guarantees first, then what is left by water-filling among all teams
+ * that demand more, each to the same level, best-effort teams like any other. The number of tasks doesn't
+ * matter: 25,000 tasks of one team are one demand. Pure. Amounts are in one unit, the dominant resource (the
+ * larger part of the fleet's CPUs or GPUs), expressed in CPUs. Alternatives weighed: docs/guests.md,
+ * "Borrowed room". */
 #pragma once
 #include <glib.h>
 
+/* One team's demand, and its share. */
 typedef struct {
   double guarantee; /* 0: none */
-  double quota;     /* the limit; infinite: none */
-  double used;      /* booked */
-  double wanted;    /* waits for a place */
-  double share;     /* out: what it is owed of the room there is */
+  double quota;     /* its limit; infinite: none */
+  double used;      /* allocated */
+  double wanted;    /* what its waiting tasks ask for */
+  double share;     /* output: its share of the capacity */
 } FkFairShareDemand;
 
-/* CPUs that stand for so much of a fleet with `all_cpus` and `all_gpus`. */
+/* The dominant resource of these amounts in a fleet of `all_cpus` and `all_gpus`, in CPUs. */
 double fk_fair_share_dominant(double cpus, double gpus, double all_cpus, double all_gpus);
 
-/* Fills in what each is due of `room`. Never more than it uses and wants, nor than its limit; the sum is at
- * most the room. */
-void fk_fair_share_divide(FkFairShareDemand *claimants, guint n, double room);
+/* Fills in the shares of `capacity` CPUs. No share is larger than what the team uses and wants, nor than its
+ * quota; their sum is at most the capacity. */
+void fk_fair_share_divide(FkFairShareDemand *demands, guint count, double capacity);
 
-/* Lower: goes first. */
+/* How a team's use compares with its share. Lower goes first. */
 typedef enum {
-  FK_STANDING_PROTECTED, /* all that it wants fits its guarantee: it need not wait for others (DEPLOY) */
-  FK_STANDING_SHORT,     /* well below what it is due */
-  FK_STANDING_FAIR,
-  FK_STANDING_OVER /* well above */
+  FK_STANDING_PROTECTED, /* everything it demands fits its guarantee: it doesn't wait for others */
+  FK_STANDING_SHORT,     /* well below its share */
+  FK_STANDING_FAIR,      /* near it */
+  FK_STANDING_OVER       /* well above it */
 } FkStanding;
-FkStanding fk_fair_share_standing(const FkFairShareDemand *c);
+/* Needs the share to be filled in. */
+FkStanding fk_fair_share_standing(const FkFairShareDemand *demand);
--- a/src/fair_share/quota.c
+++ b/src/fair_share/quota.c
@@ -2,24 +2,24 @@
 
 #include <math.h>
 
-#define EPS 1e-6
+#define AMOUNT_EPSILON 1e-6 /* amounts are sums of fractions */
 
 double fk_quota_from_setting(double setting) { return setting > 0 ? setting : INFINITY; }
 
-gboolean fk_quota_is_limited(double most) { return isfinite(most); }
+gboolean fk_quota_is_limited(double quota) { return isfinite(quota); }
 
-gboolean fk_quota_allows(double most, double used, double each, double times) {
-  return used + each * times <= most + EPS;
+gboolean fk_quota_allows(double quota, double used, double per_task, double tasks) {
+  return used + per_task * tasks <= quota + AMOUNT_EPSILON;
 }
 
-double fk_quota_left(double most, double used) { return MAX(0, most - used); }
+double fk_quota_left(double quota, double used) { return MAX(0, quota - used); }
 
-FkTeamKind fk_team_kind(double guarantee, double most) {
+FkTeamKind fk_team_kind(double guarantee, double quota) {
   if (guarantee <= 0)
-    return fk_quota_is_limited(most) ? FK_TEAM_WITHOUT_GUARANTEE : FK_TEAM_BEST_EFFORT;
-  if (!fk_quota_is_limited(most))
+    return fk_quota_is_limited(quota) ? FK_TEAM_WITHOUT_GUARANTEE : FK_TEAM_BEST_EFFORT;
+  if (!fk_quota_is_limited(quota))
     return FK_TEAM_UNLIMITED;
-  return most < guarantee ? FK_TEAM_QUOTA_BELOW_GUARANTEE : FK_TEAM_ORDINARY;
+  return quota < guarantee ? FK_TEAM_QUOTA_BELOW_GUARANTEE : FK_TEAM_ORDINARY;
 }
 
 const char *fk_team_kind_name(FkTeamKind kind) {
--- a/src/fair_share/service_level.c
+++ b/src/fair_share/service_level.c
@@ -3,95 +3,97 @@
 #include <math.h>
 #include <string.h>
 
-#define GRACE_S 45.0           /* nobody expects more of a job so young: a machine may have to boot for it */
-#define STARVATION_WAIT_S 60.0 /* waiting for so long in a class that is hardly served */
-#define STARVATION_SHARE 0.5
-#define SIZE_STEPS_PER_DOUBLING 4 /* of size, to each doubling */
-#define SIZE_STEPS 160            /* 2 to the 40th CPU-seconds, and what is beyond */
+#define GRACE_S 45.0 /* younger jobs aren't expected to be served: a machine may have to boot first */
+#define STARVATION_WAIT_S 60.0    /* that a task has waited in a class or team which is hardly served */
+#define STARVATION_SHARE 0.5      /* of the expected jobs is served */
+#define SIZE_STEPS_PER_DOUBLING 4 /* of the size histogram */
+#define SIZE_STEPS 160            /* up to 2^40 CPU-seconds; larger jobs are in the last */
 #define LARGEST_SHARE 0.1         /* of the jobs seen */
-#define NAMES_MAX 1000            /* classes, and teams: users invent names */
+#define NAMES_MAX 1000            /* of classes, and of teams: users may invent any number */
 
 struct FkServiceLevel {
   GHashTable *classes, *largest, *teams; /* name -> FkServiceLevelRow, whose name is the key */
-  GHashTable *sizes;                     /* class -> guint32[SIZES]: jobs seen by size */
+  GHashTable *sizes; /* class -> guint32[SIZE_STEPS]: how many jobs of that size were added */
 };
 
 FkServiceLevel *fk_service_level_new(void) {
-  FkServiceLevel *b = g_new0(FkServiceLevel, 1);
-  b->classes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  b->largest = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  b->sizes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  b->teams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  return b;
+  FkServiceLevel *level = g_new0(FkServiceLevel, 1);
+  level->classes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  level->largest = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  level->sizes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  level->teams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  return level;
 }
 
-void fk_service_level_free(FkServiceLevel *b) {
-  if (!b)
+void fk_service_level_free(FkServiceLevel *level) {
+  if (!level)
     return;
-  g_hash_table_unref(b->classes);
-  g_hash_table_unref(b->largest);
-  g_hash_table_unref(b->sizes);
-  g_hash_table_unref(b->teams);
-  g_free(b);
+  g_hash_table_unref(level->classes);
+  g_hash_table_unref(level->largest);
+  g_hash_table_unref(level->sizes);
+  g_hash_table_unref(level->teams);
+  g_free(level);
 }
 
-void fk_service_level_clear(FkServiceLevel *b) {
-  g_hash_table_remove_all(b->classes);
-  g_hash_table_remove_all(b->largest);
-  g_hash_table_remove_all(b->sizes);
-  g_hash_table_remove_all(b->teams);
+void fk_service_level_clear(FkServiceLevel *level) {
+  g_hash_table_remove_all(level->classes);
+  g_hash_table_remove_all(level->largest);
+  g_hash_table_remove_all(level->sizes);
+  g_hash_table_remove_all(level->teams);
 }
 
+/* NULL: there are too many names. */
 static FkServiceLevelRow *row_of(GHashTable *table, const char *name, int kind) {
-  FkServiceLevelRow *r = g_hash_table_lookup(table, name);
-  if (r || g_hash_table_size(table) >= NAMES_MAX)
-    return r;
+  FkServiceLevelRow *row = g_hash_table_lookup(table, name);
+  if (row || g_hash_table_size(table) >= NAMES_MAX)
+    return row;
   char *key = g_strdup(name);
-  r = g_new0(FkServiceLevelRow, 1);
-  r->name = key;
-  r->kind = kind;
-  g_hash_table_insert(table, key, r);
-  return r;
+  row = g_new0(FkServiceLevelRow, 1);
+  row->name = key;
+  row->kind = kind;
+  g_hash_table_insert(table, key, row);
+  return row;
 }
 
 static guint size_step(double size) {
   return size > 1 ? (guint)MIN(SIZE_STEPS - 1, floor(SIZE_STEPS_PER_DOUBLING * log2(size))) : 0;
 }
 
-void fk_service_level_add_size(FkServiceLevel *b, const char *class_name, double size) {
-  guint32 *seen = g_hash_table_lookup(b->sizes, class_name);
-  if (!seen && g_hash_table_size(b->sizes) >= NAMES_MAX)
+void fk_service_level_add_size(FkServiceLevel *level, const char *class_name, double size) {
+  guint32 *histogram = g_hash_table_lookup(level->sizes, class_name);
+  if (!histogram && g_hash_table_size(level->sizes) >= NAMES_MAX)
     return;
-  if (!seen) {
-    seen = g_new0(guint32, SIZE_STEPS);
-    g_hash_table_insert(b->sizes, g_strdup(class_name), seen);
+  if (!histogram) {
+    histogram = g_new0(guint32, SIZE_STEPS);
+    g_hash_table_insert(level->sizes, g_strdup(class_name), histogram);
   }
-  seen[size_step(size)]++;
+  histogram[size_step(size)]++;
 }
 
-gboolean fk_service_level_is_large(const FkServiceLevel *b, const char *class_name, double size) {
-  const guint32 *seen = g_hash_table_lookup(b->sizes, class_name);
-  guint64 all = 0, above = 0;
-  for (guint i = 0; seen && i < SIZE_STEPS; i++)
-    all += seen[i];
-  for (guint i = SIZE_STEPS; all && i-- > size_step(size) + 1;)
-    above += seen[i];
-  return all && (above == 0 || (double)above < LARGEST_SHARE * (double)all);
+gboolean fk_service_level_is_large(const FkServiceLevel *level, const char *class_name, double size) {
+  const guint32 *histogram = g_hash_table_lookup(level->sizes, class_name);
+  guint64 total = 0, above = 0;
+  for (guint i = 0; histogram && i < SIZE_STEPS; i++)
+    total += histogram[i];
+  for (guint i = SIZE_STEPS; total && i-- > size_step(size) + 1;)
+    above += histogram[i];
+  return total && (above == 0 || (double)above < LARGEST_SHARE * (double)total);
 }
 
-/* The rows that a job counts in. */
-static void rows_of(FkServiceLevel *b, const char *class_name, const char *team, double size,
+/* The rows that a job counts in; some may be NULL. */
+static void rows_of(FkServiceLevel *level, const char *class_name, const char *team, double size,
                     FkServiceLevelRow *rows[3]) {
-  rows[0] = row_of(b->classes, class_name, FK_SERVICE_LEVEL_CLASS);
-  rows[1] = row_of(b->teams, team, FK_SERVICE_LEVEL_TEAM);
-  rows[2] = fk_service_level_is_large(b, class_name, size)
-                ? row_of(b->largest, class_name, FK_SERVICE_LEVEL_LARGEST)
+  rows[0] = row_of(level->classes, class_name, FK_SERVICE_LEVEL_CLASS);
+  rows[1] = row_of(level->teams, team, FK_SERVICE_LEVEL_TEAM);
+  rows[2] = fk_service_level_is_large(level, class_name, size)
+                ? row_of(level->largest, class_name, FK_SERVICE_LEVEL_LARGEST)
                 : NULL;
 }
 
-void fk_service_level_job_ended(FkServiceLevel *b, const char *class_name, const char *team, double size) {
+void fk_service_level_job_ended(FkServiceLevel *level, const char *class_name, const char *team,
+                                double size) {
   FkServiceLevelRow *rows[3];
-  rows_of(b, class_name, team, size, rows);
+  rows_of(level, class_name, team, size, rows);
   for (guint i = 0; i < G_N_ELEMENTS(rows); i++)
     if (rows[i])
       rows[i]->ended++;
@@ -99,63 +101,63 @@
 
 static void reset_rows(GHashTable *table) {
   GHashTableIter it;
-  gpointer p;
+  gpointer value;
   g_hash_table_iter_init(&it, table);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    FkServiceLevelRow *r = p;
-    *r = (FkServiceLevelRow){.name = r->name,
-                             .kind = r->kind,
-                             .ended = r->ended,
-                             .expected_jobs = r->ended,
-                             .served_jobs = r->ended};
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    FkServiceLevelRow *row = value;
+    *row = (FkServiceLevelRow){.name = row->name,
+                               .kind = row->kind,
+                               .ended = row->ended,
+                               .expected_jobs = row->ended,
+                               .served_jobs = row->ended};
   }
 }
 
-void fk_service_level_begin(FkServiceLevel *b) {
-  reset_rows(b->classes);
-  reset_rows(b->largest);
-  reset_rows(b->teams);
+void fk_service_level_begin(FkServiceLevel *level) {
+  reset_rows(level->classes);
+  reset_rows(level->largest);
+  reset_rows(level->teams);
 }
 
-static void count_job(FkServiceLevelRow *r, const FkServiceLevelJob *j) {
-  r->live++;
-  r->waiting += j->waiting;
-  r->running += j->running;
-  r->cpus += j->cpus;
-  if (j->waiting)
-    r->oldest_wait_s = MAX(r->oldest_wait_s, j->age_s);
-  if (j->age_s < GRACE_S || !j->tasks)
+static void count_job(FkServiceLevelRow *row, const FkServiceLevelJob *job) {
+  row->live++;
+  row->waiting += job->waiting;
+  row->running += job->running;
+  row->cpus += job->cpus;
+  if (job->waiting)
+    row->oldest_wait_s = MAX(row->oldest_wait_s, job->age_s);
+  if (job->age_s < GRACE_S || !job->tasks)
     return;
-  r->expected_jobs++;
-  r->served_jobs += (double)(j->done + j->running) / j->tasks;
+  row->expected_jobs++;
+  row->served_jobs += (double)(job->done + job->running) / job->tasks;
 }
 
-void fk_service_level_add_live_job(FkServiceLevel *b, const FkServiceLevelJob *j) {
+void fk_service_level_add_live_job(FkServiceLevel *level, const FkServiceLevelJob *job) {
   FkServiceLevelRow *rows[3];
-  rows_of(b, j->class_name, j->team, j->size, rows);
+  rows_of(level, job->class_name, job->team, job->size, rows);
   for (guint i = 0; i < G_N_ELEMENTS(rows); i++)
     if (rows[i])
-      count_job(rows[i], j);
+      count_job(rows[i], job);
 }
 
-double fk_service_level_share(const FkServiceLevelRow *r) {
-  return r->expected_jobs > 0 ? r->served_jobs / r->expected_jobs : 1;
+double fk_service_level_share(const FkServiceLevelRow *row) {
+  return row->expected_jobs > 0 ? row->served_jobs / row->expected_jobs : 1;
 }
 
-gboolean fk_service_level_is_starved(const FkServiceLevelRow *r) {
-  return r->oldest_wait_s > STARVATION_WAIT_S && fk_service_level_share(r) < STARVATION_SHARE;
+gboolean fk_service_level_is_starved(const FkServiceLevelRow *row) {
+  return row->oldest_wait_s > STARVATION_WAIT_S && fk_service_level_share(row) < STARVATION_SHARE;
 }
 
-const FkServiceLevelRow *fk_service_level_class(const FkServiceLevel *b, const char *name) {
-  return g_hash_table_lookup(b->classes, name);
+const FkServiceLevelRow *fk_service_level_class(const FkServiceLevel *level, const char *name) {
+  return g_hash_table_lookup(level->classes, name);
 }
 
-const FkServiceLevelRow *fk_service_level_largest(const FkServiceLevel *b, const char *name) {
-  return g_hash_table_lookup(b->largest, name);
+const FkServiceLevelRow *fk_service_level_largest(const FkServiceLevel *level, const char *name) {
+  return g_hash_table_lookup(level->largest, name);
 }
 
-const FkServiceLevelRow *fk_service_level_team(const FkServiceLevel *b, const char *name) {
-  return g_hash_table_lookup(b->teams, name);
+const FkServiceLevelRow *fk_service_level_team(const FkServiceLevel *level, const char *name) {
+  return g_hash_table_lookup(level->teams, name);
 }
 
 static int compare_by_name(gconstpointer a, gconstpointer b) {
@@ -165,17 +167,17 @@
 
 static void add_rows(GPtrArray *rows, GHashTable *table) {
   GHashTableIter it;
-  gpointer p;
+  gpointer value;
   g_hash_table_iter_init(&it, table);
-  while (g_hash_table_iter_next(&it, NULL, &p))
-    g_ptr_array_add(rows, p);
+  while (g_hash_table_iter_next(&it, NULL, &value))
+    g_ptr_array_add(rows, value);
 }
 
-GPtrArray *fk_service_level_rows(const FkServiceLevel *b) {
+GPtrArray *fk_service_level_rows(const FkServiceLevel *level) {
   GPtrArray *rows = g_ptr_array_new();
-  add_rows(rows, b->classes);
-  add_rows(rows, b->largest);
-  add_rows(rows, b->teams);
+  add_rows(rows, level->classes);
+  add_rows(rows, level->largest);
+  add_rows(rows, level->teams);
   g_ptr_array_sort(rows, compare_by_name);
   return rows;
 }
--- a/src/scheduling_queue/capacity_buckets.c
+++ b/src/scheduling_queue/capacity_buckets.c
@@ -1,113 +1,122 @@
 #include "scheduling_queue/capacity_buckets.h"
 
 #define BUCKETS_PER_CPU 4
-#define BUCKET_MAX 1024 /* more than so many count as so many */
+#define BUCKET_MAX 1024 /* the last one, which also has everything with more */
+#define ROUNDING 1e-6   /* amounts are sums of fractions */
 
 typedef struct {
   gpointer item;
-  guint step, at; /* its bucket, and its place there */
-  guint listed;   /* its place among all */
+  guint bucket, bucket_index;
+  guint item_index; /* in the list of all items */
 } Entry;
 
 struct FkCapacityBuckets {
-  GPtrArray *buckets[BUCKET_MAX + 1]; /* Entry; NULL: none yet */
+  GPtrArray *buckets[BUCKET_MAX + 1]; /* Entry; NULL: never used yet */
   GPtrArray *items;
   GHashTable *index; /* item -> Entry */
-  guint highest;     /* no bucket above has any */
+  guint highest;     /* all buckets above are empty */
 };
 
 FkCapacityBuckets *fk_capacity_buckets_new(void) {
-  FkCapacityBuckets *c = g_new0(FkCapacityBuckets, 1);
-  c->items = g_ptr_array_new();
-  c->index = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
-  return c;
+  FkCapacityBuckets *buckets = g_new0(FkCapacityBuckets, 1);
+  buckets->items = g_ptr_array_new();
+  buckets->index = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
+  return buckets;
 }
 
-void fk_capacity_buckets_clear(FkCapacityBuckets *c) {
+void fk_capacity_buckets_clear(FkCapacityBuckets *buckets) {
   for (guint i = 0; i <= BUCKET_MAX; i++)
-    if (c->buckets[i])
-      g_ptr_array_set_size(c->buckets[i], 0);
-  g_ptr_array_set_size(c->items, 0);
-  g_hash_table_remove_all(c->index);
-  c->highest = 0;
+    if (buckets->buckets[i])
+      g_ptr_array_set_size(buckets->buckets[i], 0);
+  g_ptr_array_set_size(buckets->items, 0);
+  g_hash_table_remove_all(buckets->index);
+  buckets->highest = 0;
 }
 
-void fk_capacity_buckets_free(FkCapacityBuckets *c) {
-  if (!c)
+void fk_capacity_buckets_free(FkCapacityBuckets *buckets) {
+  if (!buckets)
     return;
   for (guint i = 0; i <= BUCKET_MAX; i++)
-    g_clear_pointer(&c->buckets[i], g_ptr_array_unref);
-  g_ptr_array_unref(c->items);
-  g_hash_table_unref(c->index);
-  g_free(c);
+    g_clear_pointer(&buckets->buckets[i], g_ptr_array_unref);
+  g_ptr_array_unref(buckets->items);
+  g_hash_table_unref(buckets->index);
+  g_free(buckets);
 }
 
-static guint bucket_of(double cpus) { return (guint)CLAMP(cpus * BUCKETS_PER_CPU + 1e-6, 0, BUCKET_MAX); }
+static guint bucket_of(double cpus) { return (guint)CLAMP(cpus * BUCKETS_PER_CPU + ROUNDING, 0, BUCKET_MAX); }
 
-static void enter_bucket(FkCapacityBuckets *c, Entry *e, guint step) {
-  if (!c->buckets[step])
-    c->buckets[step] = g_ptr_array_new();
-  e->step = step;
-  e->at = c->buckets[step]->len;
-  g_ptr_array_add(c->buckets[step], e);
-  c->highest = MAX(c->highest, step);
+static gboolean is_empty(const FkCapacityBuckets *buckets, guint bucket) {
+  return !buckets->buckets[bucket] || !buckets->buckets[bucket]->len;
 }
 
-static void leave_bucket(FkCapacityBuckets *c, Entry *e) {
-  GPtrArray *bucket = c->buckets[e->step];
-  g_ptr_array_remove_index_fast(bucket, e->at);
-  if (e->at < bucket->len)
-    ((Entry *)bucket->pdata[e->at])->at = e->at;
-  while (c->highest && (!c->buckets[c->highest] || !c->buckets[c->highest]->len))
-    c->highest--;
+static void enter_bucket(FkCapacityBuckets *buckets, Entry *entry, guint bucket) {
+  if (!buckets->buckets[bucket])
+    buckets->buckets[bucket] = g_ptr_array_new();
+  entry->bucket = bucket;
+  entry->bucket_index = buckets->buckets[bucket]->len;
+  g_ptr_array_add(buckets->buckets[bucket], entry);
+  buckets->highest = MAX(buckets->highest, bucket);
 }
 
-void fk_capacity_buckets_put(FkCapacityBuckets *c, gpointer item, double cpus) {
-  guint step = bucket_of(cpus);
-  Entry *e = g_hash_table_lookup(c->index, item);
-  if (e && e->step == step)
+static void leave_bucket(FkCapacityBuckets *buckets, const Entry *entry) {
+  GPtrArray *entries = buckets->buckets[entry->bucket];
+  g_ptr_array_remove_index_fast(entries, entry->bucket_index);
+  if (entry->bucket_index < entries->len)
+    ((Entry *)entries->pdata[entry->bucket_index])->bucket_index = entry->bucket_index;
+  while (buckets->highest && is_empty(buckets, buckets->highest))
+    buckets->highest--;
+}
+
+static Entry *add_entry(FkCapacityBuckets *buckets, gpointer item) {
+  Entry *entry = g_new0(Entry, 1);
+  entry->item = item;
+  entry->item_index = buckets->items->len;
+  g_ptr_array_add(buckets->items, item);
+  g_hash_table_insert(buckets->index, item, entry);
+  return entry;
+}
+
+void fk_capacity_buckets_put(FkCapacityBuckets *buckets, gpointer item, double cpus) {
+  guint bucket = bucket_of(cpus);
+  Entry *entry = g_hash_table_lookup(buckets->index, item);
+  if (entry && entry->bucket == bucket)
     return;
-  if (e) {
-    leave_bucket(c, e);
-  } else {
-    e = g_new0(Entry, 1);
-    e->item = item;
-    e->listed = c->items->len;
-    g_ptr_array_add(c->items, item);
-    g_hash_table_insert(c->index, item, e);
-  }
-  enter_bucket(c, e, step);
+  if (entry)
+    leave_bucket(buckets, entry);
+  else
+    entry = add_entry(buckets, item);
+  enter_bucket(buckets, entry, bucket);
 }
 
-void fk_capacity_buckets_remove(FkCapacityBuckets *c, gpointer item) {
-  Entry *e = g_hash_table_lookup(c->index, item);
-  if (!e)
+void fk_capacity_buckets_remove(FkCapacityBuckets *buckets, gpointer item) {
+  const Entry *entry = g_hash_table_lookup(buckets->index, item);
+  if (!entry)
     return;
-  leave_bucket(c, e);
-  g_ptr_array_remove_index_fast(c->items, e->listed);
-  if (e->listed < c->items->len) {
-    Entry *moved = g_hash_table_lookup(c->index, c->items->pdata[e->listed]);
-    moved->listed = e->listed;
+  leave_bucket(buckets, entry);
+  g_ptr_array_remove_index_fast(buckets->items, entry->item_index);
+  if (entry->item_index < buckets->items->len) {
+    Entry *moved = g_hash_table_lookup(buckets->index, buckets->items->pdata[entry->item_index]);
+    moved->item_index = entry->item_index;
   }
-  g_hash_table_remove(c->index, item);
+  g_hash_table_remove(buckets->index, item);
 }
 
-const GPtrArray *fk_capacity_buckets_items(const FkCapacityBuckets *c) { return c->items; }
+const GPtrArray *fk_capacity_buckets_items(const FkCapacityBuckets *buckets) { return buckets->items; }
 
-guint fk_capacity_buckets_find(const FkCapacityBuckets *c, double cpus, guint most,
+guint fk_capacity_buckets_find(const FkCapacityBuckets *buckets, double cpus, guint count_max,
                                gboolean (*wanted)(gpointer item, gpointer data), gpointer data,
-                               GPtrArray *out) {
-  guint looked_at = 0, taken = 0;
-  for (guint step = bucket_of(cpus); step <= c->highest && taken < most; step++) {
-    const GPtrArray *bucket = c->buckets[step];
-    for (guint i = 0; bucket && i < bucket->len && taken < most; i++) {
-      gpointer item = ((Entry *)bucket->pdata[i])->item;
-      looked_at++;
+                               GPtrArray *items) {
+  guint examined = 0, found = 0;
+  for (guint bucket = bucket_of(cpus); bucket <= buckets->highest && found < count_max; bucket++) {
+    const GPtrArray *entries = buckets->buckets[bucket];
+    for (guint i = 0; entries && i < entries->len && found < count_max; i++) {
+      gpointer item = ((const Entry *)entries->pdata[i])->item;
+      examined++;
       if (!wanted(item, data))
         continue;
-      g_ptr_array_add(out, item);
-      taken++;
+      g_ptr_array_add(items, item);
+      found++;
     }
   }
-  return looked_at;
+  return examined;
 }
--- a/src/scheduling_queue/wait_queue.c
+++ b/src/scheduling_queue/wait_queue.c
@@ -11,16 +11,16 @@
 };
 
 int fk_wait_key_compare(const FkWaitKey *a, const FkWaitKey *b) {
-  if (a->rank != b->rank)
-    return a->rank < b->rank ? -1 : 1;
+  if (a->priority != b->priority)
+    return a->priority < b->priority ? -1 : 1;
   if (a->standing != b->standing)
     return a->standing < b->standing ? -1 : 1;
   if (a->urgent != b->urgent)
     return a->urgent ? -1 : 1;
-  if (a->hopeful != b->hopeful)
-    return a->hopeful ? -1 : 1;
-  if (a->hopeful && a->work != b->work)
-    return a->work < b->work ? -1 : 1;
+  if (a->feasible != b->feasible)
+    return a->feasible ? -1 : 1;
+  if (a->feasible && a->remaining_work != b->remaining_work)
+    return a->remaining_work < b->remaining_work ? -1 : 1;
   return a->since_us < b->since_us ? -1 : a->since_us > b->since_us;
 }
 
@@ -29,70 +29,71 @@
 }
 
 FkWaitQueue *fk_wait_queue_new(void) {
-  FkWaitQueue *o = g_new0(FkWaitQueue, 1);
-  o->entries = g_sequence_new(g_free);
-  o->index = g_hash_table_new(g_direct_hash, g_direct_equal);
-  return o;
+  FkWaitQueue *queue = g_new0(FkWaitQueue, 1);
+  queue->entries = g_sequence_new(g_free);
+  queue->index = g_hash_table_new(g_direct_hash, g_direct_equal);
+  return queue;
 }
 
-void fk_wait_queue_free(FkWaitQueue *o) {
-  if (!o)
+void fk_wait_queue_free(FkWaitQueue *queue) {
+  if (!queue)
     return;
-  g_hash_table_unref(o->index);
-  g_sequence_free(o->entries);
-  g_free(o);
+  g_hash_table_unref(queue->index);
+  g_sequence_free(queue->entries);
+  g_free(queue);
 }
 
-void fk_wait_queue_clear(FkWaitQueue *o) {
-  g_hash_table_remove_all(o->index);
-  g_sequence_remove_range(g_sequence_get_begin_iter(o->entries), g_sequence_get_end_iter(o->entries));
+void fk_wait_queue_clear(FkWaitQueue *queue) {
+  g_hash_table_remove_all(queue->index);
+  g_sequence_remove_range(g_sequence_get_begin_iter(queue->entries), g_sequence_get_end_iter(queue->entries));
 }
 
-guint fk_wait_queue_size(const FkWaitQueue *o) { return g_hash_table_size(o->index); }
+guint fk_wait_queue_size(const FkWaitQueue *queue) { return g_hash_table_size(queue->index); }
 
-static void insert(FkWaitQueue *o, gpointer item, const FkWaitKey *key) {
-  Entry *e = g_new0(Entry, 1);
-  *e = (Entry){item, *key};
-  g_hash_table_insert(o->index, item, g_sequence_insert_sorted(o->entries, e, compare_by_key, NULL));
+static void insert(FkWaitQueue *queue, gpointer item, const FkWaitKey *key) {
+  Entry *entry = g_new0(Entry, 1);
+  *entry = (Entry){item, *key};
+  g_hash_table_insert(queue->index, item,
+                      g_sequence_insert_sorted(queue->entries, entry, compare_by_key, NULL));
 }
 
-void fk_wait_queue_put(FkWaitQueue *o, gpointer item, const FkWaitKey *key) {
-  GSequenceIter *at = g_hash_table_lookup(o->index, item);
-  if (!at) {
-    insert(o, item, key);
+void fk_wait_queue_put(FkWaitQueue *queue, gpointer item, const FkWaitKey *key) {
+  GSequenceIter *position = g_hash_table_lookup(queue->index, item);
+  if (!position) {
+    insert(queue, item, key);
     return;
   }
-  Entry *e = g_sequence_get(at);
-  if (fk_wait_key_compare(&e->key, key) == 0)
+  Entry *entry = g_sequence_get(position);
+  if (fk_wait_key_compare(&entry->key, key) == 0)
     return;
-  e->key = *key;
-  g_sequence_sort_changed(at, compare_by_key, NULL);
+  entry->key = *key;
+  g_sequence_sort_changed(position, compare_by_key, NULL);
 }
 
-gboolean fk_wait_queue_remove(FkWaitQueue *o, gpointer item) {
-  GSequenceIter *at = g_hash_table_lookup(o->index, item);
-  if (!at)
+gboolean fk_wait_queue_remove(FkWaitQueue *queue, gpointer item) {
+  GSequenceIter *position = g_hash_table_lookup(queue->index, item);
+  if (!position)
     return FALSE;
-  g_hash_table_remove(o->index, item);
-  g_sequence_remove(at);
+  g_hash_table_remove(queue->index, item);
+  g_sequence_remove(position);
   return TRUE;
 }
 
-guint fk_wait_queue_place(const FkWaitQueue *o, gpointer item) {
-  GSequenceIter *at = g_hash_table_lookup(o->index, item);
-  return at ? (guint)g_sequence_iter_get_position(at) + 1 : 0;
+guint fk_wait_queue_place(const FkWaitQueue *queue, gpointer item) {
+  GSequenceIter *position = g_hash_table_lookup(queue->index, item);
+  return position ? (guint)g_sequence_iter_get_position(position) + 1 : 0;
 }
 
-void fk_wait_queue_first(const FkWaitQueue *o, guint most, guint looked_at_most,
-                         gboolean (*wanted)(gpointer item, gpointer data), gpointer data, GPtrArray *out) {
-  GSequenceIter *at = g_sequence_get_begin_iter(o->entries);
-  guint taken = 0;
-  for (guint i = 0; i < looked_at_most && taken < most && !g_sequence_iter_is_end(at); i++) {
-    const Entry *e = g_sequence_get(at);
-    if (wanted(e->item, data)) {
-      g_ptr_array_add(out, e->item);
-      taken++;
+void fk_wait_queue_first(const FkWaitQueue *queue, guint count_max, guint examined_max,
+                         gboolean (*wanted)(gpointer item, gpointer data), gpointer data, GPtrArray *items) {
+  GSequenceIter *position = g_sequence_get_begin_iter(queue->entries);
+  guint found = 0;
+  for (guint i = 0; i < examined_max && found < count_max && !g_sequence_iter_is_end(position); i++) {
+    const Entry *entry = g_sequence_get(position);
+    if (wanted(entry->item, data)) {
+      g_ptr_array_add(items, entry->item);
+      found++;
     }
-    at = g_sequence_iter_next(at);
+    position = g_sequence_iter_next(position);
   }
 }
--- a/test/test_looks.c
+++ b/test/test_looks.c
@@ -259,7 +259,8 @@
 /* ------------------------------------------------------------------ the indexes */
 
 static void test_wait_key(void) {
-  const FkWaitKey usual = {.rank = 2, .standing = 1, .hopeful = TRUE, .work = 10, .since_us = 100};
+  const FkWaitKey usual = {
+      .priority = 2, .standing = 1, .feasible = TRUE, .remaining_work = 10, .since_us = 100};
   FkWaitKey other = usual;
   g_assert_cmpint(fk_wait_key_compare(&usual, &other), ==, 0);
 #define BEFORE(field, value)                                                                                 \
@@ -267,15 +268,15 @@
   other.field = value;                                                                                       \
   g_assert_cmpint(fk_wait_key_compare(&other, &usual), ==, -1);                                              \
   g_assert_cmpint(fk_wait_key_compare(&usual, &other), ==, 1)
-  BEFORE(rank, 1);
+  BEFORE(priority, 1);
   BEFORE(standing, 0);
   BEFORE(urgent, TRUE);
-  BEFORE(work, 5);
+  BEFORE(remaining_work, 5);
   BEFORE(since_us, 50);
 #undef BEFORE
   other = usual;
-  other.hopeful = FALSE;
-  other.work = 1;
+  other.feasible = FALSE;
+  other.remaining_work = 1;
   g_assert_cmpint(fk_wait_key_compare(&usual, &other), ==, -1);
 }
 
@@ -297,7 +298,7 @@
     g_assert_cmpuint(since, >, last);
     last = since;
   }
-  FkWaitKey ahead = {.rank = -1};
+  FkWaitKey ahead = {.priority = -1};
   fk_wait_queue_put(q, GUINT_TO_POINTER(50), &ahead);
   g_assert_cmpuint(fk_wait_queue_place(q, GUINT_TO_POINTER(50)), ==, 1);
   g_assert_true(fk_wait_queue_remove(q, GUINT_TO_POINTER(50)));
