--- a/src/core/scheduling/backfill_reservation.c
+++ b/src/core/scheduling/backfill_reservation.c
@@ -3,8 +3,7 @@
 #include "core/scheduling/placement.h"
 #include "core/scheduling/team_quota.h"
 
-#define START_DEADLINE_S 240.0 /* by then a job must have started, whatever else waits (the service check)   \
-                                */
+#define START_DEADLINE_S 240.0 /* by then a job must have started (the service check) */
 #define AGED_SHARE 0.55        /* of that time: the rest is enough for a machine to run empty */
 #define REFRESH_INTERVAL_S 2.0
 #define RESERVING_JOBS_MAX 3 /* at a time, the first of the queue */
--- a/src/core/scheduling/launch_batch.h
+++ b/src/core/scheduling/launch_batch.h
@@ -5,8 +5,7 @@
 #include "core/controller_internal.h"
 
 #define FK_LAUNCH_WRITES_MIN 2       /* writes that must be left in the budget for a launch to begin ... */
-#define FK_LAUNCH_WRITES_ALLOWANCE 4 /* ... and how many it may then use: a small overdraft is soon made up  \
-                                      */
+#define FK_LAUNCH_WRITES_ALLOWANCE 4 /* ... and how many it may use: a small overdraft is soon made up */
 
 typedef struct {
   FkOutput *txn;        /* the transaction; NULL while it is empty */
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -7,8 +7,7 @@
 #define BLOCKED_WAIT_MIN_S 15.0 /* before that, tasks that end mostly make enough room */
 #define BLOCKED_SHARE_MIN 0.02  /* of the fleet's CPUs: for less, the work done is worth more */
 #define OVER_SHARE_FACTOR 1.25  /* times its share: so far above it a team gives capacity back */
-#define RECLAIM_INTERVAL_S 4.0  /* by then the tasks asked to stop last have stopped, and the view shows it  \
-                                 */
+#define RECLAIM_INTERVAL_S 4.0  /* by then the view shows that the last victims have stopped */
 #define RECLAIM_SHARE_MAX 0.05  /* of the fleet's CPUs, in one round */
 #define CHUNKS_PER_ROUND_MAX 6  /* each costs a write */
 
--- a/src/core/scheduling/scheduling_cycle.c
+++ b/src/core/scheduling/scheduling_cycle.c
@@ -13,9 +13,8 @@
 #define LAUNCH_PAUSE_MAX_S 3.0
 #define RETRY_DELAY_MIN_S 0.15 /* after a failed write, drawn at random up to ... */
 #define RETRY_DELAY_MAX_S 0.5
-#define CYCLE_PAUSE_PER_MACHINE_S 1e-4 /* the pause between two cycles grows with what they go through ...   \
-                                        */
-#define CYCLE_PAUSE_MAX_S 0.1          /* ... up to this: a cycle over very many machines costs no more */
+#define CYCLE_PAUSE_PER_MACHINE_S 1e-4 /* the pause between cycles grows with the fleet ... */
+#define CYCLE_PAUSE_MAX_S 0.1          /* ... up to this */
 #define URGENT_INTERVAL_S 0.2
 #define URGENT_PAUSE_MIN_S 0.7 /* a shorter pause isn't worth the writes of a launch of its own */
 
--- a/src/core/scheduling/scheduling_queue.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -109,7 +109,7 @@
     job->effective_priority = MAX(job->effective_priority, FK_JOB_PRIORITY_NORMAL);
   /* an aged job is raised until its first task has started */
   if (job->effective_priority < FK_JOB_PRIORITY_NORMAL ||
-      !(aged || fk_starvation_lifts(c, job, c->leader.scheduling_queue->fleet_cpus)))
+      !(aged || fk_starvation_raises_priority(c, job, c->leader.scheduling_queue->fleet_cpus)))
     return;
   job->effective_priority = FK_JOB_PRIORITY_NORMAL;
   job->fair_share_standing = FK_STANDING_PROTECTED;
@@ -127,7 +127,7 @@
   const FkServiceLevelRow *row = fk_service_level_class(c->view->service_level, job->spec->class_name);
   return team->guaranteed_cpus <= 0 && job->spec->shape == FK_SHAPE_ARRAY && !has_objective(c, job->spec) &&
          row && (row->expected_jobs <= 0 || fk_service_level_share(row) >= SERVICE_LEVEL_SUFFICIENT) &&
-         !fk_starvation_lifts(c, job, c->leader.scheduling_queue->fleet_cpus);
+         !fk_starvation_raises_priority(c, job, c->leader.scheduling_queue->fleet_cpus);
 }
 
 /* ------------------------------------------------------------------ fair shares */
@@ -277,7 +277,7 @@
   FkController *c = controller;
   FkJob *job = item;
   gboolean crowded = fk_wait_queue_size(c->leader.scheduling_queue->waiting) > SELECTED_PER_CYCLE;
-  job->quota_available = fk_team_quota_has_room(c, job->spec);
+  job->quota_available = fk_team_quota_is_available(c, job->spec);
   return has_waiting_tasks(c, job) && fk_time_reached(c->now, job->retry_at) &&
          (job->quota_available || !crowded);
 }
@@ -315,7 +315,7 @@
 static gboolean is_urgent(FkController *c, const FkJob *job) {
   return job->inherited_priority < FK_JOB_PRIORITY_NORMAL && has_waiting_tasks(c, job) &&
          fk_time_reached(c->now, job->retry_at) && (c->leader.is_leader || !fk_spec_is_long(c, job->spec)) &&
-         fk_team_quota_has_room(c, job->spec);
+         fk_team_quota_is_available(c, job->spec);
 }
 
 gboolean fk_scheduling_queue_has_urgent(FkController *c) {
--- a/src/core/scheduling/short_path.c
+++ b/src/core/scheduling/short_path.c
@@ -208,8 +208,8 @@
 typedef struct {
   double probes;
   const FkSpec *largest;
-  gboolean constrained;    /* some may use one zone or some types only */
-  gboolean needs_ordinary; /* some may not use spot machines */
+  gboolean constrained;   /* some may use one zone or some types only */
+  gboolean ordinary_only; /* some may not use spot machines */
 } SamplingDemand;
 
 static SamplingDemand sampling_demand(FkController *c, GPtrArray *jobs) {
@@ -221,7 +221,7 @@
       continue;
     demand.probes += fk_job_waiting_tasks(job) * c->settings->tuning.probe_ratio;
     demand.constrained |= spec->zone || spec->types || spec->one_zone || spec->spread;
-    demand.needs_ordinary |= !spec->spot;
+    demand.ordinary_only |= !spec->spot;
     if (!demand.largest || spec->cpus > demand.largest->cpus)
       demand.largest = spec;
   }
@@ -249,7 +249,7 @@
   while (keep < open->len &&
          (counted < SAMPLED_MACHINES_MIN || slots < SAMPLED_SLOTS_PER_PROBE * demand.probes)) {
     const FkMachine *machine = open->pdata[keep++];
-    if (machine->record->spot && demand.needs_ordinary)
+    if (machine->record->spot && demand.ordinary_only)
       continue;
     counted++;
     slots += free_slots(c, machine, demand.largest);
--- a/src/core/scheduling/starvation.c
+++ b/src/core/scheduling/starvation.c
@@ -56,7 +56,7 @@
          fk_service_level_is_large(level, class_name, fk_spec_cpu_seconds(job->spec));
 }
 
-gboolean fk_starvation_lifts(FkController *c, const FkJob *job, double fleet_cpus) {
+gboolean fk_starvation_raises_priority(FkController *c, const FkJob *job, double fleet_cpus) {
   if (!c->leader.starving)
     return FALSE;
   const FkServiceLevelRow *rows[] = {fk_service_level_class(c->view->service_level, job->spec->class_name),
--- a/src/core/scheduling/team_quota.c
+++ b/src/core/scheduling/team_quota.c
@@ -29,7 +29,7 @@
   return fk_team_quota_allows_tasks(c, spec, 1);
 }
 
-gboolean fk_team_quota_has_room(FkController *c, const FkSpec *spec) {
+gboolean fk_team_quota_is_available(FkController *c, const FkSpec *spec) {
   const FkTeam *team = fk_settings_find_team(c->settings, spec->team);
   const FkTeamUsage *usage = fk_view_ensure_team(c->view, spec->team);
   return team && fk_quota_allows(team->max_cpus, usage->cpus + usage->reserved_cpus, spec->cpus, 1) &&
--- a/src/core/scheduling/team_quota.h
+++ b/src/core/scheduling/team_quota.h
@@ -13,4 +13,4 @@
 
 /* Whether the team's whole quota has room for one more task, whichever controller may launch it. Notes
  * nothing. */
-gboolean fk_team_quota_has_room(FkController *c, const FkSpec *spec);
+gboolean fk_team_quota_is_available(FkController *c, const FkSpec *spec);
