--- a/test/model/vouch.pml
+++ b/test/model/vouch.pml
@@ -1,4 +1,4 @@
-/* The meeting before all others (docs/meetings.md): the store refuses the home alone, others confirm a cancellation, the store
+/* Store refusal, then an outage (docs/meetings.md): the store refuses the home alone, others confirm a cancellation, the store
  * is down for all, and the home's workers go on reporting to it. One task on a machine of controller 0, whose last look at the
  * store is over; 1 and 2 are its peers, which look whenever they like, or never again: an outage of any length. Nobody can claim
  * anything. The home goes on while its view was current less than TRUST ago, by that look, or because every peer said, in the
--- a/test/test_gate.c
+++ b/test/test_admission.c
@@ -53,7 +53,7 @@
 /* Sockets, and memory beyond 4,000, bound the workers' connections: 4,500 fit where there is room for them,
  * and what all connections together may take of the memory stays below nine tenths. Up to 4,000 it is the
  * sockets alone. */
-static void test_workers(void) {
+static void test_worker_connections(void) {
   static const struct {
     double sockets, ram_mb;
     guint workers;
@@ -113,7 +113,7 @@
 }
 
 /* Each step has its time, an answer where one helps, and the clock of the next step starts anew. */
-static void test_times(void) {
+static void test_timeouts(void) {
   static const struct {
     FkConnectionStage stage;
     gint64 most;
@@ -329,7 +329,7 @@
 /* Random lives of connections from a few addresses: counts are always the sums of their parts, no kind is
  * over its share when all that must go has gone, who is crowded out is of a largest crowd that can be, and a
  * health check is never refused. */
-static void test_property(void) {
+static void test_random_connections(void) {
   enum { N = 60, STEPS = 40000 };
   for (guint32 seed = 1; seed <= 4; seed++) {
     g_autoptr(GRand) r = g_rand_new_with_seed(seed);
@@ -438,7 +438,7 @@
   return (ParseResult){r.stage, r.status, used, r.body_bytes};
 }
 
-static void test_requests(void) {
+static void test_request_limits(void) {
   const FkAdmissionResources means = {5000, 264, 4};
   const FkAdmissionOptions none = {0};
   const FkAdmissionLimits l = fk_admission_limits_derive(&means, &none);
@@ -593,17 +593,17 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/door/limits", test_limits);
-  g_test_add_func("/door/workers", test_workers);
-  g_test_add_func("/door/times", test_times);
-  g_test_add_func("/door/crowd", test_eviction);
-  g_test_add_func("/door/shares", test_shares);
-  g_test_add_func("/door/order", test_priority_order);
-  g_test_add_func("/door/fair", test_fair_share);
-  g_test_add_func("/door/memory", test_memory);
-  g_test_add_func("/door/property", test_property);
-  g_test_add_func("/door/requests", test_requests);
-  g_test_add_func("/door/routes", test_routes);
-  g_test_add_func("/door/reach", test_dependency_health);
+  g_test_add_func("/admission/limits", test_limits);
+  g_test_add_func("/admission/worker_connections", test_worker_connections);
+  g_test_add_func("/admission/timeouts", test_timeouts);
+  g_test_add_func("/admission/eviction", test_eviction);
+  g_test_add_func("/admission/shares", test_shares);
+  g_test_add_func("/admission/priority_order", test_priority_order);
+  g_test_add_func("/admission/fair_share", test_fair_share);
+  g_test_add_func("/admission/memory", test_memory);
+  g_test_add_func("/admission/random_connections", test_random_connections);
+  g_test_add_func("/admission/request_limits", test_request_limits);
+  g_test_add_func("/admission/routes", test_routes);
+  g_test_add_func("/admission/dependency_health", test_dependency_health);
   return g_test_run();
 }
--- a/test/test_core.c
+++ b/test/test_core.c
@@ -39,7 +39,7 @@
 #define BOOKED "{\"f\":0,\"n\":4,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}"
 
 /* An attempt whose end was sent to the store never starts again, whatever the view still shows. */
-static void test_ended_stays_ended(void) {
+static void test_completion_is_final(void) {
   Rig *r = rig_new(TRUE);
   const char *booked[] = {"fk/l/t/run-1/00000", BOOKED, NULL};
   watched(r, booked);
@@ -66,7 +66,7 @@
 
 /* Until a machine taken over has shown our token, its earlier home may have gone on answering for as long as
  * it trusted its view: only then does the lease begin to run out. */
-static void test_earlier_homes_trust(void) {
+static void test_previous_owner_trust(void) {
   Rig *r = rig_new(FALSE);
   const char *booked[] = {"fk/l/t/run-1/00000", BOOKED, NULL};
   watched(r, booked);
@@ -87,7 +87,7 @@
 
 /* A group's token stays the same when machines join it or are marked; a page without a machine says it's
  * gone. */
-static void test_groups(void) {
+static void test_shards(void) {
   static const struct {
     const char *zone, *machine, *group;
   } ids[] = {/* part of the store's layout: never to change */
@@ -134,7 +134,7 @@
 
 /* Another's group is claimed when a part of its machines were sent there and came back; a few of many, or a
  * group just lost, prove nothing: two busy controllers once took the same groups from each other for 25 s. */
-static void test_came_back(void) {
+static void test_redirected_workers_return(void) {
   static const struct {
     guint machines, back;
     gboolean just_lost, claimed;
@@ -199,7 +199,7 @@
 
 /* A home that hears its own zone and none of another is cut off from that one: marking its machines silent
  * would give them all back, with what runs there. One quiet machine among others is silent. */
-static void test_silent_by_zone(void) {
+static void test_zone_partition_is_not_silence(void) {
   /* 0: one is quiet; 1: all of the zone always were; 2: all are from a moment on, one of them with a service,
    * so that it is asked sooner than the others would report; 3: as 2, but then the zone is heard again, all
    * but the one with the service, which answers a little later; 4: it never does */
@@ -240,7 +240,7 @@
 /* Ends that a home writes down count against the chunk's bookings, until the chunk says so itself. */
 /* What was taken while we couldn't reach the store is taken back soon; what was taken from us while we were
  * well is left where it is: its workers can't reach us. */
-static void test_taken_back(void) {
+static void test_handback(void) {
   for (guint outage = 0; outage < 2; outage++) {
     Rig *r = rig_new(TRUE);
     for (guint i = 0; i < 30; i++) {
@@ -266,7 +266,7 @@
 /* A home that loses its workers must notice before it marks any: the one with a service had been quiet for a
  * while, was asked just after the cut, and would be judged while the others still count as heard lately.
  * Should it alone be lost, it is marked. */
-static void test_home_cut_off(void) {
+static void test_owner_partitioned(void) {
   for (guint cut = 0; cut < 2; cut++) {
     Rig *r = rig_new(TRUE);
     r->s->heartbeat_interval_s = 10;
@@ -291,7 +291,7 @@
 
 /* A cancellation is committed and acted on at once, and told when no home that may still answer for its tasks
  * can lack it: see core/tell.c. Machine i-1 is c-1's, and run-1 is booked there. */
-static void test_told(void) {
+static void test_cancellation_barrier(void) {
   static const struct {
     const char *what;
     gboolean ours, heard, booked;
@@ -359,7 +359,7 @@
 
 /* Machines that went silent with services on them are given up no faster than these find places, one with
  * many of them too; room for all of them is rented at once. Two machines have none, and go at once. */
-static void test_given_up(void) {
+static void test_service_failover_pacing(void) {
   static const struct {
     guint on_first, waiting, given_up;
   } cases[] = {{1, 0, 2 + 4}, {1, 3, 2 + 1}, {6, 0, 2 + 1}, {6, 1, 2 + 1}, {1, 4, 2}};
@@ -405,7 +405,7 @@
   }
 }
 
-static void test_ends(void) {
+static void test_completions(void) {
   static const struct {
     const char *ends;
     guint done, booked;
@@ -439,7 +439,7 @@
 
 /* One home has written that the task is done, another that the same attempt has ended: the result counts, in
  * whatever order they are read. */
-static void test_done_and_released(void) {
+static void test_result_and_release(void) {
   const char *chunk[] = {"fk/l/t/run-1/00000", "{\"f\":0,\"n\":4,\"a\":3,\"b\":[[0,1,\"i-1\",\"c-0\"]]}",
                          NULL},
              *done[] = {"fk/l/r/c-1/0", "{\"run-1/0\":{\"d\":\"1\"}}", NULL},
@@ -460,7 +460,7 @@
 
 /* A chunk whose job isn't there is swept by the leader, on the store's word that there is none; one that was
  * read before its job, as in a list read while the job was accepted, isn't. */
-static void test_orphans(void) {
+static void test_orphan_chunks(void) {
   for (int comes = 0; comes < 2; comes++) {
     Rig *r = rig_new(FALSE);
     const char *chunk[] = {"fk/l/t/run-8/00000", "{\"f\":0,\"n\":4,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}",
@@ -487,7 +487,7 @@
 }
 
 /* What applying a change costs follows from what changed, not from how large the chunk or the page is. */
-static void test_work(void) {
+static void test_incremental_work(void) {
   Rig *r = rig_new(FALSE);
   FkView *v = fk_controller_view(r->c);
   const char *big =
@@ -525,7 +525,7 @@
 }
 
 /* A split limit: what others launched doesn't count against our share, and a pause gives nobody anything. */
-static void test_split(void) {
+static void test_partitioned_quota(void) {
   static const struct {
     const char *team, *chunk;
     gboolean allowed;
@@ -552,7 +552,7 @@
 static void count_shed(gpointer data, gpointer item) { *(guint *)data += 1000; }
 
 /* What waits in the background stays within its share; what users wait for may run it into debt. */
-static void test_budget(void) {
+static void test_write_budget(void) {
   guint sent = 0;
   FkRateLimiter *b = fk_rate_limiter_new(100, 10, 1.0, 3, 1, 100, count_sent, count_shed, &sent);
   for (guint i = 0; i < 4; i++)
@@ -592,7 +592,7 @@
 
 /* A small task of a low rank leaves a machine's room to an array whose turn it is, unless that can't run
  * there, seems to fail everywhere, or has only just come (docs/incidents/, "Small tasks in every gap"). */
-static void test_yields(void) {
+static void test_backfill_yields(void) {
   static const struct {
     const char *what;
     double waited_s;
@@ -627,7 +627,7 @@
 
 /* Borrowed room is asked back for who has waited long enough and has the better claim, no more of it than
  * that wants, the latest tasks first, by one write. */
-static void test_reclaim(void) {
+static void test_quota_reclaim(void) {
   static const struct {
     const char *what, *team;
     int rank;
@@ -694,7 +694,7 @@
 }
 
 /* The page that settles the most is written first, whatever the order of the tables; what waits gains. */
-static void test_roster_order(void) {
+static void test_registry_page_order(void) {
   Rig *r = rig_new(TRUE);
   const guint groups = 8;
   for (guint g = 1; g <= groups; g++) {
@@ -743,7 +743,7 @@
 
 /* Old machines that are up when the first controller begins have time to join, however old they are: 1,166 of
  * 3,040 were given back within 25 s. One that is still starting after four boot times never comes up. */
-static void test_up_and_not_joined(void) {
+static void test_join_timeout(void) {
   static const struct {
     gboolean running, early, late; /* given back soon, in the end */
   } cases[] = {{TRUE, FALSE, TRUE}, {FALSE, TRUE, TRUE}};
@@ -766,24 +766,24 @@
   g_log_set_default_handler(quiet, NULL);
   g_log_set_always_fatal(G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL);
   g_test_add_func("/core/launch_guards", test_launch_guards);
-  g_test_add_func("/core/ended_stays_ended", test_ended_stays_ended);
-  g_test_add_func("/core/earlier_homes_trust", test_earlier_homes_trust);
-  g_test_add_func("/core/groups", test_groups);
-  g_test_add_func("/core/came_back", test_came_back);
-  g_test_add_func("/core/silent_by_zone", test_silent_by_zone);
-  g_test_add_func("/core/taken_back", test_taken_back);
-  g_test_add_func("/core/home_cut_off", test_home_cut_off);
-  g_test_add_func("/core/told", test_told);
-  g_test_add_func("/core/given_up", test_given_up);
-  g_test_add_func("/core/ends", test_ends);
-  g_test_add_func("/core/done_and_released", test_done_and_released);
-  g_test_add_func("/core/orphans", test_orphans);
-  g_test_add_func("/core/work", test_work);
-  g_test_add_func("/core/split", test_split);
-  g_test_add_func("/core/yields", test_yields);
-  g_test_add_func("/core/roster_order", test_roster_order);
-  g_test_add_func("/core/reclaim", test_reclaim);
-  g_test_add_func("/core/budget", test_budget);
-  g_test_add_func("/core/up_and_not_joined", test_up_and_not_joined);
+  g_test_add_func("/core/completion_is_final", test_completion_is_final);
+  g_test_add_func("/core/previous_owner_trust", test_previous_owner_trust);
+  g_test_add_func("/core/shards", test_shards);
+  g_test_add_func("/core/redirected_workers_return", test_redirected_workers_return);
+  g_test_add_func("/core/zone_partition_is_not_silence", test_zone_partition_is_not_silence);
+  g_test_add_func("/core/handback", test_handback);
+  g_test_add_func("/core/owner_partitioned", test_owner_partitioned);
+  g_test_add_func("/core/cancellation_barrier", test_cancellation_barrier);
+  g_test_add_func("/core/service_failover_pacing", test_service_failover_pacing);
+  g_test_add_func("/core/completions", test_completions);
+  g_test_add_func("/core/result_and_release", test_result_and_release);
+  g_test_add_func("/core/orphan_chunks", test_orphan_chunks);
+  g_test_add_func("/core/incremental_work", test_incremental_work);
+  g_test_add_func("/core/partitioned_quota", test_partitioned_quota);
+  g_test_add_func("/core/backfill_yields", test_backfill_yields);
+  g_test_add_func("/core/registry_page_order", test_registry_page_order);
+  g_test_add_func("/core/quota_reclaim", test_quota_reclaim);
+  g_test_add_func("/core/write_budget", test_write_budget);
+  g_test_add_func("/core/join_timeout", test_join_timeout);
   return g_test_run();
 }
--- a/test/test_teams.c
+++ b/test/test_decisions.c
@@ -9,7 +9,7 @@
 #include "instance_models/boot_time.h"
 #include "instance_models/idle_retention.h"
 
-static void test_limits(void) {
+static void test_quotas(void) {
   static const struct {
     double guarantee, setting;
     FkTeamKind kind;
@@ -95,7 +95,7 @@
   }
 }
 
-static void test_blame(void) {
+static void test_fault_attribution(void) {
   for (guint i = 0; i < G_N_ELEMENTS(blame_cases); i++) {
     const BlameCase *k = &blame_cases[i];
     FkFaultAttribution *b = fk_fault_attribution_new();
@@ -118,7 +118,7 @@
 
 /* However the failures come, pauses are bounded, never shrink while a job goes on failing, and what is kept
  * goes with the jobs and machines. */
-static void test_blame_pauses(void) {
+static void test_fault_attribution_pauses(void) {
   GRand *rand = g_rand_new_with_seed(7);
   for (guint round = 0; round < 200; round++) {
     FkFaultAttribution *b = fk_fault_attribution_new();
@@ -153,7 +153,7 @@
 
 #define NONE INFINITY
 
-static void test_share(void) {
+static void test_fair_share(void) {
   static const struct {
     double room;
     FkFairShareDemand claimants[3]; /* guarantee, limit, used, wanted, due */
@@ -190,7 +190,7 @@
 /* Whatever the numbers: the sum fits the room; nobody gets more than it wants or may have; nobody who gets
  * less than it wants is below its guarantee while another borrows; and nothing is left over while somebody
  * wants. */
-static void test_share_properties(void) {
+static void test_fair_share_properties(void) {
   GRand *rand = g_rand_new_with_seed(11);
   for (guint round = 0; round < 3000; round++) {
     FkFairShareDemand c[6];
@@ -223,7 +223,7 @@
   g_rand_free(rand);
 }
 
-static void test_served(void) {
+static void test_service_level(void) {
   static const struct {
     const char *what;
     FkServiceLevelJob jobs[2];
@@ -269,7 +269,7 @@
 }
 
 /* Users invent names: what is kept of them is bounded, and those known are still counted. */
-static void test_served_bounded(void) {
+static void test_service_level_bounded(void) {
   FkServiceLevel *b = fk_service_level_new();
   for (guint i = 0; i < 5000; i++) {
     g_autofree char *name = g_strdup_printf("class-%u", i);
@@ -281,7 +281,7 @@
   fk_service_level_free(b);
 }
 
-static void test_hold(void) {
+static void test_idle_retention(void) {
   FkTime now = {1000000};
   FkIdleRetention h;
   fk_idle_retention_init(&h, now);
@@ -306,7 +306,7 @@
   fk_idle_retention_clear(&h);
 }
 
-static void test_boots(void) {
+static void test_boot_times(void) {
   FkBootTimeModel b;
   fk_boot_time_init(&b);
   /* before anything is seen: a new one is as good as sure, one that is long overdue isn't */
@@ -348,14 +348,14 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/teams/limits", test_limits);
-  g_test_add_func("/teams/share", test_share);
-  g_test_add_func("/teams/share_properties", test_share_properties);
-  g_test_add_func("/teams/served", test_served);
-  g_test_add_func("/teams/served_bounded", test_served_bounded);
-  g_test_add_func("/rent/hold", test_hold);
-  g_test_add_func("/rent/boots", test_boots);
-  g_test_add_func("/blame/verdicts", test_blame);
-  g_test_add_func("/blame/pauses", test_blame_pauses);
+  g_test_add_func("/fair_share/quotas", test_quotas);
+  g_test_add_func("/fair_share/fair_share", test_fair_share);
+  g_test_add_func("/fair_share/fair_share_properties", test_fair_share_properties);
+  g_test_add_func("/fair_share/service_level", test_service_level);
+  g_test_add_func("/fair_share/service_level_bounded", test_service_level_bounded);
+  g_test_add_func("/instance_models/idle_retention", test_idle_retention);
+  g_test_add_func("/instance_models/boot_times", test_boot_times);
+  g_test_add_func("/fault_attribution/fault_attribution", test_fault_attribution);
+  g_test_add_func("/fault_attribution/fault_attribution_pauses", test_fault_attribution_pauses);
   return g_test_run();
 }
--- a/test/test_deps.c
+++ b/test/test_dependency_graph.c
@@ -62,7 +62,7 @@
     {"added twice", {"b: a", "b: a", "a done"}, "+b ", 2},
 };
 
-static void test_orders(void) {
+static void test_topological_order(void) {
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Seen s = {g_string_new(NULL)};
     FkDependencyGraph *g = fk_dependency_graph_new(changed, &s);
@@ -81,7 +81,7 @@
 
 /* Whose end isn't known is asked for as long as somebody needs it; until then nothing is sure of those after
  * it. */
-static void test_unknown(void) {
+static void test_unknown_dependency(void) {
   Seen s = {g_string_new(NULL)};
   FkDependencyGraph *g = fk_dependency_graph_new(changed, &s);
   step(g, "c: b");
@@ -120,7 +120,7 @@
                          p.due_us == G_MAXINT64 ? -1 : p.due_us);
 }
 
-static void test_pull(void) {
+static void test_inherited_priority(void) {
   Seen s = {g_string_new(NULL)};
   FkDependencyGraph *g = fk_dependency_graph_new(changed, &s);
   step(g, "d: c");
@@ -142,7 +142,7 @@
 }
 
 /* A chain of 100,000 and a fan of as many: no recursion, and the work grows with the edges. */
-static void test_large(void) {
+static void test_large_graph(void) {
   for (int fan = 0; fan < 2; fan++) {
     Seen s = {g_string_new(NULL)};
     FkDependencyGraph *g = fk_dependency_graph_new(changed, &s);
@@ -170,9 +170,9 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/deps/orders", test_orders);
-  g_test_add_func("/deps/unknown", test_unknown);
-  g_test_add_func("/deps/pull", test_pull);
-  g_test_add_func("/deps/large", test_large);
+  g_test_add_func("/dependency_graph/topological_order", test_topological_order);
+  g_test_add_func("/dependency_graph/unknown_dependency", test_unknown_dependency);
+  g_test_add_func("/dependency_graph/inherited_priority", test_inherited_priority);
+  g_test_add_func("/dependency_graph/large_graph", test_large_graph);
   return g_test_run();
 }
--- a/test/test_failure_detector.c
+++ b/test/test_failure_detector.c
@@ -91,7 +91,7 @@
     {"... and then it answers", {R(1, 1, NEW), T, O, W(20), R(2, 3, NEW), Q, A(2, 4, NEW)}, FALSE, FALSE},
 };
 
-static void test_cases(void) {
+static void test_verdicts(void) {
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     FkFailureDetector e = {0};
     FkTime now = {1000000};
@@ -122,7 +122,7 @@
 }
 
 /* Reports alone, copies or not, keep nobody alive, and put off no proof by lease that we don't answer for. */
-static void test_quiet(void) {
+static void test_silence(void) {
   FkFailureDetector e = {0};
   FkTime now = {1000000}, began = now;
   fk_failure_detector_acquired(&e, now);
@@ -143,7 +143,7 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/evidence/cases", test_cases);
-  g_test_add_func("/evidence/quiet", test_quiet);
+  g_test_add_func("/failure_detector/verdicts", test_verdicts);
+  g_test_add_func("/failure_detector/silence", test_silence);
   return g_test_run();
 }
--- a/test/test_unlisted.c
+++ b/test/test_failure_modes.c
@@ -61,7 +61,7 @@
 /* A start that was sent straight to the machine, and carried out, may be repeated by the network after its
  * attempt was forgotten: it would run again, while the task may run elsewhere (ran_twice), beyond its team's
  * limit (quota: seed 7919 of sim_copies), or be cancelled. So it isn't forgotten under the same token. */
-static void test_repeats(void) {
+static void test_repeated_command(void) {
   Rig *r = rig_new(TRUE);
   says_now(r, i_1(r, 1, 1));
   forget_outs(r);
@@ -87,7 +87,7 @@
 }
 
 /* A start in the answer to a report is dropped after 4 s: nothing of it can come again. */
-static void test_offered(void) {
+static void test_replied_start(void) {
   Rig *r = rig_new(TRUE);
   book(r);
   says_now(r, i_1(r, 1, 1));
@@ -97,7 +97,7 @@
 
 /* What a copy must not do, at a home that has heard the machine: be answered 200, take orders, renew
  * anything, or cost more than a question in two seconds, however many there are. */
-static void test_copies(void) {
+static void test_duplicate_heartbeats(void) {
   Rig *r = rig_new(TRUE);
   says_now(r, i_1(r, 1, 5));
   says_now(r, i_1(r, 1, 6));
@@ -125,7 +125,7 @@
 
 /* A copy about a machine that was returned, or that nobody knows, brings nothing into the roster, and nothing
  * is booked there; who is there answers a question, and is written down at once. */
-static void test_strangers(void) {
+static void test_unknown_machines(void) {
   for (guint there = 0; there < 2; there++) {
     Rig *r = rig_new(TRUE);
     g_autofree char *page = group_key("m");
@@ -146,7 +146,7 @@
 /* Its reports come, and nothing reaches it: nothing new is booked there, it is marked, and its reports are no
  * longer answered, so that its lease proves what it is to prove. One whose reports show what was ordered
  * hears them, whatever becomes of the direct calls. */
-static void test_deaf(void) {
+static void test_inbound_partition(void) {
   for (guint hears = 0; hears < 2; hears++) {
     Rig *r = rig_new(TRUE);
     g_autofree char *page = group_key("m");
@@ -186,7 +186,7 @@
 /* Back within a moment, session and report starting anew: its reports look like old copies, and stay so for
  * ever unless it is asked. What it had is started again there, at once; the token that it has seen proves
  * nothing until a later claim. */
-static void test_begins_anew(void) {
+static void test_worker_restart(void) {
   Rig *r = rig_new(TRUE);
   says_now(r, i_1(r, 1, 40));
   book(r);
@@ -214,7 +214,7 @@
 /* A controller that has lost the store and its peers learns from one machine that its group has another home,
  * and sends all of the group's workers away. With a fresh view a token that the store never gave counts for
  * nothing but its own machine; and in an outage of the whole store nobody has a later token. */
-static void test_alone(void) {
+static void test_controller_isolated(void) {
   static const struct {
     gboolean stale, later;
     int other; /* what the other machine of the group is answered */
@@ -245,7 +245,7 @@
 
 /* Users of one that is alone are sent elsewhere; while others answer, an outage of the store takes nobody
  * out. */
-static void test_up(void) {
+static void test_store_outage_availability(void) {
   for (guint peers = 0; peers < 2; peers++) {
     Rig *r = rig_new(TRUE);
     g_assert_true(fk_controller_is_serving(r->c, r->now));
@@ -260,7 +260,7 @@
 }
 
 /* A question to a controller that lists the store is read from the store itself, a few at a time. */
-static void test_without_view(void) {
+static void test_reads_without_view(void) {
   Rig *r = rig_new(TRUE);
   g_autoptr(GPtrArray) none = g_ptr_array_new();
   fk_controller_watch_received(r->c, r->now, FK_OUTCOME_GONE, none, (FkRev){0}, r->now);
@@ -304,7 +304,7 @@
 /* The store compared while our view showed the job; before its answer the view is read again, as after a long
  * refusal. That the new view lacks the job proves nothing: 404 for an accepted job would be `forgotten`. The
  * job is read, then its final. */
-static void test_compared_then_cleared(void) {
+static void test_read_check_across_relist(void) {
   Rig *r = rig_new(TRUE);
   forget_outs(r);
   fk_controller_poll_received(r->c, r->now, (FkRequestId){300}, "run-1");
@@ -327,7 +327,7 @@
   rig_free(r);
 }
 
-static void test_overdue(void) {
+static void test_backfill_reservation(void) {
   static const struct {
     double waited_s;
     gboolean begun, urgent;
@@ -361,7 +361,7 @@
 /* A home whose view is old, and a machine that has begun anew: the token of a later home, which would keep
  * the old one's answers out, is forgotten with all else. It is given nothing: what the old view has booked
  * there may have ended, and run elsewhere. Who has seen a token, or ours, is answered. */
-static void test_old_view_begins_anew(void) {
+static void test_worker_restart_stale_view(void) {
   static const struct {
     gboolean old;
     guint64 token; /* 0, or 1: an earlier one, or 2: ours */
@@ -401,7 +401,7 @@
 
 /* A machine with hundreds of ended attempts in its reports and one task of a cancelled job: the answer, which
  * renews the lease of all that it doesn't stop, stops that one, whatever else there is to say. */
-static void test_stops_first(void) {
+static void test_stop_commands_first(void) {
   Rig *r = rig_new(TRUE);
   book(r);
   FkHeartbeat *rep = i_1(r, 1, 1);
@@ -437,7 +437,7 @@
  * all. One send that was refused says nothing of the others; the first answer counts, and only that. A user
  * waited for 2 s, and so did all launches, for each one that got lost (day meet-late: 0.68 of the submissions
  * in time). */
-static void test_asked_again(void) {
+static void test_transaction_retry(void) {
   static const struct {
     gboolean sent;
     FkOutcome first, second; /* FK_OUTCOME_UNKNOWN: none comes */
@@ -499,7 +499,7 @@
 
 /* While many get lost, what has no answer is sent again at once; not while hardly any does, since each send
  * is a write of the store's budget. */
-static void test_lossy(void) {
+static void test_retry_under_loss(void) {
   for (guint lossy = 0; lossy < 2; lossy++) {
     Rig *r = rig_new(TRUE);
     guint64 call = 0;
@@ -532,20 +532,20 @@
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   g_log_set_default_handler(quiet, NULL);
-  g_test_add_func("/unlisted/repeats", test_repeats);
-  g_test_add_func("/unlisted/offered", test_offered);
-  g_test_add_func("/unlisted/copies", test_copies);
-  g_test_add_func("/unlisted/strangers", test_strangers);
-  g_test_add_func("/unlisted/deaf", test_deaf);
-  g_test_add_func("/unlisted/begins_anew", test_begins_anew);
-  g_test_add_func("/unlisted/alone", test_alone);
-  g_test_add_func("/unlisted/up", test_up);
-  g_test_add_func("/unlisted/without_view", test_without_view);
-  g_test_add_func("/unlisted/compared_then_cleared", test_compared_then_cleared);
-  g_test_add_func("/unlisted/overdue", test_overdue);
-  g_test_add_func("/unlisted/old_view_begins_anew", test_old_view_begins_anew);
-  g_test_add_func("/unlisted/stops_first", test_stops_first);
-  g_test_add_func("/unlisted/asked_again", test_asked_again);
-  g_test_add_func("/unlisted/lossy", test_lossy);
+  g_test_add_func("/failure_modes/repeated_command", test_repeated_command);
+  g_test_add_func("/failure_modes/replied_start", test_replied_start);
+  g_test_add_func("/failure_modes/duplicate_heartbeats", test_duplicate_heartbeats);
+  g_test_add_func("/failure_modes/unknown_machines", test_unknown_machines);
+  g_test_add_func("/failure_modes/inbound_partition", test_inbound_partition);
+  g_test_add_func("/failure_modes/worker_restart", test_worker_restart);
+  g_test_add_func("/failure_modes/controller_isolated", test_controller_isolated);
+  g_test_add_func("/failure_modes/store_outage_availability", test_store_outage_availability);
+  g_test_add_func("/failure_modes/reads_without_view", test_reads_without_view);
+  g_test_add_func("/failure_modes/read_check_across_relist", test_read_check_across_relist);
+  g_test_add_func("/failure_modes/backfill_reservation", test_backfill_reservation);
+  g_test_add_func("/failure_modes/worker_restart_stale_view", test_worker_restart_stale_view);
+  g_test_add_func("/failure_modes/stop_commands_first", test_stop_commands_first);
+  g_test_add_func("/failure_modes/transaction_retry", test_transaction_retry);
+  g_test_add_func("/failure_modes/retry_under_loss", test_retry_under_loss);
   return g_test_run();
 }
--- a/test/test_door.c
+++ b/test/test_http_server.c
@@ -222,7 +222,7 @@
 /* ------------------------------------------------------------------ cases */
 
 /* However a request comes, it is answered once, and the connection goes on. */
-static void test_serves(void) {
+static void test_serves_requests(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
   static const struct {
@@ -585,7 +585,7 @@
 }
 
 /* Garbage, cuts and resets at random: nothing is left behind, and who behaves is served all the while. */
-static void test_random(void) {
+static void test_random_input(void) {
   FkAdmissionLimits l = limits();
   l.connections[FK_CONNECTION_CLASS_CLIENT] = 30;
   l.first_byte_us = l.head_us = l.body_us = S / 20;
@@ -756,18 +756,18 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/sockets/serves", test_serves);
-  g_test_add_func("/sockets/bounds", test_size_limits);
-  g_test_add_func("/sockets/reads_why", test_rejection_is_readable);
-  g_test_add_func("/sockets/slow", test_slow_senders);
-  g_test_add_func("/sockets/reads_not", test_slow_readers);
-  g_test_add_func("/sockets/used_up", test_connection_limit);
-  g_test_add_func("/sockets/under_way", test_request_limit);
-  g_test_add_func("/sockets/order", test_order);
-  g_test_add_func("/sockets/half_bodies", test_partial_bodies);
-  g_test_add_func("/sockets/no_descriptor", test_no_descriptor);
-  g_test_add_func("/sockets/random", test_random);
-  g_test_add_func("/sockets/freed", test_free_with_open_streams);
-  g_test_add_func("/sockets/calls", test_http_client);
+  g_test_add_func("/http_server/serves_requests", test_serves_requests);
+  g_test_add_func("/http_server/size_limits", test_size_limits);
+  g_test_add_func("/http_server/rejection_is_readable", test_rejection_is_readable);
+  g_test_add_func("/http_server/slow_senders", test_slow_senders);
+  g_test_add_func("/http_server/slow_readers", test_slow_readers);
+  g_test_add_func("/http_server/connection_limit", test_connection_limit);
+  g_test_add_func("/http_server/request_limit", test_request_limit);
+  g_test_add_func("/http_server/order", test_order);
+  g_test_add_func("/http_server/partial_bodies", test_partial_bodies);
+  g_test_add_func("/http_server/no_descriptor", test_no_descriptor);
+  g_test_add_func("/http_server/random_input", test_random_input);
+  g_test_add_func("/http_server/free_with_open_streams", test_free_with_open_streams);
+  g_test_add_func("/http_server/http_client", test_http_client);
   return g_test_run();
 }
--- a/test/test_chains.c
+++ b/test/test_job_dependencies.c
@@ -72,7 +72,7 @@
 /* Another controller cancelled what the job needs, and told so; our view lacks it. The comparison of the
  * job's own record finds nothing: `queued` would be older than `withdrawn`, which its user may have been told
  * elsewhere. */
-static void test_settles(void) {
+static void test_waits_for_view(void) {
   Rig *r = with_fences();
   watched(r, (const char *const[]){"fk/l/j/run-2", NEEDS("run-1"), NULL});
   forget_outs(r);
@@ -87,7 +87,7 @@
 }
 
 /* ... and a view that doesn't get there says nothing. */
-static void test_settles_or_503(void) {
+static void test_unavailable_without_view(void) {
   Rig *r = with_fences();
   watched(r, (const char *const[]){"fk/l/j/run-2", NEEDS("run-1"), NULL});
   forget_outs(r);
@@ -100,7 +100,7 @@
 }
 
 /* Results, chunks and pages of ends release nobody: the final does. */
-static void test_only_the_final(void) {
+static void test_terminal_state_releases(void) {
   Rig *r = with_fences();
   watched(r, (const char *const[]){"fk/l/j/run-2", NEEDS("run-1"), NULL});
   FkJob *j = fk_view_find_job(fk_controller_view(r->c), "run-2");
@@ -115,7 +115,7 @@
 }
 
 /* What ended before the view began is read, once; until then nothing is said of who needs it. */
-static void test_reads_ends(void) {
+static void test_reads_terminal_states(void) {
   Rig *r = with_fences();
   watched(r, (const char *const[]){"fk/l/j/run-2", NEEDS("run-9"), "fk/l/j/run-3", NEEDS("run-9"), NULL});
   forget_outs(r);
@@ -149,7 +149,7 @@
 
 /* One fence without the word, of a controller that lives or not, and nothing with dependencies is accepted.
  */
-static void test_fences(void) {
+static void test_version_fences(void) {
   for (guint missing = 0; missing < 4; missing++) {
     Rig *r = rig_new(TRUE);
     for (guint i = 0; i < 3; i++) {
@@ -170,7 +170,7 @@
 }
 
 /* Accepting: what the store is asked, and what is said of it. */
-static void test_accepting(void) {
+static void test_acceptance(void) {
   static const struct {
     const char *name, *needs, *failed; /* what the store has of what it was asked about; NULL: nothing */
     int status;                        /* 0: it goes on */
@@ -210,7 +210,7 @@
 }
 
 /* In a busy store finals wait for what users wait for; not those that others need. */
-static void test_needed_finals_first(void) {
+static void test_needed_terminal_states_first(void) {
   for (int needed = 0; needed < 2; needed++) {
     Rig *r = with_fences();
     watched(r, (const char *const[]){"fk/l/leader", "{\"node\":\"c-0\",\"life\":\"now\"}", "fk/l/j/run-2",
@@ -229,7 +229,7 @@
 }
 
 /* Low-ranked work that a high-ranked job with a deadline needs takes both over, along the way. */
-static void test_pulled(void) {
+static void test_inherited_priority(void) {
   Rig *r = with_fences();
   g_autofree char *last = g_strconcat(
       "{\"deadline\":500,\"class\":\"c\",\"team\":\"red\",\"shape\":0,\"rank\":1,\"tasks\":1,\"cpus\":2,"
@@ -260,7 +260,7 @@
 /* A page that the version before wrote under larger limits: whole while one controller can't read it in
  * parts, then divided by one transaction, each part within the limits to come, nobody lost, and left alone
  * after that. */
-static void test_divided(void) {
+static void test_registry_page_divided(void) {
   for (int known = 0; known < 2; known++) {
     Rig *r = rig_new(TRUE);
     r->s->value_kb = 2;
@@ -416,7 +416,7 @@
 }
 
 /* A job whose tasks all end at once is ended by the same transaction, however many they are. */
-static void test_all_end_at_once(void) {
+static void test_all_tasks_complete_at_once(void) {
   static const guint tasks[] = {1, 4000, 4095, 4096, 4500};
   for (guint i = 0; i < G_N_ELEMENTS(tasks); i++) {
     Rig *r = rig_new(TRUE);
@@ -462,16 +462,16 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/chains/settles", test_settles);
-  g_test_add_func("/chains/settles_or_503", test_settles_or_503);
-  g_test_add_func("/chains/only_the_final", test_only_the_final);
-  g_test_add_func("/chains/reads_ends", test_reads_ends);
-  g_test_add_func("/chains/fences", test_fences);
-  g_test_add_func("/chains/accepting", test_accepting);
-  g_test_add_func("/chains/pulled", test_pulled);
-  g_test_add_func("/chains/divided", test_divided);
-  g_test_add_func("/chains/large_zone", test_large_zone);
-  g_test_add_func("/chains/all_end_at_once", test_all_end_at_once);
-  g_test_add_func("/chains/needed_finals_first", test_needed_finals_first);
+  g_test_add_func("/job_dependencies/waits_for_view", test_waits_for_view);
+  g_test_add_func("/job_dependencies/unavailable_without_view", test_unavailable_without_view);
+  g_test_add_func("/job_dependencies/terminal_state_releases", test_terminal_state_releases);
+  g_test_add_func("/job_dependencies/reads_terminal_states", test_reads_terminal_states);
+  g_test_add_func("/job_dependencies/version_fences", test_version_fences);
+  g_test_add_func("/job_dependencies/acceptance", test_acceptance);
+  g_test_add_func("/job_dependencies/inherited_priority", test_inherited_priority);
+  g_test_add_func("/job_dependencies/registry_page_divided", test_registry_page_divided);
+  g_test_add_func("/job_dependencies/large_zone", test_large_zone);
+  g_test_add_func("/job_dependencies/all_tasks_complete_at_once", test_all_tasks_complete_at_once);
+  g_test_add_func("/job_dependencies/needed_terminal_states_first", test_needed_terminal_states_first);
   return g_test_run();
 }
--- a/test/test_rexec.c
+++ b/test/test_remote_execution.c
@@ -226,11 +226,11 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/rexec/resources", test_resources);
-  g_test_add_func("/rexec/frames", test_frames);
-  g_test_add_func("/rexec/keys", test_keys);
-  g_test_add_func("/rexec/settings", test_settings);
-  g_test_add_func("/rexec/paths", test_paths);
-  g_test_add_func("/rexec/shelf", test_blob_index);
+  g_test_add_func("/remote_execution/resources", test_resources);
+  g_test_add_func("/remote_execution/frames", test_frames);
+  g_test_add_func("/remote_execution/keys", test_keys);
+  g_test_add_func("/remote_execution/settings", test_settings);
+  g_test_add_func("/remote_execution/paths", test_paths);
+  g_test_add_func("/remote_execution/blob_index", test_blob_index);
   return g_test_run();
 }
--- a/test/test_scale.c
+++ b/test/test_scale_tools.c
@@ -62,7 +62,7 @@
   g_assert_cmpuint(first->len + rest->len, ==, fk_store_model_size(s));
 }
 
-static void test_store_budget(void) {
+static void test_store_rate_limit(void) {
   FkStoreRateLimit b = {0};
   g_assert_true(fk_store_rate_limit_take(&b, 1000000, 10, 5, 5));
   g_assert_false(fk_store_rate_limit_take(&b, 1000000, 10, 5, 1)); /* the writes are gone */
@@ -281,7 +281,7 @@
       {14, FK_EVENT_LEFT, 0, "i-1"}}},
     {"invented", {{1, FK_EVENT_BEGAN, 4000, "i-1"}}}};
 
-static void test_rules(void) {
+static void test_rule_checks(void) {
   g_autoptr(FkScalePlan) p = small_plan();
   g_autofree char *id = fk_scale_job_id(0, BULK);
   for (guint i = 0; i < G_N_ELEMENTS(rule_cases); i++) {
@@ -362,7 +362,7 @@
   }
 }
 
-static void test_malformed_reports(void) {
+static void test_malformed_heartbeats(void) {
   g_autoptr(FkScalePlan) p = small_plan();
   g_autoptr(GError) error = NULL;
   guint n = 99;
@@ -406,7 +406,7 @@
 }
 
 /* One worker with a task that runs, of which no controller hears; the loop sleeps over its lease's end. */
-static void test_lease_ends(void) {
+static void test_lease_expiry(void) {
   static Fleet f;
   g_autoptr(FkScalePlan) p = small_plan();
   g_autoptr(GError) error = NULL;
@@ -450,7 +450,7 @@
 }
 
 /* Several processes play each machine of the start once, agree on their names and faults. */
-static void test_fleet_parts(void) {
+static void test_fleet_processes(void) {
   enum { PARTS = 3 };
   static Fleet f[PARTS];
   g_autoptr(FkScalePlan) p = small_plan();
@@ -506,19 +506,19 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/scale/store_model", test_store_model);
-  g_test_add_func("/scale/store_budget", test_store_budget);
-  g_test_add_func("/scale/worker_model", test_worker_model);
-  g_test_add_func("/scale/codecs", test_codecs);
-  g_test_add_func("/scale/store_codec", test_store_codec);
-  g_test_add_func("/scale/jobs", test_jobs);
-  g_test_add_func("/scale/plan", test_plan);
-  g_test_add_func("/scale/balancer", test_balancer);
-  g_test_add_func("/scale/rules", test_rules);
-  g_test_add_func("/scale/quota_rule", test_quota_rule);
-  g_test_add_func("/scale/redirects", test_redirects);
-  g_test_add_func("/scale/malformed_reports", test_malformed_reports);
-  g_test_add_func("/scale/lease_ends", test_lease_ends);
-  g_test_add_func("/scale/fleet_parts", test_fleet_parts);
+  g_test_add_func("/scale_tools/store_model", test_store_model);
+  g_test_add_func("/scale_tools/store_rate_limit", test_store_rate_limit);
+  g_test_add_func("/scale_tools/worker_model", test_worker_model);
+  g_test_add_func("/scale_tools/codecs", test_codecs);
+  g_test_add_func("/scale_tools/store_codec", test_store_codec);
+  g_test_add_func("/scale_tools/jobs", test_jobs);
+  g_test_add_func("/scale_tools/plan", test_plan);
+  g_test_add_func("/scale_tools/balancer", test_balancer);
+  g_test_add_func("/scale_tools/rule_checks", test_rule_checks);
+  g_test_add_func("/scale_tools/quota_rule", test_quota_rule);
+  g_test_add_func("/scale_tools/redirects", test_redirects);
+  g_test_add_func("/scale_tools/malformed_heartbeats", test_malformed_heartbeats);
+  g_test_add_func("/scale_tools/lease_expiry", test_lease_expiry);
+  g_test_add_func("/scale_tools/fleet_processes", test_fleet_processes);
   return g_test_run();
 }
--- a/test/test_looks.c
+++ b/test/test_scheduling_cycle.c
@@ -156,13 +156,13 @@
 }
 
 /* With fewer jobs than are refreshed in a look, each takes its place anew in every look. */
-static void test_few_are_all_looked_at(void) {
+static void test_few_jobs_are_all_refreshed(void) {
   Cost c = cost_of(100, ROOM, 100);
   g_assert_cmpfloat(c.jobs, >=, 100);
 }
 
 /* A look sees every machine with room, however many there are, and none without. */
-static void test_all_that_have_room(void) {
+static void test_all_machines_with_capacity(void) {
   static const struct {
     guint machines, with_room;
   } cases[] = {{100, 100}, {2000, 1900}, {2500, 2001}, {4500, 4500}};
@@ -193,7 +193,7 @@
 
 /* Jobs that each want a whole machine: the plan leaves no machine idle that one of them waits for. Besides,
  * it looks at 2,000 jobs. */
-static void test_all_that_are_wanted(void) {
+static void test_plan_covers_all_machines(void) {
   static const struct {
     guint machines, jobs, idle;
   } cases[] = {{100, 3000, 0}, {2500, 999, 1500}, {2500, 2399, 100}, {4500, 4499, 0}};
@@ -229,7 +229,7 @@
   "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16}"
 
 /* A large launch makes the next one wait, but not urgent work; what that writes is added to the pause. */
-static void test_urgent_before_its_time(void) {
+static void test_urgent_launch_before_pause(void) {
   Rig *r = rig_new(TRUE);
   FkController *c = r->c;
   report(r, 1, 1, 11, NULL, FK_EXIT_NONE);
@@ -308,7 +308,7 @@
 static gboolean any(gpointer item, gpointer unused) { return TRUE; }
 
 /* Held against a plain table through a thousand random changes. */
-static void test_capacity(void) {
+static void test_capacity_buckets(void) {
   enum { ITEMS = 60 };
   double free_cpus[ITEMS + 1];
   FkCapacityBuckets *c = fk_capacity_buckets_new();
@@ -340,14 +340,14 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/looks/wait_key", test_wait_key);
-  g_test_add_func("/looks/wait_queue", test_wait_queue);
-  g_test_add_func("/looks/capacity", test_capacity);
-  g_test_add_func("/looks/few", test_few_are_all_looked_at);
-  g_test_add_func("/looks/all_that_have_room", test_all_that_have_room);
-  g_test_add_func("/looks/all_that_are_wanted", test_all_that_are_wanted);
-  g_test_add_func("/looks/flat_in_jobs", test_flat_in_jobs);
-  g_test_add_func("/looks/flat_in_machines", test_flat_in_machines);
-  g_test_add_func("/looks/urgent_before_its_time", test_urgent_before_its_time);
+  g_test_add_func("/scheduling_cycle/wait_key", test_wait_key);
+  g_test_add_func("/scheduling_cycle/wait_queue", test_wait_queue);
+  g_test_add_func("/scheduling_cycle/capacity_buckets", test_capacity_buckets);
+  g_test_add_func("/scheduling_cycle/few_jobs_are_all_refreshed", test_few_jobs_are_all_refreshed);
+  g_test_add_func("/scheduling_cycle/all_machines_with_capacity", test_all_machines_with_capacity);
+  g_test_add_func("/scheduling_cycle/plan_covers_all_machines", test_plan_covers_all_machines);
+  g_test_add_func("/scheduling_cycle/flat_in_jobs", test_flat_in_jobs);
+  g_test_add_func("/scheduling_cycle/flat_in_machines", test_flat_in_machines);
+  g_test_add_func("/scheduling_cycle/urgent_launch_before_pause", test_urgent_launch_before_pause);
   return g_test_run();
 }
--- a/test/test_units.c
+++ b/test/test_units.c
@@ -3,7 +3,7 @@
 
 /* Worked by hand from the Linear model: p = mean / bound, at most 1; floor = share of machines, smoothed by
  * 0.3. */
-static void test_sizing(void) {
+static void test_elastic_sizing(void) {
   static const struct {
     double sum;
     guint64 count;
@@ -33,7 +33,7 @@
   }
 }
 
-static void test_chunk(void) {
+static void test_chunk_transitions(void) {
   g_autoptr(FkChunk) c = fk_chunk_new(16, 8);
   static const struct {
     enum { BOOK, RELEASE, FINISH, STOP } op;
@@ -64,7 +64,7 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/sizing/linear", test_sizing);
-  g_test_add_func("/job/transitions", test_chunk);
+  g_test_add_func("/elastic_sizing/elastic_sizing", test_elastic_sizing);
+  g_test_add_func("/job/chunk_transitions", test_chunk_transitions);
   return g_test_run();
 }
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -102,7 +102,7 @@
   }
 }
 
-static void test_report(void) {
+static void test_heartbeat(void) {
   static const struct {
     const char *body;
     int tasks; /* -1: refused */
@@ -132,7 +132,7 @@
 
 /* Named twice counts once; none is none, and its record has the form of before. A record whose list isn't one
  * isn't a job's at all: it must not start as if it needed nobody. */
-static void test_needs(void) {
+static void test_dependencies(void) {
   static const struct {
     const char *awaits, *needs; /* NULL: none */
   } cases[] = {{"null", NULL},
@@ -163,7 +163,7 @@
 }
 
 /* The limits to come: without them, with larger ones, with fields that nobody knows; nonsense is refused. */
-static void test_next(void) {
+static void test_next_limits(void) {
   static const struct {
     const char *next; /* NULL: none */
     gboolean ok;
@@ -312,7 +312,7 @@
 
 /* Why an attempt ended without a result goes beside the release itself, which versions that don't know it
  * read. */
-static void test_failed_ends(void) {
+static void test_failed_completions(void) {
   static const struct {
     const char *json;
     guint released, failed;
@@ -343,13 +343,13 @@
   g_test_init(&argc, &argv, NULL);
   g_test_add_func("/wire/submission", test_submission);
   g_test_add_func("/wire/integers", test_integers);
-  g_test_add_func("/wire/report", test_report);
-  g_test_add_func("/wire/chunk", test_chunk_record);
+  g_test_add_func("/wire/heartbeat", test_heartbeat);
+  g_test_add_func("/wire/chunk_record", test_chunk_record);
   g_test_add_func("/wire/chunk_fits", test_chunk_fits);
-  g_test_add_func("/wire/needs", test_needs);
-  g_test_add_func("/wire/next", test_next);
+  g_test_add_func("/wire/dependencies", test_dependencies);
+  g_test_add_func("/wire/next_limits", test_next_limits);
   g_test_add_func("/wire/schema", test_schema);
   g_test_add_func("/wire/settings", test_settings);
-  g_test_add_func("/wire/failed_ends", test_failed_ends);
+  g_test_add_func("/wire/failed_completions", test_failed_completions);
   return g_test_run();
 }
