--- a/test/test_scale.c
+++ b/test/test_scale_tools.c
@@ -65,7 +65,7 @@
   g_assert_cmpuint(first->len + rest->len, ==, fk_store_model_size(s));
 }
 
-static void test_store_budget(void) {
+static void test_store_rate_limit(void) {
   FkStoreRateLimit b = {0};
   g_assert_true(fk_store_rate_limit_take(&b, 1000000, 10, 5, 5));
   g_assert_false(fk_store_rate_limit_take(&b, 1000000, 10, 5, 1)); /* the writes are gone */
@@ -286,7 +286,7 @@
       {14, FK_RUN_EVENT_TASK_LOST, 0, "i-1"}}},
     {"invented", {{1, FK_RUN_EVENT_TASK_STARTED, 4000, "i-1"}}}};
 
-static void test_rules(void) {
+static void test_rule_checks(void) {
   g_autoptr(FkScalePlan) p = small_plan();
   g_autofree char *id = fk_scale_job_id(0, BULK);
   for (guint i = 0; i < G_N_ELEMENTS(rule_cases); i++) {
@@ -367,7 +367,7 @@
   }
 }
 
-static void test_malformed_reports(void) {
+static void test_malformed_heartbeats(void) {
   g_autoptr(FkScalePlan) p = small_plan();
   g_autoptr(GError) error = NULL;
   guint n = 99;
@@ -412,7 +412,7 @@
 }
 
 /* One worker with a running task, which no controller hears of; the main loop sleeps past its lease's end. */
-static void test_lease_ends(void) {
+static void test_lease_expiry(void) {
   static FkWorkerStandIn stand_in;
   FkSimulatedWorkers *workers = &stand_in.workers;
   g_autoptr(FkScalePlan) p = small_plan();
@@ -516,19 +516,19 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/scale/store_model", test_store_model);
-  g_test_add_func("/scale/store_budget", test_store_budget);
-  g_test_add_func("/scale/worker_model", test_worker_model);
-  g_test_add_func("/scale/codecs", test_codecs);
-  g_test_add_func("/scale/store_codec", test_store_codec);
-  g_test_add_func("/scale/jobs", test_jobs);
-  g_test_add_func("/scale/plan", test_plan);
-  g_test_add_func("/scale/balancer", test_balancer);
-  g_test_add_func("/scale/rules", test_rules);
-  g_test_add_func("/scale/quota_rule", test_quota_rule);
-  g_test_add_func("/scale/redirects", test_redirects);
-  g_test_add_func("/scale/malformed_reports", test_malformed_reports);
-  g_test_add_func("/scale/lease_ends", test_lease_ends);
-  g_test_add_func("/scale/fleet_parts", test_worker_processes);
+  g_test_add_func("/scale_tools/store_model", test_store_model);
+  g_test_add_func("/scale_tools/store_rate_limit", test_store_rate_limit);
+  g_test_add_func("/scale_tools/worker_model", test_worker_model);
+  g_test_add_func("/scale_tools/codecs", test_codecs);
+  g_test_add_func("/scale_tools/store_codec", test_store_codec);
+  g_test_add_func("/scale_tools/jobs", test_jobs);
+  g_test_add_func("/scale_tools/plan", test_plan);
+  g_test_add_func("/scale_tools/balancer", test_balancer);
+  g_test_add_func("/scale_tools/rule_checks", test_rule_checks);
+  g_test_add_func("/scale_tools/quota_rule", test_quota_rule);
+  g_test_add_func("/scale_tools/redirects", test_redirects);
+  g_test_add_func("/scale_tools/malformed_heartbeats", test_malformed_heartbeats);
+  g_test_add_func("/scale_tools/lease_expiry", test_lease_expiry);
+  g_test_add_func("/scale_tools/fleet_processes", test_worker_processes);
   return g_test_run();
 }
