--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -108,9 +108,14 @@
     return slot->answered ? &slot->address->answered : &slot->address->unanswered;
   case FK_STAGE_IDLE:
     return &slot->address->answered;
-  default:
+  case FK_STAGE_UNTRACKED:
+  case FK_STAGE_HANDLING:
+  case FK_STAGE_SENDING:
+  case FK_STAGE_LINGERING:
+  case FK_STAGES:
     return NULL;
   }
+  g_return_val_if_reached(NULL);
 }
 
 static gboolean is_in_progress(FkConnectionStage stage) {
@@ -232,9 +237,15 @@
     return FK_CONNECTION_CLASS_HEALTH_CHECK;
   case FK_REQUEST_CLASS_HEARTBEAT:
     return FK_CONNECTION_CLASS_WORKER;
-  default:
+  case FK_REQUEST_CLASS_PEER:
+  case FK_REQUEST_CLASS_CANCEL:
+  case FK_REQUEST_CLASS_POLL:
+  case FK_REQUEST_CLASS_SUBMIT:
+  case FK_REQUEST_CLASS_OTHER:
+  case FK_REQUEST_CLASSES:
     return FK_CONNECTION_CLASS_CLIENT;
   }
+  g_return_val_if_reached(FK_CONNECTION_CLASS_CLIENT);
 }
 
 /* A class that is full evicts its own idle connections (see over_limit()); without any, it takes no more. */
@@ -335,9 +346,12 @@
     return admission->limits.idle_us;
   case FK_STAGE_LINGERING:
     return admission->limits.linger_us;
-  default:
-    return -1; /* a request's handler has deadlines of its own */
+  case FK_STAGE_HANDLING: /* a request's handler has deadlines of its own */
+  case FK_STAGE_UNTRACKED:
+  case FK_STAGES:
+    return -1;
   }
+  g_return_val_if_reached(-1);
 }
 
 static FkConnectionSlot *oldest(const GQueue *queue) { return queue->head ? queue->head->data : NULL; }
--- a/src/admission/limits.c
+++ b/src/admission/limits.c
@@ -12,7 +12,7 @@
 #define BUFFERED_RAM_PART 0.125
 /* Workers' connections: so many where the sockets allow it, and more where the memory does. A fleet may have
  * a single controller to report to for a while, and a worker that is evicted has to connect again. */
-#define WORKER_CONNECTIONS_MAX 4000
+#define WORKER_CONNECTIONS_MAX_LEAST 4000
 #define WORKER_CONNECTIONS_RAM_PART 0.5
 #define REQUEST_BYTES (16 * KIB) /* a request in progress: its message, its body, what the core keeps */
 #define STORE_RESPONSE_RAM_PART 0.15
@@ -50,7 +50,7 @@
                    connections[FK_CONNECTION_CLASS_PEER];
   connections[FK_CONNECTION_CLASS_HEALTH_CHECK] = part_of(sockets, 0.02, 2, 32);
   guint workers_max =
-      (guint)MAX(WORKER_CONNECTIONS_MAX, WORKER_CONNECTIONS_RAM_PART * ram_bytes / CONNECTION_BYTES);
+      (guint)MAX(WORKER_CONNECTIONS_MAX_LEAST, WORKER_CONNECTIONS_RAM_PART * ram_bytes / CONNECTION_BYTES);
   connections[FK_CONNECTION_CLASS_WORKER] = part_of(sockets, 0.4, 2, workers_max);
   limits->lingering = part_of(sockets, 0.05, 2, 128);
   double clients = sockets - connections[FK_CONNECTION_CLASS_HEALTH_CHECK] -
--- a/src/admission/request_parser.c
+++ b/src/admission/request_parser.c
@@ -114,8 +114,8 @@
   parser->parser.data = parser; /* its owner may have moved it */
   /* a head is cut at its limit: otherwise whether it is too long would depend on how its bytes come */
   while (used < len && parser->stage < FK_PARSER_STAGE_BODY) {
-    gsize room = limits->head_bytes + 1 - parser->wire_bytes;
-    used += execute(parser, limits, data + used, MIN(room, len - used));
+    gsize allowed = limits->head_bytes + 1 - parser->wire_bytes;
+    used += execute(parser, limits, data + used, MIN(allowed, len - used));
   }
   if (used < len && parser->stage == FK_PARSER_STAGE_BODY)
     used += execute(parser, limits, data + used, len - used);
--- a/src/net/connection.c
+++ b/src/net/connection.c
@@ -223,10 +223,10 @@
 
 gboolean fk_connection_release(FkConnection *c) {
   if (c->slot.stage != FK_STAGE_HANDLING || c->released)
-    return FALSE; /* gone while it waited */
-  gboolean needs_stream = !c->has_stream;
+    return FALSE; /* it was closed while it waited */
+  gboolean is_first = !c->has_stream;
   c->released = c->has_stream = TRUE;
-  return needs_stream;
+  return is_first;
 }
 
 /* Parses what was received and not parsed yet, up to the end of a request. */
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -125,7 +125,7 @@
   finish(call, 0, NULL);
 }
 
-static void read_body(Call *call, gsize room);
+static void read_body(Call *call, gsize bytes);
 
 static void on_body_read(GObject *stream, GAsyncResult *result, gpointer data) {
   Call *call = data;
@@ -142,11 +142,11 @@
     read_body(call, MAX(READ_BYTES, call->body->len)); /* doubled each time: long ones aren't copied often */
 }
 
-static void read_body(Call *call, gsize room) {
+static void read_body(Call *call, gsize bytes) {
   call->received_before = call->body->len;
-  room = MIN(room, call->client->response_bytes_max + 1 - call->received_before);
-  g_byte_array_set_size(call->body, (guint)(call->received_before + room));
-  g_input_stream_read_async(call->stream, call->body->data + call->received_before, room, G_PRIORITY_DEFAULT,
+  bytes = MIN(bytes, call->client->response_bytes_max + 1 - call->received_before);
+  g_byte_array_set_size(call->body, (guint)(call->received_before + bytes));
+  g_input_stream_read_async(call->stream, call->body->data + call->received_before, bytes, G_PRIORITY_DEFAULT,
                             call->cancellable, on_body_read, call);
 }
 
--- a/src/remote_execution/byte_stream_read.c
+++ b/src/remote_execution/byte_stream_read.c
@@ -22,15 +22,14 @@
   g_free(download);
 }
 
-/* Up to `room` bytes of the blob. 0: the end. < 0: it can't be read. */
-static gssize read_plain(FkDownload *download, guint8 *to, gsize room) {
-  gssize n = fk_blob_reader_read(download->reader, to, (gsize)MIN(room, download->unread));
+/* Up to `size` bytes of the blob. 0: the end. < 0: it can't be read. */
+static gssize read_plain(FkDownload *download, guint8 *to, gsize size) {
+  gssize n = fk_blob_reader_read(download->reader, to, (gsize)MIN(size, download->unread));
   download->unread -= (guint64)MAX(0, n);
   return n;
 }
 
-/* Compresses one read's bytes into `out`, which has room for them. FALSE: failed. `all` is set when the frame
- * is complete. */
+/* Compresses the bytes of one read into `out`, which is large enough for them. FALSE: failed. */
 static gboolean compress(FkDownload *download, ZSTD_inBuffer *in, ZSTD_outBuffer *out, gboolean is_last) {
   ZSTD_EndDirective directive = is_last ? ZSTD_e_end : ZSTD_e_continue;
   gsize remaining;
@@ -42,9 +41,9 @@
   return !ZSTD_isError(remaining);
 }
 
-/* Up to `room` bytes of the compressed blob. < 0: failed. */
-static gssize read_compressed(FkDownload *download, guint8 *to, gsize room) {
-  ZSTD_outBuffer out = {to, room, 0};
+/* Up to `size` bytes of the compressed blob. < 0: failed. */
+static gssize read_compressed(FkDownload *download, guint8 *to, gsize size) {
+  ZSTD_outBuffer out = {to, size, 0};
   guint8 plain[READ_BYTES];
   gboolean is_last = FALSE;
   do {
--- a/src/remote_execution/tree.c
+++ b/src/remote_execution/tree.c
@@ -11,15 +11,15 @@
 
 typedef struct {
   FkCacheCall *call;
-  GArray *order;     /* FkDigest */
-  GHashTable *found; /* the hashes in `order` but the root's */
-  guint64 next;      /* in `order` */
+  GArray *queue;     /* FkDigest */
+  GHashTable *found; /* the hashes in `queue` but the root's */
+  guint64 next;      /* in `queue` */
   GPtrArray *page;   /* Rx__Directory */
   gsize page_bytes;
 } TreeWalk;
 
 static void tree_walk_clear(TreeWalk *walk) {
-  g_array_unref(walk->order);
+  g_array_unref(walk->queue);
   g_hash_table_unref(walk->found);
   g_ptr_array_unref(walk->page);
 }
@@ -32,11 +32,11 @@
     if (!fk_message_digest(directory->directories[i]->digest, &child) ||
         !g_hash_table_add(walk->found, g_strndup(child.hex, FK_DIGEST_HEX_LEN)))
       continue;
-    if (walk->order->len >= TREE_DIRECTORIES_MAX) {
+    if (walk->queue->len >= TREE_DIRECTORIES_MAX) {
       fk_cache_call_fail(walk->call, FK_GRPC_INVALID_ARGUMENT, "the tree has too many directories");
       return FALSE;
     }
-    g_array_append_val(walk->order, child);
+    g_array_append_val(walk->queue, child);
   }
   return TRUE;
 }
@@ -47,7 +47,7 @@
 static gboolean visit_next(TreeWalk *walk, guint64 first) {
   FkCacheService *service = walk->call->service;
   guint64 index = walk->next++;
-  FkDigest digest = g_array_index(walk->order, FkDigest, index);
+  FkDigest digest = g_array_index(walk->queue, FkDigest, index);
   g_autoptr(GBytes) bytes =
       fk_blob_store_read_all(service->blobs, walk->call->team, &digest, service->message_bytes_max);
   if (!bytes && index == 0) {
@@ -72,12 +72,12 @@
 }
 
 static void reply_page(const TreeWalk *walk) {
-  gboolean more = walk->next < walk->order->len;
-  g_autofree char *token = more ? g_strdup_printf("%" G_GUINT64_FORMAT, walk->next) : g_strdup("");
+  gboolean more = walk->next < walk->queue->len;
+  g_autofree char *next_page = more ? g_strdup_printf("%" G_GUINT64_FORMAT, walk->next) : g_strdup("");
   Rx__GetTreeResponse response = RX__GET_TREE_RESPONSE__INIT;
   response.n_directories = walk->page->len;
   response.directories = (Rx__Directory **)walk->page->pdata;
-  response.next_page_token = token;
+  response.next_page_token = next_page;
   fk_cache_call_reply(walk->call, &response);
 }
 
@@ -96,11 +96,11 @@
   }
   guint page_size = q->page_size > 0 ? (guint)MIN(q->page_size, PAGE_DIRECTORIES_MAX) : PAGE_DIRECTORIES_MAX;
   g_auto(TreeWalk) walk = {.call = call,
-                           .order = g_array_new(FALSE, FALSE, sizeof(FkDigest)),
+                           .queue = g_array_new(FALSE, FALSE, sizeof(FkDigest)),
                            .found = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
                            .page = g_ptr_array_new_with_free_func(fk_message_free)};
-  g_array_append_val(walk.order, root);
-  while (walk.next < walk.order->len && walk.page->len < page_size && walk.page_bytes < PAGE_BYTES_MAX)
+  g_array_append_val(walk.queue, root);
+  while (walk.next < walk.queue->len && walk.page->len < page_size && walk.page_bytes < PAGE_BYTES_MAX)
     if (!visit_next(&walk, first))
       return;
   reply_page(&walk);
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -91,25 +91,25 @@
                              .linger_us = 1 * S};
 }
 
-static void open_connection(FkAdmission *g, FkConnectionSlot *s, const char *from, gint64 now) {
-  fk_admission_connection_opened(g, s, from, FK_CONNECTION_CLASS_CLIENT, now);
+static void open_connection(FkAdmission *admission, FkConnectionSlot *s, const char *from, gint64 now) {
+  fk_admission_connection_opened(admission, s, from, FK_CONNECTION_CLASS_CLIENT, now);
 }
 
-static gboolean send_request(FkAdmission *g, FkConnectionSlot *s, FkRequestClass what, gint64 now,
+static gboolean send_request(FkAdmission *admission, FkConnectionSlot *s, FkRequestClass what, gint64 now,
                              FkRejection *v) {
-  fk_admission_begin_stage(g, s, FK_STAGE_HEAD, now);
-  if (!fk_admission_admit_request(g, s, what, now, v))
+  fk_admission_begin_stage(admission, s, FK_STAGE_HEAD, now);
+  if (!fk_admission_admit_request(admission, s, what, now, v))
     return FALSE;
-  fk_admission_begin_stage(g, s, FK_STAGE_BODY, now);
-  fk_admission_request_complete(g, s, now);
+  fk_admission_begin_stage(admission, s, FK_STAGE_BODY, now);
+  fk_admission_request_complete(admission, s, now);
   return TRUE;
 }
 
-static void close_all(FkAdmission *g, FkConnectionSlot *s, guint n) {
+static void close_all(FkAdmission *admission, FkConnectionSlot *s, guint n) {
   for (guint i = 0; i < n; i++)
-    fk_admission_connection_closed(g, &s[i]);
-  fk_admission_verify(g);
-  fk_admission_free(g);
+    fk_admission_connection_closed(admission, &s[i]);
+  fk_admission_verify(admission);
+  fk_admission_free(admission);
 }
 
 /* Each step has its time, an answer where one helps, and the clock of the next step starts anew. */
@@ -122,50 +122,50 @@
                {FK_STAGE_SENDING, 7 * S, 0},    {FK_STAGE_IDLE, 100 * S, 0}, {FK_STAGE_HANDLING, 0, 0}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     FkAdmissionLimits l = small_limits();
-    FkAdmission *g = fk_admission_new(&l);
+    FkAdmission *admission = fk_admission_new(&l);
     FkConnectionSlot s = {0};
     FkRejection v;
     gint64 t = 3 * S;
-    open_connection(g, &s, "a", t);
+    open_connection(admission, &s, "a", t);
     if (cases[i].stage >= FK_STAGE_HEAD)
-      fk_admission_begin_stage(g, &s, FK_STAGE_HEAD, t += S);
+      fk_admission_begin_stage(admission, &s, FK_STAGE_HEAD, t += S);
     if (cases[i].stage >= FK_STAGE_BODY)
-      fk_admission_begin_stage(g, &s, FK_STAGE_BODY, t += S);
+      fk_admission_begin_stage(admission, &s, FK_STAGE_BODY, t += S);
     if (cases[i].stage >= FK_STAGE_HANDLING)
-      fk_admission_request_complete(g, &s, t += S);
+      fk_admission_request_complete(admission, &s, t += S);
     if (cases[i].stage >= FK_STAGE_SENDING)
-      fk_admission_response_written(g, &s, cases[i].stage == FK_STAGE_IDLE, t += S);
+      fk_admission_response_written(admission, &s, cases[i].stage == FK_STAGE_IDLE, t += S);
     g_assert_cmpint(s.stage, ==, cases[i].stage);
     if (!cases[i].most) { /* under way: the core's deadlines, not ours */
-      g_assert_cmpint(fk_admission_next_deadline_us(g), ==, G_MAXINT64);
-      g_assert_null(fk_admission_next_eviction(g, t + 1000 * S, &v));
+      g_assert_cmpint(fk_admission_next_deadline_us(admission), ==, G_MAXINT64);
+      g_assert_null(fk_admission_next_eviction(admission, t + 1000 * S, &v));
     } else {
-      g_assert_cmpint(fk_admission_next_deadline_us(g), ==, t + cases[i].most);
-      g_assert_null(fk_admission_next_eviction(g, t + cases[i].most - 1, &v));
-      g_assert_true(fk_admission_next_eviction(g, t + cases[i].most, &v) == &s);
+      g_assert_cmpint(fk_admission_next_deadline_us(admission), ==, t + cases[i].most);
+      g_assert_null(fk_admission_next_eviction(admission, t + cases[i].most - 1, &v));
+      g_assert_true(fk_admission_next_eviction(admission, t + cases[i].most, &v) == &s);
       g_assert_cmpuint(v.status, ==, cases[i].status);
       g_assert_cmpint(s.stage, ==, cases[i].status ? FK_STAGE_LINGERING : FK_STAGE_UNTRACKED);
-      g_assert_cmpuint(fk_admission_rejections(g, FK_REJECTION_TIMEOUT), ==, 1);
+      g_assert_cmpuint(fk_admission_rejections(admission, FK_REJECTION_TIMEOUT), ==, 1);
       if (cases[i].status) /* and lingers no longer than its time */
-        g_assert_true(fk_admission_next_eviction(g, t + cases[i].most + S, &v) == &s &&
+        g_assert_true(fk_admission_next_eviction(admission, t + cases[i].most + S, &v) == &s &&
                       s.stage == FK_STAGE_UNTRACKED);
     }
-    close_all(g, &s, 1);
+    close_all(admission, &s, 1);
   }
 }
 
 /* A crowd from one address crowds out itself: the one that another address has stays, and so do newcomers. */
 static void test_eviction(void) {
   FkAdmissionLimits l = small_limits();
-  FkAdmission *g = fk_admission_new(&l);
+  FkAdmission *admission = fk_admission_new(&l);
   FkConnectionSlot other = {0}, many[40] = {{0}};
   FkRejection v;
-  open_connection(g, &other, "user", 0);
-  g_assert_true(send_request(g, &other, FK_REQUEST_CLASS_POLL, 0, &v));
-  fk_admission_response_written(g, &other, TRUE, 0); /* idle the longest of all */
+  open_connection(admission, &other, "user", 0);
+  g_assert_true(send_request(admission, &other, FK_REQUEST_CLASS_POLL, 0, &v));
+  fk_admission_response_written(admission, &other, TRUE, 0); /* idle the longest of all */
   for (guint i = 0; i < 40; i++) {
-    open_connection(g, &many[i], "crowd", 1 + i);
-    FkConnectionSlot *out = fk_admission_next_eviction(g, 1 + i, &v);
+    open_connection(admission, &many[i], "crowd", 1 + i);
+    FkConnectionSlot *out = fk_admission_next_eviction(admission, 1 + i, &v);
     if (i < 7) {
       g_assert_null(out);
     } else { /* its own, the longest waiting first; it said nothing, so nothing is said to it */
@@ -173,53 +173,53 @@
       g_assert_cmpuint(v.status, ==, 0);
       g_assert_cmpint(out->stage, ==, FK_STAGE_UNTRACKED);
     }
-    g_assert_null(fk_admission_next_eviction(g, 1 + i, &v));
-    fk_admission_verify(g);
+    g_assert_null(fk_admission_next_eviction(admission, 1 + i, &v));
+    fk_admission_verify(admission);
   }
   g_assert_cmpint(other.stage, ==, FK_STAGE_IDLE);
-  g_assert_cmpuint(fk_admission_connections(g, FK_CONNECTION_CLASS_CLIENT), ==, 8);
-  g_assert_cmpuint(fk_admission_rejections(g, FK_REJECTION_EVICTED), ==, 33);
-  fk_admission_connection_closed(g, &other);
-  close_all(g, many, 40);
+  g_assert_cmpuint(fk_admission_connections(admission, FK_CONNECTION_CLASS_CLIENT), ==, 8);
+  g_assert_cmpuint(fk_admission_rejections(admission, FK_REJECTION_EVICTED), ==, 33);
+  fk_admission_connection_closed(admission, &other);
+  close_all(admission, many, 40);
 }
 
 /* Places taken by clients don't keep a report or a health check out, and one that had its answer is closed
  * after those that never asked. */
 static void test_shares(void) {
   FkAdmissionLimits l = small_limits();
-  FkAdmission *g = fk_admission_new(&l);
+  FkAdmission *admission = fk_admission_new(&l);
   FkConnectionSlot s[20] = {{0}};
   FkRejection v;
   for (guint i = 0; i < 8; i++)
-    open_connection(g, &s[i], "lb", i);
-  g_assert_true(send_request(g, &s[0], FK_REQUEST_CLASS_POLL, 9, &v));
-  fk_admission_response_written(g, &s[0], TRUE, 9);
+    open_connection(admission, &s[i], "lb", i);
+  g_assert_true(send_request(admission, &s[0], FK_REQUEST_CLASS_POLL, 9, &v));
+  fk_admission_response_written(admission, &s[0], TRUE, 9);
   /* six reports: four are counted as workers', the others stay clients and are served all the same */
   for (guint i = 8; i < 14; i++) {
-    open_connection(g, &s[i], "worker", 10 + i);
-    while (fk_admission_next_eviction(g, 10 + i, &v))
+    open_connection(admission, &s[i], "worker", 10 + i);
+    while (fk_admission_next_eviction(admission, 10 + i, &v))
       ;
-    g_assert_true(send_request(g, &s[i], FK_REQUEST_CLASS_HEARTBEAT, 10 + i, &v));
+    g_assert_true(send_request(admission, &s[i], FK_REQUEST_CLASS_HEARTBEAT, 10 + i, &v));
     g_assert_cmpint(s[i].connection_class, ==,
                     i < 12 ? FK_CONNECTION_CLASS_WORKER : FK_CONNECTION_CLASS_CLIENT);
   }
-  open_connection(g, &s[14], "lb", 30);
-  while (fk_admission_next_eviction(g, 30, &v))
+  open_connection(admission, &s[14], "lb", 30);
+  while (fk_admission_next_eviction(admission, 30, &v))
     ;
-  g_assert_true(send_request(g, &s[14], FK_REQUEST_CLASS_HEALTH, 30, &v));
+  g_assert_true(send_request(admission, &s[14], FK_REQUEST_CLASS_HEALTH, 30, &v));
   g_assert_cmpint(s[14].connection_class, ==, FK_CONNECTION_CLASS_HEALTH_CHECK);
   g_assert_cmpint(s[0].stage, ==, FK_STAGE_IDLE);
-  g_assert_cmpuint(fk_admission_connections(g, FK_CONNECTION_CLASS_CLIENT), <=, 8);
+  g_assert_cmpuint(fk_admission_connections(admission, FK_CONNECTION_CLASS_CLIENT), <=, 8);
   /* a fifth worker's place is the longest idle one's of its own kind */
-  fk_admission_response_written(g, &s[8], TRUE, 31);
-  fk_admission_response_written(g, &s[9], TRUE, 32);
-  open_connection(g, &s[15], "worker", 33);
-  while (fk_admission_next_eviction(g, 33, &v))
+  fk_admission_response_written(admission, &s[8], TRUE, 31);
+  fk_admission_response_written(admission, &s[9], TRUE, 32);
+  open_connection(admission, &s[15], "worker", 33);
+  while (fk_admission_next_eviction(admission, 33, &v))
     ;
-  g_assert_true(send_request(g, &s[15], FK_REQUEST_CLASS_HEARTBEAT, 33, &v));
+  g_assert_true(send_request(admission, &s[15], FK_REQUEST_CLASS_HEARTBEAT, 33, &v));
   g_assert_cmpint(s[15].connection_class, ==, FK_CONNECTION_CLASS_WORKER);
-  g_assert_true(fk_admission_next_eviction(g, 33, &v) == &s[8]);
-  close_all(g, s, 20);
+  g_assert_true(fk_admission_next_eviction(admission, 33, &v) == &s[8]);
+  close_all(admission, s, 20);
 }
 
 /* Under overload: health checks, reports, cancellations, polls, submissions, in that order. */
@@ -233,14 +233,14 @@
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     FkAdmissionLimits l = small_limits();
     l.connections[FK_CONNECTION_CLASS_CLIENT] = 200;
-    FkAdmission *g = fk_admission_new(&l);
+    FkAdmission *admission = fk_admission_new(&l);
     FkConnectionSlot s[100] = {{0}};
     FkRejection v = {0};
     guint in = 0;
     for (; in < 100; in++) {
       g_autofree char *from = g_strdup_printf("10.0.0.%u", in);
-      open_connection(g, &s[in], from, 0);
-      if (!send_request(g, &s[in], cases[i].what, 0, &v))
+      open_connection(admission, &s[in], from, 0);
+      if (!send_request(admission, &s[in], cases[i].what, 0, &v))
         break;
     }
     g_assert_cmpuint(in, ==, cases[i].room);
@@ -248,9 +248,9 @@
       g_assert_cmpuint(v.status, ==, 503);
       g_assert_cmpuint(v.retry_after_s, >=, 1);
       g_assert_cmpint(s[in].stage, ==, FK_STAGE_LINGERING);
-      g_assert_cmpuint(fk_admission_rejections(g, FK_REJECTION_OVERLOADED), ==, 1);
+      g_assert_cmpuint(fk_admission_rejections(admission, FK_REJECTION_OVERLOADED), ==, 1);
     }
-    close_all(g, s, 100);
+    close_all(admission, s, 100);
   }
 }
 
@@ -259,71 +259,72 @@
   FkAdmissionLimits l = small_limits();
   l.connections[FK_CONNECTION_CLASS_CLIENT] = 200;
   l.requests = 100;
-  FkAdmission *g = fk_admission_new(&l);
+  FkAdmission *admission = fk_admission_new(&l);
   FkConnectionSlot s[200] = {{0}}, other[40] = {{0}};
   FkRejection v;
   guint first = 0, second = 0;
   for (; first < 200; first++) {
-    open_connection(g, &s[first], "greedy", 0);
-    if (!send_request(g, &s[first], FK_REQUEST_CLASS_SUBMIT, 0, &v))
+    open_connection(admission, &s[first], "greedy", 0);
+    if (!send_request(admission, &s[first], FK_REQUEST_CLASS_SUBMIT, 0, &v))
       break;
   }
   g_assert_cmpuint(first, ==, 65);
   /* with all of the submissions' room taken there is none left for others' submissions, but for their polls
    */
-  open_connection(g, &other[0], "modest", 0);
-  g_assert_true(send_request(g, &other[0], FK_REQUEST_CLASS_POLL, 0, &v));
+  open_connection(admission, &other[0], "modest", 0);
+  g_assert_true(send_request(admission, &other[0], FK_REQUEST_CLASS_POLL, 0, &v));
   /* when its requests are over, past half of the room it gets no more than its part */
   for (guint i = 0; i < 30; i++)
-    fk_admission_response_written(g, &s[i], TRUE, 1);
+    fk_admission_response_written(admission, &s[i], TRUE, 1);
   guint again = 0;
-  while (send_request(g, &s[again], FK_REQUEST_CLASS_SUBMIT, 2, &v))
+  while (send_request(admission, &s[again], FK_REQUEST_CLASS_SUBMIT, 2, &v))
     again++;
   g_assert_cmpuint(35 + again, <=, 33 + 2);
   for (guint i = 1; i < 40 && second == 0; i++) {
-    open_connection(g, &other[i], "modest", 3);
-    if (!send_request(g, &other[i], FK_REQUEST_CLASS_SUBMIT, 3, &v))
+    open_connection(admission, &other[i], "modest", 3);
+    if (!send_request(admission, &other[i], FK_REQUEST_CLASS_SUBMIT, 3, &v))
       second = i;
   }
   g_assert_cmpuint(second, >=, 25);
-  fk_admission_verify(g);
+  fk_admission_verify(admission);
   for (guint i = 0; i < 40; i++)
-    fk_admission_connection_closed(g, &other[i]);
-  close_all(g, s, 200);
+    fk_admission_connection_closed(admission, &other[i]);
+  close_all(admission, s, 200);
 }
 
 /* What is held is bounded as a whole, by address past half of it, and a report has more room than the rest.
  */
 static void test_memory(void) {
   FkAdmissionLimits l = small_limits();
-  FkAdmission *g = fk_admission_new(&l);
+  FkAdmission *admission = fk_admission_new(&l);
   FkConnectionSlot a = {0}, b = {0}, c = {0};
   FkRejection v;
-  open_connection(g, &a, "a", 0);
-  open_connection(g, &b, "b", 0);
-  open_connection(g, &c, "c", 0);
-  fk_admission_begin_stage(g, &a, FK_STAGE_HEAD, 0);
-  g_assert_true(fk_admission_admit_request(g, &a, FK_REQUEST_CLASS_SUBMIT, 0, &v));
-  fk_admission_begin_stage(g, &a, FK_STAGE_BODY, 0);
-  g_assert_true(fk_admission_set_buffered(g, &a, 3000, &v));
-  fk_admission_begin_stage(g, &b, FK_STAGE_HEAD, 0);
-  g_assert_true(fk_admission_admit_request(g, &b, FK_REQUEST_CLASS_HEARTBEAT, 0, &v));
-  fk_admission_begin_stage(g, &b, FK_STAGE_BODY, 0);
-  g_assert_true(fk_admission_set_buffered(g, &b, 5000, &v));
-  g_assert_false(fk_admission_set_buffered(g, &a, 4000, &v)); /* over half, and over a's half of 6,500 */
+  open_connection(admission, &a, "a", 0);
+  open_connection(admission, &b, "b", 0);
+  open_connection(admission, &c, "c", 0);
+  fk_admission_begin_stage(admission, &a, FK_STAGE_HEAD, 0);
+  g_assert_true(fk_admission_admit_request(admission, &a, FK_REQUEST_CLASS_SUBMIT, 0, &v));
+  fk_admission_begin_stage(admission, &a, FK_STAGE_BODY, 0);
+  g_assert_true(fk_admission_set_buffered(admission, &a, 3000, &v));
+  fk_admission_begin_stage(admission, &b, FK_STAGE_HEAD, 0);
+  g_assert_true(fk_admission_admit_request(admission, &b, FK_REQUEST_CLASS_HEARTBEAT, 0, &v));
+  fk_admission_begin_stage(admission, &b, FK_STAGE_BODY, 0);
+  g_assert_true(fk_admission_set_buffered(admission, &b, 5000, &v));
+  g_assert_false(
+      fk_admission_set_buffered(admission, &a, 4000, &v)); /* over half, and over a's half of 6,500 */
   g_assert_cmpuint(v.status, ==, 503);
-  fk_admission_reject(g, &a, FK_REJECTION_MEMORY, 0);
-  g_assert_cmpuint(fk_admission_buffered_bytes(g), ==, 5000);
-  g_assert_true(fk_admission_set_buffered(g, &b, 9900, &v));
-  fk_admission_begin_stage(g, &c, FK_STAGE_HEAD, 0);
-  g_assert_false(fk_admission_set_buffered(g, &c, 50, &v));
+  fk_admission_reject(admission, &a, FK_REJECTION_MEMORY, 0);
+  g_assert_cmpuint(fk_admission_buffered_bytes(admission), ==, 5000);
+  g_assert_true(fk_admission_set_buffered(admission, &b, 9900, &v));
+  fk_admission_begin_stage(admission, &c, FK_STAGE_HEAD, 0);
+  g_assert_false(fk_admission_set_buffered(admission, &c, 50, &v));
   /* what is under way is never refused half-way */
-  fk_admission_request_complete(g, &b, 0);
-  g_assert_true(fk_admission_set_buffered(g, &b, 20000, &v));
-  fk_admission_connection_closed(g, &a);
-  fk_admission_connection_closed(g, &b);
-  g_assert_cmpuint(fk_admission_buffered_bytes(g), ==, 50);
-  close_all(g, &c, 1);
+  fk_admission_request_complete(admission, &b, 0);
+  g_assert_true(fk_admission_set_buffered(admission, &b, 20000, &v));
+  fk_admission_connection_closed(admission, &a);
+  fk_admission_connection_closed(admission, &b);
+  g_assert_cmpuint(fk_admission_buffered_bytes(admission), ==, 50);
+  close_all(admission, &c, 1);
 }
 
 /* Random lives of connections from a few addresses: counts are always the sums of their parts, no kind is
@@ -334,7 +335,7 @@
   for (guint32 seed = 1; seed <= 4; seed++) {
     g_autoptr(GRand) r = g_rand_new_with_seed(seed);
     FkAdmissionLimits l = small_limits();
-    FkAdmission *g = fk_admission_new(&l);
+    FkAdmission *admission = fk_admission_new(&l);
     FkConnectionSlot s[N] = {{0}};
     gint64 t = 0;
     for (guint i = 0; i < STEPS; i++) {
@@ -345,30 +346,31 @@
       if (x->stage == FK_STAGE_UNTRACKED) {
         g_autofree char *from = g_strdup_printf("%d", (int)(5 * g_rand_double(r) * g_rand_double(r)));
         fk_admission_connection_opened(
-            g, x, from, g_rand_int_range(r, 0, 6) ? FK_CONNECTION_CLASS_CLIENT : FK_CONNECTION_CLASS_PEER, t);
+            admission, x, from,
+            g_rand_int_range(r, 0, 6) ? FK_CONNECTION_CLASS_CLIENT : FK_CONNECTION_CLASS_PEER, t);
       } else if (gone) {
-        fk_admission_connection_closed(g, x);
+        fk_admission_connection_closed(admission, x);
       } else if (x->stage == FK_STAGE_CONNECTED || x->stage == FK_STAGE_IDLE) {
-        fk_admission_begin_stage(g, x, FK_STAGE_HEAD, t);
+        fk_admission_begin_stage(admission, x, FK_STAGE_HEAD, t);
       } else if (x->stage == FK_STAGE_HEAD) {
         FkRequestClass what = x->connection_class == FK_CONNECTION_CLASS_PEER
                                   ? FK_REQUEST_CLASS_PEER
                                   : g_rand_int_range(r, 0, FK_REQUEST_CLASSES);
-        gboolean in = fk_admission_admit_request(g, x, what, t, &v);
+        gboolean in = fk_admission_admit_request(admission, x, what, t, &v);
         g_assert_true(in ||
                       (what != FK_REQUEST_CLASS_HEALTH && v.status == 503 && x->stage == FK_STAGE_LINGERING));
         if (in)
-          fk_admission_begin_stage(g, x, FK_STAGE_BODY, t);
+          fk_admission_begin_stage(admission, x, FK_STAGE_BODY, t);
       } else if (x->stage == FK_STAGE_BODY) {
-        if (fk_admission_set_buffered(g, x, (gsize)g_rand_int_range(r, 0, 3000), &v))
-          fk_admission_request_complete(g, x, t);
+        if (fk_admission_set_buffered(admission, x, (gsize)g_rand_int_range(r, 0, 3000), &v))
+          fk_admission_request_complete(admission, x, t);
         else
-          fk_admission_reject(g, x, FK_REJECTION_MEMORY, t);
+          fk_admission_reject(admission, x, FK_REJECTION_MEMORY, t);
       } else if (x->stage == FK_STAGE_HANDLING || x->stage == FK_STAGE_SENDING) {
-        fk_admission_response_written(g, x, g_rand_boolean(r), t);
-        fk_admission_set_buffered(g, x, x->stage == FK_STAGE_IDLE ? 0 : 100, &v);
+        fk_admission_response_written(admission, x, g_rand_boolean(r), t);
+        fk_admission_set_buffered(admission, x, x->stage == FK_STAGE_IDLE ? 0 : 100, &v);
       }
-      guint64 crowded = fk_admission_rejections(g, FK_REJECTION_EVICTED);
+      guint64 crowded = fk_admission_rejections(admission, FK_REJECTION_EVICTED);
       guint counts[5] = {0};
       gboolean can[5] = {0};
       FkAddressUsage *parties[5] = {0};
@@ -382,11 +384,11 @@
             can[p] |= outsider && s[k].stage != FK_STAGE_HANDLING && s[k].stage != FK_STAGE_SENDING;
             break;
           }
-      guint over =
-          fk_admission_connections(g, FK_CONNECTION_CLASS_CLIENT) > l.connections[FK_CONNECTION_CLASS_CLIENT];
-      for (guint n = 0; (out = fk_admission_next_eviction(g, t, &v)); n++)
-        if (n == 0 && over && fk_admission_rejections(g, FK_REJECTION_EVICTED) > crowded &&
-            fk_admission_connections(g, FK_CONNECTION_CLASS_CLIENT) ==
+      guint over = fk_admission_connections(admission, FK_CONNECTION_CLASS_CLIENT) >
+                   l.connections[FK_CONNECTION_CLASS_CLIENT];
+      for (guint n = 0; (out = fk_admission_next_eviction(admission, t, &v)); n++)
+        if (n == 0 && over && fk_admission_rejections(admission, FK_REJECTION_EVICTED) > crowded &&
+            fk_admission_connections(admission, FK_CONNECTION_CLASS_CLIENT) ==
                 l.connections[FK_CONNECTION_CLASS_CLIENT]) {
           guint was = 0, most = 0;
           for (guint p = 0; p < 5; p++) {
@@ -396,16 +398,16 @@
           }
           g_assert_true(!out->address || was == most);
         }
-      fk_admission_verify(g);
-      guint stuck = fk_admission_requests(g);
-      g_assert_cmpuint(fk_admission_connections(g, FK_CONNECTION_CLASS_CLIENT), <=,
+      fk_admission_verify(admission);
+      guint stuck = fk_admission_requests(admission);
+      g_assert_cmpuint(fk_admission_connections(admission, FK_CONNECTION_CLASS_CLIENT), <=,
                        MAX(l.connections[FK_CONNECTION_CLASS_CLIENT], stuck));
-      g_assert_cmpuint(fk_admission_connections(g, FK_CONNECTION_CLASS_HEALTH_CHECK), <=,
+      g_assert_cmpuint(fk_admission_connections(admission, FK_CONNECTION_CLASS_HEALTH_CHECK), <=,
                        l.connections[FK_CONNECTION_CLASS_HEALTH_CHECK]);
-      g_assert_cmpuint(fk_admission_connections(g, FK_CONNECTION_CLASS_WORKER), <=,
+      g_assert_cmpuint(fk_admission_connections(admission, FK_CONNECTION_CLASS_WORKER), <=,
                        l.connections[FK_CONNECTION_CLASS_WORKER]);
     }
-    close_all(g, s, N);
+    close_all(admission, s, N);
   }
 }
 
