--- a/test/crowd.c
+++ b/test/crowd.c
@@ -1,4 +1,4 @@
-/* Crowds at the door of the built service: a process of its own, met through sockets of the loopback.
+/* Many clients, slow and hostile ones, of the built service: a process of its own, over loopback sockets.
  *
  *   crowd BINARY [--bench]     --bench: prints a table, for docs/operators/limits.md
  *
@@ -39,8 +39,8 @@
   gsize len, sent, got;
   char start[16]; /* of the answer */
   double begun_s, done_s;
-  gsize again;   /* the last so many bytes are sent on and on; 0: they aren't */
-  gboolean deaf; /* reads nothing */
+  gsize repeated; /* the last so many bytes are sent without end; 0: none are */
+  gboolean never_reads;
   gboolean over;
 } Client;
 
@@ -138,8 +138,8 @@
 }
 
 static void write_some(Client *c) {
-  while (c->sent < c->len || c->again) {
-    gsize at = c->sent < c->len ? c->sent : c->len - c->again + (c->sent - c->len) % c->again;
+  while (c->sent < c->len || c->repeated) {
+    gsize at = c->sent < c->len ? c->sent : c->len - c->repeated + (c->sent - c->len) % c->repeated;
     gssize n = send(c->fd, c->text + at, c->len - at, MSG_NOSIGNAL);
     if (n < 0) {
       if (errno != EAGAIN && errno != ENOTCONN)
@@ -153,7 +153,7 @@
 static void read_some(Client *c) {
   char buffer[4096];
   gssize n;
-  while (!c->deaf && (n = recv(c->fd, buffer, sizeof buffer, 0)) != 0) {
+  while (!c->never_reads && (n = recv(c->fd, buffer, sizeof buffer, 0)) != 0) {
     if (n < 0) {
       if (errno != EAGAIN && errno != ENOTCONN)
         finish(c);
@@ -165,7 +165,7 @@
     if (g_strstr_len(buffer, n, "\r\n\r\n"))
       finish(c); /* the answers here are short: their body comes with their head */
   }
-  if (!c->deaf)
+  if (!c->never_reads)
     finish(c);
 }
 
@@ -176,9 +176,9 @@
   for (double end = now_s() + for_s; now_s() < end;) {
     over = 0;
     for (guint i = 0; i < n; i++) {
-      gboolean more = c[i].sent < c[i].len || c[i].again;
+      gboolean more = c[i].sent < c[i].len || c[i].repeated;
       fds[i] = (struct pollfd){.fd = c[i].over ? -1 : c[i].fd,
-                               .events = (short)((c[i].deaf ? 0 : POLLIN) | (more ? POLLOUT : 0))};
+                               .events = (short)((c[i].never_reads ? 0 : POLLIN) | (more ? POLLOUT : 0))};
       over += c[i].over;
     }
     if (over >= wanted || poll(fds, n, 50) < 0)
@@ -188,7 +188,7 @@
         write_some(&c[i]);
       if (fds[i].revents & (POLLIN | POLLERR | POLLHUP))
         read_some(&c[i]);
-      if (c[i].deaf && (fds[i].revents & (POLLERR | POLLHUP)))
+      if (c[i].never_reads && (fds[i].revents & (POLLERR | POLLHUP)))
         finish(&c[i]);
     }
   }
@@ -210,7 +210,7 @@
     close(c[i].fd);
 }
 
-/* ------------------------------------------------------------------ crowds */
+/* ------------------------------------------------------------------ many clients at once */
 
 #define UP "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 #define REPORT                                                                                               \
@@ -240,7 +240,7 @@
 static double measure_concurrent(const Service *s, guint n, double alone_s) {
   g_autofree Client *c = g_new0(Client, n);
   g_autofree double *took = g_new0(double, n);
-  guint again = 0;
+  guint retransmitted = 0;
   double begun = now_s();
   for (guint i = 0; i < n; i++) {
     c[i].text = UP;
@@ -252,7 +252,7 @@
   double all = now_s() - begun;
   for (guint i = 0; i < n; i++) {
     answered += g_str_has_prefix(c[i].start, "HTTP/1.1 ");
-    again += syn_retransmitted(&c[i]);
+    retransmitted += syn_retransmitted(&c[i]);
     took[i] = (c[i].over ? c[i].done_s : now_s()) - c[i].begun_s;
   }
   close_all(c, n);
@@ -261,7 +261,7 @@
          gsl_stats_quantile_from_sorted_data(took, 1, n, 0.5),
          gsl_stats_quantile_from_sorted_data(took, 1, n, 0.99), took[n - 1], all / n, all / n / alone_s);
   check(answered == n, "all were answered");
-  check(again == 0, "none had to knock twice (TCP sent nothing again)");
+  check(retransmitted == 0, "no connection attempt was repeated (TCP sent no SYN twice)");
   check(all / n <= 5 * alone_s,
         "together they took no longer than five times what they take one after the other");
   return all / n;
@@ -281,13 +281,13 @@
 typedef struct {
   const char *name, *text;
   guint n;
-  gsize again;
-  gboolean deaf;
+  gsize repeated;
+  gboolean never_reads;
   double for_s;
   const char *answer; /* all that are over got this; NULL: not looked at */
 } Attack;
 
-/* While it goes on: health checks from where it comes from, reports and users from elsewhere. */
+/* During the attack: health checks from the same address, heartbeats and users from other ones. */
 static void run_attack(const Service *s, const Attack *a, double before_mb) {
   g_autofree Client *c = g_new0(Client, a->n);
   guint answered = 0, asked = 0, wrong = 0;
@@ -295,8 +295,8 @@
   for (guint i = 0; i < a->n; i++) {
     c[i].text = a->text;
     c[i].len = strlen(a->text);
-    c[i].again = a->again;
-    c[i].deaf = a->deaf;
+    c[i].repeated = a->repeated;
+    c[i].never_reads = a->never_reads;
     open_client(s, &c[i], "127.0.0.1");
     if (i % 256 == 255)
       drive(c, i + 1, i + 1, 0.05);
--- a/test/test_door.c
+++ b/test/test_door.c
@@ -1,5 +1,5 @@
-/* The front door and the calls outwards on real sockets of the loopback, in one process: the clients here are
- * driven from the same main loop, so that what happens when doesn't depend on threads. */
+/* The server and the HTTP client on real loopback sockets, in one process: the test's clients are driven from
+ * the same main loop, so that the order of events doesn't depend on threads. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -117,7 +117,7 @@
   return n;
 }
 
-/* What a service is left with when all clients have gone: nothing. */
+/* When all clients have disconnected, nothing is counted or buffered any more. */
 static void close_service(Service *s) {
   answer_held(s);
   gint64 end = g_get_monotonic_time() + PATIENCE;
@@ -315,8 +315,8 @@
   close_service(s);
 }
 
-/* A client that sends all it has before it looks for an answer, as most do, can do so, and then reads why: a
- * connection closed at once would be reset under its hands. */
+/* A client that sends all it has before it reads, as most do, can do so, and then reads the rejection: if the
+ * connection were closed at once, it would be reset. */
 static void test_rejection_is_readable(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -379,7 +379,8 @@
   close_service(s);
 }
 
-/* Who asks on and on and reads nothing is cut off, and holds no more than its bound meanwhile. */
+/* A client that sends requests without end and reads nothing is disconnected, and buffers stay in their
+ * limit. */
 static void test_slow_readers(void) {
   FkAdmissionLimits l = limits();
   l.send_us = S / 2;
@@ -403,8 +404,8 @@
   close_service(s);
 }
 
-/* Sockets used up by silent connections from one address: a health check, a report and another address's user
- * get in at the first try, and who was there is still served. */
+/* All sockets are used by silent connections of one address: a health check, a heartbeat and another
+ * address's user connect at the first attempt, and the connections from before are still served. */
 static void test_connection_limit(void) {
   FkAdmissionLimits l = limits();
   l.connections[FK_CONNECTION_CLASS_CLIENT] = 20;
@@ -439,8 +440,8 @@
   close_service(s);
 }
 
-/* Requests under way up to their bound: submissions are refused at once with when to come back, then polls;
- * reports and health checks go on. A flood of one address leaves another its part. */
+/* Requests in progress up to their limit: submissions are rejected at once with a Retry-After, then polls;
+ * heartbeats and health checks go on. A flood from one address leaves another its share. */
 static void test_request_limit(void) {
   FkAdmissionLimits l = limits();
   l.requests = 20;
@@ -490,8 +491,8 @@
   close_service(s);
 }
 
-/* A crowd whose requests are all there at once: health check and report first, whenever they came; every kind
- * has its part of each turn, and the later ones of a kind don't pass the earlier. */
+/* Many requests that are complete at once: health check and heartbeat first, whenever they came; each class
+ * has its part of each iteration, and within a class the order is kept. */
 static void test_order(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -525,7 +526,7 @@
   close_service(s);
 }
 
-/* Half bodies from many connections: what is held stays within the bound, and a report still fits. */
+/* Incomplete bodies on many connections: buffers stay within their limit, and a heartbeat is still taken. */
 static void test_partial_bodies(void) {
   FkAdmissionLimits l = limits();
   l.buffered_bytes = 400000;
@@ -552,8 +553,8 @@
   close_service(s);
 }
 
-/* No descriptor is left for who knocks: that is said, doesn't take the processor, and who waits is served as
- * soon as there is one. */
+/* No descriptor is free for a new connection: that is logged, takes no CPU time, and clients that wait are
+ * served as soon as there is one. */
 static void test_no_descriptor(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -584,7 +585,7 @@
   close_service(s);
 }
 
-/* Garbage, cuts and resets at random: nothing is left behind, and who behaves is served all the while. */
+/* Garbage, disconnects and resets at random: nothing leaks, and well-behaved clients are served meanwhile. */
 static void test_random(void) {
   FkAdmissionLimits l = limits();
   l.connections[FK_CONNECTION_CLASS_CLIENT] = 30;
@@ -655,7 +656,7 @@
   g_free(s);
 }
 
-/* ------------------------------------------------------------------ calls outwards */
+/* ------------------------------------------------------------------ the HTTP client */
 
 typedef struct {
   const char *head, *then; /* what a system that misbehaves answers; `then` is repeated */
@@ -701,8 +702,8 @@
   *(Called *)data = (Called){TRUE, status, len};
 }
 
-/* An answer has a bound, and so has each of its steps: a call that may wait 30 s for an answer doesn't wait
- * so long for the rest of one. */
+/* A response is bounded in length and in the time of each of its steps: a call that may wait 30 s for a
+ * response doesn't wait so long for the rest of one. */
 static void test_http_client(void) {
   static const struct {
     const char *head, *then;
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -112,7 +112,8 @@
   fk_admission_free(admission);
 }
 
-/* Each step has its time, an answer where one helps, and the clock of the next step starts anew. */
+/* Each stage has its time limit, a response where one helps, and the time of the next stage starts from zero.
+ */
 static void test_times(void) {
   static const struct {
     FkConnectionStage stage;
@@ -154,7 +155,7 @@
   }
 }
 
-/* A crowd from one address crowds out itself: the one that another address has stays, and so do newcomers. */
+/* A flood from one address evicts its own connections: another address's stays, and so do new ones. */
 static void test_eviction(void) {
   FkAdmissionLimits l = small_limits();
   FkAdmission *admission = fk_admission_new(&l);
@@ -327,9 +328,9 @@
   close_all(admission, &c, 1);
 }
 
-/* Random lives of connections from a few addresses: counts are always the sums of their parts, no kind is
- * over its share when all that must go has gone, who is crowded out is of a largest crowd that can be, and a
- * health check is never refused. */
+/* Random connections from a few addresses: counts are always the sums of their parts, no class is over its
+ * limit when all evictions are done, an evicted client is of an address with the most evictable connections,
+ * and a health check is never rejected. */
 static void test_property(void) {
   enum { N = 60, STEPS = 40000 };
   for (guint32 seed = 1; seed <= 4; seed++) {
