--- a/src/simulation/scale/check_rules.h
+++ b/src/simulation/scale/check_rules.h
@@ -1,8 +1,9 @@
-/* PROTOCOL's rules, held against what truly happened in a region. */
+/* Checks PROTOCOL's rules against what happened in a region of a scale run. */
 #pragma once
 #include "simulation/scale/event_log.h"
 #include "simulation/scale/plan.h"
 
-/* What was broken, a line each: "rule: what, when"; empty when nothing was. `events` are sorted by time and
- * complete. wrong_place isn't looked at: no job of a scale run is bound to a place. */
-GPtrArray *fk_scale_check_rules(const FkScalePlan *p, guint region, const GArray *events);
+/* The violations, as lines "RULE: JOB/TASK at SECONDS: DETAIL"; empty when no rule was broken. `events` are
+ * all events of the region, sorted by time. The rule wrong_place isn't checked: jobs of scale runs aren't
+ * bound to a place. The caller owns the result. */
+GPtrArray *fk_scale_check_rules(const FkScalePlan *plan, guint region, const GArray *events);
--- a/src/simulation/scale/event_log.h
+++ b/src/simulation/scale/event_log.h
@@ -1,43 +1,48 @@
-/* What truly happened in a region, as its stand-ins saw it: lines that the rules are checked on when the run
- * is over. Times are microseconds of the steady clock, which all processes of a machine share. */
+/* What happened to the jobs and tasks of a region, as its stand-ins observed it: one line per event, from
+ * which the rules are checked after the run. Times are microseconds of the monotonic clock, which all
+ * processes of a machine share. */
 #pragma once
 #include <glib.h>
-#include <stdio.h>
 
+/* The values are part of the files. */
 typedef enum {
-  FK_RUN_EVENT_TASK_STARTED,  /* a task holds its image, on that machine */
-  FK_RUN_EVENT_TASK_DONE,     /* it is no more there, and done */
-  FK_RUN_EVENT_TASK_LOST,     /* it is no more there, and not done */
-  FK_RUN_EVENT_SUBMITTED,     /* its user tried for the first time */
-  FK_RUN_EVENT_ACCEPTED,      /* its user was told that it is */
-  FK_RUN_EVENT_REJECTED,      /* its user gave up submitting */
-  FK_RUN_EVENT_JOB_DONE,      /* its user was told so */
-  FK_RUN_EVENT_JOB_CANCELLED, /* its user was told so */
-  FK_RUN_EVENT_CANCEL_REQUESTED,
-  FK_RUN_EVENT_POLL_ACTIVE,   /* a question about it was answered: queued or running */
-  FK_RUN_EVENT_POLL_NOT_FOUND /* a question about it was answered with 404 */
+  FK_RUN_EVENT_TASK_STARTED,     /* it has its image and runs on that machine */
+  FK_RUN_EVENT_TASK_DONE,        /* it left the machine and is done */
+  FK_RUN_EVENT_TASK_LOST,        /* it left the machine and is not done */
+  FK_RUN_EVENT_SUBMITTED,        /* the user's first attempt */
+  FK_RUN_EVENT_ACCEPTED,         /* the submission was acknowledged */
+  FK_RUN_EVENT_REJECTED,         /* the user gave up submitting */
+  FK_RUN_EVENT_JOB_DONE,         /* reported to the user */
+  FK_RUN_EVENT_JOB_CANCELLED,    /* reported to the user */
+  FK_RUN_EVENT_CANCEL_REQUESTED, /* the user's first attempt */
+  FK_RUN_EVENT_POLL_ACTIVE,      /* a poll was answered: queued or running */
+  FK_RUN_EVENT_POLL_NOT_FOUND    /* a poll was answered with 404 */
 } FkRunEventKind;
 
 typedef struct {
   gint64 at_us;
   FkRunEventKind kind;
   char *job;
-  guint32 task;  /* of the first three */
-  char *machine; /* of the first three, else NULL */
+  guint32 task;  /* of the task events, else 0 */
+  char *machine; /* of the task events, else NULL */
 } FkRunEvent;
 
 typedef struct FkEventLog FkEventLog;
+
+/* Writes to `dir`/`name`.events. NULL with an error when the file can't be written. */
 FkEventLog *fk_event_log_new(const char *dir, const char *name, GError **error);
-void fk_event_log_free(FkEventLog *l);
-/* It happened now. */
-void fk_event_log_add(FkEventLog *l, FkRunEventKind kind, const char *job, guint32 task, const char *machine);
-/* It happened then. */
-void fk_event_log_add_at(FkEventLog *l, gint64 at_us, FkRunEventKind kind, const char *job, guint32 task,
+/* Accepts NULL. */
+void fk_event_log_free(FkEventLog *log);
+/* Logs an event that happens now. */
+void fk_event_log_add(FkEventLog *log, FkRunEventKind kind, const char *job, guint32 task,
+                      const char *machine);
+/* Logs an event that happened at `at_us`. */
+void fk_event_log_add_at(FkEventLog *log, gint64 at_us, FkRunEventKind kind, const char *job, guint32 task,
                          const char *machine);
 
-/* Appends what a log holds; FALSE: it can't be read. */
-gboolean fk_event_log_read(const char *dir, const char *name, GArray *events /* FkRunEvent */,
-                           GError **error);
+/* An empty array of FkRunEvent that owns its strings. */
 GArray *fk_run_events_new(void);
-/* By time. */
+/* Appends the events of a log file; FALSE with an error when it can't be read or a line is malformed. */
+gboolean fk_event_log_read(const char *dir, const char *name, GArray *events, GError **error);
+/* Sorts by time. */
 void fk_run_events_sort(GArray *events);
--- a/src/simulation/scale/heartbeats.c
+++ b/src/simulation/scale/heartbeats.c
@@ -210,8 +210,7 @@
     fk_stand_in_respond(message, 400, g_strdup("{}"));
 }
 
-gboolean fk_heartbeats_open(FkSimulatedWorkers *workers, GError **error) {
+void fk_heartbeats_open(FkSimulatedWorkers *workers) {
   workers->hooks = (FkSimulatedWorkersHooks){start_heartbeats, on_state_changed};
-  workers->listener = fk_stand_in_listener_new(on_request, workers, error);
-  return workers->listener != NULL;
+  workers->listener = fk_stand_in_listener_new(on_request, workers);
 }
--- a/src/simulation/scale/heartbeats.h
+++ b/src/simulation/scale/heartbeats.h
@@ -6,6 +6,5 @@
 /* POST to a worker's address from the process with the cloud: the worker is terminated. */
 #define FK_WORKER_TERMINATE_PATH "/returned"
 
-/* Workers send heartbeats and accept commands from now on. FALSE with an error when the listener can't be
- * created. */
-gboolean fk_heartbeats_open(FkSimulatedWorkers *workers, GError **error);
+/* Workers that boot from now on send heartbeats and accept commands. */
+void fk_heartbeats_open(FkSimulatedWorkers *workers);
--- a/src/simulation/scale/http_stand_in.c
+++ b/src/simulation/scale/http_stand_in.c
@@ -2,17 +2,15 @@
 
 #include <errno.h>
 #include <glib-unix.h>
-#include <stdio.h>
 #include <string.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
 #define BACKLOG 128
-#define ACCEPTS_A_TURN 64
-#define AFTER_S 1.0 /* processes stay for so long when the run is over */
+#define ACCEPTS_PER_ITERATION 64
 
-static GSocketAddress *address_of(const char *addr, GError **error) {
+static GSocketAddress *parse_address(const char *addr, GError **error) {
   g_auto(GStrv) parts = g_strsplit(addr, ":", 2);
   guint64 port;
   if (!parts[0] || !parts[1] || !g_ascii_string_to_unsigned(parts[1], 10, 1, 65535, &port, error))
@@ -21,7 +19,7 @@
 }
 
 SoupServer *fk_stand_in_serve(const char *addr, FkStandInHandler handler, gpointer data, GError **error) {
-  g_autoptr(GSocketAddress) address = address_of(addr, error);
+  g_autoptr(GSocketAddress) address = parse_address(addr, error);
   g_autoptr(SoupServer) server = soup_server_new("server-header", "stand-in", NULL);
   soup_server_add_handler(server, NULL, handler, data, NULL);
   if (!address || !soup_server_listen(server, address, 0, error)) {
@@ -31,14 +29,14 @@
   return g_steal_pointer(&server);
 }
 
-/* ------------------------------------------------------------------ thousands of addresses */
+/* ------------------------------------------------------------------ a server on many addresses */
 
 struct FkStandInListener {
   SoupServer *server;
   int epoll;
 };
 
-static void hand_over(FkStandInListener *a, int fd) {
+static void serve_connection(FkStandInListener *listener, int fd) {
   g_autoptr(GError) error = NULL;
   g_autoptr(GSocket) socket = g_socket_new_from_fd(fd, &error);
   if (!socket) {
@@ -48,33 +46,33 @@
   g_autoptr(GSocketConnection) connection = g_socket_connection_factory_create_connection(socket);
   g_autoptr(GSocketAddress) local = g_socket_get_local_address(socket, NULL),
                             remote = g_socket_get_remote_address(socket, NULL);
-  if (!soup_server_accept_iostream(a->server, G_IO_STREAM(connection), local, remote, &error))
-    g_warning("a connection can't be served: %s", error->message);
+  if (!soup_server_accept_iostream(listener->server, G_IO_STREAM(connection), local, remote, &error))
+    g_warning("connection not served error=%s", error->message);
 }
 
-static gboolean on_ready(int epoll, GIOCondition condition, gpointer data) {
-  struct epoll_event ready[ACCEPTS_A_TURN];
+static gboolean on_readable(int epoll, GIOCondition condition, gpointer data) {
+  struct epoll_event ready[ACCEPTS_PER_ITERATION];
   int n = epoll_wait(epoll, ready, G_N_ELEMENTS(ready), 0);
   for (int i = 0; i < n; i++) {
-    /* cppcheck-suppress nullPointer ; nobody asks for the other end's address */
+    /* cppcheck-suppress nullPointer ; the peer's address isn't needed */
     int fd = accept4(ready[i].data.fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0)
-      hand_over(data, fd);
+      serve_connection(data, fd);
   }
   return G_SOURCE_CONTINUE;
 }
 
-FkStandInListener *fk_stand_in_listener_new(FkStandInHandler handler, gpointer data, GError **error) {
-  FkStandInListener *a = g_new0(FkStandInListener, 1);
-  a->epoll = epoll_create1(EPOLL_CLOEXEC);
-  a->server = soup_server_new("server-header", "stand-in", NULL);
-  soup_server_add_handler(a->server, NULL, handler, data, NULL);
-  g_unix_fd_add(a->epoll, G_IO_IN, on_ready, a);
-  return a;
+FkStandInListener *fk_stand_in_listener_new(FkStandInHandler handler, gpointer data) {
+  FkStandInListener *listener = g_new0(FkStandInListener, 1);
+  listener->epoll = epoll_create1(EPOLL_CLOEXEC);
+  listener->server = soup_server_new("server-header", "stand-in", NULL);
+  soup_server_add_handler(listener->server, NULL, handler, data, NULL);
+  g_unix_fd_add(listener->epoll, G_IO_IN, on_readable, listener);
+  return listener;
 }
 
-int fk_stand_in_listener_add(FkStandInListener *a, const char *addr, GError **error) {
-  g_autoptr(GSocketAddress) address = address_of(addr, error);
+int fk_stand_in_listener_add(FkStandInListener *listener, const char *addr, GError **error) {
+  g_autoptr(GSocketAddress) address = parse_address(addr, error);
   g_autoptr(GSocket) socket =
       address ? g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error) : NULL;
   if (!socket)
@@ -86,28 +84,28 @@
   }
   int fd = dup(g_socket_get_fd(socket));
   struct epoll_event wanted = {.events = EPOLLIN, .data.fd = fd};
-  if (fd < 0 || epoll_ctl(a->epoll, EPOLL_CTL_ADD, fd, &wanted) < 0) {
+  if (fd < 0 || epoll_ctl(listener->epoll, EPOLL_CTL_ADD, fd, &wanted) < 0) {
     g_set_error(error, G_FILE_ERROR, g_file_error_from_errno(errno), "%s: %s", addr, g_strerror(errno));
     return -1;
   }
   return fd;
 }
 
-void fk_stand_in_listener_remove(int number) {
-  if (number >= 0)
-    close(number);
+void fk_stand_in_listener_remove(int descriptor) {
+  if (descriptor >= 0)
+    close(descriptor);
 }
 
-/* ------------------------------------------------------------------ messages */
+/* ------------------------------------------------------------------ requests */
 
-char *fk_stand_in_local_addr(SoupServerMessage *m) {
-  GInetSocketAddress *local = G_INET_SOCKET_ADDRESS(soup_server_message_get_local_address(m));
+char *fk_stand_in_local_addr(SoupServerMessage *message) {
+  GInetSocketAddress *local = G_INET_SOCKET_ADDRESS(soup_server_message_get_local_address(message));
   g_autofree char *host = g_inet_address_to_string(g_inet_socket_address_get_address(local));
   return g_strdup_printf("%s:%u", host, g_inet_socket_address_get_port(local));
 }
 
-const char *fk_stand_in_request_body(SoupServerMessage *m, gsize *len) {
-  const SoupMessageBody *body = soup_server_message_get_request_body(m);
+const char *fk_stand_in_request_body(SoupServerMessage *message, gsize *len) {
+  const SoupMessageBody *body = soup_server_message_get_request_body(message);
   *len = (gsize)body->length;
   return body->data ? body->data : "";
 }
@@ -117,27 +115,7 @@
   return value ? value : "";
 }
 
-void fk_stand_in_respond(SoupServerMessage *m, guint status, char *body) {
-  soup_server_message_set_status(m, status, NULL);
-  soup_server_message_set_response(m, "application/json", SOUP_MEMORY_TAKE, body, strlen(body));
-}
-
-/* ------------------------------------------------------------------ a process's life */
-
-static gboolean is_over(gpointer loop) {
-  g_main_loop_quit(loop);
-  return G_SOURCE_REMOVE;
-}
-
-void fk_stand_in_run(const FkScalePlan *p) {
-  g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
-  gint64 over = p->start_us + (gint64)((p->duration_s + AFTER_S) * 1e6);
-  g_timeout_add((guint)(MAX(0, over - g_get_monotonic_time()) / 1000), is_over, loop);
-  g_main_loop_run(loop);
-}
-
-int fk_stand_in_start_failed(const char *who, const GError *error) {
-  fprintf(stderr, "flaxknot-sim scale: %s couldn't begin: %s\n", who,
-          error ? error->message : "no reason given");
-  return 1;
+void fk_stand_in_respond(SoupServerMessage *message, guint status, char *body) {
+  soup_server_message_set_status(message, status, NULL);
+  soup_server_message_set_response(message, "application/json", SOUP_MEMORY_TAKE, body, strlen(body));
 }
--- a/src/simulation/scale/metrics_log.c
+++ b/src/simulation/scale/metrics_log.c
@@ -4,13 +4,16 @@
 #include <string.h>
 #include <unistd.h>
 
+#define INTERVAL_MS 1000
+#define BYTES_PER_MB 1048576
+
 struct FkMetricsLog {
   FILE *file;
   gint64 start_us;
   guint pid;
-  double processor_before_s; /* of earlier lives */
-  double processor_s;        /* of this one */
-  GHashTable *values;        /* name -> double* */
+  double earlier_cpu_s; /* of earlier processes */
+  double cpu_s;         /* of the process `pid` */
+  GHashTable *values;   /* name -> double* */
   void (*sample)(gpointer data);
   gpointer data;
   guint timer;
@@ -24,86 +27,89 @@
     g_set_error(error, G_FILE_ERROR, G_FILE_ERROR_FAILED, "%s can't be written", path);
     return NULL;
   }
-  FkMetricsLog *s = g_new0(FkMetricsLog, 1);
-  s->file = file;
-  s->start_us = start_us;
-  s->pid = pid ? pid : (guint)getpid();
-  s->values = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-  return s;
+  FkMetricsLog *log = g_new0(FkMetricsLog, 1);
+  log->file = file;
+  log->start_us = start_us;
+  log->pid = pid ? pid : (guint)getpid();
+  log->values = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+  return log;
 }
 
-void fk_metrics_log_free(FkMetricsLog *s) {
-  if (!s)
+void fk_metrics_log_free(FkMetricsLog *log) {
+  if (!log)
     return;
-  g_clear_handle_id(&s->timer, g_source_remove);
-  fclose(s->file);
-  g_hash_table_unref(s->values);
-  g_free(s);
+  g_clear_handle_id(&log->timer, g_source_remove);
+  fclose(log->file);
+  g_hash_table_unref(log->values);
+  g_free(log);
 }
 
-static double *value_of(FkMetricsLog *s, const char *name) {
-  double *value = g_hash_table_lookup(s->values, name);
+static double *value_of(FkMetricsLog *log, const char *name) {
+  double *value = g_hash_table_lookup(log->values, name);
   if (!value)
-    g_hash_table_insert(s->values, (gpointer)name, value = g_new0(double, 1));
+    g_hash_table_insert(log->values, (gpointer)name, value = g_new0(double, 1));
   return value;
 }
 
-void fk_metrics_log_add(FkMetricsLog *s, const char *name, double n) { *value_of(s, name) += n; }
+void fk_metrics_log_add(FkMetricsLog *log, const char *name, double increment) {
+  *value_of(log, name) += increment;
+}
 
-void fk_metrics_log_set(FkMetricsLog *s, const char *name, double n) { *value_of(s, name) = n; }
+void fk_metrics_log_set(FkMetricsLog *log, const char *name, double value) { *value_of(log, name) = value; }
 
-void fk_metrics_log_set_pid(FkMetricsLog *s, guint pid) {
-  s->pid = pid;
-  s->processor_before_s += s->processor_s;
-  s->processor_s = 0;
+void fk_metrics_log_set_pid(FkMetricsLog *log, guint pid) {
+  log->pid = pid;
+  log->earlier_cpu_s += log->cpu_s;
+  log->cpu_s = 0;
 }
 
-/* NULL: there is no such process. */
-static char *read_proc(guint pid, const char *what) {
-  g_autofree char *path = g_strdup_printf("/proc/%u/%s", pid, what);
+/* NULL when there is no such process; to be freed. */
+static char *read_proc_file(guint pid, const char *name) {
+  g_autofree char *path = g_strdup_printf("/proc/%u/%s", pid, name);
   char *text = NULL;
   return g_file_get_contents(path, &text, NULL, NULL) ? text : NULL;
 }
 
-/* Fields 14 and 15 of /proc/PID/stat; the name in the second may hold anything but ends with the last ')'. */
-static void read_processor(FkMetricsLog *s) {
-  g_autofree char *text = read_proc(s->pid, "stat");
+/* Fields 14 and 15 of /proc/PID/stat. The command in field 2 may contain anything, but ends with the last
+ * ')'. */
+static void update_cpu_time(FkMetricsLog *log) {
+  g_autofree char *text = read_proc_file(log->pid, "stat");
   const char *rest = text ? strrchr(text, ')') : NULL;
   unsigned long user, system;
   if (rest && sscanf(rest, ") %*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %lu %lu", &user, &system) == 2)
-    s->processor_s = (double)(user + system) / (double)sysconf(_SC_CLK_TCK);
+    log->cpu_s = (double)(user + system) / (double)sysconf(_SC_CLK_TCK);
 }
 
 double fk_process_memory_mb(guint pid) {
-  g_autofree char *text = read_proc(pid, "statm");
+  g_autofree char *text = read_proc_file(pid, "statm");
   unsigned long pages;
   if (!text || sscanf(text, "%*u %lu", &pages) != 1)
     return 0;
-  return (double)pages * (double)sysconf(_SC_PAGESIZE) / 1048576;
+  return (double)pages * (double)sysconf(_SC_PAGESIZE) / BYTES_PER_MB;
 }
 
-static gboolean write_line(gpointer data) {
-  FkMetricsLog *s = data;
-  read_processor(s);
-  if (s->sample)
-    s->sample(s->data);
-  g_autoptr(cJSON) o = cJSON_CreateObject();
-  cJSON_AddNumberToObject(o, "second", (double)(g_get_monotonic_time() - s->start_us) / 1e6);
-  cJSON_AddNumberToObject(o, "processor_s", s->processor_before_s + s->processor_s);
-  cJSON_AddNumberToObject(o, "memory_mb", fk_process_memory_mb(s->pid));
-  GHashTableIter it;
+static gboolean on_interval(gpointer data) {
+  FkMetricsLog *log = data;
+  update_cpu_time(log);
+  if (log->sample)
+    log->sample(log->data);
+  g_autoptr(cJSON) line = cJSON_CreateObject();
+  cJSON_AddNumberToObject(line, "second", (double)(g_get_monotonic_time() - log->start_us) / 1e6);
+  cJSON_AddNumberToObject(line, "processor_s", log->earlier_cpu_s + log->cpu_s);
+  cJSON_AddNumberToObject(line, "memory_mb", fk_process_memory_mb(log->pid));
+  GHashTableIter iter;
   gpointer name, value;
-  g_hash_table_iter_init(&it, s->values);
-  while (g_hash_table_iter_next(&it, &name, &value))
-    cJSON_AddNumberToObject(o, name, *(double *)value);
-  g_autofree char *line = fk_json_print(o);
-  fprintf(s->file, "%s\n", line);
-  fflush(s->file);
+  g_hash_table_iter_init(&iter, log->values);
+  while (g_hash_table_iter_next(&iter, &name, &value))
+    cJSON_AddNumberToObject(line, name, *(double *)value);
+  g_autofree char *text = fk_json_print(line);
+  fprintf(log->file, "%s\n", text);
+  fflush(log->file);
   return G_SOURCE_CONTINUE;
 }
 
-void fk_metrics_log_start(FkMetricsLog *s, void (*sample)(gpointer data), gpointer data) {
-  s->sample = sample;
-  s->data = data;
-  s->timer = g_timeout_add(1000, write_line, s);
+void fk_metrics_log_start(FkMetricsLog *log, void (*sample)(gpointer data), gpointer data) {
+  log->sample = sample;
+  log->data = data;
+  log->timer = g_timeout_add(INTERVAL_MS, on_interval, log);
 }
--- a/src/simulation/scale/processes.c
+++ b/src/simulation/scale/processes.c
@@ -11,20 +11,21 @@
 
 #include "net/http_client.h"
 #include "simulation/scale/metrics_log.h"
+#include "simulation/scale/scale_options.h"
 
-#define MEMORY_MOST_MB 12000.0
-#define UP_WITHIN_S 30.0
-#define ASK_UP_MS 500
-#define MEASURE_MS 1000
-#define AFTER_S 3.0 /* the stand-ins end by themselves */
+#define MEMORY_MB_MAX 12000.0
+#define START_TIMEOUT_S 30.0
+#define PROBE_INTERVAL_MS 500
+#define MEMORY_CHECK_MS 1000
+#define EXIT_GRACE_S 3.0 /* the stand-ins exit by themselves when the run is over */
 
 typedef struct {
   GPid pid; /* 0: not running */
   char *name;
   gboolean controller;
-  guint region, number; /* of the controller, or of the fleet's part */
-  gboolean up, expected_to_end;
-  FkMetricsLog *series; /* controllers only: the stand-ins write their own */
+  guint region, number; /* of the controller, or of the worker process of its region */
+  gboolean up, expected_to_exit;
+  FkMetricsLog *metrics; /* of controllers; the stand-ins write their own */
 } Process;
 
 struct FkProcesses {
@@ -32,306 +33,317 @@
   GPtrArray *all; /* Process */
   FkHttpClient *http;
   GMainLoop *loop;
-  char *wrong;
-  double memory_most_mb;
-  gboolean over;
+  char *failure;
+  double peak_memory_mb;
+  gboolean run_over;
 };
 
-static void process_free(gpointer p) {
-  Process *x = p;
-  fk_metrics_log_free(x->series);
-  g_free(x->name);
-  g_free(x);
+static void process_free(gpointer data) {
+  Process *process = data;
+  fk_metrics_log_free(process->metrics);
+  g_free(process->name);
+  g_free(process);
 }
 
-static char *path_in(const FkScalePlan *p, const char *name, const char *ending) {
+static char *path_in(const FkScalePlan *plan, const char *name, const char *ending) {
   g_autofree char *base = g_strconcat(name, ending, NULL);
-  return g_build_filename(p->output_dir, base, NULL);
+  return g_build_filename(plan->output_dir, base, NULL);
 }
 
 /* ------------------------------------------------------------------ starting */
 
-static void log_into(gpointer path) {
+static void redirect_stderr(gpointer path) {
   int fd = open(path, O_CREAT | O_WRONLY | O_APPEND, 0644);
   if (fd >= 0)
     dup2(fd, STDERR_FILENO);
 }
 
-static gboolean spawn(const FkScalePlan *p, Process *x, char **argv, char **environment, GError **error) {
-  g_autofree char *log = path_in(p, x->name, ".log");
-  return g_spawn_async(NULL, argv, environment, G_SPAWN_DO_NOT_REAP_CHILD, log_into, log, &x->pid, error);
+static gboolean spawn(const FkScalePlan *plan, Process *process, char **argv, char **environment,
+                      GError **error) {
+  g_autofree char *log = path_in(plan, process->name, ".log");
+  return g_spawn_async(NULL, argv, environment, G_SPAWN_DO_NOT_REAP_CHILD, redirect_stderr, log,
+                       &process->pid, error);
 }
 
-static gboolean write_json(const char *path, cJSON *o /* taken */, GError **error) {
-  g_autoptr(cJSON) own = o;
-  g_autofree char *text = fk_json_print(own);
+static gboolean write_json(const char *path, cJSON *json /* taken */, GError **error) {
+  g_autoptr(cJSON) owned = json;
+  g_autofree char *text = fk_json_print(owned);
   return g_file_set_contents(path, text, -1, error);
 }
 
-/* Idle machines stay: what is measured is the load, not the renting. */
-#define KEEP_IDLE_S 600
+/* Idle machines are kept: the run measures the load, not the autoscaler. */
+#define IDLE_RETENTION_S 600
 
-static gboolean spawn_controller(const FkScalePlan *p, Process *x, GError **error) {
-  g_autofree char *settings = path_in(p, x->name, ".json"), *wishes = path_in(p, "operator", ".json");
-  cJSON *own = cJSON_CreateObject();
-  cJSON_AddNumberToObject(own, "idle_s", KEEP_IDLE_S);
-  if (!write_json(wishes, own, error) ||
-      !write_json(settings, fk_scale_controller_settings(p, x->region, x->number), error))
+static gboolean spawn_controller(const FkScalePlan *plan, Process *process, GError **error) {
+  g_autofree char *settings = path_in(plan, process->name, ".json"),
+                  *operator_settings = path_in(plan, "operator", ".json");
+  cJSON *idle = cJSON_CreateObject();
+  cJSON_AddNumberToObject(idle, "idle_s", IDLE_RETENTION_S);
+  if (!write_json(operator_settings, idle, error) ||
+      !write_json(settings, fk_scale_controller_settings(plan, process->region, process->number), error))
     return FALSE;
   g_auto(GStrv) environment = g_environ_setenv(g_get_environ(), "LOG_LEVEL", "info", TRUE);
-  environment = g_environ_setenv(environment, "FLAXKNOT_OPERATOR", wishes, TRUE);
-  char *argv[] = {p->program, "serve", "--config", settings, NULL};
-  return spawn(p, x, argv, environment, error);
+  environment = g_environ_setenv(environment, "FLAXKNOT_OPERATOR", operator_settings, TRUE);
+  char *argv[] = {plan->program, "serve", "--config", settings, NULL};
+  return spawn(plan, process, argv, environment, error);
 }
 
-static gboolean spawn_stand_in(const FkScalePlan *p, Process *x, const char *role, GError **error) {
-  g_autofree char *plan = path_in(p, "plan", ".json"), *region = g_strdup_printf("%u", x->region),
-                  *part = g_strdup_printf("%u", x->number), *self = g_file_read_link("/proc/self/exe", error);
-  char *argv[] = {self,       "scale", "--play", (char *)role, "--plan", plan,
-                  "--region", region,  "--part", part,         NULL};
-  return self && spawn(p, x, argv, NULL, error);
+static gboolean spawn_stand_in(const FkScalePlan *plan, Process *process, FkScaleRole role, GError **error) {
+  g_autofree char *plan_file = path_in(plan, "plan", ".json"),
+                  *region = g_strdup_printf("%u", process->region),
+                  *number = g_strdup_printf("%u", process->number),
+                  *self = g_file_read_link("/proc/self/exe", error);
+  char *argv[] = {self,     "scale",   "--play",   (char *)fk_scale_role_name(role),
+                  "--plan", plan_file, "--region", region,
+                  "--part", number,    NULL};
+  return self && spawn(plan, process, argv, NULL, error);
 }
 
-/* Its log is empty: one of an earlier run in the same folder isn't counted. */
-static Process *add(FkProcesses *ps, char *name /* taken */, guint region) {
-  Process *x = g_new0(Process, 1);
-  g_autofree char *log = path_in(ps->plan, name, ".log");
+/* Deletes the log of an earlier run in the same folder, so that it isn't counted. */
+static Process *add_process(FkProcesses *processes, char *name /* taken */, guint region) {
+  Process *process = g_new0(Process, 1);
+  g_autofree char *log = path_in(processes->plan, name, ".log");
   g_unlink(log);
-  x->name = name;
-  x->region = region;
-  g_ptr_array_add(ps->all, x);
-  return x;
+  process->name = name;
+  process->region = region;
+  g_ptr_array_add(processes->all, process);
+  return process;
 }
 
-static gboolean start_fleet(FkProcesses *ps, guint region, GError **error) {
-  for (guint part = 0; part < ps->plan->worker_processes; part++) {
-    Process *x = add(ps, fk_scale_worker_process_name(region, part), region);
-    x->number = part;
-    if (!spawn_stand_in(ps->plan, x, "fleet", error))
+static gboolean start_worker_processes(FkProcesses *processes, guint region, GError **error) {
+  for (guint process_number = 0; process_number < processes->plan->worker_processes; process_number++) {
+    Process *process = add_process(processes, fk_scale_worker_process_name(region, process_number), region);
+    process->number = process_number;
+    if (!spawn_stand_in(processes->plan, process, FK_SCALE_ROLE_WORKERS, error))
       return FALSE;
   }
   return TRUE;
 }
 
-static gboolean start_region(FkProcesses *ps, guint region, GError **error) {
-  static const char *const roles[] = {"state", "users"};
-  if (!start_fleet(ps, region, error))
+static gboolean start_region(FkProcesses *processes, guint region, GError **error) {
+  static const FkScaleRole roles[] = {FK_SCALE_ROLE_STORE, FK_SCALE_ROLE_USERS};
+  if (!start_worker_processes(processes, region, error))
     return FALSE;
   for (guint i = 0; i < G_N_ELEMENTS(roles); i++) {
-    Process *x = add(ps, g_strdup_printf("%s-%u", roles[i], region), region);
-    if (!spawn_stand_in(ps->plan, x, roles[i], error))
+    Process *process =
+        add_process(processes, g_strdup_printf("%s-%u", fk_scale_role_name(roles[i]), region), region);
+    if (!spawn_stand_in(processes->plan, process, roles[i], error))
       return FALSE;
   }
-  for (guint i = 0; i < fk_scale_region_controllers(ps->plan, region); i++) {
-    Process *x = add(ps, g_strdup_printf("control-%u-%u", region, i), region);
-    x->controller = TRUE;
-    x->number = i;
-    if (!spawn_controller(ps->plan, x, error))
+  for (guint i = 0; i < fk_scale_region_controllers(processes->plan, region); i++) {
+    Process *process = add_process(processes, g_strdup_printf("control-%u-%u", region, i), region);
+    process->controller = TRUE;
+    process->number = i;
+    if (!spawn_controller(processes->plan, process, error))
       return FALSE;
-    x->series = fk_metrics_log_new(ps->plan->output_dir, x->name, ps->plan->start_us, (guint)x->pid, error);
-    if (!x->series)
+    process->metrics = fk_metrics_log_new(processes->plan->output_dir, process->name,
+                                          processes->plan->start_us, (guint)process->pid, error);
+    if (!process->metrics)
       return FALSE;
-    fk_metrics_log_start(x->series, NULL, NULL);
+    fk_metrics_log_start(process->metrics, NULL, NULL);
   }
   return TRUE;
 }
 
-static void on_end(GPid pid, int status, gpointer data);
-
-FkProcesses *fk_processes_start(const FkScalePlan *p, GError **error) {
-  FkProcesses *ps = g_new0(FkProcesses, 1);
-  ps->plan = p;
-  ps->all = g_ptr_array_new_with_free_func(process_free);
-  ps->http = fk_http_client_new_for_many_hosts(100, 65536);
-  ps->loop = g_main_loop_new(NULL, FALSE);
-  for (guint r = 0; r < p->regions; r++)
-    if (!start_region(ps, r, error)) {
-      fk_processes_free(ps);
+static void on_child_exit(GPid pid, int status, gpointer data);
+
+FkProcesses *fk_processes_start(const FkScalePlan *plan, GError **error) {
+  FkProcesses *processes = g_new0(FkProcesses, 1);
+  processes->plan = plan;
+  processes->all = g_ptr_array_new_with_free_func(process_free);
+  processes->http = fk_http_client_new_for_many_hosts(100, 65536);
+  processes->loop = g_main_loop_new(NULL, FALSE);
+  for (guint r = 0; r < plan->regions; r++)
+    if (!start_region(processes, r, error)) {
+      fk_processes_free(processes);
       return NULL;
     }
-  for (guint i = 0; i < ps->all->len; i++)
-    g_child_watch_add(((Process *)ps->all->pdata[i])->pid, on_end, ps);
-  return ps;
+  for (guint i = 0; i < processes->all->len; i++)
+    g_child_watch_add(((Process *)processes->all->pdata[i])->pid, on_child_exit, processes);
+  return processes;
 }
 
 /* ------------------------------------------------------------------ watching */
 
-static void stop_for(FkProcesses *ps, char *why /* taken */) {
-  if (ps->wrong)
-    g_free(why);
+static void abort_run(FkProcesses *processes, char *reason /* taken */) {
+  if (processes->failure)
+    g_free(reason);
   else
-    ps->wrong = why;
-  g_main_loop_quit(ps->loop);
+    processes->failure = reason;
+  g_main_loop_quit(processes->loop);
 }
 
-static void on_end(GPid pid, int status, gpointer data) {
-  FkProcesses *ps = data;
-  for (guint i = 0; i < ps->all->len; i++) {
-    Process *x = ps->all->pdata[i];
-    if (x->pid != pid)
+static void on_child_exit(GPid pid, int status, gpointer data) {
+  FkProcesses *processes = data;
+  for (guint i = 0; i < processes->all->len; i++) {
+    Process *process = processes->all->pdata[i];
+    if (process->pid != pid)
       continue;
-    x->pid = 0;
-    if (!ps->over && !x->expected_to_end)
-      stop_for(ps, g_strdup_printf("%s ended by itself (status %d); see its log", x->name, status));
+    process->pid = 0;
+    if (!processes->run_over && !process->expected_to_exit)
+      abort_run(processes,
+                g_strdup_printf("%s ended by itself (status %d); see its log", process->name, status));
   }
 }
 
-static void up_answered(gpointer data, guint status, const char *body, gsize len) {
+static void on_probe_response(gpointer data, guint status, const char *body, gsize len) {
   ((Process *)data)->up |= status == 200;
 }
 
-static gboolean ask_up(gpointer data) {
-  FkProcesses *ps = data;
+static gboolean probe_controllers(gpointer data) {
+  FkProcesses *processes = data;
   gboolean all = TRUE;
-  double since_s = (double)(g_get_monotonic_time() - ps->plan->start_us) / 1e6;
-  for (guint i = 0; i < ps->all->len; i++) {
-    Process *x = ps->all->pdata[i];
-    if (!x->controller || x->up)
+  double since_s = (double)(g_get_monotonic_time() - processes->plan->start_us) / 1e6;
+  for (guint i = 0; i < processes->all->len; i++) {
+    Process *process = processes->all->pdata[i];
+    if (!process->controller || process->up)
       continue;
     all = FALSE;
-    if (since_s > UP_WITHIN_S) {
-      stop_for(ps, g_strdup_printf("%s didn't come up within %g s; see its log", x->name, UP_WITHIN_S));
+    if (since_s > START_TIMEOUT_S) {
+      abort_run(processes, g_strdup_printf("%s didn't come up within %g s; see its log", process->name,
+                                           START_TIMEOUT_S));
       return G_SOURCE_REMOVE;
     }
-    g_autofree char *addr = fk_scale_user_addr(ps->plan, x->region, x->number);
-    fk_http_client_call(ps->http, "GET", addr, "/up", NULL, 1, up_answered, x);
+    g_autofree char *addr = fk_scale_user_addr(processes->plan, process->region, process->number);
+    fk_http_client_call(processes->http, "GET", addr, "/up", NULL, 1, on_probe_response, process);
   }
   return all ? G_SOURCE_REMOVE : G_SOURCE_CONTINUE;
 }
 
-static gboolean measure(gpointer data) {
-  FkProcesses *ps = data;
+static gboolean check_memory(gpointer data) {
+  FkProcesses *processes = data;
   double mb = 0;
-  for (guint i = 0; i < ps->all->len; i++)
-    mb += fk_process_memory_mb((guint)((Process *)ps->all->pdata[i])->pid);
-  ps->memory_most_mb = MAX(ps->memory_most_mb, mb);
-  if (mb > MEMORY_MOST_MB)
-    stop_for(ps, g_strdup_printf("too little memory: all processes together hold %.0f MB of %.0f", mb,
-                                 MEMORY_MOST_MB));
+  for (guint i = 0; i < processes->all->len; i++)
+    mb += fk_process_memory_mb((guint)((Process *)processes->all->pdata[i])->pid);
+  processes->peak_memory_mb = MAX(processes->peak_memory_mb, mb);
+  if (mb > MEMORY_MB_MAX)
+    abort_run(processes, g_strdup_printf("too little memory: all processes together hold %.0f MB of %.0f", mb,
+                                         MEMORY_MB_MAX));
   return G_SOURCE_CONTINUE;
 }
 
 /* ------------------------------------------------------------------ faults */
 
-/* A region's first controller: the first to be up, and so most often the leader. */
-static Process *victim(FkProcesses *ps) {
-  for (guint i = 0; i < ps->all->len; i++) {
-    Process *x = ps->all->pdata[i];
-    if (x->controller)
-      return x;
+/* The controller that faults hit: the first of region 0, which is up first and so most often the leader. */
+static Process *fault_target(FkProcesses *processes) {
+  for (guint i = 0; i < processes->all->len; i++) {
+    Process *process = processes->all->pdata[i];
+    if (process->controller)
+      return process;
   }
   return NULL;
 }
 
-static gboolean start_again(gpointer data) {
-  FkProcesses *ps = data;
-  Process *x = victim(ps);
+static gboolean restart_target(gpointer data) {
+  FkProcesses *processes = data;
+  Process *process = fault_target(processes);
   g_autoptr(GError) error = NULL;
-  if (ps->over || x->pid)
+  if (processes->run_over || process->pid)
     return G_SOURCE_REMOVE;
-  if (!spawn_controller(ps->plan, x, &error)) {
-    stop_for(ps, g_strdup_printf("%s couldn't be started again: %s", x->name, error->message));
+  if (!spawn_controller(processes->plan, process, &error)) {
+    abort_run(processes, g_strdup_printf("%s couldn't be started again: %s", process->name, error->message));
     return G_SOURCE_REMOVE;
   }
-  x->expected_to_end = FALSE;
-  fk_metrics_log_set_pid(x->series, (guint)x->pid);
-  g_child_watch_add(x->pid, on_end, ps);
+  process->expected_to_exit = FALSE;
+  fk_metrics_log_set_pid(process->metrics, (guint)process->pid);
+  g_child_watch_add(process->pid, on_child_exit, processes);
   return G_SOURCE_REMOVE;
 }
 
-static gboolean go_on(gpointer data) {
-  Process *x = victim(data);
-  if (x->pid)
-    kill(x->pid, SIGCONT);
+static gboolean continue_target(gpointer data) {
+  Process *process = fault_target(data);
+  if (process->pid)
+    kill(process->pid, SIGCONT);
   return G_SOURCE_REMOVE;
 }
 
 typedef struct {
   FkProcesses *processes;
   FkScaleFault fault;
-} Planned;
-
-static gboolean strike(gpointer data) {
-  g_autofree Planned *planned = data;
-  FkProcesses *ps = planned->processes;
-  Process *x = victim(ps);
-  guint back_ms = (guint)(planned->fault.duration_s * 1000);
-  if (ps->over || !x->pid)
+} PlannedFault;
+
+static gboolean inject_fault(gpointer data) {
+  g_autofree PlannedFault *planned = data;
+  FkProcesses *processes = planned->processes;
+  Process *process = fault_target(processes);
+  guint recovery_ms = (guint)(planned->fault.duration_s * 1000);
+  if (processes->run_over || !process->pid)
     return G_SOURCE_REMOVE;
   if (planned->fault.kind == FK_SCALE_FAULT_KILL) {
-    x->expected_to_end = TRUE;
-    kill(x->pid, SIGKILL);
-    g_timeout_add(back_ms, start_again, ps);
+    process->expected_to_exit = TRUE;
+    kill(process->pid, SIGKILL);
+    g_timeout_add(recovery_ms, restart_target, processes);
   } else {
-    kill(x->pid, SIGSTOP);
-    g_timeout_add(back_ms, go_on, ps);
+    kill(process->pid, SIGSTOP);
+    g_timeout_add(recovery_ms, continue_target, processes);
   }
   return G_SOURCE_REMOVE;
 }
 
-static void plan_faults(FkProcesses *ps) {
-  for (guint i = 0; i < ps->plan->faults->len; i++) {
-    FkScaleFault f = g_array_index(ps->plan->faults, FkScaleFault, i);
-    if (f.kind != FK_SCALE_FAULT_KILL && f.kind != FK_SCALE_FAULT_STOP)
+static void schedule_faults(FkProcesses *processes) {
+  for (guint i = 0; i < processes->plan->faults->len; i++) {
+    FkScaleFault fault = g_array_index(processes->plan->faults, FkScaleFault, i);
+    if (fault.kind != FK_SCALE_FAULT_KILL && fault.kind != FK_SCALE_FAULT_STOP)
       continue;
-    Planned *planned = g_new0(Planned, 1);
-    *planned = (Planned){ps, f};
-    gint64 in_us = ps->plan->start_us + (gint64)(f.at_s * 1e6) - g_get_monotonic_time();
-    g_timeout_add((guint)(MAX(0, in_us) / 1000), strike, planned);
+    PlannedFault *planned = g_new0(PlannedFault, 1);
+    *planned = (PlannedFault){processes, fault};
+    gint64 in_us = processes->plan->start_us + (gint64)(fault.at_s * 1e6) - g_get_monotonic_time();
+    g_timeout_add((guint)(MAX(0, in_us) / 1000), inject_fault, planned);
   }
 }
 
 /* ------------------------------------------------------------------ the run */
 
-static gboolean is_over(gpointer data) {
-  FkProcesses *ps = data;
-  ps->over = TRUE;
-  g_main_loop_quit(ps->loop);
+static gboolean on_run_over(gpointer data) {
+  FkProcesses *processes = data;
+  processes->run_over = TRUE;
+  g_main_loop_quit(processes->loop);
   return G_SOURCE_REMOVE;
 }
 
-char *fk_processes_run(FkProcesses *ps) {
-  gint64 over = ps->plan->start_us + (gint64)(ps->plan->duration_s * 1e6) - g_get_monotonic_time();
-  g_timeout_add(ASK_UP_MS, ask_up, ps);
-  guint measuring = g_timeout_add(MEASURE_MS, measure, ps);
-  g_timeout_add((guint)(MAX(0, over) / 1000), is_over, ps);
-  plan_faults(ps);
-  g_main_loop_run(ps->loop);
-  g_source_remove(measuring);
-  return g_steal_pointer(&ps->wrong);
+char *fk_processes_run(FkProcesses *processes) {
+  gint64 remaining_us =
+      processes->plan->start_us + (gint64)(processes->plan->duration_s * 1e6) - g_get_monotonic_time();
+  g_timeout_add(PROBE_INTERVAL_MS, probe_controllers, processes);
+  guint memory_timer = g_timeout_add(MEMORY_CHECK_MS, check_memory, processes);
+  g_timeout_add((guint)(MAX(0, remaining_us) / 1000), on_run_over, processes);
+  schedule_faults(processes);
+  g_main_loop_run(processes->loop);
+  g_source_remove(memory_timer);
+  return g_steal_pointer(&processes->failure);
 }
 
-static gboolean wait_over(gpointer loop) {
+static gboolean on_grace_over(gpointer loop) {
   g_main_loop_quit(loop);
   return G_SOURCE_REMOVE;
 }
 
-void fk_processes_stop(FkProcesses *ps) {
-  if (ps->over) {
-    g_timeout_add((guint)(AFTER_S * 1000), wait_over, ps->loop);
-    g_main_loop_run(ps->loop);
+void fk_processes_stop(FkProcesses *processes) {
+  if (processes->run_over) {
+    g_timeout_add((guint)(EXIT_GRACE_S * 1000), on_grace_over, processes->loop);
+    g_main_loop_run(processes->loop);
   }
-  ps->over = TRUE;
-  for (guint i = 0; i < ps->all->len; i++) {
-    Process *x = ps->all->pdata[i];
-    if (!x->pid)
+  processes->run_over = TRUE;
+  for (guint i = 0; i < processes->all->len; i++) {
+    Process *process = processes->all->pdata[i];
+    if (!process->pid)
       continue;
-    kill(x->pid, SIGKILL);
-    waitpid(x->pid, NULL, 0);
-    x->pid = 0;
+    kill(process->pid, SIGKILL);
+    waitpid(process->pid, NULL, 0);
+    process->pid = 0;
   }
 }
 
-void fk_processes_free(FkProcesses *ps) {
-  ps->over = FALSE; /* nothing is waited for any more */
-  fk_processes_stop(ps);
-  fk_http_client_free(ps->http);
-  g_ptr_array_unref(ps->all);
-  g_main_loop_unref(ps->loop);
-  g_free(ps->wrong);
-  g_free(ps);
+void fk_processes_free(FkProcesses *processes) {
+  processes->run_over = FALSE; /* no grace period */
+  fk_processes_stop(processes);
+  fk_http_client_free(processes->http);
+  g_ptr_array_unref(processes->all);
+  g_main_loop_unref(processes->loop);
+  g_free(processes->failure);
+  g_free(processes);
 }
 
-double fk_processes_peak_memory_mb(const FkProcesses *ps) { return ps->memory_most_mb; }
+double fk_processes_peak_memory_mb(const FkProcesses *processes) { return processes->peak_memory_mb; }
 
-guint fk_processes_count(const FkProcesses *ps) { return ps->all->len; }
+guint fk_processes_count(const FkProcesses *processes) { return processes->all->len; }
--- a/src/simulation/scale/scale.h
+++ b/src/simulation/scale/scale.h
@@ -1,3 +1,5 @@
+/* `flaxknot-sim scale`: real controllers against simulated workers, in real time on loopback. */
 #pragma once
-/* `flaxknot-sim scale`: real controllers against hollow workers, in real time on loopback. */
+
+/* Returns an exit status. */
 int fk_sim_scale(int argc, char **argv);
--- a/src/simulation/scale/slopes.h
+++ b/src/simulation/scale/slopes.h
@@ -1,3 +1,5 @@
+/* `flaxknot-sim slopes DIR...`: least-squares lines through the summaries of several scale runs. */
 #pragma once
-/* `flaxknot-sim slopes DIR...`: least squares over the summaries of several scale runs. */
+
+/* Returns an exit status. */
 int fk_sim_slopes(int argc, char **argv);
--- a/src/simulation/scale/summary.c
+++ b/src/simulation/scale/summary.c
@@ -1,362 +1,330 @@
 #include "simulation/scale/summary.h"
-#include "simulation/scale/addresses.h"
-#include "simulation/scale/workload.h"
 
 #include <gsl/gsl_sort.h>
 #include <gsl/gsl_statistics_double.h>
 #include <string.h>
 
+#include "simulation/scale/addresses.h"
 #include "simulation/scale/check_rules.h"
+#include "simulation/scale/metrics_reader.h"
+#include "simulation/scale/workload.h"
 
-#define URGENT_WITHIN_S 1.8
-#define FULL 0.85                        /* of the tasks that are to run: less, and a region hasn't filled */
-#define STARTED 0.85                     /* of the tasks that were submitted a second */
-#define SETTLE_S 5.0                     /* jobs submitted in the last seconds aren't judged */
-#define MALFORMED "a malformed report: " /* as src/io/shell.c logs it */
-#define BUSY_WINDOW 10U                  /* seconds over which a process's share of a core is looked at */
-
-/* ------------------------------------------------------------------ a process's lines */
-
-typedef struct {
-  GPtrArray *lines; /* cJSON, in order */
-} Lines;
-
-static void lines_clear(Lines *l) { g_ptr_array_unref(l->lines); }
-G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(Lines, lines_clear)
-
-static gboolean read_lines(const FkScalePlan *p, const char *name, Lines *out, GError **error) {
-  g_autofree char *base = g_strconcat(name, ".jsonl", NULL),
-                  *path = g_build_filename(p->output_dir, base, NULL), *text = NULL;
-  out->lines = g_ptr_array_new_with_free_func((GDestroyNotify)cJSON_Delete);
-  if (!g_file_get_contents(path, &text, NULL, error))
-    return FALSE;
-  g_auto(GStrv) rows = g_strsplit(text, "\n", -1);
-  for (char **row = rows; *row; row++) {
-    cJSON *o = **row ? fk_json_parse(*row, strlen(*row)) : NULL;
-    if (o)
-      g_ptr_array_add(out->lines, o);
-  }
-  return TRUE;
-}
-
-/* The last line at or before that second, or the first. */
-static const cJSON *line_at(const Lines *l, double second) {
-  const cJSON *found = l->lines->len ? l->lines->pdata[0] : NULL;
-  for (guint i = 0; i < l->lines->len && fk_json_num_or(l->lines->pdata[i], "second", 0) <= second; i++)
-    found = l->lines->pdata[i];
-  return found;
-}
-
-/* How fast a counter grew between two moments. */
-static double rate(const Lines *l, const char *name, double from_s, double to_s) {
-  const cJSON *a = line_at(l, from_s), *b = line_at(l, to_s);
-  double s = fk_json_num_or(b, "second", 0) - fk_json_num_or(a, "second", 0);
-  return s > 0 ? (fk_json_num_or(b, name, 0) - fk_json_num_or(a, name, 0)) / s : 0;
-}
-
-static double mean_of(const Lines *l, const char *name, double from_s, double to_s) {
-  double sum = 0;
-  guint n = 0;
-  for (guint i = 0; i < l->lines->len; i++) {
-    double at = fk_json_num_or(l->lines->pdata[i], "second", 0);
-    if (at < from_s || at > to_s)
-      continue;
-    sum += fk_json_num_or(l->lines->pdata[i], name, 0);
-    n++;
-  }
-  return n ? sum / n : 0;
-}
-
-static double most_of(const Lines *l, const char *name) {
-  double most = 0;
-  for (guint i = 0; i < l->lines->len; i++)
-    most = MAX(most, fk_json_num_or(l->lines->pdata[i], name, 0));
-  return most;
-}
-
-/* The largest share of a core over ten seconds. */
-static double busiest(const Lines *l) {
-  double most = 0;
-  for (guint i = BUSY_WINDOW; i < l->lines->len; i++) {
-    const cJSON *a = l->lines->pdata[i - BUSY_WINDOW], *b = l->lines->pdata[i];
-    double s = fk_json_num_or(b, "second", 0) - fk_json_num_or(a, "second", 0);
-    double used = fk_json_num_or(b, "processor_s", 0) - fk_json_num_or(a, "processor_s", 0);
-    most = MAX(most, s > 0 ? used / s : 0);
-  }
-  return most;
-}
+#define URGENT_START_S_MAX 1.8
+#define RUNNING_SHARE_MIN                                                                                    \
+  0.85 /* of the tasks that the load keeps running: less, and the region didn't fill */
+#define STARTED_SHARE_MIN 0.85 /* of the tasks submitted per second */
+#define SETTLE_S 5.0           /* jobs submitted so late in the window are not judged */
+#define MALFORMED_HEARTBEAT_LOG "a malformed report: " /* as src/daemon/daemon.c logs it */
 
 /* ------------------------------------------------------------------ one region */
 
 typedef struct {
   const FkScalePlan *plan;
-  guint region;
-  double from_s, to_s; /* the window that is judged */
-  cJSON *out;
+  guint number;
+  double from_s, to_s; /* the measured window */
+  cJSON *json;
   FkScaleSummary *summary;
 } Region;
 
-static void note(FkScaleSummary *s, char *why /* taken */) { g_ptr_array_add(s->why, why); }
+static void add_failure(FkScaleSummary *summary, char *text /* taken */) {
+  g_ptr_array_add(summary->failures, text);
+}
 
-static void add_rates(Region *r, const Lines *l, const char *const *names) {
+static void add_rates(Region *region, const FkMetrics *metrics, const char *const *names) {
   for (; *names; names++)
-    cJSON_AddNumberToObject(r->out, *names, rate(l, *names, r->from_s, r->to_s));
+    cJSON_AddNumberToObject(region->json, *names,
+                            fk_metrics_rate(metrics, *names, region->from_s, region->to_s));
 }
 
-static gboolean add_process(Region *r, const char *kind, Lines *l, GError **error) {
-  g_autofree char *name = g_strdup_printf("%s-%u", kind, r->region),
+static gboolean add_process(Region *region, const char *kind, FkMetrics *metrics, GError **error) {
+  g_autofree char *name = g_strdup_printf("%s-%u", kind, region->number),
                   *share = g_strdup_printf("%s_core_share", kind),
                   *memory = g_strdup_printf("%s_memory_mb", kind);
-  if (!read_lines(r->plan, name, l, error))
+  if (!fk_metrics_read(region->plan, name, metrics, error))
     return FALSE;
-  cJSON_AddNumberToObject(r->out, share, rate(l, "processor_s", r->from_s, r->to_s));
-  cJSON_AddNumberToObject(r->out, memory, most_of(l, "memory_mb"));
+  cJSON_AddNumberToObject(region->json, share,
+                          fk_metrics_rate(metrics, "processor_s", region->from_s, region->to_s));
+  cJSON_AddNumberToObject(region->json, memory, fk_metrics_max(metrics, "memory_mb"));
   return TRUE;
 }
 
-static gboolean add_state(Region *r, GError **error) {
+static gboolean add_store(Region *region, GError **error) {
   static const char *const rates[] = {"requests",     "transactions", "writes",      "guards",
                                       "conflicts",    "bytes_in",     "bytes_out",   "watch_answers",
                                       "watch_events", "watch_bytes",  "over_budget", NULL};
-  g_auto(Lines) l = {0};
-  if (!add_process(r, "state", &l, error))
+  g_auto(FkMetrics) metrics = {0};
+  if (!add_process(region, "state", &metrics, error))
     return FALSE;
-  add_rates(r, &l, rates);
-  cJSON_AddNumberToObject(r->out, "keys", mean_of(&l, "keys", r->from_s, r->to_s));
+  add_rates(region, &metrics, rates);
+  cJSON_AddNumberToObject(region->json, "keys",
+                          fk_metrics_mean(&metrics, "keys", region->from_s, region->to_s));
   return TRUE;
 }
 
-/* Of one process that plays workers; the region's figures are sums over them. */
+/* Sums over the processes that play a region's workers; `peak_cpu` is the maximum. */
 typedef struct {
-  double core_share, memory_mb, busiest, running, workers, starts;
-} FleetFigures;
+  double core_share, memory_mb, peak_cpu, running, workers, starts;
+} WorkerTotals;
 
-static void add_up(Region *r, const char *name, double n) {
-  cJSON *had = cJSON_GetObjectItemCaseSensitive(r->out, name);
-  if (had)
-    cJSON_SetNumberValue(had, had->valuedouble + n);
+static void add_to_total(Region *region, const char *name, double value) {
+  cJSON *total = cJSON_GetObjectItemCaseSensitive(region->json, name);
+  if (total)
+    cJSON_SetNumberValue(total, total->valuedouble + value);
   else
-    cJSON_AddNumberToObject(r->out, name, n);
+    cJSON_AddNumberToObject(region->json, name, value);
 }
 
-static gboolean add_fleet_part(Region *r, guint part, FleetFigures *sum, GError **error) {
+static gboolean add_worker_process(Region *region, guint process, WorkerTotals *totals, GError **error) {
   static const char *const rates[] = {
       "reports", "report_bytes", "answer_bytes", "commands", "command_bytes", "command_answer_bytes", "began",
       "ended",   "left",         "leases_ended", "died",     "restarted",     "reports_unanswered",   NULL};
-  g_auto(Lines) l = {0};
-  g_autofree char *name = fk_scale_worker_process_name(r->region, part);
-  if (!read_lines(r->plan, name, &l, error))
+  g_auto(FkMetrics) metrics = {0};
+  g_autofree char *name = fk_scale_worker_process_name(region->number, process);
+  if (!fk_metrics_read(region->plan, name, &metrics, error))
     return FALSE;
-  for (const char *const *n = rates; *n; n++)
-    add_up(r, *n, rate(&l, *n, r->from_s, r->to_s));
-  sum->core_share += rate(&l, "processor_s", r->from_s, r->to_s);
-  sum->memory_mb += most_of(&l, "memory_mb");
-  sum->busiest = MAX(sum->busiest, busiest(&l));
-  sum->running += mean_of(&l, "running", r->from_s, r->to_s);
-  sum->workers += mean_of(&l, "up", r->from_s, r->to_s);
-  sum->starts += rate(&l, "began", r->from_s, r->to_s);
+  for (const char *const *rate = rates; *rate; rate++)
+    add_to_total(region, *rate, fk_metrics_rate(&metrics, *rate, region->from_s, region->to_s));
+  totals->core_share += fk_metrics_rate(&metrics, "processor_s", region->from_s, region->to_s);
+  totals->memory_mb += fk_metrics_max(&metrics, "memory_mb");
+  totals->peak_cpu = MAX(totals->peak_cpu, fk_metrics_peak_cpu(&metrics));
+  totals->running += fk_metrics_mean(&metrics, "running", region->from_s, region->to_s);
+  totals->workers += fk_metrics_mean(&metrics, "up", region->from_s, region->to_s);
+  totals->starts += fk_metrics_rate(&metrics, "began", region->from_s, region->to_s);
   return TRUE;
 }
 
-static gboolean add_fleet(Region *r, GError **error) {
-  FleetFigures sum = {0};
-  for (guint part = 0; part < r->plan->worker_processes; part++)
-    if (!add_fleet_part(r, part, &sum, error))
+static gboolean add_workers(Region *region, GError **error) {
+  WorkerTotals totals = {0};
+  for (guint process = 0; process < region->plan->worker_processes; process++)
+    if (!add_worker_process(region, process, &totals, error))
       return FALSE;
-  double wanted = r->plan->task_starts_per_s / r->plan->regions * r->plan->task_run_s;
-  cJSON_AddNumberToObject(r->out, "fleet_core_share", sum.core_share);
-  cJSON_AddNumberToObject(r->out, "fleet_busiest_core_share", sum.busiest);
-  cJSON_AddNumberToObject(r->out, "fleet_memory_mb", sum.memory_mb);
-  cJSON_AddNumberToObject(r->out, "running", sum.running);
-  cJSON_AddNumberToObject(r->out, "workers", sum.workers);
-  if (sum.running < FULL * wanted)
-    note(r->summary,
-         g_strdup_printf("region %u didn't fill: %.0f tasks run of %.0f", r->region, sum.running, wanted));
-  if (sum.starts < STARTED * r->plan->task_starts_per_s / r->plan->regions)
-    note(r->summary, g_strdup_printf("region %u started %.1f tasks a second of %.1f", r->region, sum.starts,
-                                     r->plan->task_starts_per_s / r->plan->regions));
+  double expected = region->plan->task_starts_per_s / region->plan->regions * region->plan->task_run_s;
+  cJSON_AddNumberToObject(region->json, "fleet_core_share", totals.core_share);
+  cJSON_AddNumberToObject(region->json, "fleet_busiest_core_share", totals.peak_cpu);
+  cJSON_AddNumberToObject(region->json, "fleet_memory_mb", totals.memory_mb);
+  cJSON_AddNumberToObject(region->json, "running", totals.running);
+  cJSON_AddNumberToObject(region->json, "workers", totals.workers);
+  if (totals.running < RUNNING_SHARE_MIN * expected)
+    add_failure(region->summary, g_strdup_printf("region %u didn't fill: %.0f tasks run of %.0f",
+                                                 region->number, totals.running, expected));
+  if (totals.starts < STARTED_SHARE_MIN * region->plan->task_starts_per_s / region->plan->regions)
+    add_failure(region->summary,
+                g_strdup_printf("region %u started %.1f tasks a second of %.1f", region->number,
+                                totals.starts, region->plan->task_starts_per_s / region->plan->regions));
   return TRUE;
 }
 
-gboolean fk_scale_count_malformed_heartbeats(const FkScalePlan *p, guint region, guint *count,
+gboolean fk_scale_count_malformed_heartbeats(const FkScalePlan *plan, guint region, guint *count,
                                              GError **error) {
   *count = 0;
-  for (guint i = 0; i < fk_scale_region_controllers(p, region); i++) {
+  for (guint i = 0; i < fk_scale_region_controllers(plan, region); i++) {
     g_autofree char *base = g_strdup_printf("control-%u-%u.log", region, i),
-                    *path = g_build_filename(p->output_dir, base, NULL), *text = NULL;
+                    *path = g_build_filename(plan->output_dir, base, NULL), *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, error))
       return FALSE;
-    for (const char *at = text; (at = strstr(at, MALFORMED)); at += strlen(MALFORMED))
+    for (const char *at = text; (at = strstr(at, MALFORMED_HEARTBEAT_LOG));
+         at += strlen(MALFORMED_HEARTBEAT_LOG))
       ++*count;
   }
   return TRUE;
 }
 
-static gboolean add_malformed(Region *r, GError **error) {
+static gboolean add_malformed_heartbeats(Region *region, GError **error) {
   guint n;
-  if (!fk_scale_count_malformed_heartbeats(r->plan, r->region, &n, error))
+  if (!fk_scale_count_malformed_heartbeats(region->plan, region->number, &n, error))
     return FALSE;
-  cJSON_AddNumberToObject(r->out, "malformed_reports", n);
+  cJSON_AddNumberToObject(region->json, "malformed_reports", n);
   if (n)
-    note(r->summary,
-         g_strdup_printf("region %u: %u malformed reports reached its controllers", r->region, n));
+    add_failure(region->summary, g_strdup_printf("region %u: %u malformed reports reached its controllers",
+                                                 region->number, n));
   return TRUE;
 }
 
-static gboolean add_controllers(Region *r, GError **error) {
-  double share = 0, most = 0, memory = 0;
-  guint n = fk_scale_region_controllers(r->plan, r->region);
+static gboolean add_controllers(Region *region, GError **error) {
+  double cpu = 0, peak_cpu = 0, memory_mb = 0;
+  guint n = fk_scale_region_controllers(region->plan, region->number);
   for (guint i = 0; i < n; i++) {
-    g_auto(Lines) l = {0};
-    g_autofree char *name = g_strdup_printf("control-%u-%u", r->region, i);
-    if (!read_lines(r->plan, name, &l, error))
+    g_auto(FkMetrics) metrics = {0};
+    g_autofree char *name = g_strdup_printf("control-%u-%u", region->number, i);
+    if (!fk_metrics_read(region->plan, name, &metrics, error))
       return FALSE;
-    share += rate(&l, "processor_s", r->from_s, r->to_s);
-    most = MAX(most, busiest(&l));
-    memory = MAX(memory, most_of(&l, "memory_mb"));
+    cpu += fk_metrics_rate(&metrics, "processor_s", region->from_s, region->to_s);
+    peak_cpu = MAX(peak_cpu, fk_metrics_peak_cpu(&metrics));
+    memory_mb = MAX(memory_mb, fk_metrics_max(&metrics, "memory_mb"));
   }
-  cJSON_AddNumberToObject(r->out, "controllers", n);
-  cJSON_AddNumberToObject(r->out, "controllers_core_share", share);
-  cJSON_AddNumberToObject(r->out, "busiest_controller_core_share", most);
-  cJSON_AddNumberToObject(r->out, "largest_controller_memory_mb", memory);
+  cJSON_AddNumberToObject(region->json, "controllers", n);
+  cJSON_AddNumberToObject(region->json, "controllers_core_share", cpu);
+  cJSON_AddNumberToObject(region->json, "busiest_controller_core_share", peak_cpu);
+  cJSON_AddNumberToObject(region->json, "largest_controller_memory_mb", memory_mb);
   return TRUE;
 }
 
-/* ------------------------------------------------------------------ what users saw */
+/* ------------------------------------------------------------------ latencies of jobs */
 
 typedef struct {
-  gint64 submitted, accepted, began;
+  gint64 submitted_us, accepted_us, started_us;
   gboolean urgent;
-} Times;
+} JobTimes;
 
-static GHashTable *times_of(const Region *r, const GArray *events) {
+static GHashTable *collect_job_times(const Region *region, const GArray *events) {
   GHashTable *jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
   for (guint i = 0; i < events->len; i++) {
-    const FkRunEvent *e = &g_array_index(events, FkRunEvent, i);
-    Times *t = g_hash_table_lookup(jobs, e->job);
-    if (!t) {
-      g_autoptr(FkSpec) spec = fk_scale_job(r->plan, e->job);
-      g_hash_table_insert(jobs, e->job, t = g_new0(Times, 1));
-      t->urgent = spec && fk_scale_job_is_urgent(spec);
+    const FkRunEvent *event = &g_array_index(events, FkRunEvent, i);
+    JobTimes *times = g_hash_table_lookup(jobs, event->job);
+    if (!times) {
+      g_autoptr(FkSpec) spec = fk_scale_job(region->plan, event->job);
+      g_hash_table_insert(jobs, event->job, times = g_new0(JobTimes, 1));
+      times->urgent = spec && fk_scale_job_is_urgent(spec);
     }
-    if (e->kind == FK_RUN_EVENT_SUBMITTED)
-      t->submitted = e->at_us;
-    else if (e->kind == FK_RUN_EVENT_ACCEPTED && !t->accepted)
-      t->accepted = e->at_us;
-    else if (e->kind == FK_RUN_EVENT_TASK_STARTED && !t->began)
-      t->began = e->at_us;
+    if (event->kind == FK_RUN_EVENT_SUBMITTED)
+      times->submitted_us = event->at_us;
+    else if (event->kind == FK_RUN_EVENT_ACCEPTED && !times->accepted_us)
+      times->accepted_us = event->at_us;
+    else if (event->kind == FK_RUN_EVENT_TASK_STARTED && !times->started_us)
+      times->started_us = event->at_us;
   }
   return jobs;
 }
 
-static double quantile(GArray *sorted, double part) {
-  return sorted->len
-             ? gsl_stats_quantile_from_sorted_data((double *)(void *)sorted->data, 1, sorted->len, part)
-             : 0;
+/* 0 when there are no samples. */
+static double quantile(GArray *sorted, double probability) {
+  return sorted->len ? gsl_stats_quantile_from_sorted_data((double *)(void *)sorted->data, 1, sorted->len,
+                                                           probability)
+                     : 0;
 }
 
-static void add_quantiles(Region *r, const char *what, GArray *seconds) {
-  g_autofree char *half = g_strdup_printf("%s_p50_s", what), *most = g_strdup_printf("%s_p99_s", what),
+static void add_quantiles(Region *region, const char *what, GArray *seconds) {
+  g_autofree char *p50 = g_strdup_printf("%s_p50_s", what), *p99 = g_strdup_printf("%s_p99_s", what),
                   *count = g_strdup_printf("%s_count", what);
   gsl_sort((double *)(void *)seconds->data, 1, seconds->len);
-  cJSON_AddNumberToObject(r->out, count, seconds->len);
-  cJSON_AddNumberToObject(r->out, half, quantile(seconds, 0.5));
-  cJSON_AddNumberToObject(r->out, most, quantile(seconds, 0.99));
+  cJSON_AddNumberToObject(region->json, count, seconds->len);
+  cJSON_AddNumberToObject(region->json, p50, quantile(seconds, 0.5));
+  cJSON_AddNumberToObject(region->json, p99, quantile(seconds, 0.99));
+}
+
+typedef struct {
+  GArray *accept_s, *urgent_start_s, *bulk_start_s; /* double */
+  guint not_accepted;
+} Latencies;
+
+static gint64 run_time_us(const Region *region, double second) {
+  return region->plan->start_us + (gint64)(second * 1e6);
 }
 
-static void add_waits(Region *r, const GArray *events) {
-  g_autoptr(GHashTable) jobs = times_of(r, events);
-  g_autoptr(GArray) accepts = g_array_new(FALSE, FALSE, sizeof(double)),
-                    urgent = g_array_new(FALSE, FALSE, sizeof(double)),
-                    bulk = g_array_new(FALSE, FALSE, sizeof(double));
-  gint64 from = r->plan->start_us + (gint64)(r->from_s * 1e6),
-         to = r->plan->start_us + (gint64)((r->to_s - SETTLE_S) * 1e6);
-  guint lost = 0;
-  GHashTableIter it;
-  gpointer p;
-  g_hash_table_iter_init(&it, jobs);
-  while (g_hash_table_iter_next(&it, NULL, &p)) {
-    const Times *t = p;
-    if (t->submitted < from || t->submitted > to)
-      continue;
-    gint64 last = r->plan->start_us + (gint64)(r->to_s * 1e6);
-    double accept_s = (double)((t->accepted ? t->accepted : last) - t->submitted) / 1e6;
-    g_array_append_val(accepts, accept_s);
-    lost += !t->accepted;
-    if (!t->accepted)
-      continue;
-    double wait_s = (double)((t->began ? t->began : last) - t->accepted) / 1e6;
-    g_array_append_val(t->urgent ? urgent : bulk, wait_s);
+/* What had not happened by the end of the window counts as happening then. */
+static double latency_s(const Region *region, gint64 from_us, gint64 to_us) {
+  return (double)((to_us ? to_us : run_time_us(region, region->to_s)) - from_us) / 1e6;
+}
+
+static void add_job(const Region *region, const JobTimes *times, Latencies *latencies) {
+  double accept_s = latency_s(region, times->submitted_us, times->accepted_us);
+  g_array_append_val(latencies->accept_s, accept_s);
+  if (!times->accepted_us) {
+    latencies->not_accepted++;
+    return;
   }
-  add_quantiles(r, "accept", accepts);
-  add_quantiles(r, "urgent_start", urgent);
-  add_quantiles(r, "bulk_start", bulk);
-  cJSON_AddNumberToObject(r->out, "not_accepted", lost);
-  if (quantile(urgent, 0.99) > URGENT_WITHIN_S)
-    note(r->summary, g_strdup_printf("region %u: urgent work began after %.2f s (p99 of %u), not %.1f",
-                                     r->region, quantile(urgent, 0.99), urgent->len, URGENT_WITHIN_S));
+  double start_s = latency_s(region, times->accepted_us, times->started_us);
+  g_array_append_val(times->urgent ? latencies->urgent_start_s : latencies->bulk_start_s, start_s);
+}
+
+/* Of the jobs that were submitted in the window, but for its last seconds. */
+static void collect_latencies(const Region *region, GHashTable *jobs, Latencies *latencies) {
+  gint64 from_us = run_time_us(region, region->from_s), to_us = run_time_us(region, region->to_s - SETTLE_S);
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const JobTimes *times = value;
+    if (times->submitted_us >= from_us && times->submitted_us <= to_us)
+      add_job(region, times, latencies);
+  }
+}
+
+static void add_latencies(Region *region, const GArray *events) {
+  g_autoptr(GHashTable) jobs = collect_job_times(region, events);
+  g_autoptr(GArray) accept_s = g_array_new(FALSE, FALSE, sizeof(double)),
+                    urgent_start_s = g_array_new(FALSE, FALSE, sizeof(double)),
+                    bulk_start_s = g_array_new(FALSE, FALSE, sizeof(double));
+  Latencies latencies = {accept_s, urgent_start_s, bulk_start_s, 0};
+  collect_latencies(region, jobs, &latencies);
+  add_quantiles(region, "accept", accept_s);
+  add_quantiles(region, "urgent_start", urgent_start_s);
+  add_quantiles(region, "bulk_start", bulk_start_s);
+  cJSON_AddNumberToObject(region->json, "not_accepted", latencies.not_accepted);
+  double urgent_p99_s = quantile(urgent_start_s, 0.99);
+  if (urgent_p99_s > URGENT_START_S_MAX)
+    add_failure(region->summary,
+                g_strdup_printf("region %u: urgent work began after %.2f s (p99 of %u), not %.1f",
+                                region->number, urgent_p99_s, urgent_start_s->len, URGENT_START_S_MAX));
 }
 
-static gboolean add_users(Region *r, GError **error) {
+static gboolean add_users(Region *region, GError **error) {
   static const char *const rates[] = {"submitted", "accepted",     "shed",     "unanswered",
                                       "polls",     "polls_failed", "given_up", NULL};
-  g_auto(Lines) l = {0};
-  if (!add_process(r, "users", &l, error))
+  g_auto(FkMetrics) metrics = {0};
+  if (!add_process(region, "users", &metrics, error))
     return FALSE;
-  add_rates(r, &l, rates);
-  cJSON_AddNumberToObject(r->out, "live_jobs", mean_of(&l, "live", r->from_s, r->to_s));
+  add_rates(region, &metrics, rates);
+  cJSON_AddNumberToObject(region->json, "live_jobs",
+                          fk_metrics_mean(&metrics, "live", region->from_s, region->to_s));
   return TRUE;
 }
 
-static gboolean add_events(Region *r, GError **error) {
-  g_autofree char *users = g_strdup_printf("users-%u", r->region);
+static gboolean add_events(Region *region, GError **error) {
+  g_autofree char *users = g_strdup_printf("users-%u", region->number);
   g_autoptr(GArray) events = fk_run_events_new();
-  for (guint part = 0; part < r->plan->worker_processes; part++) {
-    g_autofree char *fleet = fk_scale_worker_process_name(r->region, part);
-    if (!fk_event_log_read(r->plan->output_dir, fleet, events, error))
+  for (guint process = 0; process < region->plan->worker_processes; process++) {
+    g_autofree char *workers = fk_scale_worker_process_name(region->number, process);
+    if (!fk_event_log_read(region->plan->output_dir, workers, events, error))
       return FALSE;
   }
-  if (!fk_event_log_read(r->plan->output_dir, users, events, error))
+  if (!fk_event_log_read(region->plan->output_dir, users, events, error))
     return FALSE;
   fk_run_events_sort(events);
-  g_autoptr(GPtrArray) broken = fk_scale_check_rules(r->plan, r->region, events);
-  for (guint i = 0; i < broken->len; i++)
-    note(r->summary, g_strdup_printf("region %u: a rule is broken: %s", r->region, (char *)broken->pdata[i]));
-  r->summary->broken += broken->len;
-  add_waits(r, events);
+  g_autoptr(GPtrArray) violations = fk_scale_check_rules(region->plan, region->number, events);
+  for (guint i = 0; i < violations->len; i++)
+    add_failure(region->summary, g_strdup_printf("region %u: a rule is broken: %s", region->number,
+                                                 (char *)violations->pdata[i]));
+  region->summary->violations += violations->len;
+  add_latencies(region, events);
   return TRUE;
 }
 
 /* ------------------------------------------------------------------ the run */
 
-static gboolean add_region(FkScaleSummary *s, const FkScalePlan *p, guint region, cJSON *regions,
+static gboolean add_region(FkScaleSummary *summary, const FkScalePlan *plan, guint number, cJSON *regions,
                            GError **error) {
-  Region r = {p, region, p->ramp_s, p->duration_s - 1, cJSON_CreateObject(), s};
-  cJSON_AddItemToArray(regions, r.out);
-  return add_state(&r, error) && add_fleet(&r, error) && add_controllers(&r, error) &&
-         add_malformed(&r, error) && add_users(&r, error) && add_events(&r, error);
+  Region region = {.plan = plan,
+                   .number = number,
+                   .from_s = plan->ramp_s,
+                   .to_s = plan->duration_s - 1,
+                   .json = cJSON_CreateObject(),
+                   .summary = summary};
+  cJSON_AddItemToArray(regions, region.json);
+  return add_store(&region, error) && add_workers(&region, error) && add_controllers(&region, error) &&
+         add_malformed_heartbeats(&region, error) && add_users(&region, error) && add_events(&region, error);
 }
 
-FkScaleSummary *fk_scale_summary_new(const FkScalePlan *p, GError **error) {
-  FkScaleSummary *s = g_new0(FkScaleSummary, 1);
-  s->why = g_ptr_array_new_with_free_func(g_free);
-  s->figures = cJSON_CreateObject();
-  cJSON_AddItemToObject(s->figures, "plan", fk_scale_plan_to_json(p));
-  cJSON *regions = cJSON_AddArrayToObject(s->figures, "regions");
-  for (guint i = 0; i < p->regions; i++)
-    if (!add_region(s, p, i, regions, error)) {
-      fk_scale_summary_free(s);
+FkScaleSummary *fk_scale_summary_new(const FkScalePlan *plan, GError **error) {
+  FkScaleSummary *summary = g_new0(FkScaleSummary, 1);
+  summary->failures = g_ptr_array_new_with_free_func(g_free);
+  summary->figures = cJSON_CreateObject();
+  cJSON_AddItemToObject(summary->figures, "plan", fk_scale_plan_to_json(plan));
+  cJSON *regions = cJSON_AddArrayToObject(summary->figures, "regions");
+  for (guint i = 0; i < plan->regions; i++)
+    if (!add_region(summary, plan, i, regions, error)) {
+      fk_scale_summary_free(summary);
       return NULL;
     }
-  cJSON *why = cJSON_AddArrayToObject(s->figures, "not_carried");
-  for (guint i = 0; i < s->why->len; i++)
-    cJSON_AddItemToArray(why, cJSON_CreateString(s->why->pdata[i]));
-  s->carried = !s->why->len;
-  return s;
+  cJSON *failures = cJSON_AddArrayToObject(summary->figures, "not_carried");
+  for (guint i = 0; i < summary->failures->len; i++)
+    cJSON_AddItemToArray(failures, cJSON_CreateString(summary->failures->pdata[i]));
+  summary->passed = !summary->failures->len;
+  return summary;
 }
 
-void fk_scale_summary_free(FkScaleSummary *s) {
-  g_ptr_array_unref(s->why);
-  cJSON_Delete(s->figures);
-  g_free(s);
+void fk_scale_summary_free(FkScaleSummary *summary) {
+  g_ptr_array_unref(summary->failures);
+  cJSON_Delete(summary->figures);
+  g_free(summary);
 }
--- a/src/simulation/scale/summary.h
+++ b/src/simulation/scale/summary.h
@@ -1,17 +1,18 @@
-/* A run's figures, worked out from its processes' lines and events when it is over. */
+/* The result of a scale run, computed from the metrics, events and logs of its processes. */
 #pragma once
 #include "simulation/scale/plan.h"
 
 typedef struct {
-  gboolean carried; /* the load was: regions full, urgent work in time, nothing given up */
-  guint broken;     /* rules */
-  GPtrArray *why;   /* char*: what wasn't carried, and the rules that were broken */
-  cJSON *figures;
+  gboolean passed;     /* the load was sustained and no rule was broken */
+  guint violations;    /* of PROTOCOL's rules */
+  GPtrArray *failures; /* char *: why it didn't pass */
+  cJSON *figures;      /* the contents of summary.json */
 } FkScaleSummary;
 
-FkScaleSummary *fk_scale_summary_new(const FkScalePlan *p, GError **error);
-/* How many reports the region's controllers logged as malformed: the hollow workers send none, so each is a
- * fault of a stand-in or of a client's. FALSE: a log can't be read. */
-gboolean fk_scale_count_malformed_heartbeats(const FkScalePlan *p, guint region, guint *count,
+/* NULL with an error when a file of the run can't be read. */
+FkScaleSummary *fk_scale_summary_new(const FkScalePlan *plan, GError **error);
+void fk_scale_summary_free(FkScaleSummary *summary);
+/* Heartbeats that the region's controllers logged as malformed. The simulated workers send none, so each is a
+ * fault of a stand-in or of an HTTP client. FALSE with an error when a log can't be read. */
+gboolean fk_scale_count_malformed_heartbeats(const FkScalePlan *plan, guint region, guint *count,
                                              GError **error);
-void fk_scale_summary_free(FkScaleSummary *s);
--- a/src/simulation/scale/user_stand_in.c
+++ b/src/simulation/scale/user_stand_in.c
@@ -1,316 +1,325 @@
 #include "simulation/scale/user_stand_in.h"
-#include "simulation/scale/addresses.h"
-#include "simulation/scale/workload.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
 
 #include "simulation/event_queue.h"
+#include "simulation/scale/addresses.h"
 #include "simulation/scale/event_log.h"
-#include "simulation/scale/http_stand_in.h"
 #include "simulation/scale/load_balancer.h"
 #include "simulation/scale/metrics_log.h"
+#include "simulation/scale/stand_in_process.h"
+#include "simulation/scale/workload.h"
 #include "wire/user.h"
 
-#define PROBE_S 1.0
-#define PROBE_ANSWER_S 1.0
-#define POLL_S 5.0
-#define POLL_ANSWER_S 2.0
-#define SUBMIT_ANSWER_S 5.0
-#define RETRY_S 1.0
-#define RETRY_MOST_S 30.0
-#define GIVE_UP_S 60.0
+#define FIRST_JOB_S 3.0 /* after the start: the controllers are up */
+#define PROBE_INTERVAL_S 1.0
+#define PROBE_TIMEOUT_S 1.0
+#define POLL_INTERVAL_S 5.0
+#define POLL_TIMEOUT_S 2.0
+#define SUBMIT_TIMEOUT_S 5.0 /* of cancellations, too */
+#define RETRY_S_MIN 1.0
+#define RETRY_S_MAX 30.0
+#define GIVE_UP_S 60.0       /* after the first attempt to submit */
 #define CANCELLED_SHARE 0.02 /* of the bulk jobs */
-#define CANCEL_FROM_S 10.0
-#define CANCEL_TO_S 60.0
-#define CONNECTIONS 2000
+#define CANCEL_S_MIN 10.0    /* after the submission was accepted */
+#define CANCEL_S_MAX 60.0
+#define CONNECTIONS_MAX 2000
+#define ANY_NODE -1 /* the load balancer picks one */
 
 typedef struct {
   const FkScalePlan *plan;
   guint region;
   GRand *rand;
-  FkEventQueue *agenda;
+  FkEventQueue *event_queue;
   SoupSession *session;
   FkLoadBalancer *balancer;
-  FkMetricsLog *series;
+  FkMetricsLog *metrics;
   FkEventLog *events;
-  guint64 bulk, urgent; /* jobs submitted */
-  guint live;
+  guint64 bulk_jobs, urgent_jobs; /* submitted */
+  guint live_jobs;                /* accepted and not known to be over */
 } Users;
 
 typedef struct {
   FkSpec *spec;
-  gint64 first_try;
-  gboolean accepted, cancelling, over;
+  gint64 submitted_us; /* the first attempt */
+  gboolean accepted, cancel_requested, over;
 } Job;
 
-static void after(Users *u, double seconds, FkEventQueueFn fn, gpointer data) {
-  fk_event_queue_add(u->agenda, g_get_monotonic_time() + (gint64)(seconds * 1e6), fn, data);
+static void schedule(Users *users, double delay_s, FkEventQueueFn fn, gpointer data) {
+  fk_event_queue_add(users->event_queue, g_get_monotonic_time() + (gint64)(delay_s * 1e6), fn, data);
 }
 
-/* ------------------------------------------------------------------ calls */
+/* ------------------------------------------------------------------ requests */
 
-typedef struct Call Call;
-typedef void (*Answered)(Users *u, gpointer data, guint status, const char *body, gsize len, double retry_s);
+typedef struct Request Request;
+typedef void (*ResponseFn)(Users *users, gpointer data, guint status, const char *body, gsize len,
+                           double retry_s);
 
-struct Call {
+struct Request {
   Users *users;
   int node;
   SoupMessage *message;
   GCancellable *cancel;
   guint timer;
-  Answered answered;
+  ResponseFn on_response;
   gpointer data;
 };
 
-static gboolean on_deadline(gpointer data) {
-  Call *c = data;
-  c->timer = 0;
-  g_cancellable_cancel(c->cancel);
+static gboolean on_timeout(gpointer data) {
+  Request *request = data;
+  request->timer = 0;
+  g_cancellable_cancel(request->cancel);
   return G_SOURCE_REMOVE;
 }
 
-static double retry_after(SoupMessage *m) {
-  const char *text = soup_message_headers_get_one(soup_message_get_response_headers(m), "Retry-After");
+static double retry_after(SoupMessage *message) {
+  const char *text = soup_message_headers_get_one(soup_message_get_response_headers(message), "Retry-After");
   return text ? g_ascii_strtod(text, NULL) : 0;
 }
 
-static void on_answer(GObject *session, GAsyncResult *result, gpointer data) {
-  Call *c = data;
+static void on_sent(GObject *session, GAsyncResult *result, gpointer data) {
+  Request *request = data;
   g_autoptr(GError) error = NULL;
   g_autoptr(GBytes) bytes = soup_session_send_and_read_finish(SOUP_SESSION(session), result, &error);
   gsize len = 0;
   const char *body = bytes ? g_bytes_get_data(bytes, &len) : NULL;
-  g_clear_handle_id(&c->timer, g_source_remove);
-  fk_load_balancer_connection_closed(c->users->balancer, (guint)c->node,
+  g_clear_handle_id(&request->timer, g_source_remove);
+  fk_load_balancer_connection_closed(request->users->balancer, (guint)request->node,
                                      g_error_matches(error, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED),
                                      g_get_monotonic_time());
-  c->answered(c->users, c->data, bytes ? soup_message_get_status(c->message) : 0, body ? body : "", len,
-              bytes ? retry_after(c->message) : 0);
-  g_object_unref(c->message);
-  g_object_unref(c->cancel);
-  g_free(c);
+  request->on_response(request->users, request->data, bytes ? soup_message_get_status(request->message) : 0,
+                       body ? body : "", len, bytes ? retry_after(request->message) : 0);
+  g_object_unref(request->message);
+  g_object_unref(request->cancel);
+  g_free(request);
 }
 
-/* To that node, or to the one that the balancer chooses (-1). */
-static void call(Users *u, int node, const char *method, const char *path, const char *body,
-                 double deadline_s, Answered answered, gpointer data) {
+/* Sends a request to a node, or to one that the load balancer picks (ANY_NODE). `on_response` is called once;
+ * status 0: there was no response. */
+static void send_request(Users *users, int node, const char *method, const char *path, const char *body,
+                         double timeout_s, ResponseFn on_response, gpointer data) {
   if (node < 0)
-    node = fk_load_balancer_pick(u->balancer, g_get_monotonic_time());
+    node = fk_load_balancer_pick(users->balancer, g_get_monotonic_time());
   if (node < 0) {
-    answered(u, data, 0, "", 0, 0);
+    on_response(users, data, 0, "", 0, 0);
     return;
   }
-  g_autofree char *addr = fk_scale_user_addr(u->plan, u->region, (guint)node),
+  g_autofree char *addr = fk_scale_user_addr(users->plan, users->region, (guint)node),
                   *url = g_strdup_printf("http://%s%s", addr, path);
-  Call *c = g_new0(Call, 1);
-  *c = (Call){u, node, soup_message_new(method, url), g_cancellable_new(), 0, answered, data};
+  Request *request = g_new0(Request, 1);
+  *request = (Request){users, node, soup_message_new(method, url), g_cancellable_new(), 0, on_response, data};
   if (body) {
     g_autoptr(GBytes) bytes = g_bytes_new(body, strlen(body));
-    soup_message_set_request_body_from_bytes(c->message, "application/json", bytes);
+    soup_message_set_request_body_from_bytes(request->message, "application/json", bytes);
   }
-  soup_message_headers_replace(soup_message_get_request_headers(c->message), "Connection", "close");
-  c->timer = g_timeout_add((guint)(deadline_s * 1000), on_deadline, c);
-  soup_session_send_and_read_async(u->session, c->message, G_PRIORITY_DEFAULT, c->cancel, on_answer, c);
+  soup_message_headers_replace(soup_message_get_request_headers(request->message), "Connection", "close");
+  request->timer = g_timeout_add((guint)(timeout_s * 1000), on_timeout, request);
+  soup_session_send_and_read_async(users->session, request->message, G_PRIORITY_DEFAULT, request->cancel,
+                                   on_sent, request);
 }
 
-/* ------------------------------------------------------------------ the balancer's probes */
+/* ------------------------------------------------------------------ health probes */
 
 typedef struct {
   guint node;
 } Probe;
 
-static void probe(gpointer users, gpointer data);
+static void probe(gpointer owner, gpointer data);
 
-static void probed(Users *u, gpointer data, guint status, const char *body, gsize len, double retry_s) {
-  fk_load_balancer_record_probe(u->balancer, ((Probe *)data)->node, status == 200, g_get_monotonic_time());
-  after(u, PROBE_S, probe, data);
+static void on_probe_response(Users *users, gpointer data, guint status, const char *body, gsize len,
+                              double retry_s) {
+  fk_load_balancer_record_probe(users->balancer, ((Probe *)data)->node, status == 200,
+                                g_get_monotonic_time());
+  schedule(users, PROBE_INTERVAL_S, probe, data);
 }
 
-static void probe(gpointer users, gpointer data) {
-  call(users, (int)((Probe *)data)->node, "GET", "/up", NULL, PROBE_ANSWER_S, probed, data);
+static void probe(gpointer owner, gpointer data) {
+  send_request(owner, (int)((Probe *)data)->node, "GET", "/up", NULL, PROBE_TIMEOUT_S, on_probe_response,
+               data);
 }
 
 /* ------------------------------------------------------------------ a job */
 
-static void tell(Users *u, const Job *j, FkRunEventKind kind) {
-  fk_event_log_add(u->events, kind, j->spec->id, 0, NULL);
+static void log_event(Users *users, const Job *job, FkRunEventKind kind) {
+  fk_event_log_add(users->events, kind, job->spec->id, 0, NULL);
 }
 
-static void job_over(Users *u, Job *j, FkRunEventKind how) {
-  if (j->over)
+static void finish_job(Users *users, Job *job, FkRunEventKind outcome) {
+  if (job->over)
     return;
-  tell(u, j, how);
-  j->over = TRUE;
-  u->live -= j->accepted;
+  log_event(users, job, outcome);
+  job->over = TRUE;
+  users->live_jobs -= job->accepted;
 }
 
-static void poll(gpointer users, gpointer data);
+static void poll(gpointer owner, gpointer data);
 
-static void polled(Users *u, gpointer data, guint status, const char *body, gsize len, double retry_s) {
-  Job *j = data;
+static void on_poll_response(Users *users, gpointer data, guint status, const char *body, gsize len,
+                             double retry_s) {
+  Job *job = data;
   FkJobState state;
-  fk_metrics_log_add(u->series, "polls", 1);
-  if (j->over)
+  fk_metrics_log_add(users->metrics, "polls", 1);
+  if (job->over)
     return;
   if (status == 404)
-    tell(u, j, FK_RUN_EVENT_POLL_NOT_FOUND);
+    log_event(users, job, FK_RUN_EVENT_POLL_NOT_FOUND);
   else if (status == 200 && fk_user_parse_state(body, len, &state)) {
     if (state.phase == FK_PHASE_DONE)
-      job_over(u, j, FK_RUN_EVENT_JOB_DONE);
+      finish_job(users, job, FK_RUN_EVENT_JOB_DONE);
     else if (state.phase == FK_PHASE_CANCELLED)
-      job_over(u, j, FK_RUN_EVENT_JOB_CANCELLED);
+      finish_job(users, job, FK_RUN_EVENT_JOB_CANCELLED);
     else
-      tell(u, j, FK_RUN_EVENT_POLL_ACTIVE);
+      log_event(users, job, FK_RUN_EVENT_POLL_ACTIVE);
   } else {
-    fk_metrics_log_add(u->series, "polls_failed", 1);
+    fk_metrics_log_add(users->metrics, "polls_failed", 1);
   }
-  if (!j->over)
-    after(u, POLL_S, poll, j);
+  if (!job->over)
+    schedule(users, POLL_INTERVAL_S, poll, job);
 }
 
-static void poll(gpointer users, gpointer data) {
-  Job *j = data;
-  if (j->over)
+static void poll(gpointer owner, gpointer data) {
+  Job *job = data;
+  if (job->over)
     return;
-  g_autofree char *path = g_strdup_printf("/submissions/%s", j->spec->id);
-  call(users, -1, "GET", path, NULL, POLL_ANSWER_S, polled, j);
+  g_autofree char *path = g_strdup_printf("/submissions/%s", job->spec->id);
+  send_request(owner, ANY_NODE, "GET", path, NULL, POLL_TIMEOUT_S, on_poll_response, job);
 }
 
-static void cancel(gpointer users, gpointer data);
+static void cancel(gpointer owner, gpointer data);
 
-static void cancel_answered(Users *u, gpointer data, guint status, const char *body, gsize len,
-                            double retry_s) {
-  Job *j = data;
+static void on_cancel_response(Users *users, gpointer data, guint status, const char *body, gsize len,
+                               double retry_s) {
+  Job *job = data;
   FkJobState state;
-  if (j->over)
+  if (job->over)
     return;
   if (status == 200 && fk_user_parse_state(body, len, &state))
-    job_over(u, j, state.phase == FK_PHASE_DONE ? FK_RUN_EVENT_JOB_DONE : FK_RUN_EVENT_JOB_CANCELLED);
+    finish_job(users, job, state.phase == FK_PHASE_DONE ? FK_RUN_EVENT_JOB_DONE : FK_RUN_EVENT_JOB_CANCELLED);
   else
-    after(u, MAX(RETRY_S, retry_s), cancel, j);
+    schedule(users, MAX(RETRY_S_MIN, retry_s), cancel, job);
 }
 
-static void cancel(gpointer users, gpointer data) {
-  Users *u = users;
-  Job *j = data;
-  if (j->over)
+static void cancel(gpointer owner, gpointer data) {
+  Users *users = owner;
+  Job *job = data;
+  if (job->over)
     return;
-  if (!j->cancelling)
-    tell(u, j, FK_RUN_EVENT_CANCEL_REQUESTED);
-  j->cancelling = TRUE;
-  g_autofree char *path = g_strdup_printf("/submissions/%s/withdraw", j->spec->id);
-  call(u, -1, "POST", path, "{}", SUBMIT_ANSWER_S, cancel_answered, j);
+  if (!job->cancel_requested)
+    log_event(users, job, FK_RUN_EVENT_CANCEL_REQUESTED);
+  job->cancel_requested = TRUE;
+  g_autofree char *path = g_strdup_printf("/submissions/%s/withdraw", job->spec->id);
+  send_request(users, ANY_NODE, "POST", path, "{}", SUBMIT_TIMEOUT_S, on_cancel_response, job);
 }
 
-static void job_accepted(Users *u, Job *j) {
-  j->accepted = TRUE;
-  u->live++;
-  tell(u, j, FK_RUN_EVENT_ACCEPTED);
-  fk_metrics_log_add(u->series, "accepted", 1);
-  after(u, POLL_S, poll, j);
-  if (!fk_scale_job_is_urgent(j->spec) && g_rand_double(u->rand) < CANCELLED_SHARE)
-    after(u, g_rand_double_range(u->rand, CANCEL_FROM_S, CANCEL_TO_S), cancel, j);
+static void on_accepted(Users *users, Job *job) {
+  job->accepted = TRUE;
+  users->live_jobs++;
+  log_event(users, job, FK_RUN_EVENT_ACCEPTED);
+  fk_metrics_log_add(users->metrics, "accepted", 1);
+  schedule(users, POLL_INTERVAL_S, poll, job);
+  if (!fk_scale_job_is_urgent(job->spec) && g_rand_double(users->rand) < CANCELLED_SHARE)
+    schedule(users, g_rand_double_range(users->rand, CANCEL_S_MIN, CANCEL_S_MAX), cancel, job);
 }
 
-static void submit(gpointer users, gpointer data);
+static void submit(gpointer owner, gpointer data);
 
-static void submit_answered(Users *u, gpointer data, guint status, const char *body, gsize len,
-                            double retry_s) {
-  Job *j = data;
+static void on_submit_response(Users *users, gpointer data, guint status, const char *body, gsize len,
+                               double retry_s) {
+  Job *job = data;
   if (status == 200 || status == 201) {
-    job_accepted(u, j);
+    on_accepted(users, job);
     return;
   }
-  fk_metrics_log_add(u->series,
+  fk_metrics_log_add(users->metrics,
                      status == 503 || status == 429 ? "shed"
                      : status                       ? "refused"
                                                     : "unanswered",
                      1);
-  double tried_s = (double)(g_get_monotonic_time() - j->first_try) / 1e6;
-  if (status == 400 || status == 422 || tried_s > GIVE_UP_S) {
-    tell(u, j, FK_RUN_EVENT_REJECTED);
-    fk_metrics_log_add(u->series, "given_up", 1);
+  double since_s = (double)(g_get_monotonic_time() - job->submitted_us) / 1e6;
+  if (status == 400 || status == 422 || since_s > GIVE_UP_S) {
+    log_event(users, job, FK_RUN_EVENT_REJECTED);
+    fk_metrics_log_add(users->metrics, "given_up", 1);
     return;
   }
-  after(u, CLAMP(retry_s, RETRY_S, RETRY_MOST_S), submit, j);
+  schedule(users, CLAMP(retry_s, RETRY_S_MIN, RETRY_S_MAX), submit, job);
 }
 
-static void submit(gpointer users, gpointer data) {
-  Users *u = users;
-  Job *j = data;
-  g_autofree char *body = fk_user_print_submission(j->spec);
-  call(u, -1, "POST", "/submissions", body, SUBMIT_ANSWER_S, submit_answered, j);
+static void submit(gpointer owner, gpointer data) {
+  Users *users = owner;
+  Job *job = data;
+  g_autofree char *body = fk_user_print_submission(job->spec);
+  send_request(users, ANY_NODE, "POST", "/submissions", body, SUBMIT_TIMEOUT_S, on_submit_response, job);
 }
 
 /* ------------------------------------------------------------------ arrivals */
 
-static void new_job(Users *u, guint64 number) {
-  g_autofree char *id = fk_scale_job_id(u->region, number);
-  Job *j = g_new0(Job, 1);
-  j->spec = fk_scale_job(u->plan, id);
-  j->first_try = g_get_monotonic_time();
-  tell(u, j, FK_RUN_EVENT_SUBMITTED);
-  fk_metrics_log_add(u->series, "submitted", 1);
-  submit(u, j);
+static void submit_job(Users *users, guint64 number) {
+  g_autofree char *id = fk_scale_job_id(users->region, number);
+  Job *job = g_new0(Job, 1);
+  job->spec = fk_scale_job(users->plan, id);
+  job->submitted_us = g_get_monotonic_time();
+  log_event(users, job, FK_RUN_EVENT_SUBMITTED);
+  fk_metrics_log_add(users->metrics, "submitted", 1);
+  submit(users, job);
 }
 
-/* Even but for a half: a few large jobs must not make one run busier than the next. */
-static double wait_for_next(Users *u, double rate) { return g_rand_double_range(u->rand, 0.5, 1.5) / rate; }
+/* Intervals vary by half at most, so that runs differ little in load. */
+static double next_interval_s(Users *users, double rate_per_s) {
+  return g_rand_double_range(users->rand, 0.5, 1.5) / rate_per_s;
+}
 
-static double bulk_rate(const Users *u) {
-  return u->plan->task_starts_per_s / u->plan->regions / (double)u->plan->tasks_per_job;
+static double bulk_jobs_per_s(const Users *users) {
+  return users->plan->task_starts_per_s / users->plan->regions / (double)users->plan->tasks_per_job;
 }
 
-static void bulk_comes(gpointer users, gpointer unused) {
-  Users *u = users;
-  new_job(u, 2 * u->bulk++);
-  after(u, wait_for_next(u, bulk_rate(u)), bulk_comes, NULL);
+static void on_bulk_arrival(gpointer owner, gpointer unused) {
+  Users *users = owner;
+  submit_job(users, 2 * users->bulk_jobs++);
+  schedule(users, next_interval_s(users, bulk_jobs_per_s(users)), on_bulk_arrival, NULL);
 }
 
-static void urgent_comes(gpointer users, gpointer unused) {
-  Users *u = users;
-  new_job(u, 2 * u->urgent++ + 1);
-  after(u, wait_for_next(u, u->plan->urgent_jobs_per_s), urgent_comes, NULL);
+static void on_urgent_arrival(gpointer owner, gpointer unused) {
+  Users *users = owner;
+  submit_job(users, 2 * users->urgent_jobs++ + 1);
+  schedule(users, next_interval_s(users, users->plan->urgent_jobs_per_s), on_urgent_arrival, NULL);
 }
 
 static void sample(gpointer data) {
-  Users *u = data;
-  fk_metrics_log_set(u->series, "live", u->live);
-  fk_metrics_log_set(u->series, "healthy", fk_load_balancer_healthy_count(u->balancer));
+  Users *users = data;
+  fk_metrics_log_set(users->metrics, "live", users->live_jobs);
+  fk_metrics_log_set(users->metrics, "healthy", fk_load_balancer_healthy_count(users->balancer));
 }
 
-#define FIRST_S 3.0 /* after the beginning, when the controllers are up */
-
-int fk_scale_user_stand_in(const FkScalePlan *p, guint region) {
+int fk_user_stand_in_run(const FkScalePlan *plan, guint region) {
   g_autoptr(GError) error = NULL;
   g_autofree char *name = g_strdup_printf("users-%u", region);
-  guint nodes = fk_scale_region_controllers(p, region);
-  Users u = {.plan = p, .region = region};
-  u.rand = g_rand_new_with_seed((guint32)(p->seed * 1000 + 500 + region));
-  u.agenda = fk_event_queue_new(&u);
-  u.balancer = fk_load_balancer_new(nodes);
-  u.session = soup_session_new_with_options("max-conns", CONNECTIONS, "max-conns-per-host", CONNECTIONS,
-                                            "timeout", 0, NULL);
-  soup_session_set_proxy_resolver(u.session, NULL);
-  u.series = fk_metrics_log_new(p->output_dir, name, p->start_us, 0, &error);
-  u.events = u.series ? fk_event_log_new(p->output_dir, name, &error) : NULL;
-  if (!u.events)
+  guint nodes = fk_scale_region_controllers(plan, region);
+  Users users = {.plan = plan, .region = region};
+  users.rand = g_rand_new_with_seed((guint32)(plan->seed * 1000 + 500 + region));
+  users.event_queue = fk_event_queue_new(&users);
+  users.balancer = fk_load_balancer_new(nodes);
+  users.session = soup_session_new_with_options("max-conns", CONNECTIONS_MAX, "max-conns-per-host",
+                                                CONNECTIONS_MAX, "timeout", 0, NULL);
+  soup_session_set_proxy_resolver(users.session, NULL);
+  users.metrics = fk_metrics_log_new(plan->output_dir, name, plan->start_us, 0, &error);
+  users.events = users.metrics ? fk_event_log_new(plan->output_dir, name, &error) : NULL;
+  if (!users.events)
     return fk_stand_in_start_failed(name, error);
   for (guint i = 0; i < nodes; i++) {
-    Probe *pr = g_new0(Probe, 1);
-    pr->node = i;
-    after(&u, 0, probe, pr);
+    Probe *first = g_new0(Probe, 1);
+    first->node = i;
+    schedule(&users, 0, probe, first);
   }
-  gint64 first = p->start_us + (gint64)(FIRST_S * 1e6);
-  if (bulk_rate(&u) > 0)
-    fk_event_queue_add(u.agenda, first, bulk_comes, NULL);
-  if (p->urgent_jobs_per_s > 0)
-    fk_event_queue_add(u.agenda, first, urgent_comes, NULL);
-  fk_event_queue_start_clock(u.agenda);
-  fk_metrics_log_start(u.series, sample, &u);
-  fk_stand_in_run(p);
-  fk_event_log_free(u.events);
-  fk_metrics_log_free(u.series);
+  gint64 first_us = plan->start_us + (gint64)(FIRST_JOB_S * 1e6);
+  if (bulk_jobs_per_s(&users) > 0)
+    fk_event_queue_add(users.event_queue, first_us, on_bulk_arrival, NULL);
+  if (plan->urgent_jobs_per_s > 0)
+    fk_event_queue_add(users.event_queue, first_us, on_urgent_arrival, NULL);
+  fk_event_queue_start_clock(users.event_queue);
+  fk_metrics_log_start(users.metrics, sample, &users);
+  fk_stand_in_run(plan);
+  fk_event_log_free(users.events);
+  fk_metrics_log_free(users.metrics);
   return 0;
 }
--- a/src/simulation/scale/worker_stand_in.c
+++ b/src/simulation/scale/worker_stand_in.c
@@ -2,15 +2,16 @@
 
 #include "simulation/scale/addresses.h"
 #include "simulation/scale/heartbeats.h"
+#include "simulation/scale/stand_in_process.h"
 #include "simulation/scale/worker_faults.h"
 
 gboolean fk_worker_stand_in_open(FkWorkerStandIn *stand_in, const FkScalePlan *plan, guint region,
                                  guint process, GError **error) {
   FkSimulatedWorkers *workers = &stand_in->workers;
   stand_in->cloud = (FkCloudStandIn){0};
-  if (!fk_simulated_workers_open(workers, plan, region, process, error) ||
-      !fk_heartbeats_open(workers, error))
+  if (!fk_simulated_workers_open(workers, plan, region, process, error))
     return FALSE;
+  fk_heartbeats_open(workers);
   if (process == 0 && !fk_cloud_stand_in_open(&stand_in->cloud, workers, error))
     return FALSE;
   fk_event_queue_start_clock(workers->event_queue);
--- a/test/test_scale.c
+++ b/test/test_scale.c
@@ -1,5 +1,5 @@
-/* The stand-ins of scale runs: models, codecs of the other side, load balancer, jobs and the checker of
- * rules. */
+/* The parts of scale runs: models, codecs of the other side, load balancer, jobs, rule checker, simulated
+ * workers and the HTTP stand-ins. */
 #include <glib/gstdio.h>
 #include <string.h>
 
@@ -19,15 +19,15 @@
 #include "wire/user.h"
 #include "wire/worker.h"
 
-/* ------------------------------------------------------------------ the state service's model */
+/* ------------------------------------------------------------------ the model of the key-value store */
 
-static FkStoreOutcome write_one(FkStoreModel *s, const char *path, const char *value, guint64 stamp,
-                                guint64 hold) {
+static FkStoreOutcome write_one(FkStoreModel *s, const char *path, const char *value, guint64 revision,
+                                guint64 lease) {
   g_autoptr(GArray) guards = g_array_new(FALSE, FALSE, sizeof(FkStoreGuard)),
                     writes = g_array_new(FALSE, FALSE, sizeof(FkStoreWrite));
   g_autoptr(GPtrArray) failed = g_ptr_array_new_with_free_func(g_free);
-  FkStoreGuard guard = {path, stamp};
-  FkStoreWrite write = {path, value, hold};
+  FkStoreGuard guard = {path, revision};
+  FkStoreWrite write = {path, value, lease};
   g_array_append_val(guards, guard);
   g_array_append_val(writes, write);
   FkStoreOutcome o = fk_store_model_commit(s, guards, writes, failed);
@@ -42,16 +42,16 @@
   g_assert_cmpint(write_one(s, "a/1", "2", 1, 0), ==, FK_STORE_OK);
   g_assert_cmpuint(fk_store_model_get(s, "a/1")->revision, ==, 2);
   g_assert_cmpint(write_one(s, "a/2", "1", 0, 77), ==, FK_STORE_LEASE_NOT_FOUND);
-  guint64 hold = fk_store_model_grant_lease(s, 0, 5);
-  g_assert_cmpint(write_one(s, "a/2", "1", 0, hold), ==, FK_STORE_OK);
-  g_assert_true(fk_store_model_keep_alive(s, 4000000, hold));
+  guint64 lease = fk_store_model_grant_lease(s, 0, 5);
+  g_assert_cmpint(write_one(s, "a/2", "1", 0, lease), ==, FK_STORE_OK);
+  g_assert_true(fk_store_model_keep_alive(s, 4000000, lease));
   fk_store_model_expire_leases(s, 8999999);
   g_assert_nonnull(fk_store_model_get(s, "a/2"));
   fk_store_model_expire_leases(s, 9000000);
   g_assert_null(fk_store_model_get(s, "a/2"));
-  g_assert_false(fk_store_model_keep_alive(s, 9000000, hold));
+  g_assert_false(fk_store_model_keep_alive(s, 9000000, lease));
   g_autoptr(GPtrArray) changes = fk_store_model_changes(s, "a/", 2);
-  g_assert_cmpuint(changes->len, ==, 2); /* it came, and went */
+  g_assert_cmpuint(changes->len, ==, 2); /* put, then deleted */
   g_assert_null(((FkStoreChange *)changes->pdata[1])->value);
   write_one(s, "b/1", "1", 0, 0);
   g_assert_null(fk_store_model_changes(s, "a/", 0)); /* the history doesn't go back so far */
@@ -64,56 +64,57 @@
   g_assert_cmpuint(first->len + rest->len, ==, fk_store_model_size(s));
 }
 
-static void test_store_budget(void) {
+static void test_store_rate_limit(void) {
   FkStoreRateLimit b = {0};
   g_assert_true(fk_store_rate_limit_take(&b, 1000000, 10, 5, 5));
-  g_assert_false(fk_store_rate_limit_take(&b, 1000000, 10, 5, 1)); /* the writes are gone */
+  g_assert_false(fk_store_rate_limit_take(&b, 1000000, 10, 5, 1)); /* no writes left */
   for (guint i = 0; i < 9; i++)
     g_assert_true(fk_store_rate_limit_take(&b, 1000000, 10, 5, 0));
-  g_assert_false(fk_store_rate_limit_take(&b, 1000000, 10, 5, 0)); /* and the requests */
+  g_assert_false(fk_store_rate_limit_take(&b, 1000000, 10, 5, 0)); /* no requests left either */
   g_assert_true(fk_store_rate_limit_take(&b, 1200000, 10, 5, 1));
 }
 
-/* ------------------------------------------------------------------ the worker's model */
+/* ------------------------------------------------------------------ the model of a worker */
 
 static double two_cpus(gpointer owner, const char *job) { return g_str_equal(job, "unknown") ? -1 : 2; }
 static void accepted(gpointer owner, FkWorkerModel *w, FkWorkerTask *t) { ++*(guint *)owner; }
-static void left(gpointer owner, FkWorkerModel *w, FkWorkerTask *t) { --*(guint *)owner; }
+static void released(gpointer owner, FkWorkerModel *w, FkWorkerTask *t) { --*(guint *)owner; }
 
-static FkCommand *order(FkCommandKind op, const char *job, guint32 task, guint64 attempt) {
+static FkCommand *command(FkCommandKind op, const char *job, guint32 task, guint64 attempt) {
   FkCommand *o = g_new0(FkCommand, 1);
   *o = (FkCommand){op, g_strdup(job), task, {attempt}, 0};
   return o;
 }
 
-static void order_free(gpointer p) {
+static void command_free(gpointer p) {
   g_free(((FkCommand *)p)->job);
   g_free(p);
 }
 
 static void test_worker_model(void) {
-  guint on = 0;
-  guint64 serials = 0;
-  FkWorkerHooks hooks = {two_cpus, accepted, left, &on, &serials};
+  guint resident = 0;
+  guint64 last_serial = 0;
+  FkWorkerHooks hooks = {two_cpus, accepted, released, &resident, &last_serial};
   FkWorkerModel w;
   fk_worker_model_init(&w, "i-1", "127.0.0.1:1", "box", "north", FALSE, 4);
-  g_autoptr(GPtrArray) orders = g_ptr_array_new_with_free_func(order_free);
-  g_ptr_array_add(orders, order(FK_COMMAND_START, "run-1", 0, 1));
-  g_ptr_array_add(orders, order(FK_COMMAND_START, "run-1", 0, 1)); /* again: nothing */
-  g_ptr_array_add(orders, order(FK_COMMAND_START, "run-1", 0, 2)); /* busy */
-  g_ptr_array_add(orders, order(FK_COMMAND_START, "run-1", 1, 3));
-  g_ptr_array_add(orders, order(FK_COMMAND_START, "run-1", 2, 4)); /* full */
-  g_ptr_array_add(orders, order(FK_COMMAND_START, "unknown", 0, 5));
-  g_assert_false(fk_worker_model_command(&w, &hooks, 2, (FkFencingToken){5}, orders)); /* another session */
-  g_assert_true(fk_worker_model_command(&w, &hooks, 1, (FkFencingToken){5}, orders));
-  g_assert_false(fk_worker_model_command(&w, &hooks, 1, (FkFencingToken){4}, orders)); /* a lower token */
-  static const FkExitReason whys[] = {FK_EXIT_NONE, FK_EXIT_BUSY, FK_EXIT_NONE, FK_EXIT_FULL,
-                                      FK_EXIT_UNKNOWN};
-  g_assert_cmpuint(w.tasks->len, ==, G_N_ELEMENTS(whys));
+  g_autoptr(GPtrArray) commands = g_ptr_array_new_with_free_func(command_free);
+  g_ptr_array_add(commands, command(FK_COMMAND_START, "run-1", 0, 1));
+  g_ptr_array_add(commands, command(FK_COMMAND_START, "run-1", 0, 1)); /* repeated: ignored */
+  g_ptr_array_add(commands, command(FK_COMMAND_START, "run-1", 0, 2)); /* busy */
+  g_ptr_array_add(commands, command(FK_COMMAND_START, "run-1", 1, 3));
+  g_ptr_array_add(commands, command(FK_COMMAND_START, "run-1", 2, 4)); /* full */
+  g_ptr_array_add(commands, command(FK_COMMAND_START, "unknown", 0, 5));
+  /* refused: another incarnation, then a lower token */
+  g_assert_false(fk_worker_model_command(&w, &hooks, 2, (FkFencingToken){5}, commands));
+  g_assert_true(fk_worker_model_command(&w, &hooks, 1, (FkFencingToken){5}, commands));
+  g_assert_false(fk_worker_model_command(&w, &hooks, 1, (FkFencingToken){4}, commands));
+  static const FkExitReason exit_reasons[] = {FK_EXIT_NONE, FK_EXIT_BUSY, FK_EXIT_NONE, FK_EXIT_FULL,
+                                              FK_EXIT_UNKNOWN};
+  g_assert_cmpuint(w.tasks->len, ==, G_N_ELEMENTS(exit_reasons));
   for (guint i = 0; i < w.tasks->len; i++)
-    g_assert_cmpint(((FkWorkerTask *)w.tasks->pdata[i])->exit_reason, ==, whys[i]);
-  g_assert_cmpuint(on, ==, 2);
-  /* an answer renews the lease from the sending of its report; then it runs out, and all is gone */
+    g_assert_cmpint(((FkWorkerTask *)w.tasks->pdata[i])->exit_reason, ==, exit_reasons[i]);
+  g_assert_cmpuint(resident, ==, 2);
+  /* a reply renews the lease from when its heartbeat was sent; at its end all tasks are lost */
   g_assert_true(fk_worker_model_heartbeat_answered(&w, &hooks, 1, 1000000, (FkFencingToken){5}, NULL));
   g_assert_false(fk_worker_model_check_lease(&w, &hooks, 11000000, 10));
   g_assert_true(fk_worker_model_check_lease(&w, &hooks, 11000001, 10));
@@ -122,25 +123,25 @@
   fk_worker_model_clear(&w);
 }
 
-/* ------------------------------------------------------------------ codecs, there and back */
+/* ------------------------------------------------------------------ codecs, encoded and decoded again */
 
 static void test_codecs(void) {
-  guint64 serials = 0;
-  guint on = 0;
-  FkWorkerHooks hooks = {two_cpus, accepted, left, &on, &serials};
+  guint64 last_serial = 0;
+  guint resident = 0;
+  FkWorkerHooks hooks = {two_cpus, accepted, released, &resident, &last_serial};
   FkWorkerModel w;
   fk_worker_model_init(&w, "i-1", "127.0.0.1:1", "box", "north", TRUE, 4);
-  g_autoptr(GPtrArray) orders = g_ptr_array_new_with_free_func(order_free);
-  g_ptr_array_add(orders, order(FK_COMMAND_START, "run-1", 7, G_GUINT64_CONSTANT(12345678901234567)));
-  const FkOutput out = {.status = 200, .fencing_token = {9}, .incarnation = 1, .commands = orders};
-  g_autofree char *commands = fk_worker_print_commands(&out), *reply = fk_worker_print_reply(&out);
-  g_autoptr(FkWorkerCommands) command = fk_worker_parse_commands(commands, strlen(commands)),
+  g_autoptr(GPtrArray) commands = g_ptr_array_new_with_free_func(command_free);
+  g_ptr_array_add(commands, command(FK_COMMAND_START, "run-1", 7, G_GUINT64_CONSTANT(12345678901234567)));
+  const FkOutput out = {.status = 200, .fencing_token = {9}, .incarnation = 1, .commands = commands};
+  g_autofree char *request = fk_worker_print_commands(&out), *reply = fk_worker_print_reply(&out);
+  g_autoptr(FkWorkerCommands) direct = fk_worker_parse_commands(request, strlen(request)),
                               answer = fk_worker_parse_reply(200, reply, strlen(reply));
-  g_assert_cmpuint(command->incarnation, ==, 1);
+  g_assert_cmpuint(direct->incarnation, ==, 1);
   g_assert_cmpuint(answer->fencing_token.n, ==, 9);
   fk_worker_model_execute(&w, &hooks, answer->commands);
-  g_autoptr(FkHeartbeat) says = fk_worker_model_heartbeat(&w);
-  g_autofree char *body = fk_worker_print_heartbeat(says);
+  g_autoptr(FkHeartbeat) heartbeat = fk_worker_model_heartbeat(&w);
+  g_autofree char *body = fk_worker_print_heartbeat(heartbeat);
   g_autoptr(FkHeartbeat) read = fk_worker_parse_heartbeat(body, strlen(body));
   g_assert_cmpstr(read->machine, ==, "i-1");
   g_assert_true(read->spot);
@@ -159,10 +160,10 @@
       "\"tether\":4},{\"delete\":\"b\"}]}";
   g_autoptr(FkStoreTransaction) t = fk_store_parse_transaction(text, strlen(text));
   const FkTransactionWrite *put = &g_array_index(t->changes, FkTransactionWrite, 0),
-                           *gone = &g_array_index(t->changes, FkTransactionWrite, 1);
+                           *deleted = &g_array_index(t->changes, FkTransactionWrite, 1);
   g_assert_cmpstr(put->value, ==, "{\"x\":1}");
   g_assert_cmpuint(put->lease, ==, 4);
-  g_assert_null(gone->value);
+  g_assert_null(deleted->value);
   g_assert_cmpuint(g_array_index(t->conditions, FkStoreCondition, 0).revision, ==, 3);
   static const char *const malformed[] = {"", "[]", "{\"writes\":[{\"put\":\"a\"}]}", "{\"guards\":[{}]}"};
   for (guint i = 0; i < G_N_ELEMENTS(malformed); i++)
@@ -218,12 +219,12 @@
   g_assert_false(fk_scale_plan_validate(p, &error));
 }
 
-/* ------------------------------------------------------------------ the balancer */
+/* ------------------------------------------------------------------ the load balancer */
 
-static void test_balancer(void) {
+static void test_load_balancer(void) {
   FkLoadBalancer *b = fk_load_balancer_new(2);
   g_assert_cmpint(fk_load_balancer_pick(b, 0), ==, -1);
-  fk_load_balancer_record_probe(b, 0, TRUE, 0); /* one success is enough at first */
+  fk_load_balancer_record_probe(b, 0, TRUE, 0); /* the first success is enough */
   fk_load_balancer_record_probe(b, 1, TRUE, 0);
   int first = fk_load_balancer_pick(b, 0), second = fk_load_balancer_pick(b, 0);
   g_assert_cmpint(first + second, ==, 1); /* fewest open connections */
@@ -232,7 +233,7 @@
   g_assert_cmpuint(fk_load_balancer_healthy_count(b), ==, 1);
   fk_load_balancer_record_probe(b, 0, TRUE, 3000000);
   fk_load_balancer_record_probe(b, 0, TRUE, 4000000);
-  g_assert_cmpuint(fk_load_balancer_healthy_count(b), ==, 1); /* not before 3 s have gone by */
+  g_assert_cmpuint(fk_load_balancer_healthy_count(b), ==, 1); /* not before 3 s are over */
   fk_load_balancer_record_probe(b, 0, TRUE, 5000000);
   g_assert_cmpuint(fk_load_balancer_healthy_count(b), ==, 2);
   for (guint i = 0; i < 3; i++) { /* refused three times in a row: skipped */
@@ -246,7 +247,7 @@
 /* ------------------------------------------------------------------ the rules */
 
 typedef struct {
-  const char *rule; /* broken; NULL: none */
+  const char *rule; /* the one that is broken; NULL: none */
   struct {
     double at_s;
     FkRunEventKind kind;
@@ -255,7 +256,7 @@
   } events[8]; /* in order of time; the first without a time ends them */
 } RuleCase;
 
-#define BULK 0 /* number of the job */
+#define BULK_JOB 0 /* its number */
 
 static const RuleCase rule_cases[] = {
     {NULL,
@@ -287,7 +288,7 @@
 
 static void test_rules(void) {
   g_autoptr(FkScalePlan) p = small_plan();
-  g_autofree char *id = fk_scale_job_id(0, BULK);
+  g_autofree char *id = fk_scale_job_id(0, BULK_JOB);
   for (guint i = 0; i < G_N_ELEMENTS(rule_cases); i++) {
     const RuleCase *c = &rule_cases[i];
     g_autoptr(GArray) events = fk_run_events_new();
@@ -305,10 +306,10 @@
 static void test_quota_rule(void) {
   g_autoptr(FkScalePlan) p = small_plan();
   p->tasks_per_job = 1000;
-  g_autofree char *id = fk_scale_job_id(0, BULK);
+  g_autofree char *id = fk_scale_job_id(0, BULK_JOB);
   g_autoptr(GArray) events = fk_run_events_new();
-  guint most = (guint)fk_scale_team_quota_cpus(p, 0);
-  for (guint i = 0; i <= most; i++) {
+  guint quota = (guint)fk_scale_team_quota_cpus(p, 0);
+  for (guint i = 0; i <= quota; i++) {
     FkRunEvent e = {i + 1, FK_RUN_EVENT_TASK_STARTED, g_strdup(id), i, g_strdup("i-1")};
     g_array_append_val(events, e);
   }
@@ -325,11 +326,11 @@
 
 typedef struct {
   guint requests, without_body; /* at the server */
-  guint answers, as_they_came;  /* at the client */
+  guint answers, unchanged;     /* at the client */
 } Redirects;
 
-static void redirect(SoupServer *server, SoupServerMessage *m, const char *path, GHashTable *query,
-                     gpointer data) {
+static void respond_redirect(SoupServer *server, SoupServerMessage *m, const char *path, GHashTable *query,
+                             gpointer data) {
   Redirects *r = data;
   gsize len;
   fk_stand_in_request_body(m, &len);
@@ -338,35 +339,35 @@
   fk_stand_in_respond(m, 421, g_strdup(REDIRECT_BODY));
 }
 
-static void redirected(gpointer data, guint status, const char *body, gsize len) {
+static void on_redirect(gpointer data, guint status, const char *body, gsize len) {
   Redirects *r = data;
   r->answers++;
-  r->as_they_came += status == 421 && len == strlen(REDIRECT_BODY) && !memcmp(body, REDIRECT_BODY, len);
+  r->unchanged += status == 421 && len == strlen(REDIRECT_BODY) && !memcmp(body, REDIRECT_BODY, len);
 }
 
-/* A 421 is the caller's to follow: each request reaches the server once, with its body. */
+/* The client doesn't follow a 421: each request reaches the server once, with its body. */
 static void test_redirects(void) {
   FkHttpClient *clients[] = {fk_http_client_new(4, 4, 5, 65536), fk_http_client_new_for_many_hosts(4, 65536)};
   for (guint c = 0; c < G_N_ELEMENTS(clients); c++) {
     g_autoptr(GError) error = NULL;
     Redirects r = {0};
-    g_autoptr(SoupServer) server = fk_stand_in_serve(REDIRECT_ADDR, redirect, &r, &error);
+    g_autoptr(SoupServer) server = fk_stand_in_serve(REDIRECT_ADDR, respond_redirect, &r, &error);
     g_assert_no_error(error);
     for (guint i = 0; i < REDIRECTS; i++)
-      fk_http_client_call(clients[c], "POST", REDIRECT_ADDR, "/hello", "{}", 30, redirected, &r);
+      fk_http_client_call(clients[c], "POST", REDIRECT_ADDR, "/hello", "{}", 30, on_redirect, &r);
     while (r.answers < REDIRECTS)
       g_main_context_iteration(NULL, TRUE);
-    g_test_message("%u requests, %u without a body, %u answers as they came", r.requests, r.without_body,
-                   r.as_they_came);
+    g_test_message("%u requests, %u without a body, %u unchanged answers", r.requests, r.without_body,
+                   r.unchanged);
     g_assert_cmpuint(r.requests, ==, REDIRECTS);
     g_assert_cmpuint(r.without_body, ==, 0);
-    g_assert_cmpuint(r.as_they_came, ==, REDIRECTS);
+    g_assert_cmpuint(r.unchanged, ==, REDIRECTS);
     soup_server_disconnect(server);
     fk_http_client_free(clients[c]);
   }
 }
 
-static void test_malformed_reports(void) {
+static void test_malformed_heartbeats(void) {
   g_autoptr(FkScalePlan) p = small_plan();
   g_autoptr(GError) error = NULL;
   guint n = 99;
@@ -375,8 +376,8 @@
   g_autofree char *first = g_build_filename(p->output_dir, "control-0-0.log", NULL),
                   *second = g_build_filename(p->output_dir, "control-0-1.log", NULL);
   g_assert_true(g_file_set_contents(first, "up\n", -1, &error));
-  g_assert_false(
-      fk_scale_count_malformed_heartbeats(p, 0, &n, &error)); /* a log that isn't there isn't a zero */
+  /* a missing log is an error, not a count of 0 */
+  g_assert_false(fk_scale_count_malformed_heartbeats(p, 0, &n, &error));
   g_clear_error(&error);
   g_assert_true(g_file_set_contents(second, "up\n", -1, &error));
   g_assert_true(fk_scale_count_malformed_heartbeats(p, 0, &n, &error));
@@ -393,7 +394,7 @@
 
 /* ------------------------------------------------------------------ leases */
 
-static guint events_of(const GArray *events, FkRunEventKind kind, gint64 *at_us) {
+static guint count_events(const GArray *events, FkRunEventKind kind, gint64 *at_us) {
   guint n = 0;
   for (guint i = 0; i < events->len; i++) {
     const FkRunEvent *e = &g_array_index(events, FkRunEvent, i);
@@ -405,7 +406,7 @@
   return n;
 }
 
-static void remove_in(const char *dir, const char *base) {
+static void remove_file(const char *dir, const char *base) {
   g_autofree char *path = g_build_filename(dir, base, NULL);
   g_unlink(path);
 }
@@ -423,37 +424,37 @@
   p->start_us = g_get_monotonic_time();
   p->output_dir = g_dir_make_tmp("fk-scale-XXXXXX", &error);
   g_assert_true(fk_worker_stand_in_open(&stand_in, p, 0, 0, &error));
-  g_autofree char *zone = fk_scale_zone(0, 0), *job = fk_scale_job_id(0, BULK);
+  g_autofree char *zone = fk_scale_zone(0, 0), *job = fk_scale_job_id(0, BULK_JOB);
   FkSimulatedWorker *worker = fk_simulated_workers_boot(workers, zone, FALSE, 0);
   while (!worker->up)
     g_main_context_iteration(NULL, TRUE);
-  worker->heartbeat_id =
-      ++workers->last_serial; /* it never sends a heartbeat: only the lease's timer can end the lease */
-  gint64 end = worker->model.lease_start + (gint64)(p->lease_s * 1e6);
-  g_autoptr(GPtrArray) orders = g_ptr_array_new_with_free_func(order_free);
-  g_ptr_array_add(orders, order(FK_COMMAND_START, job, 0, 1));
+  /* it never sends a heartbeat: only the lease's timer can end the lease */
+  worker->heartbeat_id = ++workers->last_serial;
+  gint64 lease_end = worker->model.lease_start + (gint64)(p->lease_s * 1e6);
+  g_autoptr(GPtrArray) commands = g_ptr_array_new_with_free_func(command_free);
+  g_ptr_array_add(commands, command(FK_COMMAND_START, job, 0, 1));
   g_assert_true(
-      fk_worker_model_command(&worker->model, &workers->model_hooks, 1, (FkFencingToken){1}, orders));
+      fk_worker_model_command(&worker->model, &workers->model_hooks, 1, (FkFencingToken){1}, commands));
   const FkWorkerTask *t = worker->model.tasks->pdata[0];
   while (worker->model.incarnation == 1 && !t->resident)
     g_main_context_iteration(NULL, TRUE);
   g_assert_cmpuint(worker->model.incarnation, ==, 1);
   worker->heartbeat_id = ++workers->last_serial; /* no heartbeat about the running task either */
-  g_usleep((gulong)MAX(0, end + 300000 - g_get_monotonic_time()));
-  for (gint64 until = g_get_monotonic_time() + 3000000;
-       worker->model.incarnation == 1 && g_get_monotonic_time() < until;)
+  g_usleep((gulong)MAX(0, lease_end + 300000 - g_get_monotonic_time()));
+  for (gint64 deadline = g_get_monotonic_time() + 3000000;
+       worker->model.incarnation == 1 && g_get_monotonic_time() < deadline;)
     g_main_context_iteration(NULL, FALSE);
   g_assert_cmpuint(worker->model.incarnation, ==, 2);
   g_assert_cmpuint(worker->model.tasks->len, ==, 0);
   fk_worker_stand_in_close(&stand_in);
-  gint64 began = 0, left_us = 0;
+  gint64 began = 0, released_us = 0;
   g_assert_true(fk_event_log_read(p->output_dir, "fleet-0", events, &error));
-  g_assert_cmpuint(events_of(events, FK_RUN_EVENT_TASK_STARTED, &began), ==, 1);
-  g_assert_cmpuint(events_of(events, FK_RUN_EVENT_TASK_LOST, &left_us), ==, 1);
-  g_assert_cmpint(left_us, ==, end);
-  g_assert_cmpint(began, <, left_us);
-  remove_in(p->output_dir, "fleet-0.events");
-  remove_in(p->output_dir, "fleet-0.jsonl");
+  g_assert_cmpuint(count_events(events, FK_RUN_EVENT_TASK_STARTED, &began), ==, 1);
+  g_assert_cmpuint(count_events(events, FK_RUN_EVENT_TASK_LOST, &released_us), ==, 1);
+  g_assert_cmpint(released_us, ==, lease_end);
+  g_assert_cmpint(began, <, released_us);
+  remove_file(p->output_dir, "fleet-0.events");
+  remove_file(p->output_dir, "fleet-0.jsonl");
   g_rmdir(p->output_dir);
 }
 
@@ -474,21 +475,21 @@
     fk_simulated_workers_boot_initial(&stand_ins[k].workers);
   }
   for (guint i = 0; i < p->workers; i++) {
-    guint players = 0;
+    guint player_count = 0;
     const FkSimulatedWorker *first = stand_ins[0].workers.all->pdata[i];
     for (guint k = 0; k < PROCESSES; k++) {
       const FkSimulatedWorker *worker = stand_ins[k].workers.all->pdata[i];
       g_assert_cmpstr(worker->model.id, ==, first->model.id);
       g_assert_cmpstr(worker->model.addr, ==, first->model.addr);
-      players += !worker->remote;
+      player_count += !worker->remote;
     }
-    g_assert_cmpuint(players, ==, 1);
+    g_assert_cmpuint(player_count, ==, 1);
   }
   for (guint i = 0; i < 10; i++)
     g_assert_cmpuint(g_rand_int(stand_ins[0].workers.fault_rand), ==,
                      g_rand_int(stand_ins[PROCESSES - 1].workers.fault_rand));
   /* only the process that plays a worker listens at its address */
-  for (gint64 until = g_get_monotonic_time() + 8000000; g_get_monotonic_time() < until;) {
+  for (gint64 deadline = g_get_monotonic_time() + 8000000; g_get_monotonic_time() < deadline;) {
     guint up = 0;
     for (guint k = 0; k < PROCESSES; k++)
       for (guint i = 0; i < p->workers; i++)
@@ -507,8 +508,8 @@
     g_autofree char *name = fk_scale_worker_process_name(0, k), *events = g_strconcat(name, ".events", NULL),
                     *lines = g_strconcat(name, ".jsonl", NULL);
     fk_worker_stand_in_close(&stand_ins[k]);
-    remove_in(p->output_dir, events);
-    remove_in(p->output_dir, lines);
+    remove_file(p->output_dir, events);
+    remove_file(p->output_dir, lines);
   }
   g_rmdir(p->output_dir);
 }
@@ -516,18 +517,18 @@
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   g_test_add_func("/scale/store_model", test_store_model);
-  g_test_add_func("/scale/store_budget", test_store_budget);
+  g_test_add_func("/scale/store_rate_limit", test_store_rate_limit);
   g_test_add_func("/scale/worker_model", test_worker_model);
   g_test_add_func("/scale/codecs", test_codecs);
   g_test_add_func("/scale/store_codec", test_store_codec);
   g_test_add_func("/scale/jobs", test_jobs);
   g_test_add_func("/scale/plan", test_plan);
-  g_test_add_func("/scale/balancer", test_balancer);
+  g_test_add_func("/scale/load_balancer", test_load_balancer);
   g_test_add_func("/scale/rules", test_rules);
   g_test_add_func("/scale/quota_rule", test_quota_rule);
   g_test_add_func("/scale/redirects", test_redirects);
-  g_test_add_func("/scale/malformed_reports", test_malformed_reports);
+  g_test_add_func("/scale/malformed_heartbeats", test_malformed_heartbeats);
   g_test_add_func("/scale/lease_ends", test_lease_ends);
-  g_test_add_func("/scale/fleet_parts", test_worker_processes);
+  g_test_add_func("/scale/worker_processes", test_worker_processes);
   return g_test_run();
 }
