--- a/src/core/scheduling/scheduling_cycle.c
+++ b/src/core/scheduling/scheduling_cycle.c
@@ -147,9 +147,9 @@
     return;
   pause_after_cycle(c, urgent_only);
   g_autoptr(GPtrArray) all = open_machines_for_long_path(c, jobs);
-  FkLaunchBatch b = {.urgent_only = urgent_only};
-  g_autoptr(GHashTable) chunks = b.chunks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  g_autoptr(GHashTable) teams = b.teams = g_hash_table_new(g_str_hash, g_str_equal);
+  g_autoptr(GHashTable) chunks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  g_autoptr(GHashTable) teams = g_hash_table_new(g_str_hash, g_str_equal);
+  FkLaunchBatch b = {.urgent_only = urgent_only, .chunks = chunks, .teams = teams};
   g_autoptr(GArray) reserved = g_array_new(FALSE, FALSE, sizeof(FkReservation));
   if (c->leader.is_leader)
     fk_long_path_place(c, &b, jobs, all);
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -23,7 +23,6 @@
 static gboolean parse_address(const cJSON *o, const char *field, char **out, GError **error) {
   if (!parse_string(o, field, out, error))
     return FALSE;
-  g_autoptr(GInetSocketAddress) addr = NULL;
   const char *colon = strrchr(*out, ':');
   guint64 port;
   g_autofree char *host = colon ? g_strndup(*out, colon - *out) : NULL;
--- a/test/fuzz/rexec.c
+++ b/test/fuzz/rexec.c
@@ -43,7 +43,8 @@
     if (fk_resource_name_parse(text, (FkResourceUse)use, &r)) {
       FK_HOLDS(strspn(r.digest.hex, "0123456789abcdef") == FK_DIGEST_HEX_LEN &&
                r.digest.size <= FK_BLOB_BYTES_MAX);
-      FK_HOLDS(!strchr(r.instance, '/') && !strchr(r.upload, '/') && (use == FK_RESOURCE_READ || *r.upload));
+      FK_HOLDS(!strchr(r.instance, '/') && !strchr(r.upload_id, '/') &&
+               (use == FK_RESOURCE_READ || *r.upload_id));
     }
   if (fk_message_path_is_valid(text))
     FK_HOLDS(*text != '/' && !strstr(text, "//") && !g_str_has_prefix(text, "../") && !strstr(text, "/../"));
--- a/test/fuzz/store.c
+++ b/test/fuzz/store.c
@@ -38,7 +38,9 @@
   for (guint i = 0; events && i < events->len; i++)
     check(events->pdata[i]);
   g_autoptr(cJSON) j = fk_json_parse(text, size - 1);
-  g_autoptr(GPtrArray) failed = fk_store_parse_failed(j);
+  GPtrArray *failed = fk_store_parse_failed(j);
+  if (failed)
+    g_ptr_array_unref(failed);
   fk_store_parse_epoch(j);
   FkStoreEvent *item = fk_store_parse_item(j);
   if (item) {
