--- a/test/test_scale_tools.c
+++ b/test/test_scale_tools.c
@@ -524,7 +524,7 @@
   g_test_add_func("/scale_tools/store_codec", test_store_codec);
   g_test_add_func("/scale_tools/jobs", test_jobs);
   g_test_add_func("/scale_tools/plan", test_plan);
-  g_test_add_func("/scale_tools/balancer", test_balancer);
+  g_test_add_func("/scale_tools/balancer", test_load_balancer);
   g_test_add_func("/scale_tools/rule_checks", test_rule_checks);
   g_test_add_func("/scale_tools/quota_rule", test_quota_rule);
   g_test_add_func("/scale_tools/redirects", test_redirects);
