--- a/src/core/scheduling/quota_partition.c
+++ b/src/core/scheduling/quota_partition.c
@@ -30,7 +30,7 @@
   FkOutput *t = fk_transaction_new(c, FK_PRIORITY_SHARD);
   FkRecord *r = fk_record_new(FK_KEY_TEAM);
   r->partition = split;
-  r->node = g_strdup(guarded ? use->last_exhausted_by : c->settings->node);
+  r->last_exhausted_by = g_strdup(guarded ? use->last_exhausted_by : c->settings->node);
   if (guarded)
     fk_transaction_guard(t, fk_key_path(FK_KEY_TEAM, team), use->rev);
   fk_transaction_put(t, fk_key_path(FK_KEY_TEAM, team), r, (FkRev){0});
--- a/src/core/state/records.c
+++ b/src/core/state/records.c
@@ -62,16 +62,35 @@
 void fk_record_free(FkRecord *record) {
   if (!record)
     return;
-  fk_spec_unref(record->spec);
-  fk_chunk_free(record->chunk);
-  if (record->machines)
-    g_ptr_array_unref(record->machines);
-  if (record->completions)
-    g_ptr_array_unref(record->completions);
-  if (record->partition)
-    g_hash_table_unref(record->partition);
-  g_free(record->node);
-  g_free(record->incarnation);
+  switch (record->kind) {
+  case FK_KEY_JOB:
+    fk_spec_unref(record->spec);
+    break;
+  case FK_KEY_CHUNK:
+    fk_chunk_free(record->chunk);
+    break;
+  case FK_KEY_MACHINE_PAGE:
+    g_clear_pointer(&record->machines, g_ptr_array_unref);
+    break;
+  case FK_KEY_COMPLETIONS:
+    g_clear_pointer(&record->completions, g_ptr_array_unref);
+    break;
+  case FK_KEY_SHARD:
+  case FK_KEY_NODE:
+  case FK_KEY_LEADER:
+    g_free(record->node);
+    g_free(record->incarnation);
+    break;
+  case FK_KEY_TEAM:
+    g_free(record->last_exhausted_by);
+    g_clear_pointer(&record->partition, g_hash_table_unref);
+    break;
+  case FK_KEY_TERMINAL_JOB:
+  case FK_KEY_WAIT_TIMES:
+  case FK_KEY_LAUNCH_FENCE:
+  case FK_KEY_OTHER:
+    break;
+  }
   g_free(record);
 }
 
--- a/src/core/state/records.h
+++ b/src/core/state/records.h
@@ -53,21 +53,33 @@
 /* Adds the sums and counts, not the window. */
 void fk_wait_times_add(FkWaitTimes *to, const FkWaitTimes *more);
 
-/* What is under one key. Which members count depends on `kind`; the record owns them. */
+/* What is under one key: a tagged union, which owns its members. Only those of its `kind` may be read or
+ * written. */
 typedef struct {
   FkKeyKind kind;
-  FkSpec *spec;                   /* JOB */
-  gboolean cancelled;             /* JOB */
-  FkChunk *chunk;                 /* CHUNK */
-  GPtrArray *machines;            /* MACHINE_PAGE: FkMachineRecord */
-  GPtrArray *completions;         /* COMPLETIONS: FkCompletionRecord */
-  GHashTable *partition;          /* TEAM: controller -> double* CPUs; NULL: launches are serialized */
-  char *node, *incarnation;       /* NODE, LEADER, SHARD: the owner; TEAM: `node` last exhausted its share */
-  FkPhase phase;                  /* TERMINAL_JOB */
-  guint32 tasks;                  /* TERMINAL_JOB: tasks done */
-  FkWaitTimes wait_times;         /* WAIT_TIMES */
-  gboolean supports_dependencies; /* LAUNCH_FENCE */
-  gint64 ended_at_ms;             /* TERMINAL_JOB: time of day; 0: not known */
+  union {
+    struct { /* JOB */
+      FkSpec *spec;
+      gboolean cancelled;
+    };
+    FkChunk *chunk;         /* CHUNK */
+    GPtrArray *machines;    /* MACHINE_PAGE: FkMachineRecord */
+    GPtrArray *completions; /* COMPLETIONS: FkCompletionRecord */
+    struct {                /* SHARD and LEADER: the owner; NODE: only its incarnation */
+      char *node, *incarnation;
+    };
+    struct {                   /* TEAM */
+      char *last_exhausted_by; /* the controller that used up its share last, or NULL */
+      GHashTable *partition;   /* controller -> double* CPUs; NULL: launches are serialized */
+    };
+    struct { /* TERMINAL_JOB */
+      FkPhase phase;
+      guint32 tasks;      /* done */
+      gint64 ended_at_ms; /* time of day; 0: not known */
+    };
+    FkWaitTimes wait_times;         /* WAIT_TIMES */
+    gboolean supports_dependencies; /* LAUNCH_FENCE */
+  };
 } FkRecord;
 
 FkRecord *fk_record_new(FkKeyKind kind);
--- a/src/core/state/view_apply.c
+++ b/src/core/state/view_apply.c
@@ -80,9 +80,9 @@
   if (!record)
     return;
   team->partition = g_steal_pointer(&record->partition);
-  if (record->node) {
+  if (record->last_exhausted_by) {
     g_free(team->last_exhausted_by);
-    team->last_exhausted_by = g_steal_pointer(&record->node);
+    team->last_exhausted_by = g_steal_pointer(&record->last_exhausted_by);
   }
 }
 
--- a/src/simulation/check_transaction.c
+++ b/src/simulation/check_transaction.c
@@ -30,7 +30,15 @@
   return g && !g->rev.n;
 }
 
-static const char *missing_guard(const FkOutput *t, const FkWrite *w) {
+/* A team's record that partitions its quota into no shares. Read as JSON: the structs of records differ
+ * between versions. */
+static gboolean assigns_no_shares(const FkVersion *version, const FkWrite *w) {
+  g_autoptr(cJSON) json = w->record ? version->record_to_json(w->record) : NULL;
+  const cJSON *partition = fk_json_get(json, "split");
+  return cJSON_IsObject(partition) && !partition->child;
+}
+
+static const char *missing_guard(const FkVersion *version, const FkOutput *t, const FkWrite *w) {
   g_autofree char *id = NULL;
   guint32 chunk;
   const FkGuard *own = guard_on(t, w->path);
@@ -57,9 +65,7 @@
                                            : NULL;
   case FK_KEY_TEAM:
     /* a pause gives nobody anything, whatever was there */
-    return own || (w->record && w->record->partition && !g_hash_table_size(w->record->partition))
-               ? NULL
-               : "its own revision";
+    return own || assigns_no_shares(version, w) ? NULL : "its own revision";
   case FK_KEY_WAIT_TIMES:
     return NULL; /* a statistic, on a hold */
   default:
@@ -67,10 +73,10 @@
   }
 }
 
-char *sim_check_transaction(const FkOutput *t) {
+char *sim_check_transaction(const FkVersion *version, const FkOutput *t) {
   for (guint i = 0; i < t->writes->len; i++) {
     const FkWrite *w = &g_array_index(t->writes, FkWrite, i);
-    const char *what = missing_guard(t, w);
+    const char *what = missing_guard(version, t, w);
     if (what)
       return g_strdup_printf("%s of %s isn't guarded by %s", w->record ? "the write" : "the deletion",
                              w->path, what);
--- a/src/simulation/check_transaction.h
+++ b/src/simulation/check_transaction.h
@@ -1,5 +1,5 @@
 #pragma once
-#include "core/messages.h"
+#include "simulation/version.h"
 
 /* NULL, or what is written without a guard that it needs (to be freed). */
-char *sim_check_transaction(const FkOutput *t);
+char *sim_check_transaction(const FkVersion *version, const FkOutput *t);
--- a/src/simulation/store.c
+++ b/src/simulation/store.c
@@ -73,7 +73,7 @@
 }
 
 static FkOutcome commit(Sim *m, const FkVersion *v, const FkOutput *o, FkRev *epoch, GPtrArray *failed) {
-  g_autofree char *missing_guard = sim_check_transaction(o);
+  g_autofree char *missing_guard = sim_check_transaction(v, o);
   if (missing_guard)
     sim_violation(m, "unguarded", missing_guard);
   if (exceeds_limits(m, v, o))
--- a/src/wire/store.c
+++ b/src/wire/store.c
@@ -284,45 +284,85 @@
   return g_steal_pointer(&c);
 }
 
+static void add_string_if_set(cJSON *o, const char *name, const char *value) {
+  if (value)
+    cJSON_AddStringToObject(o, name, value);
+}
+
+static cJSON *job_to_json(const FkRecord *r) {
+  cJSON *o = spec_to_json(r->spec);
+  if (r->cancelled)
+    cJSON_AddBoolToObject(o, "cancelled", TRUE);
+  return o;
+}
+
+static cJSON *team_to_json(const FkRecord *r) {
+  cJSON *o = cJSON_CreateObject();
+  add_string_if_set(o, "node", r->last_exhausted_by);
+  if (r->partition)
+    cJSON_AddItemToObject(o, "split", partition_to_json(r->partition));
+  return o;
+}
+
+static cJSON *owner_to_json(const FkRecord *r) {
+  cJSON *o = cJSON_CreateObject();
+  add_string_if_set(o, "node", r->node);
+  add_string_if_set(o, "life", r->incarnation);
+  return o;
+}
+
+static cJSON *terminal_job_to_json(const FkRecord *r) {
+  cJSON *o = cJSON_CreateObject();
+  cJSON_AddNumberToObject(o, "phase", r->phase);
+  cJSON_AddNumberToObject(o, "tasks", r->tasks);
+  if (r->ended_at_ms)
+    cJSON_AddNumberToObject(o, "at", (double)r->ended_at_ms);
+  return o;
+}
+
+static cJSON *wait_times_to_json(const FkWaitTimes *waits) {
+  cJSON *o = cJSON_CreateObject();
+  fk_json_add_u64(o, "window", waits->window);
+  cJSON_AddNumberToObject(o, "sum", waits->capped_sum_s);
+  fk_json_add_u64(o, "count", waits->capped_count);
+  cJSON_AddNumberToObject(o, "all_sum", waits->sum_s);
+  fk_json_add_u64(o, "all_count", waits->count);
+  return o;
+}
+
+static cJSON *launch_fence_to_json(const FkRecord *r) {
+  cJSON *o = cJSON_CreateObject();
+  if (r->supports_dependencies)
+    cJSON_AddBoolToObject(o, "chains", TRUE);
+  return o;
+}
+
 cJSON *fk_store_record_to_json(const FkRecord *r) {
-  cJSON *o;
   switch (r->kind) {
   case FK_KEY_JOB:
-    o = spec_to_json(r->spec);
-    if (r->cancelled)
-      cJSON_AddBoolToObject(o, "cancelled", TRUE);
-    return o;
+    return job_to_json(r);
   case FK_KEY_CHUNK:
     return chunk_to_json(r->chunk);
   case FK_KEY_MACHINE_PAGE:
     return page_to_json(r->machines);
   case FK_KEY_COMPLETIONS:
     return completions_to_json(r->completions);
-  default:
+  case FK_KEY_SHARD:
+  case FK_KEY_NODE:
+  case FK_KEY_LEADER:
+    return owner_to_json(r);
+  case FK_KEY_TEAM:
+    return team_to_json(r);
+  case FK_KEY_TERMINAL_JOB:
+    return terminal_job_to_json(r);
+  case FK_KEY_WAIT_TIMES:
+    return wait_times_to_json(&r->wait_times);
+  case FK_KEY_LAUNCH_FENCE:
+    return launch_fence_to_json(r);
+  case FK_KEY_OTHER:
     break;
   }
-  o = cJSON_CreateObject();
-  if (r->node)
-    cJSON_AddStringToObject(o, "node", r->node);
-  if (r->incarnation)
-    cJSON_AddStringToObject(o, "life", r->incarnation);
-  if (r->kind == FK_KEY_TEAM && r->partition) {
-    cJSON_AddItemToObject(o, "split", partition_to_json(r->partition));
-  } else if (r->kind == FK_KEY_TERMINAL_JOB) {
-    cJSON_AddNumberToObject(o, "phase", r->phase);
-    cJSON_AddNumberToObject(o, "tasks", r->tasks);
-    if (r->ended_at_ms)
-      cJSON_AddNumberToObject(o, "at", (double)r->ended_at_ms);
-  } else if (r->kind == FK_KEY_LAUNCH_FENCE && r->supports_dependencies) {
-    cJSON_AddBoolToObject(o, "chains", TRUE);
-  } else if (r->kind == FK_KEY_WAIT_TIMES) {
-    fk_json_add_u64(o, "window", r->wait_times.window);
-    cJSON_AddNumberToObject(o, "sum", r->wait_times.capped_sum_s);
-    fk_json_add_u64(o, "count", r->wait_times.capped_count);
-    cJSON_AddNumberToObject(o, "all_sum", r->wait_times.sum_s);
-    fk_json_add_u64(o, "all_count", r->wait_times.count);
-  }
-  return o;
+  return cJSON_CreateObject();
 }
 
 FkRecord *fk_store_record_from_json(const char *path, const cJSON *o) {
@@ -374,13 +414,13 @@
       return NULL;
     break;
   case FK_KEY_TEAM:
-    r->node = g_strdup(fk_json_str(o, "node"));
+    r->last_exhausted_by = g_strdup(fk_json_str(o, "node"));
     r->partition = partition_from_json(fk_json_get(o, "split"));
     break;
   case FK_KEY_LAUNCH_FENCE:
     fk_json_bool(o, "chains", &r->supports_dependencies);
     break;
-  default:
+  case FK_KEY_OTHER:
     return NULL;
   }
   return g_steal_pointer(&r);
