--- a/src/core/scheduling/quota_partition.c
+++ b/src/core/scheduling/quota_partition.c
@@ -34,7 +34,7 @@
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
   FkRecord *record = fk_record_new(FK_KEY_TEAM);
   record->partition = partition_new();
-  record->node = g_strdup(c->settings->node);
+  record->last_exhausted_by = g_strdup(c->settings->node);
   send_record(c, team, txn, record);
 }
 
@@ -44,7 +44,7 @@
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
   FkRecord *record = fk_record_new(FK_KEY_TEAM);
   record->partition = partition;
-  record->node = g_strdup(usage->last_exhausted_by);
+  record->last_exhausted_by = g_strdup(usage->last_exhausted_by);
   fk_transaction_guard(txn, fk_key_path(FK_KEY_TEAM, team), usage->rev);
   send_record(c, team, txn, record);
 }
