--- a/src/simulation/random_faults.c
+++ b/src/simulation/random_faults.c
@@ -1,4 +1,4 @@
-/* What goes wrong in the simulated world, and when. */
+/* Random faults: what goes wrong by chance, within the kinds that the plan has. */
 #include "simulation/simulation_internal.h"
 
 /* Many machines at once: some die, some hang for shorter or longer than a lease. */
@@ -94,70 +94,109 @@
       sim_crash_controller(sim, k);
 }
 
-void sim_random_fault(Sim *sim, gpointer p) {
-  gboolean still = sim->now < (gint64)(sim->plan.seconds * 0.6e6);
-  if (still && (sim->plan.deaf || sim->plan.alone || sim->plan.quick))
+/* The faults of every plan that has any: which of them it has, it says itself. */
+typedef enum {
+  RANDOM_CRASH,
+  RANDOM_CRASH_OF_ALL,
+  RANDOM_STORE_PARTITION,
+  RANDOM_WORKER_PARTITION,
+  RANDOM_STORE_OUTAGE,
+  RANDOM_MACHINE,
+  RANDOM_MACHINE_AGAIN, /* twice as likely as the others */
+  RANDOM_STORE_SLOW,    /* this and the next ones: only where the plan wants more */
+  RANDOM_STORE_REFUSAL,
+  RANDOM_PEER_REFUSAL,
+  RANDOM_KINDS
+} RandomFault;
+
+/* A moment so many seconds from now, drawn from the range. */
+static gint64 random_end(Sim *sim, double min_s, double max_s) {
+  return sim->now + (gint64)(sim_uniform(sim, min_s, max_s) * 1e6);
+}
+
+static void crash_all(Sim *sim) {
+  for (int i = 0; i < sim->controller_count; i++)
+    sim_crash_controller(sim, i);
+}
+
+/* A machine hangs, or dies silently: it stays in the cloud's list and never reports. */
+static void fail_machine(Sim *sim) {
+  if (!sim->workers->len)
+    return;
+  SimWorker *worker = sim->workers->pdata[g_rand_int_range(sim->rand, 0, (gint)sim->workers->len)];
+  if (sim->plan.hangs && sim_chance(sim, 0.5))
+    worker->hung_until = random_end(sim, 2, 60);
+  else if (sim->plan.deaths)
+    sim_worker_lose(sim, worker);
+}
+
+static void inject(Sim *sim, RandomFault fault, int controller) {
+  SimController *c = &sim->controllers[controller];
+  switch (fault) {
+  case RANDOM_CRASH:
+    if (sim->plan.kills)
+      sim_crash_controller(sim, controller);
+    break;
+  case RANDOM_CRASH_OF_ALL:
+    if (sim->plan.kills && sim_chance(sim, 0.3))
+      crash_all(sim);
+    break;
+  case RANDOM_STORE_PARTITION:
+    if (sim->plan.cuts)
+      c->store_partition_until = random_end(sim, 1, 50);
+    break;
+  case RANDOM_WORKER_PARTITION:
+    if (sim->plan.cuts)
+      c->worker_partition_until = random_end(sim, 1, 50);
+    break;
+  case RANDOM_STORE_OUTAGE:
+    if (sim->plan.outages)
+      sim_begin_store_outage(sim, sim_uniform(sim, 1, 40));
+    break;
+  case RANDOM_MACHINE:
+  case RANDOM_MACHINE_AGAIN:
+    fail_machine(sim);
+    break;
+  case RANDOM_STORE_SLOW:
+    sim->slow_factor = 15;
+    sim->slow_until = random_end(sim, 10, 60);
+    break;
+  case RANDOM_STORE_REFUSAL: /* of one controller alone, for longer than a lease or shorter */
+    sim->store_refusal_until[controller] = random_end(sim, 5, 1.5 * sim->settings->worker_lease_s + 10);
+    break;
+  case RANDOM_PEER_REFUSAL:
+    sim->peer_refusal_until = random_end(sim, 5, 40);
+    break;
+  case RANDOM_KINDS:
+    g_assert_not_reached();
+  }
+}
+
+static void pause_controller(Sim *sim) {
+  int i = g_rand_int_range(sim->rand, 0, sim->controller_count);
+  sim->controllers[i].paused_until = random_end(sim, 5, 60);
+  g_debug("WORLD %.3f c-%d stands still until %.3f", sim->now / 1e6, i,
+          sim->controllers[i].paused_until / 1e6);
+}
+
+static void inject_random_faults(Sim *sim) {
+  if (sim->plan.deaf || sim->plan.alone || sim->plan.quick)
     extra_faults(sim, g_rand_int_range(sim->rand, 0, sim->controller_count));
-  if (sim->plan.mass_failures && sim->now < (gint64)(sim->plan.seconds * 0.6e6) && sim_chance(sim, 0.3)) {
+  if (sim->plan.mass_failures && sim_chance(sim, 0.3)) {
     if (sim_chance(sim, 0.6))
       partition_zone(sim);
     else
       fail_many_machines(sim);
   }
-  if (sim->plan.pauses && sim->now < (gint64)(sim->plan.seconds * 0.6e6) && sim_chance(sim, 0.3)) {
-    int i = g_rand_int_range(sim->rand, 0, sim->controller_count);
-    sim->controllers[i].paused_until = sim->now + (gint64)(sim_uniform(sim, 5, 60) * 1e6);
-    g_debug("WORLD %.3f c-%d stands still until %.3f", sim->now / 1e6, i,
-            sim->controllers[i].paused_until / 1e6);
-  }
-  if (sim->now < (gint64)(sim->plan.seconds * 0.6e6)) {
-    int i = g_rand_int_range(sim->rand, 0, sim->controller_count);
-    switch (g_rand_int_range(sim->rand, 0, sim->plan.more ? 10 : 7)) {
-    case 7:
-      sim->slow_factor = 15;
-      sim->slow_until = sim->now + (gint64)(sim_uniform(sim, 10, 60) * 1e6);
-      break;
-    case 8:
-      /* one controller alone is refused, longer than a lease or shorter */
-      sim->store_refusal_until[i] =
-          sim->now + (gint64)(sim_uniform(sim, 5, 1.5 * sim->settings->worker_lease_s + 10) * 1e6);
-      break;
-    case 9:
-      sim->peer_refusal_until = sim->now + (gint64)(sim_uniform(sim, 5, 40) * 1e6);
-      break;
-    case 0:
-      if (sim->plan.kills)
-        sim_crash_controller(sim, i);
-      break;
-    case 1:
-      if (sim->plan.kills && sim_chance(sim, 0.3))
-        for (int n = 0; n < sim->controller_count; n++)
-          sim_crash_controller(sim, n);
-      break;
-    case 2:
-      if (sim->plan.cuts)
-        sim->controllers[i].store_partition_until = sim->now + (gint64)(sim_uniform(sim, 1, 50) * 1e6);
-      break;
-    case 3:
-      if (sim->plan.cuts)
-        sim->controllers[i].worker_partition_until = sim->now + (gint64)(sim_uniform(sim, 1, 50) * 1e6);
-      break;
-    case 4:
-      if (sim->plan.outages)
-        sim_begin_store_outage(sim, sim_uniform(sim, 1, 40));
-      break;
-    default: {
-      if (!sim->workers->len)
-        break;
-      SimWorker *w = sim->workers->pdata[g_rand_int_range(sim->rand, 0, (gint)sim->workers->len)];
-      if (sim->plan.hangs && sim_chance(sim, 0.5)) {
-        w->hung_until = sim->now + (gint64)(sim_uniform(sim, 2, 60) * 1e6);
-      } else if (sim->plan.deaths) {
-        /* dies silently: stays in the list, never reports */
-        sim_worker_lose(sim, w);
-      }
-    }
-    }
-  }
+  if (sim->plan.pauses && sim_chance(sim, 0.3))
+    pause_controller(sim);
+  int controller = g_rand_int_range(sim->rand, 0, sim->controller_count);
+  gint kinds = sim->plan.more ? RANDOM_KINDS : RANDOM_STORE_SLOW;
+  inject(sim, (RandomFault)g_rand_int_range(sim->rand, 0, kinds), controller);
+}
+
+void sim_random_fault(Sim *sim, gpointer unused) {
+  if (sim->now < (gint64)(sim->plan.seconds * (SIM_FAULTS_SHARE * 1e6)))
+    inject_random_faults(sim);
   sim_schedule(sim, sim_uniform(sim, 2, 15), sim_random_fault, NULL);
 }
