--- a/src/daemon/cloud_client.c
+++ b/src/daemon/cloud_client.c
@@ -155,8 +155,12 @@
 void fk_cloud_client_init(FkDaemon *daemon, const FkAdmissionLimits *limits) {
   daemon->cloud.http = fk_http_client_new(limits->cloud_connections, limits->cloud_connections,
                                           IDLE_CONNECTION_S, limits->response_bytes);
-  daemon->cloud.limiter = fk_rate_limiter_new(daemon->settings->cloud_rps * RATE_PART, 1, BURST_S, LEVELS, 0,
-                                              QUEUE_MAX, send_now, shed, daemon);
+  const FkRateLimiterOptions options = {.requests_per_s = daemon->settings->cloud_rps * RATE_PART,
+                                        .writes_per_s = 1, /* no call of the cloud's counts as a write */
+                                        .burst_s = BURST_S,
+                                        .levels = LEVELS,
+                                        .queue_max = QUEUE_MAX};
+  daemon->cloud.limiter = fk_rate_limiter_new(&options, send_now, shed, daemon);
 }
 
 void fk_cloud_client_clear(FkCloudClient *cloud) {
--- a/src/daemon/rate_limiter.c
+++ b/src/daemon/rate_limiter.c
@@ -16,12 +16,11 @@
 } QueuedRequest;
 
 struct FkRateLimiter {
-  double rate, write_rate, burst_s;
+  FkRateLimiterOptions options;
   double tokens;
   double write_tokens;          /* for all levels */
   double reserved_write_tokens; /* for the levels that aren't urgent; what they don't use is for all */
   gint64 refilled_us;
-  guint levels, urgent, max_queue;
   GQueue *queues; /* QueuedRequest, by level */
   guint queued, queued_urgent_writes;
   guint timer; /* 0: nothing waits */
@@ -29,24 +28,19 @@
   gpointer data;
 };
 
-FkRateLimiter *fk_rate_limiter_new(double rate, double write_rate, double burst_s, guint levels, guint urgent,
-                                   guint max_queue, FkRateLimiterCallback send, FkRateLimiterCallback shed,
-                                   gpointer data) {
+FkRateLimiter *fk_rate_limiter_new(const FkRateLimiterOptions *options, FkRateLimiterCallback send,
+                                   FkRateLimiterCallback shed, gpointer data) {
   FkRateLimiter *limiter = g_new0(FkRateLimiter, 1);
-  *limiter = (FkRateLimiter){.rate = rate,
-                             .write_rate = write_rate,
-                             .burst_s = burst_s,
-                             .tokens = rate * burst_s,
-                             .write_tokens = (1 - RESERVED_PART) * write_rate * burst_s,
-                             .reserved_write_tokens = RESERVED_PART * write_rate * burst_s,
-                             .refilled_us = g_get_monotonic_time(),
-                             .levels = levels,
-                             .urgent = urgent,
-                             .max_queue = max_queue,
-                             .queues = g_new0(GQueue, levels),
-                             .send = send,
-                             .shed = shed,
-                             .data = data};
+  *limiter =
+      (FkRateLimiter){.options = *options,
+                      .tokens = options->requests_per_s * options->burst_s,
+                      .write_tokens = (1 - RESERVED_PART) * options->writes_per_s * options->burst_s,
+                      .reserved_write_tokens = RESERVED_PART * options->writes_per_s * options->burst_s,
+                      .refilled_us = g_get_monotonic_time(),
+                      .queues = g_new0(GQueue, options->levels),
+                      .send = send,
+                      .shed = shed,
+                      .data = data};
   return limiter;
 }
 
@@ -54,7 +48,7 @@
   if (!limiter)
     return;
   g_clear_handle_id(&limiter->timer, g_source_remove);
-  for (guint i = 0; i < limiter->levels; i++) {
+  for (guint i = 0; i < limiter->options.levels; i++) {
     QueuedRequest *request;
     while ((request = g_queue_pop_head(&limiter->queues[i]))) {
       limiter->shed(limiter->data, request->item);
@@ -67,20 +61,24 @@
 
 /* ------------------------------------------------------------------ tokens */
 
-static gboolean is_urgent(const FkRateLimiter *limiter, guint level) { return level < limiter->urgent; }
+static gboolean is_urgent(const FkRateLimiter *limiter, guint level) {
+  return level < limiter->options.urgent_levels;
+}
 
 static void refill(FkRateLimiter *limiter) {
   gint64 now_us = g_get_monotonic_time();
   double elapsed_s = (double)(now_us - limiter->refilled_us) / 1e6;
   limiter->refilled_us = now_us;
-  limiter->tokens = MIN(limiter->rate * limiter->burst_s, limiter->tokens + elapsed_s * limiter->rate);
-  double reserved_max = RESERVED_PART * limiter->write_rate * limiter->burst_s;
-  double reserved = limiter->reserved_write_tokens + elapsed_s * RESERVED_PART * limiter->write_rate;
+  limiter->tokens = MIN(limiter->options.requests_per_s * limiter->options.burst_s,
+                        limiter->tokens + elapsed_s * limiter->options.requests_per_s);
+  double reserved_max = RESERVED_PART * limiter->options.writes_per_s * limiter->options.burst_s;
+  double reserved =
+      limiter->reserved_write_tokens + elapsed_s * RESERVED_PART * limiter->options.writes_per_s;
   limiter->reserved_write_tokens = MIN(reserved_max, reserved);
   double overflow = reserved - limiter->reserved_write_tokens;
   limiter->write_tokens =
-      MIN((1 - RESERVED_PART) * limiter->write_rate * limiter->burst_s,
-          limiter->write_tokens + elapsed_s * (1 - RESERVED_PART) * limiter->write_rate + overflow);
+      MIN((1 - RESERVED_PART) * limiter->options.writes_per_s * limiter->options.burst_s,
+          limiter->write_tokens + elapsed_s * (1 - RESERVED_PART) * limiter->options.writes_per_s + overflow);
 }
 
 /* Write tokens for a level that isn't urgent. */
@@ -105,7 +103,8 @@
  * for work in the background. */
 static gboolean can_send(const FkRateLimiter *limiter, guint level, guint writes) {
   if (is_urgent(limiter, level))
-    return limiter->tokens >= -limiter->rate && (!writes || limiter->write_tokens >= -limiter->write_rate);
+    return limiter->tokens >= -limiter->options.requests_per_s &&
+           (!writes || limiter->write_tokens >= -limiter->options.writes_per_s);
   double needed = MIN((double)writes, LARGE_REQUEST_WRITES);
   return limiter->tokens >= 1 && (!writes || spendable_writes(limiter) >= needed);
 }
@@ -115,7 +114,7 @@
 /* Whether anything waits that goes before a new request of that level. Urgent levels and others don't wait
  * for each other. */
 static gboolean has_queued_before(const FkRateLimiter *limiter, guint level) {
-  for (guint i = is_urgent(limiter, level) ? 0 : limiter->urgent; i <= level; i++)
+  for (guint i = is_urgent(limiter, level) ? 0 : limiter->options.urgent_levels; i <= level; i++)
     if (!g_queue_is_empty(&limiter->queues[i]))
       return TRUE;
   return FALSE;
@@ -146,7 +145,7 @@
 static gboolean send_queued(gpointer data) {
   FkRateLimiter *limiter = data;
   refill(limiter);
-  for (guint i = 0; i < limiter->levels; i++)
+  for (guint i = 0; i < limiter->options.levels; i++)
     /* urgent requests that wait don't hold up the others, which have reserved tokens */
     if (!send_level(limiter, i) && !is_urgent(limiter, i))
       return G_SOURCE_CONTINUE;
@@ -170,10 +169,11 @@
 /* ------------------------------------------------------------------ requests */
 
 static gboolean must_shed(const FkRateLimiter *limiter, guint level, guint writes) {
-  gboolean last_urgent = level + 1 == limiter->urgent;
-  gboolean waits_too_long = last_urgent && writes &&
-                            limiter->queued_urgent_writes >= MAX(1, URGENT_WAIT_MAX_S * limiter->write_rate);
-  return limiter->queued >= limiter->max_queue || waits_too_long;
+  gboolean last_urgent = level + 1 == limiter->options.urgent_levels;
+  gboolean waits_too_long =
+      last_urgent && writes &&
+      limiter->queued_urgent_writes >= MAX(1, URGENT_WAIT_MAX_S * limiter->options.writes_per_s);
+  return limiter->queued >= limiter->options.queue_max || waits_too_long;
 }
 
 void fk_rate_limiter_submit(FkRateLimiter *limiter, guint level, guint writes, gpointer item) {
@@ -201,10 +201,10 @@
   limiter->tokens -= 1;
 }
 
-void fk_rate_limiter_set_rates(FkRateLimiter *limiter, double rate, double write_rate) {
+void fk_rate_limiter_set_rates(FkRateLimiter *limiter, double requests_per_s, double writes_per_s) {
   refill(limiter);
-  limiter->rate = rate;
-  limiter->write_rate = write_rate;
+  limiter->options.requests_per_s = requests_per_s;
+  limiter->options.writes_per_s = writes_per_s;
 }
 
 double fk_rate_limiter_available_writes(FkRateLimiter *limiter, guint level) {
--- a/src/daemon/rate_limiter.h
+++ b/src/daemon/rate_limiter.h
@@ -7,12 +7,17 @@
 /* Takes `item`. */
 typedef void (*FkRateLimiterCallback)(gpointer data, gpointer item);
 
-/* `rate` (requests) and `write_rate` are per second, with bursts of `burst_s` seconds. Level 0 is the most
- * urgent one; the first `urgent` of `levels` levels may overdraw the buckets by a second's tokens.
- * `max_queue`: requests that may wait. `send` and `shed` get `data`. */
-FkRateLimiter *fk_rate_limiter_new(double rate, double write_rate, double burst_s, guint levels, guint urgent,
-                                   guint max_queue, FkRateLimiterCallback send, FkRateLimiterCallback shed,
-                                   gpointer data);
+typedef struct {
+  double requests_per_s, writes_per_s;
+  double burst_s;      /* the buckets hold the tokens of so many seconds */
+  guint levels;        /* of priority; 0 is the most urgent one */
+  guint urgent_levels; /* the first ones, which may overdraw the buckets by a second's tokens */
+  guint queue_max;     /* requests that may wait */
+} FkRateLimiterOptions;
+
+/* `send` and `shed` get `data`. */
+FkRateLimiter *fk_rate_limiter_new(const FkRateLimiterOptions *options, FkRateLimiterCallback send,
+                                   FkRateLimiterCallback shed, gpointer data);
 /* Sheds what waits. NULL is fine. */
 void fk_rate_limiter_free(FkRateLimiter *limiter);
 /* Sends, queues or sheds `item`, a request with that many writes (0: it only reads). */
@@ -23,6 +28,6 @@
 /* Charges a request that was sent in any case. */
 void fk_rate_limiter_charge(FkRateLimiter *limiter);
 /* Changes the rates from now on. */
-void fk_rate_limiter_set_rates(FkRateLimiter *limiter, double rate, double write_rate);
+void fk_rate_limiter_set_rates(FkRateLimiter *limiter, double requests_per_s, double writes_per_s);
 /* How many writes would be sent at once at this level. */
 double fk_rate_limiter_available_writes(FkRateLimiter *limiter, guint level);
--- a/src/daemon/store_client.c
+++ b/src/daemon/store_client.c
@@ -280,9 +280,13 @@
   const FkSettings *settings = daemon->settings;
   daemon->store.http = fk_http_client_new(limits->store_connections, limits->store_connections,
                                           IDLE_CONNECTION_S, limits->store_response_bytes);
-  daemon->store.limiter = fk_rate_limiter_new(
-      settings->store_rps * INITIAL_SHARE, settings->store_write_rps * INITIAL_SHARE, BURST_S,
-      FK_PRIORITY_RESULT + 1, FK_PRIORITY_USER + 1, QUEUE_MAX, send_now, shed, daemon);
+  const FkRateLimiterOptions options = {.requests_per_s = settings->store_rps * INITIAL_SHARE,
+                                        .writes_per_s = settings->store_write_rps * INITIAL_SHARE,
+                                        .burst_s = BURST_S,
+                                        .levels = FK_PRIORITY_RESULT + 1,
+                                        .urgent_levels = FK_PRIORITY_USER + 1,
+                                        .queue_max = QUEUE_MAX};
+  daemon->store.limiter = fk_rate_limiter_new(&options, send_now, shed, daemon);
 }
 
 void fk_store_client_clear(FkStoreClient *store) {
--- a/test/test_core.c
+++ b/test/test_core.c
@@ -551,10 +551,20 @@
 static void count_sent(gpointer data, gpointer item) { ++*(guint *)data; }
 static void count_shed(gpointer data, gpointer item) { *(guint *)data += 1000; }
 
+static FkRateLimiter *new_limiter(double requests_per_s, double writes_per_s, guint *sent) {
+  const FkRateLimiterOptions options = {.requests_per_s = requests_per_s,
+                                        .writes_per_s = writes_per_s,
+                                        .burst_s = 1,
+                                        .levels = 3,
+                                        .urgent_levels = 1,
+                                        .queue_max = 100};
+  return fk_rate_limiter_new(&options, count_sent, count_shed, sent);
+}
+
 /* What waits in the background stays within its share; what users wait for may run it into debt. */
 static void test_budget(void) {
   guint sent = 0;
-  FkRateLimiter *b = fk_rate_limiter_new(100, 10, 1.0, 3, 1, 100, count_sent, count_shed, &sent);
+  FkRateLimiter *b = new_limiter(100, 10, &sent);
   for (guint i = 0; i < 4; i++)
     fk_rate_limiter_submit(b, 2, 4,
                            &sent); /* 10 writes are there: two go, the third into debt, the fourth waits */
@@ -564,7 +574,7 @@
     fk_rate_limiter_submit(b, 0, 1, &sent);
   g_assert_cmpuint(sent, ==, 8);
   /* ... and a large one needn't wait for a full budget that others keep from filling */
-  FkRateLimiter *small = fk_rate_limiter_new(100, 10, 1.0, 3, 1, 100, count_sent, count_shed, &sent);
+  FkRateLimiter *small = new_limiter(100, 10, &sent);
   fk_rate_limiter_submit(small, 1, 7, &sent);
   fk_rate_limiter_submit(small, 2, 24, &sent);
   g_assert_cmpuint(sent, ==, 10);
@@ -573,7 +583,7 @@
   /* A crowd of submissions runs into debt, waits for a second at the most, and leaves launches their part: a
    * leader that was sent the submissions of all once started nothing for 10 s. */
   sent = 0;
-  FkRateLimiter *crowd = fk_rate_limiter_new(1000, 10, 1.0, 3, 1, 100, count_sent, count_shed, &sent);
+  FkRateLimiter *crowd = new_limiter(1000, 10, &sent);
   for (guint i = 0; i < 40; i++)
     fk_rate_limiter_submit(crowd, 0, 1, &sent);
   g_assert_cmpuint(sent % 1000, ==, 17); /* 6.5 that are for all, and 10 that are owed */
