--- a/src/simulation/main.c
+++ b/src/simulation/main.c
@@ -13,7 +13,7 @@
 } subcommands[] = {
     {"digest", "one checksum a schedule, over everything that its controllers send", fk_lab_digest},
     {"recovery", "how long a fleet takes to recover from the loss of many machines", fk_sim_recovery},
-    {"scale", "real controllers against thousands of hollow workers, in real time", fk_sim_scale},
+    {"scale", "real controllers against thousands of simulated workers, in real time", fk_sim_scale},
     {"slopes", "straight lines through the figures of several scale runs", fk_sim_slopes}};
 
 static void log_errors_only(const char *domain, GLogLevelFlags level, const char *text, gpointer data) {
--- a/src/simulation/scale/plan.c
+++ b/src/simulation/scale/plan.c
@@ -47,21 +47,31 @@
   g_free(plan);
 }
 
-gboolean fk_scale_plan_add_fault(FkScalePlan *plan, const char *text, GError **error) {
+/* FALSE when the text is no number or a negative one. */
+static gboolean parse_seconds(const char *text, double *seconds) {
+  char *end = NULL;
+  *seconds = g_ascii_strtod(text, &end);
+  return end != text && !*end && *seconds >= 0;
+}
+
+static gboolean parse_fault(const char *text, FkScaleFault *fault) {
   g_auto(GStrv) parts = g_strsplit_set(text, "@:", 3);
-  for (guint i = 0; parts[0] && parts[1] && i < G_N_ELEMENTS(fault_kinds); i++) {
+  if (!parts[0] || !parts[1])
+    return FALSE;
+  for (guint i = 0; i < G_N_ELEMENTS(fault_kinds); i++) {
     if (!g_str_equal(parts[0], fault_kinds[i].word))
       continue;
-    char *end = NULL;
-    FkScaleFault f = {fault_kinds[i].kind, g_ascii_strtod(parts[1], &end), fault_kinds[i].default_duration_s};
-    gboolean good = end != parts[1] && !*end && f.at_s >= 0;
-    if (good && parts[2]) {
-      f.duration_s = g_ascii_strtod(parts[2], &end);
-      good = end != parts[2] && !*end && f.duration_s >= 0;
-    }
-    if (!good)
-      break;
-    g_array_append_val(plan->faults, f);
+    *fault = (FkScaleFault){.kind = fault_kinds[i].kind, .duration_s = fault_kinds[i].default_duration_s};
+    return parse_seconds(parts[1], &fault->at_s) &&
+           (!parts[2] || parse_seconds(parts[2], &fault->duration_s));
+  }
+  return FALSE;
+}
+
+gboolean fk_scale_plan_add_fault(FkScalePlan *plan, const char *text, GError **error) {
+  FkScaleFault fault;
+  if (parse_fault(text, &fault)) {
+    g_array_append_val(plan->faults, fault);
     return TRUE;
   }
   g_set_error(error, G_OPTION_ERROR, G_OPTION_ERROR_BAD_VALUE,
@@ -72,8 +82,8 @@
 
 gboolean fk_scale_plan_validate(const FkScalePlan *plan, GError **error) {
   const struct {
-    const char *what;
-    gboolean good;
+    const char *message;
+    gboolean valid;
   } rules[] = {{"--regions: 1 to 50", plan->regions >= 1 && plan->regions <= 50},
                {"--zones: one a region at the least, 50 at the most",
                 plan->zones >= plan->regions && plan->zones <= 50 * plan->regions},
@@ -92,8 +102,8 @@
                {"--fleet-processes: 1 to 16", plan->worker_processes >= 1 && plan->worker_processes <= 16},
                {"--base: 1 to 200", plan->address_base >= 1 && plan->address_base + plan->regions <= 250}};
   for (guint i = 0; i < G_N_ELEMENTS(rules); i++)
-    if (!rules[i].good) {
-      g_set_error(error, G_OPTION_ERROR, G_OPTION_ERROR_BAD_VALUE, "%s", rules[i].what);
+    if (!rules[i].valid) {
+      g_set_error(error, G_OPTION_ERROR, G_OPTION_ERROR_BAD_VALUE, "%s", rules[i].message);
       return FALSE;
     }
   return TRUE;
--- a/src/simulation/scale/plan.h
+++ b/src/simulation/scale/plan.h
@@ -6,8 +6,8 @@
 
 #include "wire/json.h"
 
-#define FK_SCALE_TASK_CPUS 1.0 /* of every task */
-#define FK_SCALE_INSTANCE_TYPE "hollow"
+#define FK_SCALE_TASK_CPUS 1.0          /* of every task */
+#define FK_SCALE_INSTANCE_TYPE "hollow" /* in heartbeats, whose size is measured */
 
 typedef enum {
   FK_SCALE_FAULT_KILL,      /* a controller: SIGKILL, restarted after `duration_s` */
--- a/src/simulation/scale/processes.c
+++ b/src/simulation/scale/processes.c
@@ -17,6 +17,10 @@
 #define START_TIMEOUT_S 30.0
 #define PROBE_INTERVAL_MS 500
 #define MEMORY_CHECK_MS 1000
+#define IDLE_RETENTION_S 600 /* idle machines are kept: the run measures the load, not the autoscaler */
+#define HTTP_CALLS_MAX 100
+#define ANSWER_BYTES_MAX 65536
+#define PROBE_TIMEOUT_S 1
 #define EXIT_GRACE_S 3.0 /* the stand-ins exit by themselves when the run is over */
 
 typedef struct {
@@ -71,15 +75,12 @@
   return g_file_set_contents(path, text, -1, error);
 }
 
-/* Idle machines are kept: the run measures the load, not the autoscaler. */
-#define IDLE_RETENTION_S 600
-
 static gboolean spawn_controller(const FkScalePlan *plan, Process *process, GError **error) {
   g_autofree char *settings = path_in(plan, process->name, ".json"),
                   *operator_settings = path_in(plan, "operator", ".json");
-  cJSON *idle = cJSON_CreateObject();
-  cJSON_AddNumberToObject(idle, "idle_s", IDLE_RETENTION_S);
-  if (!write_json(operator_settings, idle, error) ||
+  cJSON *operator_json = cJSON_CreateObject();
+  cJSON_AddNumberToObject(operator_json, "idle_s", IDLE_RETENTION_S);
+  if (!write_json(operator_settings, operator_json, error) ||
       !write_json(settings, fk_scale_controller_settings(plan, process->region, process->number), error))
     return FALSE;
   g_auto(GStrv) environment = g_environ_setenv(g_get_environ(), "LOG_LEVEL", "info", TRUE);
@@ -99,7 +100,8 @@
   return self && spawn(plan, process, argv, NULL, error);
 }
 
-/* Deletes the log of an earlier run in the same folder, so that it isn't counted. */
+/* Adds a process that isn't running yet. Deletes the log of an earlier run in the same folder, so that it
+ * isn't counted. */
 static Process *add_process(FkProcesses *processes, char *name /* taken */, guint region) {
   Process *process = g_new0(Process, 1);
   g_autofree char *log = path_in(processes->plan, name, ".log");
@@ -120,6 +122,21 @@
   return TRUE;
 }
 
+static gboolean start_controller(FkProcesses *processes, guint region, guint number, GError **error) {
+  const FkScalePlan *plan = processes->plan;
+  Process *process = add_process(processes, g_strdup_printf("control-%u-%u", region, number), region);
+  process->controller = TRUE;
+  process->number = number;
+  if (!spawn_controller(plan, process, error))
+    return FALSE;
+  process->metrics =
+      fk_metrics_log_new(plan->output_dir, process->name, plan->start_us, (guint)process->pid, error);
+  if (!process->metrics)
+    return FALSE;
+  fk_metrics_log_start(process->metrics, NULL, NULL);
+  return TRUE;
+}
+
 static gboolean start_region(FkProcesses *processes, guint region, GError **error) {
   static const FkScaleRole roles[] = {FK_SCALE_ROLE_STORE, FK_SCALE_ROLE_USERS};
   if (!start_worker_processes(processes, region, error))
@@ -130,18 +147,9 @@
     if (!spawn_stand_in(processes->plan, process, roles[i], error))
       return FALSE;
   }
-  for (guint i = 0; i < fk_scale_region_controllers(processes->plan, region); i++) {
-    Process *process = add_process(processes, g_strdup_printf("control-%u-%u", region, i), region);
-    process->controller = TRUE;
-    process->number = i;
-    if (!spawn_controller(processes->plan, process, error))
+  for (guint i = 0; i < fk_scale_region_controllers(processes->plan, region); i++)
+    if (!start_controller(processes, region, i, error))
       return FALSE;
-    process->metrics = fk_metrics_log_new(processes->plan->output_dir, process->name,
-                                          processes->plan->start_us, (guint)process->pid, error);
-    if (!process->metrics)
-      return FALSE;
-    fk_metrics_log_start(process->metrics, NULL, NULL);
-  }
   return TRUE;
 }
 
@@ -151,7 +159,7 @@
   FkProcesses *processes = g_new0(FkProcesses, 1);
   processes->plan = plan;
   processes->all = g_ptr_array_new_with_free_func(process_free);
-  processes->http = fk_http_client_new_for_many_hosts(100, 65536);
+  processes->http = fk_http_client_new_for_many_hosts(HTTP_CALLS_MAX, ANSWER_BYTES_MAX);
   processes->loop = g_main_loop_new(NULL, FALSE);
   for (guint r = 0; r < plan->regions; r++)
     if (!start_region(processes, r, error)) {
@@ -192,22 +200,23 @@
 
 static gboolean probe_controllers(gpointer data) {
   FkProcesses *processes = data;
-  gboolean all = TRUE;
+  gboolean all_up = TRUE;
   double since_s = (double)(g_get_monotonic_time() - processes->plan->start_us) / 1e6;
   for (guint i = 0; i < processes->all->len; i++) {
     Process *process = processes->all->pdata[i];
     if (!process->controller || process->up)
       continue;
-    all = FALSE;
+    all_up = FALSE;
     if (since_s > START_TIMEOUT_S) {
       abort_run(processes, g_strdup_printf("%s didn't come up within %g s; see its log", process->name,
                                            START_TIMEOUT_S));
       return G_SOURCE_REMOVE;
     }
     g_autofree char *addr = fk_scale_user_addr(processes->plan, process->region, process->number);
-    fk_http_client_call(processes->http, "GET", addr, "/up", NULL, 1, on_probe_response, process);
+    fk_http_client_call(processes->http, "GET", addr, "/up", NULL, PROBE_TIMEOUT_S, on_probe_response,
+                        process);
   }
-  return all ? G_SOURCE_REMOVE : G_SOURCE_CONTINUE;
+  return all_up ? G_SOURCE_REMOVE : G_SOURCE_CONTINUE;
 }
 
 static gboolean check_memory(gpointer data) {
--- a/src/simulation/scale/store_stand_in.c
+++ b/src/simulation/scale/store_stand_in.c
@@ -39,6 +39,7 @@
   g_free(watch);
 }
 
+/* Whether a planned outage is going on. */
 static gboolean is_outage(const StoreStandIn *stand_in) {
   double now_s = (double)(g_get_monotonic_time() - stand_in->plan->start_us) / 1e6;
   for (guint i = 0; i < stand_in->plan->faults->len; i++) {
@@ -139,6 +140,7 @@
   respond(stand_in, message, 200, body);
 }
 
+/* The paths of failed guards are appended to `failed`. */
 static FkStoreOutcome commit(StoreStandIn *stand_in, const FkStoreTransaction *transaction,
                              GPtrArray *failed) {
   g_autoptr(GArray) guards = g_array_new(FALSE, FALSE, sizeof(FkStoreGuard)),
@@ -231,8 +233,9 @@
     reject(stand_in, message, 503);
     return;
   }
-  g_autoptr(FkStoreTransaction) transaction = NULL;
-  if (g_str_equal(path, "/commit") && !(transaction = fk_store_parse_transaction(body, len))) {
+  gboolean is_commit = g_str_equal(path, "/commit");
+  g_autoptr(FkStoreTransaction) transaction = is_commit ? fk_store_parse_transaction(body, len) : NULL;
+  if (is_commit && !transaction) {
     respond(stand_in, message, 400, g_strdup("{}"));
     return;
   }
--- a/src/simulation/scale/user_stand_in.c
+++ b/src/simulation/scale/user_stand_in.c
@@ -25,7 +25,7 @@
 #define CANCEL_S_MIN 10.0    /* after the submission was accepted */
 #define CANCEL_S_MAX 60.0
 #define CONNECTIONS_MAX 2000
-#define ANY_NODE -1 /* the load balancer picks one */
+#define ANY_NODE (-1) /* the load balancer picks one */
 
 typedef struct {
   const FkScalePlan *plan;
@@ -53,8 +53,15 @@
 /* ------------------------------------------------------------------ requests */
 
 typedef struct Request Request;
-typedef void (*ResponseFn)(Users *users, gpointer data, guint status, const char *body, gsize len,
-                           double retry_s);
+
+typedef struct {
+  guint status; /* 0: there was no response */
+  const char *body;
+  gsize len;
+  double retry_after_s; /* 0: not given */
+} Response;
+
+typedef void (*ResponseFn)(Users *users, gpointer data, const Response *response);
 
 struct Request {
   Users *users;
@@ -82,27 +89,31 @@
   Request *request = data;
   g_autoptr(GError) error = NULL;
   g_autoptr(GBytes) bytes = soup_session_send_and_read_finish(SOUP_SESSION(session), result, &error);
-  gsize len = 0;
-  const char *body = bytes ? g_bytes_get_data(bytes, &len) : NULL;
+  Response response = {.body = ""};
+  if (bytes) {
+    gconstpointer body = g_bytes_get_data(bytes, &response.len);
+    response.body = body ? body : "";
+    response.status = soup_message_get_status(request->message);
+    response.retry_after_s = retry_after(request->message);
+  }
   g_clear_handle_id(&request->timer, g_source_remove);
   fk_load_balancer_connection_closed(request->users->balancer, (guint)request->node,
                                      g_error_matches(error, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED),
                                      g_get_monotonic_time());
-  request->on_response(request->users, request->data, bytes ? soup_message_get_status(request->message) : 0,
-                       body ? body : "", len, bytes ? retry_after(request->message) : 0);
+  request->on_response(request->users, request->data, &response);
   g_object_unref(request->message);
   g_object_unref(request->cancel);
   g_free(request);
 }
 
-/* Sends a request to a node, or to one that the load balancer picks (ANY_NODE). `on_response` is called once;
- * status 0: there was no response. */
+/* Sends a request to a node, or to one that the load balancer picks (ANY_NODE). `on_response` is called once.
+ */
 static void send_request(Users *users, int node, const char *method, const char *path, const char *body,
                          double timeout_s, ResponseFn on_response, gpointer data) {
   if (node < 0)
     node = fk_load_balancer_pick(users->balancer, g_get_monotonic_time());
   if (node < 0) {
-    on_response(users, data, 0, "", 0, 0);
+    on_response(users, data, &(Response){.body = ""});
     return;
   }
   g_autofree char *addr = fk_scale_user_addr(users->plan, users->region, (guint)node),
@@ -127,9 +138,8 @@
 
 static void probe(gpointer owner, gpointer data);
 
-static void on_probe_response(Users *users, gpointer data, guint status, const char *body, gsize len,
-                              double retry_s) {
-  fk_load_balancer_record_probe(users->balancer, ((Probe *)data)->node, status == 200,
+static void on_probe_response(Users *users, gpointer data, const Response *response) {
+  fk_load_balancer_record_probe(users->balancer, ((Probe *)data)->node, response->status == 200,
                                 g_get_monotonic_time());
   schedule(users, PROBE_INTERVAL_S, probe, data);
 }
@@ -155,16 +165,15 @@
 
 static void poll(gpointer owner, gpointer data);
 
-static void on_poll_response(Users *users, gpointer data, guint status, const char *body, gsize len,
-                             double retry_s) {
+static void on_poll_response(Users *users, gpointer data, const Response *response) {
   Job *job = data;
   FkJobState state;
   fk_metrics_log_add(users->metrics, "polls", 1);
   if (job->over)
     return;
-  if (status == 404)
+  if (response->status == 404)
     log_event(users, job, FK_RUN_EVENT_POLL_NOT_FOUND);
-  else if (status == 200 && fk_user_parse_state(body, len, &state)) {
+  else if (response->status == 200 && fk_user_parse_state(response->body, response->len, &state)) {
     if (state.phase == FK_PHASE_DONE)
       finish_job(users, job, FK_RUN_EVENT_JOB_DONE);
     else if (state.phase == FK_PHASE_CANCELLED)
@@ -188,16 +197,15 @@
 
 static void cancel(gpointer owner, gpointer data);
 
-static void on_cancel_response(Users *users, gpointer data, guint status, const char *body, gsize len,
-                               double retry_s) {
+static void on_cancel_response(Users *users, gpointer data, const Response *response) {
   Job *job = data;
   FkJobState state;
   if (job->over)
     return;
-  if (status == 200 && fk_user_parse_state(body, len, &state))
+  if (response->status == 200 && fk_user_parse_state(response->body, response->len, &state))
     finish_job(users, job, state.phase == FK_PHASE_DONE ? FK_RUN_EVENT_JOB_DONE : FK_RUN_EVENT_JOB_CANCELLED);
   else
-    schedule(users, MAX(RETRY_S_MIN, retry_s), cancel, job);
+    schedule(users, MAX(RETRY_S_MIN, response->retry_after_s), cancel, job);
 }
 
 static void cancel(gpointer owner, gpointer data) {
@@ -224,25 +232,24 @@
 
 static void submit(gpointer owner, gpointer data);
 
-static void on_submit_response(Users *users, gpointer data, guint status, const char *body, gsize len,
-                               double retry_s) {
+static void on_submit_response(Users *users, gpointer data, const Response *response) {
   Job *job = data;
-  if (status == 200 || status == 201) {
+  if (response->status == 200 || response->status == 201) {
     on_accepted(users, job);
     return;
   }
   fk_metrics_log_add(users->metrics,
-                     status == 503 || status == 429 ? "shed"
-                     : status                       ? "refused"
-                                                    : "unanswered",
+                     response->status == 503 || response->status == 429 ? "shed"
+                     : response->status                                 ? "refused"
+                                                                        : "unanswered",
                      1);
   double since_s = (double)(g_get_monotonic_time() - job->submitted_us) / 1e6;
-  if (status == 400 || status == 422 || since_s > GIVE_UP_S) {
+  if (response->status == 400 || response->status == 422 || since_s > GIVE_UP_S) {
     log_event(users, job, FK_RUN_EVENT_REJECTED);
     fk_metrics_log_add(users->metrics, "given_up", 1);
     return;
   }
-  schedule(users, CLAMP(retry_s, RETRY_S_MIN, RETRY_S_MAX), submit, job);
+  schedule(users, CLAMP(response->retry_after_s, RETRY_S_MIN, RETRY_S_MAX), submit, job);
 }
 
 static void submit(gpointer owner, gpointer data) {
