--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -23,7 +23,6 @@
 static gboolean parse_address(const cJSON *json, const char *field, char **out, GError **error) {
   if (!parse_string(json, field, out, error))
     return FALSE;
-  g_autoptr(GInetSocketAddress) addr = NULL;
   const char *colon = strrchr(*out, ':');
   guint64 port;
   g_autofree char *host = colon ? g_strndup(*out, colon - *out) : NULL;
--- a/src/wire/store_records.c
+++ b/src/wire/store_records.c
@@ -292,45 +292,85 @@
   return g_steal_pointer(&chunk);
 }
 
+static void add_string_if_set(cJSON *json, const char *name, const char *value) {
+  if (value)
+    cJSON_AddStringToObject(json, name, value);
+}
+
+static cJSON *job_to_json(const FkRecord *record) {
+  cJSON *json = spec_to_json(record->spec);
+  if (record->cancelled)
+    cJSON_AddBoolToObject(json, "cancelled", TRUE);
+  return json;
+}
+
+static cJSON *team_to_json(const FkRecord *record) {
+  cJSON *json = cJSON_CreateObject();
+  add_string_if_set(json, "node", record->last_exhausted_by);
+  if (record->partition)
+    cJSON_AddItemToObject(json, "split", partition_to_json(record->partition));
+  return json;
+}
+
+static cJSON *owner_to_json(const FkRecord *record) {
+  cJSON *json = cJSON_CreateObject();
+  add_string_if_set(json, "node", record->node);
+  add_string_if_set(json, "life", record->incarnation);
+  return json;
+}
+
+static cJSON *terminal_job_to_json(const FkRecord *record) {
+  cJSON *json = cJSON_CreateObject();
+  cJSON_AddNumberToObject(json, "phase", record->phase);
+  cJSON_AddNumberToObject(json, "tasks", record->tasks);
+  if (record->ended_at_ms)
+    cJSON_AddNumberToObject(json, "at", (double)record->ended_at_ms);
+  return json;
+}
+
+static cJSON *wait_times_to_json(const FkWaitTimes *waits) {
+  cJSON *json = cJSON_CreateObject();
+  fk_json_add_u64(json, "window", waits->window);
+  cJSON_AddNumberToObject(json, "sum", waits->capped_sum_s);
+  fk_json_add_u64(json, "count", waits->capped_count);
+  cJSON_AddNumberToObject(json, "all_sum", waits->sum_s);
+  fk_json_add_u64(json, "all_count", waits->count);
+  return json;
+}
+
+static cJSON *launch_fence_to_json(const FkRecord *record) {
+  cJSON *json = cJSON_CreateObject();
+  if (record->supports_dependencies)
+    cJSON_AddBoolToObject(json, "chains", TRUE);
+  return json;
+}
+
 cJSON *fk_store_record_to_json(const FkRecord *record) {
-  cJSON *json;
   switch (record->kind) {
   case FK_KEY_JOB:
-    json = spec_to_json(record->spec);
-    if (record->cancelled)
-      cJSON_AddBoolToObject(json, "cancelled", TRUE);
-    return json;
+    return job_to_json(record);
   case FK_KEY_CHUNK:
     return chunk_to_json(record->chunk);
   case FK_KEY_MACHINE_PAGE:
     return page_to_json(record->machines);
   case FK_KEY_COMPLETIONS:
     return completions_to_json(record->completions);
-  default:
+  case FK_KEY_SHARD:
+  case FK_KEY_NODE:
+  case FK_KEY_LEADER:
+    return owner_to_json(record);
+  case FK_KEY_TEAM:
+    return team_to_json(record);
+  case FK_KEY_TERMINAL_JOB:
+    return terminal_job_to_json(record);
+  case FK_KEY_WAIT_TIMES:
+    return wait_times_to_json(&record->wait_times);
+  case FK_KEY_LAUNCH_FENCE:
+    return launch_fence_to_json(record);
+  case FK_KEY_OTHER:
     break;
   }
-  json = cJSON_CreateObject();
-  if (record->node)
-    cJSON_AddStringToObject(json, "node", record->node);
-  if (record->incarnation)
-    cJSON_AddStringToObject(json, "life", record->incarnation);
-  if (record->kind == FK_KEY_TEAM && record->partition) {
-    cJSON_AddItemToObject(json, "split", partition_to_json(record->partition));
-  } else if (record->kind == FK_KEY_TERMINAL_JOB) {
-    cJSON_AddNumberToObject(json, "phase", record->phase);
-    cJSON_AddNumberToObject(json, "tasks", record->tasks);
-    if (record->ended_at_ms)
-      cJSON_AddNumberToObject(json, "at", (double)record->ended_at_ms);
-  } else if (record->kind == FK_KEY_LAUNCH_FENCE && record->supports_dependencies) {
-    cJSON_AddBoolToObject(json, "chains", TRUE);
-  } else if (record->kind == FK_KEY_WAIT_TIMES) {
-    fk_json_add_u64(json, "window", record->wait_times.window);
-    cJSON_AddNumberToObject(json, "sum", record->wait_times.capped_sum_s);
-    fk_json_add_u64(json, "count", record->wait_times.capped_count);
-    cJSON_AddNumberToObject(json, "all_sum", record->wait_times.sum_s);
-    fk_json_add_u64(json, "all_count", record->wait_times.count);
-  }
-  return json;
+  return cJSON_CreateObject();
 }
 
 FkRecord *fk_store_record_from_json(const char *path, const cJSON *json) {
@@ -382,7 +422,7 @@
       return NULL;
     break;
   case FK_KEY_TEAM:
-    record->node = g_strdup(fk_json_str(json, "node"));
+    record->last_exhausted_by = g_strdup(fk_json_str(json, "node"));
     record->partition = partition_from_json(fk_json_get(json, "split"));
     break;
   case FK_KEY_LAUNCH_FENCE:
