--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -22,7 +22,7 @@
 
 typedef struct FkWorkerState FkWorkerState;
 
-/* A machine that was sent to its home and came back: the last two times. */
+/* When a worker that was redirected to its owner came back: the last two times. */
 typedef struct {
   FkTime last_at, previous_at;
 } FkHandback;
@@ -31,42 +31,43 @@
  * "zone.k+1", ... Only versions that support dependencies read those with a number. */
 #define FK_SHARD_PAGES_MAX 8
 
-/* Machines of one zone that have one home together: the claim's revision is the token of them all. */
+/* A part of a zone's machines, which have one owner. The revision of its record is the fencing token of them
+ * all. */
 typedef struct {
   const char *id, *zone;               /* interned */
-  char *owner, *owner_incarnation;     /* the controller, and which of its lives; NULL: none yet */
-  FkRev rev;                           /* the claim's; 0: none */
+  char *owner, *owner_incarnation;     /* NULL: none yet */
+  FkRev rev;                           /* of its record: the fencing token; 0: none */
   FkRev page_revs[FK_SHARD_PAGES_MAX]; /* of its page's parts */
   gboolean oversized;                  /* a part was written under larger limits than those to come */
-  GPtrArray *machines;                 /* FkMachine: those described in the page, and others heard of */
+  GPtrArray *machines;                 /* FkMachine: those described in the page, and others seen */
   FkTime acquire_after, no_handback_until;
-  FkTime
-      ignore_returns_until; /* another has just taken it from us: that its workers come back proves nothing */
+  FkTime ignore_returns_until; /* another controller has just acquired it: that its workers come back proves
+                                  nothing */
   gboolean was_owned;
-  FkRev later_token; /* the highest token that its workers have shown us while our view was old: above `rev`,
-                  another     has claimed it */
-  guint announcements_due; /* machines to be shown the claim at once */
-  gboolean
-      acquire_wanted;  /* to be claimed: its workers can't reach their home, or a start must be made void */
-  gboolean page_dirty; /* its page is to be written ... */
+  FkRev later_token;       /* the highest token that its workers have echoed; above `rev` another
+                              controller has acquired it, and the view is behind */
+  guint announcements_due; /* machines that are to be told the new token at once */
+  gboolean acquire_wanted; /* its workers can't reach their owner, or a start must be made void */
+  gboolean page_dirty;     /* its page is to be written ... */
   FkTime page_dirty_since;
-  FkTime removal_due;            /* ... by then at the latest: somebody is to be taken out of it; 0: nobody */
-  GHashTable *returned_machines; /* machines that came back from their home lately -> FkHandback* */
+  FkTime removal_due; /* ... by then at the latest, since a machine is to be taken out; 0: none is */
+  GHashTable *returned_machines; /* id of a machine that came back from its owner lately -> FkHandback* */
 } FkShard;
 
+/* A machine, with what the view, its shard's owner and the scheduler know of it. */
 typedef struct {
   const char *id;                   /* interned */
-  FkMachineRecord *record;          /* NULL: not described in its group's page */
+  FkMachineRecord *record;          /* NULL: not described in its shard's page */
   FkShard *shard;                   /* NULL: its zone isn't known */
-  FkRev page_rev;                   /* the latest part of its group's page that had it, */
+  FkRev page_rev;                   /* of the latest part of the shard's page that had it, */
   guint page_part;                  /* and which that is */
   FkMachineRecord *pending_record;  /* what is to be written of it */
-  const char *pending_drain_reason; /* interned: the mark to be written, or NULL: as it is */
+  const char *pending_drain_reason; /* interned: to be written; NULL: as it is */
   double pending_notice_s;
   gboolean pending_clear, pending_removal;
   struct FkInstanceType *type;                             /* cached */
   GArray *allocations;                                     /* FkAllocationRef */
-  double allocated_cpus, allocated_gpus, allocated_mem_gb; /* booked */
+  double allocated_cpus, allocated_gpus, allocated_mem_gb; /* by `allocations` */
   double reserved_cpus, reserved_gpus, reserved_mem_gb;    /* in transactions under way */
   double allocated_long_cpus;
   const char *drain_reason; /* interned: why it should go, or NULL */
@@ -75,13 +76,14 @@
   double notice_s;
   FkTime idle_since;
   gboolean blacklisted;
-  FkTime full_until;                /* it refused a start: nothing new for a while */
-  FkWorkerState *worker;            /* this controller's dealings with it, if it is home */
-  GDestroyNotify worker_state_free; /* of `home` */
-  GHashTable *images;               /* images started there lately (interned) */
-  GPtrArray *probes; /* FkJob, with a reference: short jobs that may start here; NULL: none yet */
+  FkTime full_until;                /* it refused a start: no other until then */
+  FkWorkerState *worker;            /* what its owner keeps of it; NULL: owned elsewhere */
+  GDestroyNotify worker_state_free; /* frees `worker` */
+  GHashTable *images;               /* images of tasks allocated there (interned) */
+  GPtrArray *probes; /* FkJob, with a reference: short jobs that may start there; NULL: none yet */
 } FkMachine;
 
+/* A live controller. */
 typedef struct {
   char *name, *incarnation;
   FkRev rev;
@@ -107,6 +109,8 @@
   gboolean supports_dependencies; /* between jobs, and machine pages in parts */
 } FkLaunchFence;
 
+/* Tables own their values unless it says otherwise. `now` and `wall_offset_us` are set by the owner before
+ * changes are applied. */
 typedef struct FkView FkView;
 struct FkView {
   const FkSettings *settings;
--- a/src/core/state/view_completions.c
+++ b/src/core/state/view_completions.c
@@ -76,6 +76,43 @@
   return -1;
 }
 
+static void add_completion_record(FkView *v, FkCompletionRecord *completion) {
+  GPtrArray *of_chunk = g_hash_table_lookup(v->completions_by_chunk, completion->chunk);
+  if (!of_chunk) {
+    of_chunk = g_ptr_array_new();
+    g_hash_table_insert(v->completions_by_chunk, g_strdup(completion->chunk), of_chunk);
+  }
+  g_ptr_array_add(of_chunk, completion);
+  apply_completion_record(v, completion);
+}
+
+/* Puts the record in the place of the one that the old page (NULL: none) had for the same chunk. */
+static void set_completion_record(FkView *v, FkCompletionRecord *completion, const FkCompletionPage *old) {
+  GPtrArray *of_chunk = g_hash_table_lookup(v->completions_by_chunk, completion->chunk);
+  gint position = index_in_page(of_chunk, old);
+  if (position < 0) {
+    add_completion_record(v, completion);
+    return;
+  }
+  FkCompletionRecord *before = of_chunk->pdata[position];
+  gboolean unchanged = is_same_completion_record(before, completion);
+  before->page = NULL; /* replaced */
+  of_chunk->pdata[position] = completion;
+  if (!unchanged)
+    apply_completion_record(v, completion);
+}
+
+/* Drops the records of the old page that the new one has not replaced. */
+static void remove_completion_records(FkView *v, const FkCompletionPage *old) {
+  for (guint i = 0; i < old->ends->len; i++) {
+    FkCompletionRecord *completion = old->ends->pdata[i];
+    GPtrArray *of_chunk =
+        completion->page ? g_hash_table_lookup(v->completions_by_chunk, completion->chunk) : NULL;
+    if (of_chunk && g_ptr_array_remove_fast(of_chunk, completion) && !of_chunk->len)
+      g_hash_table_remove(v->completions_by_chunk, completion->chunk);
+  }
+}
+
 /* A page of completions replaces the one before it. It is written twice a second and mostly repeats itself:
  * only records that differ are worked on. */
 void fk_view_set_completions(FkView *v, const char *id, FkRecord *record, FkRev rev) {
@@ -89,32 +126,11 @@
   }
   for (guint i = 0; page && i < page->ends->len; i++) {
     FkCompletionRecord *completion = page->ends->pdata[i];
-    GPtrArray *of_chunk = g_hash_table_lookup(v->completions_by_chunk, completion->chunk);
     completion->page = page;
-    gint position = index_in_page(of_chunk, old);
-    if (position >= 0) {
-      FkCompletionRecord *before = of_chunk->pdata[position];
-      gboolean unchanged = is_same_completion_record(before, completion);
-      before->page = NULL; /* replaced */
-      of_chunk->pdata[position] = completion;
-      if (!unchanged)
-        apply_completion_record(v, completion);
-      continue;
-    }
-    if (!of_chunk) {
-      of_chunk = g_ptr_array_new();
-      g_hash_table_insert(v->completions_by_chunk, g_strdup(completion->chunk), of_chunk);
-    }
-    g_ptr_array_add(of_chunk, completion);
-    apply_completion_record(v, completion);
-  }
-  for (guint i = 0; old && i < old->ends->len; i++) {
-    FkCompletionRecord *completion = old->ends->pdata[i];
-    GPtrArray *of_chunk =
-        completion->page ? g_hash_table_lookup(v->completions_by_chunk, completion->chunk) : NULL;
-    if (of_chunk && g_ptr_array_remove_fast(of_chunk, completion) && !of_chunk->len)
-      g_hash_table_remove(v->completions_by_chunk, completion->chunk);
+    set_completion_record(v, completion, old);
   }
+  if (old)
+    remove_completion_records(v, old);
   if (page)
     g_hash_table_replace(v->completion_pages, g_strdup(id), page);
   else
--- a/src/core/state/view_jobs.c
+++ b/src/core/state/view_jobs.c
@@ -60,6 +60,41 @@
   }
 }
 
+static FkJob *add_job(FkView *v, const char *id, FkSpec *spec) {
+  FkJob *job = g_new0(FkJob, 1);
+  job->ref_count = 1;
+  job->spec = fk_spec_ref(spec);
+  job->chunk_count = fk_spec_chunk_count(spec);
+  job->chunks = g_new0(FkChunk *, job->chunk_count);
+  job->base_chunks = g_new0(FkChunk *, job->chunk_count);
+  job->first_seen_at = v->now;
+  job->submitted_us = MIN(spec->submitted_ms * 1000 - v->wall_offset_us, v->now.us);
+  job->startable_us = job->submitted_us;
+  job->deadline_us = fk_job_own_deadline_us(job);
+  job->inherited_priority = spec->priority;
+  g_hash_table_insert(v->jobs, spec->id, job);
+  list_job(v, job);
+  /* a dependent may have come before it */
+  fk_dependency_graph_set_state(v->dependencies, id, FK_DEPENDENCY_LIVE, 0);
+  add_dependencies(v, job);
+  return job;
+}
+
+static void count_service(FkView *v, FkSpec *spec) {
+  fk_spec_unref(v->latest_service);
+  v->latest_service = fk_spec_ref(spec);
+  v->services_since_rate += MIN(spec->tasks, SERVICE_TASKS_COUNTED_MAX);
+}
+
+/* The job is cancelled now: its tasks are to be stopped. */
+static void mark_machines_changed(FkView *v, const FkJob *job) {
+  for (guint32 i = 0; i < job->chunk_count; i++)
+    for (guint k = 0; job->chunks[i] && k < job->chunks[i]->allocations->len; k++) {
+      const FkAllocation *allocation = &g_array_index(job->chunks[i]->allocations, FkAllocation, k);
+      fk_view_mark_machine_changed(v, fk_view_ensure_machine(v, allocation->machine));
+    }
+}
+
 void fk_view_set_job(FkView *v, const char *id, FkRecord *record, FkRev rev) {
   FkJob *job = fk_view_find_job(v, id);
   if (job && job->rev.n >= rev.n)
@@ -70,38 +105,13 @@
     return;
   }
   if (!job) {
-    job = g_new0(FkJob, 1);
-    job->ref_count = 1;
-    job->spec = fk_spec_ref(record->spec);
-    job->chunk_count = fk_spec_chunk_count(job->spec);
-    job->chunks = g_new0(FkChunk *, job->chunk_count);
-    job->base_chunks = g_new0(FkChunk *, job->chunk_count);
-    job->first_seen_at = v->now;
-    job->submitted_us = job->spec->submitted_ms * 1000 - v->wall_offset_us;
-    if (job->submitted_us > v->now.us)
-      job->submitted_us = v->now.us;
-    job->startable_us = job->submitted_us;
-    job->deadline_us = fk_job_own_deadline_us(job);
-    job->inherited_priority = job->spec->priority;
-    g_hash_table_insert(v->jobs, job->spec->id, job);
-    list_job(v, job);
-    fk_dependency_graph_set_state(v->dependencies, id, FK_DEPENDENCY_LIVE,
-                                  0); /* a dependent may have come before it */
-    add_dependencies(v, job);
-    if (job->spec->shape == FK_SHAPE_SERVICE) {
-      fk_spec_unref(v->latest_service);
-      v->latest_service = fk_spec_ref(job->spec);
-      v->services_since_rate += MIN(job->spec->tasks, SERVICE_TASKS_COUNTED_MAX);
-    }
+    job = add_job(v, id, record->spec);
+    if (job->spec->shape == FK_SHAPE_SERVICE)
+      count_service(v, job->spec);
   }
   if (record->cancelled && !job->cancelled) {
     job->cancelled_at = v->now;
-    for (guint32 i = 0; i < job->chunk_count; i++)
-      if (job->chunks[i])
-        for (guint k = 0; k < job->chunks[i]->allocations->len; k++)
-          fk_view_mark_machine_changed(
-              v,
-              fk_view_ensure_machine(v, g_array_index(job->chunks[i]->allocations, FkAllocation, k).machine));
+    mark_machines_changed(v, job);
   }
   job->cancelled = record->cancelled || job->ancestor_cancelled;
   job->rev = rev;
