--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -54,6 +54,7 @@
   FkTime removal_due; /* ... by then at the latest, since a machine is to be removed; 0: none is */
 } FkShard;
 
+/* A machine, with what the view, its shard's owner and the scheduler know of it. */
 typedef struct {
   const char *id;          /* interned */
   FkMachineRecord *record; /* NULL: not registered */
@@ -110,6 +111,8 @@
   gboolean supports_dependencies; /* between jobs, and machine pages in parts */
 } FkLaunchFence;
 
+/* Tables own their values unless it says otherwise. `now` and `wall_offset_us` are set by the owner before
+ * changes are applied. */
 typedef struct FkView FkView;
 struct FkView {
   const FkSettings *settings;
