--- a/src/simulation/cloud.c
+++ b/src/simulation/cloud.c
@@ -72,7 +72,7 @@
     SimWorker *worker = sim_worker_find(sim, ids->pdata[i]);
     if (!worker || worker->gone)
       continue;
-    gboolean healthy = worker->up && !worker->faulty && !sim->plan.deaths && !sim->plan.hangs;
+    gboolean healthy = worker->up && !worker->faulty && !sim->plan.machine_deaths && !sim->plan.machine_hangs;
     sim->result.healthy_terminated += healthy && is_at_work(worker);
     sim_worker_lose(sim, worker);
   }
--- a/src/simulation/controllers.c
+++ b/src/simulation/controllers.c
@@ -199,9 +199,10 @@
   c->core = NULL;
   c->paused_until = 0;
   c->generation++;
-  double restart_s = sim->plan.quick ? sim_uniform(sim, FAST_RESTART_MIN_S, FAST_RESTART_MAX_S) : RESTART_S;
+  double restart_s =
+      sim->plan.fast_restarts ? sim_uniform(sim, FAST_RESTART_MIN_S, FAST_RESTART_MAX_S) : RESTART_S;
   sim_schedule(sim, restart_s, start, GINT_TO_POINTER(controller));
-  if (sim->plan.quick && sim_chance(sim, CRASH_AGAIN_CHANCE))
+  if (sim->plan.fast_restarts && sim_chance(sim, CRASH_AGAIN_CHANCE))
     sim_schedule(sim, restart_s + sim_uniform(sim, CRASH_AGAIN_MIN_S, CRASH_AGAIN_MAX_S), crash_event,
                  GINT_TO_POINTER(controller));
 }
--- a/src/simulation/planned_faults.c
+++ b/src/simulation/planned_faults.c
@@ -1,5 +1,5 @@
-/* The plan's own faults: what goes wrong at a set time, for so long, to whom. Roles are found when the time
- * comes: who leads is what the store says. */
+/* Planned faults: what goes wrong at a set time, for so long, to whom. Roles are resolved when the time
+ * comes: the leader is who the store says. */
 #include <string.h>
 
 #include "simulation/simulation_internal.h"
@@ -68,7 +68,7 @@
 
 #define HUNG_MACHINES_MAX 8
 
-/* Called off within a fifth of a second: jobs that run. */
+/* Running jobs are cancelled within a fifth of a second; some of their machines hang. */
 static void cancel_running_jobs(Sim *sim, const SimFault *f, double share) {
   guint hang = f->duration_s > 0 ? HUNG_MACHINES_MAX : 0;
   for (guint i = 0; i < sim->jobs->len; i++) {
@@ -94,83 +94,108 @@
   fk_store_model_extend_leases(sim->store, sim->outage_until);
 }
 
-static void begin_fault(Sim *sim, gpointer p) {
-  const SimFault *f = p;
-  double share = f->share > 0 ? f->share : 1.0 / 3;
+#define SLOW_FACTOR 250.0 /* the store answers after up to 1.5 s */
+#define DEFAULT_SHARE (1.0 / 3)
+
+/* Faults of controllers: roles are resolved now. */
+static void fault_targets(Sim *sim, const SimFault *fault) {
   int leader = current_leader(sim), one = leader;
-  switch (f->kind) {
+  if (fault->target == SIM_TARGET_ANY || leader < 0)
+    one = g_rand_int_range(sim->rand, 0, sim->controller_count);
+  else if (fault->target == SIM_TARGET_FOLLOWER)
+    one = (leader + g_rand_int_range(sim->rand, 1, sim->controller_count)) % sim->controller_count;
+  for (int i = 0; i < sim->controller_count; i++)
+    if (fault->target == SIM_TARGET_ALL || i == one)
+      fault_controller(sim, fault, i);
+}
+
+/* Faults of messages and services. FALSE: it isn't one. */
+static gboolean fault_messages(Sim *sim, const SimFault *fault, double share) {
+  gint64 end = fault_end(sim, fault);
+  switch (fault->kind) {
   case SIM_FAULT_STORE_OUTAGE:
-    sim_begin_store_outage(sim, f->duration_s);
-    break;
+    sim_begin_store_outage(sim, fault->duration_s);
+    return TRUE;
   case SIM_FAULT_STORE_SLOW:
-    sim->slow_factor = 250;
-    sim->slow_until = fault_end(sim, f);
-    break;
+    sim->slow_factor = SLOW_FACTOR;
+    sim->slow_until = end;
+    return TRUE;
   case SIM_FAULT_LATE_WRITES:
-    sim->late_writes_until = fault_end(sim, f);
+    sim->late_writes_until = end;
     sim->late_writes_share = share;
-    break;
+    return TRUE;
   case SIM_FAULT_PEER_REFUSAL:
-    sim->peer_refusal_until = fault_end(sim, f);
-    break;
+    sim->peer_refusal_until = end;
+    return TRUE;
   case SIM_FAULT_ZONE_PARTITION:
     sim->partitioned_zone = sim_chance(sim, 0.5) ? "south" : "north";
-    sim->zone_partition_until = fault_end(sim, f);
-    break;
+    sim->zone_partition_until = end;
+    return TRUE;
   case SIM_FAULT_COMMAND_DELAY:
-    sim->command_delay_until = fault_end(sim, f);
+    sim->command_delay_until = end;
     sim->command_delay_share = share;
-    break;
+    return TRUE;
   case SIM_FAULT_DUPLICATES:
-    sim->duplicates_until = fault_end(sim, f);
+    sim->duplicates_until = end;
     sim->duplicates_share = share;
-    break;
+    return TRUE;
+  case SIM_FAULT_LOST_REPLIES:
+    sim->lost_replies_until = end;
+    sim->lost_replies_share = share;
+    sim->lost_replies_prefix = fault->key_prefix;
+    return TRUE;
+  case SIM_FAULT_STALE_HEARTBEATS:
+    sim->stale_heartbeats_until = end;
+    sim->stale_heartbeats_share = share;
+    return TRUE;
+  case SIM_FAULT_CLOUD_OUTAGE:
+    sim->cloud_outage_until = end;
+    return TRUE;
+  default:
+    return FALSE;
+  }
+}
+
+/* What users do beside their usual behaviour. FALSE: it isn't one of these. */
+static gboolean fault_users(Sim *sim, const SimFault *fault, double share) {
+  gint64 end = fault_end(sim, fault);
+  switch (fault->kind) {
   case SIM_FAULT_CANCEL_BURST:
-    sim->cancel_burst_until = fault_end(sim, f);
-    break;
+    sim->cancel_burst_until = end;
+    return TRUE;
   case SIM_FAULT_CANCEL_RUNNING:
-    cancel_running_jobs(sim, f, share);
-    break;
+    cancel_running_jobs(sim, fault, share);
+    return TRUE;
   case SIM_FAULT_CANCEL_AT_COMPLETION:
-    sim->cancel_at_completion_until = fault_end(sim, f);
+    sim->cancel_at_completion_until = end;
     sim->cancel_at_completion_share = share;
-    break;
+    return TRUE;
   case SIM_FAULT_QUERY_BURST:
-    sim->query_burst_until = fault_end(sim, f);
-    break;
+    sim->query_burst_until = end;
+    return TRUE;
   case SIM_FAULT_INVALID_REQUESTS:
-    sim->invalid_requests_until = fault_end(sim, f);
+    sim->invalid_requests_until = end;
     sim_submit_invalid_requests(sim, NULL);
-    break;
-  case SIM_FAULT_LOST_REPLIES:
-    sim->lost_replies_until = fault_end(sim, f);
-    sim->lost_replies_share = share;
-    sim->lost_replies_prefix = f->key_prefix;
-    break;
-  case SIM_FAULT_STALE_HEARTBEATS:
-    sim->stale_heartbeats_until = fault_end(sim, f);
-    sim->stale_heartbeats_share = share;
-    break;
-  case SIM_FAULT_CLOUD_OUTAGE:
-    sim->cloud_outage_until = fault_end(sim, f);
-    break;
-  case SIM_FAULT_MACHINE_HANG:
-  case SIM_FAULT_INBOUND_PARTITION:
-  case SIM_FAULT_OUTBOUND_PARTITION:
-  case SIM_FAULT_MACHINE_DEATH:
-  case SIM_FAULT_MACHINE_RESTART:
-    fault_machines(sim, f, share);
-    break;
+    return TRUE;
   default:
-    if (f->target == SIM_TARGET_ANY || leader < 0)
-      one = g_rand_int_range(sim->rand, 0, sim->controller_count);
-    else if (f->target == SIM_TARGET_FOLLOWER)
-      one = (leader + g_rand_int_range(sim->rand, 1, sim->controller_count)) % sim->controller_count;
-    for (int i = 0; i < sim->controller_count; i++)
-      if (f->target == SIM_TARGET_ALL || i == one)
-        fault_controller(sim, f, i);
+    return FALSE;
   }
-  g_debug("WORLD %.3f fault %d begins, for %.1f s", sim->now / 1e6, f->kind, f->duration_s);
+}
+
+static gboolean is_machine_fault(SimFaultKind kind) {
+  return kind == SIM_FAULT_MACHINE_HANG || kind == SIM_FAULT_INBOUND_PARTITION ||
+         kind == SIM_FAULT_OUTBOUND_PARTITION || kind == SIM_FAULT_MACHINE_DEATH ||
+         kind == SIM_FAULT_MACHINE_RESTART;
+}
+
+static void begin_fault(Sim *sim, gpointer data) {
+  const SimFault *fault = data;
+  double share = fault->share > 0 ? fault->share : DEFAULT_SHARE;
+  if (is_machine_fault(fault->kind))
+    fault_machines(sim, fault, share);
+  else if (!fault_messages(sim, fault, share) && !fault_users(sim, fault, share))
+    fault_targets(sim, fault);
+  g_debug("WORLD %.3f fault %d begins, for %.1f s", sim->now / 1e6, fault->kind, fault->duration_s);
 }
 
 void sim_schedule_faults(Sim *sim) {
@@ -179,5 +204,5 @@
 }
 
 double sim_duplicate_share(const Sim *sim) {
-  return sim->now < sim->duplicates_until ? sim->duplicates_share : sim->plan.copies;
+  return sim->now < sim->duplicates_until ? sim->duplicates_share : sim->plan.duplicate_chance;
 }
--- a/src/simulation/random_faults.c
+++ b/src/simulation/random_faults.c
@@ -82,14 +82,14 @@
 }
 
 static void extra_faults(Sim *sim, int i) {
-  if (sim->plan.deaf && sim_chance(sim, 0.3))
+  if (sim->plan.inbound_partitions && sim_chance(sim, 0.3))
     partition_inbound(sim);
-  if (sim->plan.alone && sim_chance(sim, 0.2))
+  if (sim->plan.controller_isolation && sim_chance(sim, 0.2))
     isolate_controller(sim, i);
-  if (sim->plan.quick && sim_chance(sim, 0.2))
+  if (sim->plan.fast_restarts && sim_chance(sim, 0.2))
     restart_machines(sim);
-  gboolean all = sim->plan.quick && sim_chance(sim, 0.1);
-  for (int k = 0; sim->plan.quick && k < sim->controller_count; k++)
+  gboolean all = sim->plan.fast_restarts && sim_chance(sim, 0.1);
+  for (int k = 0; sim->plan.fast_restarts && k < sim->controller_count; k++)
     if (all || (k == i && sim_chance(sim, 0.5)))
       sim_crash_controller(sim, k);
 }
@@ -124,9 +124,9 @@
   if (!sim->workers->len)
     return;
   SimWorker *worker = sim->workers->pdata[g_rand_int_range(sim->rand, 0, (gint)sim->workers->len)];
-  if (sim->plan.hangs && sim_chance(sim, 0.5))
+  if (sim->plan.machine_hangs && sim_chance(sim, 0.5))
     worker->hung_until = random_end(sim, 2, 60);
-  else if (sim->plan.deaths)
+  else if (sim->plan.machine_deaths)
     sim_worker_lose(sim, worker);
 }
 
@@ -134,19 +134,19 @@
   SimController *c = &sim->controllers[controller];
   switch (fault) {
   case RANDOM_CRASH:
-    if (sim->plan.kills)
+    if (sim->plan.controller_crashes)
       sim_crash_controller(sim, controller);
     break;
   case RANDOM_CRASH_OF_ALL:
-    if (sim->plan.kills && sim_chance(sim, 0.3))
+    if (sim->plan.controller_crashes && sim_chance(sim, 0.3))
       crash_all(sim);
     break;
   case RANDOM_STORE_PARTITION:
-    if (sim->plan.cuts)
+    if (sim->plan.partitions)
       c->store_partition_until = random_end(sim, 1, 50);
     break;
   case RANDOM_WORKER_PARTITION:
-    if (sim->plan.cuts)
+    if (sim->plan.partitions)
       c->worker_partition_until = random_end(sim, 1, 50);
     break;
   case RANDOM_STORE_OUTAGE:
@@ -180,7 +180,7 @@
 }
 
 static void inject_random_faults(Sim *sim) {
-  if (sim->plan.deaf || sim->plan.alone || sim->plan.quick)
+  if (sim->plan.inbound_partitions || sim->plan.controller_isolation || sim->plan.fast_restarts)
     extra_faults(sim, g_rand_int_range(sim->rand, 0, sim->controller_count));
   if (sim->plan.mass_failures && sim_chance(sim, 0.3)) {
     if (sim_chance(sim, 0.6))
@@ -191,7 +191,7 @@
   if (sim->plan.pauses && sim_chance(sim, 0.3))
     pause_controller(sim);
   int controller = g_rand_int_range(sim->rand, 0, sim->controller_count);
-  gint kinds = sim->plan.more ? RANDOM_KINDS : RANDOM_STORE_SLOW;
+  gint kinds = sim->plan.store_and_peer_faults ? RANDOM_KINDS : RANDOM_STORE_SLOW;
   inject(sim, (RandomFault)g_rand_int_range(sim->rand, 0, kinds), controller);
 }
 
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -1,34 +1,34 @@
-/* A small world in simulated time: three controller cores, and stand-ins for the store, the cloud, the
- * workers and the users, all after PROTOCOL. Messages may be slow, lost or late; processes and machines may
- * die or hang. The rules are checked at every step against what truly happens on the machines. */
+/* A simulation in one thread and simulated time: controllers' cores, and models of the store, the cloud, the
+ * workers and the users, all after the protocol. Messages may be slow, lost, late or duplicated; processes
+ * and machines may crash, pause or hang. Safety rules are checked at every step against what truly happens on
+ * the machines, liveness once all faults are over. Runs with equal plans are equal. */
 #pragma once
 #include "simulation/version.h"
 typedef struct Sim Sim;
 
-/* A trouble of the plan, beside those that come by chance. Durations in simulated seconds; a crash, a death
- * and a machine that begins anew have none. */
+/* A planned fault. A crash, a machine's death and its restart have no duration. */
 typedef enum {
-  SIM_FAULT_CRASH,            /* back after 3 s, or within a moment where the plan is `quick` */
-  SIM_FAULT_PAUSE,            /* stands still while its clocks run */
+  SIM_FAULT_CRASH,            /* back after 3 s, or at once where the plan has `fast_restarts` */
+  SIM_FAULT_PAUSE,            /* the process stops while its clocks run */
   SIM_FAULT_STORE_REFUSAL,    /* the store answers 503 to it alone */
-  SIM_FAULT_STORE_PARTITION,  /* what it sends to the store is held back, and delivered late */
-  SIM_FAULT_WORKER_PARTITION, /* the same with its workers */
-  SIM_FAULT_ISOLATION,        /* store and peers are out of its reach, workers and users aren't */
-  SIM_FAULT_STORE_OUTAGE,     /* of the store, for all */
+  SIM_FAULT_STORE_PARTITION,  /* messages to the store are delivered late */
+  SIM_FAULT_WORKER_PARTITION, /* messages to and from its workers are delivered late */
+  SIM_FAULT_ISOLATION,        /* from store and peers, not from workers and users */
+  SIM_FAULT_STORE_OUTAGE,     /* the store refuses everybody */
   SIM_FAULT_STORE_SLOW,       /* the store answers after up to 1.5 s */
   SIM_FAULT_LATE_WRITES,    /* a part of the transactions gets no answer and is carried out 2 to 12 s later */
-  SIM_FAULT_PEER_REFUSAL,   /* each other's connections */
-  SIM_FAULT_ZONE_PARTITION, /* cut off from everything outside */
-  SIM_FAULT_MACHINE_HANG,   /* machines, which go on later */
-  SIM_FAULT_INBOUND_PARTITION,  /* machines that are heard and hear nothing */
-  SIM_FAULT_MACHINE_DEATH,      /* machines, and all that is on them */
-  SIM_FAULT_MACHINE_RESTART,    /* machines that are back within a moment, with nothing */
+  SIM_FAULT_PEER_REFUSAL,   /* controllers refuse each other */
+  SIM_FAULT_ZONE_PARTITION, /* a zone from everything outside */
+  SIM_FAULT_MACHINE_HANG,   /* machines, which resume later */
+  SIM_FAULT_INBOUND_PARTITION,  /* machines receive nothing; what they send arrives */
+  SIM_FAULT_MACHINE_DEATH,      /* machines, with all tasks */
+  SIM_FAULT_MACHINE_RESTART,    /* machines are back at once, without tasks */
   SIM_FAULT_COMMAND_DELAY,      /* direct commands arrive after seconds, or their answers don't */
-  SIM_FAULT_DUPLICATES,         /* reports, commands and transactions that come once more */
-  SIM_FAULT_CANCEL_BURST,       /* users cancel what they have, a third each time that they act */
-  SIM_FAULT_OUTBOUND_PARTITION, /* machines that reach no controller; direct commands reach them */
+  SIM_FAULT_DUPLICATES,         /* heartbeats, commands and transactions arrive twice */
+  SIM_FAULT_CANCEL_BURST,       /* users cancel a third of what they ask about */
+  SIM_FAULT_OUTBOUND_PARTITION, /* machines reach no controller; commands reach them */
   SIM_FAULT_CANCEL_RUNNING, /* a share of the jobs that run is cancelled within 0.2 s; up to eight of their
-                     machines hang for `for_s` */
+                     machines hang for `duration_s` */
   SIM_FAULT_CANCEL_AT_COMPLETION, /* a share of the jobs that end is cancelled at the moment of the end */
   SIM_FAULT_QUERY_BURST, /* users ask at all controllers within 1-50 ms after a job was accepted, ended or
                 cancelled, repeat the submission, and cancel some */
@@ -36,8 +36,8 @@
                                  never run */
   SIM_FAULT_LOST_REPLIES, /* a share of the transactions is carried out at once, and only the answer is lost
                            */
-  SIM_FAULT_STALE_HEARTBEATS, /* a share of the reports is kept, and comes to every controller when a leader
-                                 begins */
+  SIM_FAULT_STALE_HEARTBEATS, /* a share of the heartbeats is held back, and comes to every controller when a
+                                 leader begins */
   SIM_FAULT_CLOUD_OUTAGE,     /* the cloud refuses everything */
   SIM_FAULT_KINDS
 } SimFaultKind;
@@ -50,9 +50,10 @@
 typedef struct {
   double at_s, duration_s;
   SimFaultKind kind;
-  SimFaultTarget target;  /* SIM_OTHERS: one that doesn't lead */
-  double share;           /* of the machines, jobs or messages; 0: a third */
-  const char *key_prefix; /* SIM_LOST_ANSWERS: only transactions that write below this prefix; NULL: all */
+  SimFaultTarget target; /* which controllers */
+  double share;          /* of the machines, jobs or messages; 0: a third */
+  const char
+      *key_prefix; /* SIM_FAULT_LOST_REPLIES: only of transactions that write below this prefix; NULL: all */
 } SimFault;
 
 typedef struct {
@@ -60,34 +61,36 @@
   double seconds;
   double submit_until_s; /* new jobs until then; 0: for 0.6 of the time */
   double lost, late;     /* chance that a message's answer is lost, or the message is late */
-  gboolean kills, cuts, outages, deaths, hangs, cancels, gangs;
+  gboolean controller_crashes, partitions, outages, machine_deaths, machine_hangs, cancels, gangs;
   guint machines;
   guint controllers; /* 0: three */
   guint up;          /* machines at the start, if more than three; the cloud then has no more than these */
   double scale;      /* jobs come so many times as often; 0: once */
-  gboolean rate_limited;  /* the store refuses what is over its rates */
-  gboolean mass_failures; /* zones are cut off, many machines die or hang at once */
-  gboolean more;          /* a slow store, one controller alone refused, controllers that refuse each other */
-  double boot_failure_chance; /* chance that a rented machine never comes up */
-  double failing_job_chance;  /* chance that a job fails on every machine, until its user cancels it after a
-                                 while */
-  gboolean pauses;            /* controllers stand still for 5 to 60 s while their clocks run */
-  gboolean best_effort_teams; /* a team without guarantee or limit comes with one huge array, long tasks and
-                      tiny jobs, one with   a guarantee alone and one with a limit alone with an array each */
+  gboolean rate_limited;          /* the store refuses what is over its rates */
+  gboolean mass_failures;         /* zones are cut off, many machines die or hang at once */
+  gboolean store_and_peer_faults; /* a slow store, one controller alone refused, controllers that refuse each
+                                     other */
+  double boot_failure_chance;     /* chance that a rented machine never comes up */
+  double failing_job_chance;   /* chance that a job fails on every machine, until its user cancels it after a
+                                  while */
+  gboolean pauses;             /* controllers stand still for 5 to 60 s while their clocks run */
+  gboolean best_effort_teams;  /* a team without guarantee or limit comes with one huge array, long tasks and
+                       tiny jobs, one with   a guarantee alone and one with a limit alone with an array each */
+  gboolean inbound_partitions; /* machines receive nothing; what they send arrives: one, or a tenth of all,
+                                  for seconds to minutes */
+  double duplicate_chance; /* chance that a report, a command or a transaction that was carried out comes once
+                    more, a second to two and a half leases later; reports at any controller */
   gboolean
-      deaf; /* machines that are heard and hear nothing: one, or a tenth of all, for seconds to minutes */
-  double copies;  /* chance that a report, a command or a transaction that was carried out comes once more,
-                     a second to two and a half leases later; reports at any controller */
-  gboolean alone; /* a controller loses the store and the other controllers, but not its workers */
-  gboolean quick; /* what ends is back after 0.05 to 0.5 s, sometimes to end again at once; machines too,
-                     with session, report and token starting anew */
-  gboolean large_jobs;     /* one job of each kind that is hard to place, under a stream of small ones */
-  double small_jobs_per_s; /* one-task jobs a second, a quarter of them cancelled */
-  double boot_s;           /* rented machines are up within this; 0: 1 to 8 s */
-  double pipelines_from_s; /* pipelines, and odd ones that need others, come from then on */
-  double pipelines_per_s;  /* pipelines of four stages a second, a fifth of them called off somewhere */
-  guint chain_length;      /* one chain of so many jobs, ... */
-  guint fan_out;           /* ... and one job that so many need */
+      controller_isolation; /* a controller loses the store and the other controllers, but not its workers */
+  gboolean fast_restarts;   /* what ends is back after 0.05 to 0.5 s, sometimes to end again at once; machines
+                       too,   with session, report and token starting anew */
+  gboolean large_jobs;      /* one job of each kind that is hard to place, under a stream of small ones */
+  double small_jobs_per_s;  /* one-task jobs a second, a quarter of them cancelled */
+  double boot_s;            /* rented machines are up within this; 0: 1 to 8 s */
+  double pipelines_from_s;  /* pipelines, and odd ones that need others, come from then on */
+  double pipelines_per_s;   /* pipelines of four stages a second, a fifth of them called off somewhere */
+  guint chain_length;       /* one chain of so many jobs, ... */
+  guint fan_out;            /* ... and one job that so many need */
   const FkVersion *previous_version; /* all begin with it, and come back with the present one from `roll_at`
 on, one by one; who ends before its turn comes back as it was. NULL: all are of the present */
   double upgrade_at_s, upgrade_interval_s;
--- a/src/simulation/workers.c
+++ b/src/simulation/workers.c
@@ -405,7 +405,7 @@
   fk_worker_model_init(&w->model, id, id, "box8", zone, spot, SIM_MACHINE_CPUS);
   w->controller = (guint)g_rand_int_range(sim->rand, 0, sim->controller_count);
   w->created_at = sim->now;
-  w->faulty = sim->plan.deaths && sim_chance(sim, 0.1);
+  w->faulty = sim->plan.machine_deaths && sim_chance(sim, 0.1);
   g_ptr_array_add(sim->workers, w);
   g_hash_table_insert(sim->workers_by_id, w->model.id, w);
   if (boot < 0.6 || !sim_chance(sim, sim->plan.boot_failure_chance))
--- a/test/test_combined_faults.c
+++ b/test/test_combined_faults.c
@@ -847,7 +847,7 @@
                   .faults = faults,
                   .fault_count = n,
                   .run_s = test_case->run_s,
-                  .quick = test_case->fast_restart,
+                  .fast_restarts = test_case->fast_restart,
                   .clock_skew = test_case->clock_skew};
   return sim_run(s, &plan);
 }
--- a/test/test_sim.c
+++ b/test/test_sim.c
@@ -22,18 +22,18 @@
 
 #define DAY .seconds = 260, .cancels = TRUE, .machines = 12
 #define ALL_FAULTS_FOR(s)                                                                                    \
-  .seconds = s, .lost = 0.03, .late = 0.03, .kills = TRUE, .cuts = TRUE, .outages = TRUE, .deaths = TRUE,    \
-  .hangs = TRUE, .cancels = TRUE, .gangs = TRUE
+  .seconds = s, .lost = 0.03, .late = 0.03, .controller_crashes = TRUE, .partitions = TRUE, .outages = TRUE, \
+  .machine_deaths = TRUE, .machine_hangs = TRUE, .cancels = TRUE, .gangs = TRUE
 #define ALL_FAULTS                                                                                           \
   { ALL_FAULTS_FOR(300), .machines = 12 }
 
-#define FIVE .controllers = 5, .more = TRUE
+#define FIVE .controllers = 5, .store_and_peer_faults = TRUE
 
 #define DAY_OF .seconds = 260, .cancels = TRUE, .late = 0.02, .scale = 2
-#define DEAF DAY_OF, .deaf = TRUE, .machines = 24, .up = 24
-#define COPIES DAY_OF, .copies = 0.15, .hangs = TRUE, .machines = 12, .up = 10
-#define ALONE DAY_OF, .alone = TRUE, .machines = 12, .up = 10
-#define QUICK DAY_OF, .quick = TRUE, .kills = TRUE, .machines = 16, .up = 16
+#define DEAF DAY_OF, .inbound_partitions = TRUE, .machines = 24, .up = 24
+#define COPIES DAY_OF, .duplicate_chance = 0.15, .machine_hangs = TRUE, .machines = 12, .up = 10
+#define ALONE DAY_OF, .controller_isolation = TRUE, .machines = 12, .up = 10
+#define QUICK DAY_OF, .fast_restarts = TRUE, .controller_crashes = TRUE, .machines = 16, .up = 16
 
 static const Case cases[] = {
     /* five controllers, a store within its rates, refusals of one controller alone, peers that refuse each
@@ -47,11 +47,11 @@
       .up = 12,
       .late = 0.02,
       .lost = 0.02,
-      .kills = TRUE,
-      .cuts = TRUE,
+      .controller_crashes = TRUE,
+      .partitions = TRUE,
       .outages = TRUE,
-      .deaths = TRUE,
-      .hangs = TRUE,
+      .machine_deaths = TRUE,
+      .machine_hangs = TRUE,
       .gangs = TRUE,
       .scale = 3,
       .rate_limited = TRUE,
@@ -73,7 +73,7 @@
       .machines = 240,
       .up = 200,
       .scale = 20,
-      .kills = TRUE,
+      .controller_crashes = TRUE,
       .controllers = 5},
      .writes_per_task = 4.5,
      .requests_per_s = 170,
@@ -83,10 +83,10 @@
      TRUE,
      {.seconds = 700, .submit_until_s = 250, .cancels = TRUE, .gangs = TRUE, .machines = 12}},
     {"message_loss", 4, FALSE, {DAY, .lost = 0.05, .late = 0.03, .gangs = TRUE}},
-    {"controller_crashes", 10, FALSE, {DAY, .kills = TRUE, .late = 0.02}},
-    {"partitions", 16, FALSE, {DAY, .cuts = TRUE, .late = 0.02}},
+    {"controller_crashes", 10, FALSE, {DAY, .controller_crashes = TRUE, .late = 0.02}},
+    {"partitions", 16, FALSE, {DAY, .partitions = TRUE, .late = 0.02}},
     {"store_outages", 10, FALSE, {DAY, .outages = TRUE}},
-    {"machine_failures", 5, FALSE, {DAY, .deaths = TRUE, .hangs = TRUE, .gangs = TRUE}},
+    {"machine_failures", 5, FALSE, {DAY, .machine_deaths = TRUE, .machine_hangs = TRUE, .gangs = TRUE}},
     /* ran_twice: a start held back by a cut reached a new session within that session's own lease, after the
      * booking had been released by the lease of the one before */
     {"all_faults", 24, FALSE, ALL_FAULTS, 24},
@@ -106,12 +106,13 @@
     {"mass_failures",
      30,
      FALSE,
-     {DAY, .mass_failures = TRUE, .kills = TRUE, .deaths = TRUE, .hangs = TRUE, .up = 24}},
+     {DAY, .mass_failures = TRUE, .controller_crashes = TRUE, .machine_deaths = TRUE, .machine_hangs = TRUE,
+      .up = 24}},
     /* ... and what is rented in their place often never comes up */
     {"boot_failures",
      10,
      FALSE,
-     {DAY, .mass_failures = TRUE, .kills = TRUE, .hangs = TRUE, .up = 8, .scale = 2,
+     {DAY, .mass_failures = TRUE, .controller_crashes = TRUE, .machine_hangs = TRUE, .up = 8, .scale = 2,
       .boot_failure_chance = 0.5}},
     /* and all else beside it */
     {"mass_failures_all_faults",
@@ -160,10 +161,10 @@
       .best_effort_teams = TRUE,
       .up = 16,
       .scale = 3,
-      .kills = TRUE,
+      .controller_crashes = TRUE,
       .outages = TRUE,
       .mass_failures = TRUE,
-      .deaths = TRUE,
+      .machine_deaths = TRUE,
       .pauses = TRUE,
       .late = 0.02},
      .served = 50},
@@ -190,7 +191,8 @@
     {"failing_jobs_faulty_machines",
      6,
      FALSE,
-     {DAY, .failing_job_chance = 0.2, .deaths = TRUE, .kills = TRUE, .up = 10, .scale = 2}},
+     {DAY, .failing_job_chance = 0.2, .machine_deaths = TRUE, .controller_crashes = TRUE, .up = 10,
+      .scale = 2}},
     /* controllers that stand still for 5 to 60 s while their clocks run, alone and with all else */
     {"controller_pauses", 16, FALSE, {DAY, .pauses = TRUE, .late = 0.02, .scale = 2}},
     {"controller_pauses_all_faults",
@@ -229,8 +231,9 @@
     {"failure_modes_combined",
      24,
      FALSE,
-     {ALL_FAULTS_FOR(300), .deaf = TRUE, .copies = 0.1, .alone = TRUE, .quick = TRUE, .mass_failures = TRUE,
-      .pauses = TRUE, .machines = 24, .up = 12, .scale = 2, FIVE}},
+     {ALL_FAULTS_FOR(300), .inbound_partitions = TRUE, .duplicate_chance = 0.1, .controller_isolation = TRUE,
+      .fast_restarts = TRUE, .mass_failures = TRUE, .pauses = TRUE, .machines = 24, .up = 12, .scale = 2,
+      FIVE}},
     {"large_jobs",
      5,
      FALSE,
