--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -56,105 +56,107 @@
       *key_prefix; /* SIM_FAULT_LOST_REPLIES: only of transactions that write below this prefix; NULL: all */
 } SimFault;
 
+/* What is simulated. All that isn't set is off, or as said. Probabilities are of each message, job or
+ * machine.
+ */
 typedef struct {
   guint64 seed;
-  double seconds;
-  double submit_until_s; /* new jobs until then; 0: for 0.6 of the time */
-  double lost, late;     /* chance that a message's answer is lost, or the message is late */
-  gboolean controller_crashes, partitions, outages, machine_deaths, machine_hangs, cancels, gangs;
-  guint machines;
-  guint controllers; /* 0: three */
-  guint up;          /* machines at the start, if more than three; the cloud then has no more than these */
-  double scale;      /* jobs come so many times as often; 0: once */
-  gboolean rate_limited;          /* the store refuses what is over its rates */
-  gboolean mass_failures;         /* zones are cut off, many machines die or hang at once */
-  gboolean store_and_peer_faults; /* a slow store, one controller alone refused, controllers that refuse each
-                                     other */
-  double boot_failure_chance;     /* chance that a rented machine never comes up */
-  double failing_job_chance;   /* chance that a job fails on every machine, until its user cancels it after a
-                                  while */
-  gboolean pauses;             /* controllers stand still for 5 to 60 s while their clocks run */
-  gboolean best_effort_teams;  /* a team without guarantee or limit comes with one huge array, long tasks and
-                       tiny jobs, one with   a guarantee alone and one with a limit alone with an array each */
-  gboolean inbound_partitions; /* machines receive nothing; what they send arrives: one, or a tenth of all,
-                                  for seconds to minutes */
-  double duplicate_chance; /* chance that a report, a command or a transaction that was carried out comes once
-                    more, a second to two and a half leases later; reports at any controller */
+  double seconds; /* simulated */
+
+  /* the cluster */
+  guint machines;             /* the cloud has no more than these */
+  guint up;                   /* machines at the start, if more than three */
+  guint controllers;          /* 0: three */
+  double boot_s;              /* the longest boot; 0: 1 to 8 s */
+  gboolean rate_limited;      /* the store refuses what is over its rates */
+  guint initial_txn_ops;      /* of the store, until its limits are reduced; 0: as the settings have it */
+  double limits_reduced_at_s; /* the store's limits become the settings' next ones; 0: never */
+  gboolean clock_skew;        /* the monotonic clocks are off by all that the protocol allows, in turn */
+
+  /* the workload */
+  double submit_until_s; /* 0: for 0.6 of the time */
+  double scale;          /* times as many jobs; 0: once */
+  double run_s;          /* tasks run for 0.5 to 1.5 times this; 0: 1 to 15 s */
+  gboolean cancels, gangs;
   gboolean
-      controller_isolation; /* a controller loses the store and the other controllers, but not its workers */
-  gboolean fast_restarts;   /* what ends is back after 0.05 to 0.5 s, sometimes to end again at once; machines
-                       too,   with session, report and token starting anew */
-  gboolean large_jobs;      /* one job of each kind that is hard to place, under a stream of small ones */
-  double small_jobs_per_s;  /* one-task jobs a second, a quarter of them cancelled */
-  double boot_s;            /* rented machines are up within this; 0: 1 to 8 s */
-  double pipelines_from_s;  /* pipelines, and odd ones that need others, come from then on */
-  double pipelines_per_s;   /* pipelines of four stages a second, a fifth of them called off somewhere */
-  guint chain_length;       /* one chain of so many jobs, ... */
-  guint fan_out;            /* ... and one job that so many need */
-  const FkVersion *previous_version; /* all begin with it, and come back with the present one from `roll_at`
-on, one by one; who ends before its turn comes back as it was. NULL: all are of the present */
-  double upgrade_at_s, upgrade_interval_s;
-  gboolean skip_starvation_check;   /* who is left waiting beside room is judged by a schedule of its own */
-  gboolean stop_polling_when_final; /* who was told how it ended doesn't ask again: nobody reads old ends for
-                                       the others */
-  guint initial_txn_ops;            /* until the limits fall; 0: as the settings have them */
-  double limits_reduced_at_s;       /* the store's limits fall to the next ones; 0: never */
-  double cancel_chain_at_s;         /* the first of both is cancelled then; 0: never */
-  const SimFault *faults;           /* by the plan alone; nothing else goes wrong by itself */
+      best_effort_teams;   /* a team without guarantee and quota, one without quota, one without guarantee */
+  gboolean large_jobs;     /* one job of each kind that is hard to place, under a stream of small ones */
+  double small_jobs_per_s; /* one-task jobs, a quarter of them cancelled */
+  double failing_job_chance; /* the job fails on every machine, until its user cancels it after a minute */
+  double pipelines_per_s;    /* of four stages; a fifth of them is cancelled somewhere */
+  double pipelines_from_s;   /* pipelines, chain and fan come from then on */
+  guint chain_length;        /* a chain of so many jobs, ... */
+  guint fan_out;             /* ... and a job that so many depend on */
+  double cancel_chain_at_s;  /* the first job of both is cancelled; 0: never */
+  gboolean stop_polling_when_final; /* a user who was told the terminal state doesn't ask again */
+  guint services; /* the recovery experiment: nothing but so many services of one task, all up ... */
+  double loss_at_s, loss_share; /* ... when this share of the machines is lost */
+
+  /* faults by chance, for 0.6 of the time; none if there are planned ones */
+  double lost, late;       /* probability that an answer is lost, that a message is late */
+  double duplicate_chance; /* a heartbeat, command or transaction arrives once more, up to 2.5 leases later */
+  double boot_failure_chance;
+  gboolean controller_crashes, partitions, outages, machine_deaths, machine_hangs;
+  gboolean store_and_peer_faults; /* a slow store, one that refuses one controller, peers that refuse */
+  gboolean mass_failures;         /* zones are partitioned, many machines die or hang at once */
+  gboolean pauses;                /* controllers stop for 5 to 60 s while their clocks run */
+  gboolean inbound_partitions;   /* machines receive nothing for seconds to minutes; what they send arrives */
+  gboolean controller_isolation; /* a controller loses the store and its peers, but not its workers */
+  gboolean fast_restarts; /* what crashes is back within 0.5 s, sometimes to crash again; machines as well */
+
+  /* planned faults, borrowed */
+  const SimFault *faults;
   guint fault_count;
-  double run_s;        /* tasks run for 0.5 to 1.5 times this; 0: 1 to 15 s */
-  gboolean clock_skew; /* the steady clocks are off by all that PROTOCOL allows, in turn */
-  /* The growth experiment: nothing but so many services of one task, all up when a share of the machines is
-   * lost at once. */
-  guint services;
-  double loss_at_s, loss_share;
+
+  /* a rolling upgrade: all start with the previous version (NULL: the present one) and come back with the
+   * present one in turn; whoever crashes before its turn comes back with the previous one */
+  const FkVersion *previous_version;
+  double upgrade_at_s, upgrade_interval_s;
+
+  gboolean skip_starvation_check; /* another schedule of the same faults checks it */
+
   /* Processor time so far, in ns; NULL: what the cores take isn't measured. */
   gint64 (*clock_ns)(void);
-  /* Is shown everything that a controller sends, before the world acts on it: the simulated moment in
-   * microseconds, the controller's number and version, and the output. It draws no random numbers and changes
-   * nothing. NULL: nobody looks. */
+  /* Is shown everything that a controller sends, before it takes effect: the simulated moment in
+   * microseconds, the controller's number and version, and the output. Draws no random numbers and changes
+   * nothing. */
   void (*sent)(gpointer data, gint64 now_us, int controller, const FkVersion *v, const FkOutput *o);
   gpointer sent_data;
 } SimPlan;
 
-/* What a loss of many machines cost, from the moment of the loss to the last replica's start; seconds are
- * simulated ones. */
+/* What the loss of many machines costs, from the loss to the last replica's start; simulated seconds. */
 typedef struct {
-  guint up;        /* services up just before */
-  guint lost;      /* of them, those whose machine was lost */
-  guint recovered; /* of those, the ones that run again */
-  double first_s, half_s, last_s;
-  guint requests, writes;                 /* at the store */
-  guint terminate_calls, provision_calls; /* calls at the cloud */
-  double core_ms;                         /* processor time of all controllers' cores, in real milliseconds */
+  guint up;                       /* services up just before */
+  guint lost;                     /* of them, those whose machine was lost */
+  guint recovered;                /* of those, the ones that run again */
+  double first_s, half_s, last_s; /* until the first, half and the last of them ran again */
+  guint requests, writes;         /* at the store */
+  guint terminate_calls, provision_calls;
+  double core_ms; /* processor time of all controllers' cores, in real milliseconds */
 } SimRecovery;
 
 typedef struct {
-  guint submitted, accepted, done, cancelled, started, finished;
-  guint unfinished;
-  guint
-      worst_class_percent; /* percent of the jobs of the class that was served worst; 100 where none is due */
-  guint healthy_terminated; /* healthy machines that were returned though nothing else was wrong with them */
+  guint submitted, accepted, done, cancelled, unfinished; /* jobs */
+  guint started, finished;                                /* tasks */
+  guint worst_class_percent;       /* served, of the class that was served worst; 100: no job is due */
+  guint healthy_terminated;        /* machines with tasks and without a fault */
   guint requests, writes, refused; /* at the store */
-  guint expired_leases;            /* leases that ran out with tasks on the machine */
-  double cancel_reported_max_s;    /* the longest from asking for a cancellation to being told */
-  double cancel_stopped_max_s;     /* ... from then until its last task was gone */
-  double unanswered_max_s; /* the longest without an answer about a job, once all troubles were over */
-  double start_wait_max_s; /* the longest that a job waited for its first task, from its acceptance or the end
-                     of the troubles on */
-  double large_start_wait_max_s; /* ... a large one, troubles or not */
-  double starved_max_s;   /* the longest that a job waited, once all troubles were over, while a machine that
-                      fits had   room and its team was under its limit */
-  double quota_use_max;   /* the most that a team with a limit used of it, as a share */
-  guint burst_queries;    /* questions just after something was told */
-  guint invalid_answered; /* odd requests that were answered */
-  guint dependents_done, dependents_cancelled; /* jobs that need others: done, told to be withdrawn though
-                                                  nobody cancelled them */
-  guint oversized_transactions; /* transactions of the present version that were larger than the limits of
-                                   their moment */
+  guint expired_leases;            /* of machines with tasks */
+  double cancel_reported_max_s;    /* from a cancellation to its user being told */
+  double cancel_stopped_max_s;     /* ... from then until the last task had stopped */
+  double unanswered_max_s;         /* without an answer about a job, once all faults were over */
+  double start_wait_max_s;         /* of a job, once all faults were over */
+  double large_start_wait_max_s;   /* of a large job, faults or not */
+  double starved_max_s; /* of a job beside free capacity that it may use, once all faults were over */
+  double quota_use_max; /* of a team, as a share of its quota */
+  guint burst_queries;
+  guint invalid_answered;                      /* invalid requests that were refused as such */
+  guint dependents_done, dependents_cancelled; /* the latter without a cancellation of their own */
+  guint oversized_transactions; /* of the present version, for the store's limits at that moment */
   guint live_jobs, live_keys;   /* at the end: jobs' records, all records below fk/l/ */
-  char *violation;              /* the first broken rule, or NULL */
+  char *violation;              /* the first rule that was broken; NULL: none. Owned by the caller */
   SimRecovery recovery;
 } SimResult;
 
-SimResult sim_run(const FkSettings *s, const SimPlan *plan);
+/* Runs the plan. `settings`: what the platform gives the controllers. */
+SimResult sim_run(const FkSettings *settings, const SimPlan *plan);
