--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -1,5 +1,6 @@
 /* The autoscaler's state and its round: list, terminate, provision, scale in. */
 #include "core/autoscaler/autoscaler_internal.h"
+#include "core/scheduling/placement.h"
 
 #define PLAN_INTERVAL_S 0.5
 #define IDLE_CHECK_INTERVAL_S 2.0 /* while services wait for the store's writes: more machines a page */
--- a/src/core/autoscaler/capacity_plan.c
+++ b/src/core/autoscaler/capacity_plan.c
@@ -1,4 +1,5 @@
 #include "core/autoscaler/capacity_plan.h"
+#include "core/scheduling/placement.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/autoscaler/consolidation.c
+++ b/src/core/autoscaler/consolidation.c
@@ -2,6 +2,7 @@
  * nothing waits and its tasks fit on cheaper machines that are in use. What its tasks have done is lost,
  * which costs less than keeping the machine for them. */
 #include "core/autoscaler/autoscaler_internal.h"
+#include "core/scheduling/placement.h"
 
 #define PRICE_RATIO_MIN 4.0 /* of the machine to the cheapest machines that its tasks could have */
 #define CONSOLIDATION_INTERVAL_S 0.5
--- a/src/core/autoscaler/cost_accounting.c
+++ b/src/core/autoscaler/cost_accounting.c
@@ -1,6 +1,7 @@
 /* Cost accounting: what the machines cost, by what they were doing when the leader sampled them. Logged once
  * a window. */
 #include "core/controller_internal.h"
+#include "core/scheduling/placement.h"
 
 #define SAMPLE_INTERVAL_S 2.0
 #define S_PER_HOUR 3600
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -1,5 +1,6 @@
 /* Scaling in: idle machines that the plan has no use for are drained and terminated. */
 #include "core/autoscaler/autoscaler_internal.h"
+#include "core/scheduling/placement.h"
 
 #define SMALL_CLUSTER_MACHINES 50.0 /* with more of them demand is smoother: spare machines show sooner */
 #define IDLE_BASE_SHARE 0.5         /* of the idle time that the size of the cluster doesn't change */
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -1,6 +1,7 @@
 /* What to provision: a simulation of placing all that waits on what is free now, will be released by running
  * tasks, or is booting. Only work that would wait for longer than it has patience is provisioned for. */
 #include "core/autoscaler/autoscaler_internal.h"
+#include "core/scheduling/placement.h"
 
 #include <math.h>
 
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -1,5 +1,9 @@
 /* Tasks that the leader stops although their job goes on. They are started again elsewhere. */
 #include "core/leader/leader_internal.h"
+#include "core/scheduling/long_path.h"
+#include "core/scheduling/preemption.h"
+#include "core/scheduling/preemption_cost.h"
+#include "core/scheduling/team_quota.h"
 
 #include "core/scheduling/capacity_index.h"
 #include "core/scheduling/launch_batch.h"
--- a/src/core/leader/window.c
+++ b/src/core/leader/window.c
@@ -1,6 +1,7 @@
 /* The periodic window: every controller writes the wait times of its short tasks, and logs its statistics.
  * The leader adds the waits of all controllers up and sizes the short partition (Elastic Sizing). */
 #include "core/leader/leader_internal.h"
+#include "core/scheduling/starvation.h"
 
 #include <string.h>
 
--- a/src/simulation/store.c
+++ b/src/simulation/store.c
@@ -77,7 +77,7 @@
 }
 
 static FkOutcome commit(Sim *sim, const FkVersion *v, const FkOutput *o, FkRev *epoch, GPtrArray *failed) {
-  g_autofree char *missing_guard = sim_check_transaction(o);
+  g_autofree char *missing_guard = sim_check_transaction(v, o);
   if (missing_guard)
     sim_violation(sim, "unguarded", missing_guard);
   if (exceeds_limits(sim, v, o))
