--- a/test/rexec_client.py
+++ b/test/rexec_client.py
@@ -54,8 +54,15 @@
 
     def configure(self, **extra):
         with open(self.file, "w") as f:
-            json.dump({"listen": f"127.0.0.1:{self.port}", "directory": os.path.join(work, "store"),
-                       "keys": os.path.join(work, "keys.json"), **extra}, f)
+            json.dump(
+                {
+                    "listen": f"127.0.0.1:{self.port}",
+                    "directory": os.path.join(work, "store"),
+                    "keys": os.path.join(work, "keys.json"),
+                    **extra,
+                },
+                f,
+            )
 
     def write_keys(self, entries):
         with open(os.path.join(work, "keys.new"), "w") as f:
@@ -64,8 +71,11 @@
 
     def start(self):
         log = open(os.path.join(work, "log"), "a")
-        self.process = subprocess.Popen([BINARY, "serve", "--config", self.settings, "--remote-execution", self.file],
-                                        stdout=log, stderr=log)
+        self.process = subprocess.Popen(
+            [BINARY, "serve", "--config", self.settings, "--remote-execution", self.file],
+            stdout=log,
+            stderr=log,
+        )
         atexit.register(self.process.kill)  # however this ends
         for _ in range(500):
             try:
@@ -82,26 +92,41 @@
 
 class Client:
     def __init__(self, service, team=None, token=None):
-        self.channel = grpc.insecure_channel(f"127.0.0.1:{service.port}", options=[
-            ("grpc.max_receive_message_length", 64 << 20), ("grpc.use_local_subchannel_pool", 1)])
+        self.channel = grpc.insecure_channel(
+            f"127.0.0.1:{service.port}",
+            options=[("grpc.max_receive_message_length", 64 << 20), ("grpc.use_local_subchannel_pool", 1)],
+        )
         token = token or (team and service.keys[team][0])
         self.meta = [("authorization", "Bearer " + token)] if token else []
         self.team = team or ""
 
     def call(self, path, request, answer):
-        f = self.channel.unary_unary(path, request_serializer=lambda m: m.SerializeToString(),
-                                     response_deserializer=answer.FromString)
+        f = self.channel.unary_unary(
+            path, request_serializer=lambda m: m.SerializeToString(), response_deserializer=answer.FromString
+        )
         return f(request, metadata=self.meta, timeout=60)
 
     def read(self, name, offset=0, limit=0):
-        f = self.channel.unary_stream(BS + "Read", request_serializer=lambda m: m.SerializeToString(),
-                                      response_deserializer=rx.ReadResponse.FromString)
-        return b"".join(r.data for r in f(rx.ReadRequest(resource_name=name, read_offset=offset, read_limit=limit),
-                                          metadata=self.meta, timeout=60))
+        f = self.channel.unary_stream(
+            BS + "Read",
+            request_serializer=lambda m: m.SerializeToString(),
+            response_deserializer=rx.ReadResponse.FromString,
+        )
+        return b"".join(
+            r.data
+            for r in f(
+                rx.ReadRequest(resource_name=name, read_offset=offset, read_limit=limit),
+                metadata=self.meta,
+                timeout=60,
+            )
+        )
 
     def write_messages(self, messages):
-        f = self.channel.stream_unary(BS + "Write", request_serializer=lambda m: m.SerializeToString(),
-                                      response_deserializer=rx.WriteResponse.FromString)
+        f = self.channel.stream_unary(
+            BS + "Write",
+            request_serializer=lambda m: m.SerializeToString(),
+            response_deserializer=rx.WriteResponse.FromString,
+        )
         return f(iter(messages), metadata=self.meta, timeout=60)
 
     def write(self, blob, upload="u1", chunk=100000, start=0, compressed=None, digest=None, finish=True):
@@ -111,8 +136,14 @@
         messages = []
         for at in range(start, max(len(data), 1), chunk):
             last = at + chunk >= len(data)
-            messages.append(rx.WriteRequest(resource_name=name if at == start else "", write_offset=at,
-                                            finish_write=finish and last, data=data[at:at + chunk]))
+            messages.append(
+                rx.WriteRequest(
+                    resource_name=name if at == start else "",
+                    write_offset=at,
+                    finish_write=finish and last,
+                    data=data[at : at + chunk],
+                )
+            )
         return self.write_messages(messages)
 
 
@@ -134,14 +165,22 @@
 
 
 def missing(c, *blobs):
-    r = c.call(CAS + "FindMissingBlobs", rx.FindMissingBlobsRequest(instance_name=c.team, blob_digests=map(digest, blobs)),
-               rx.FindMissingBlobsResponse)
+    r = c.call(
+        CAS + "FindMissingBlobs",
+        rx.FindMissingBlobsRequest(instance_name=c.team, blob_digests=map(digest, blobs)),
+        rx.FindMissingBlobsResponse,
+    )
     return [d.hash for d in r.missing_blob_digests]
 
 
 def batch(c, *blobs):
-    r = c.call(CAS + "BatchUpdateBlobs", rx.BatchUpdateBlobsRequest(instance_name=c.team, requests=[
-        rx.BlobUpdate(digest=digest(b), data=b) for b in blobs]), rx.BatchUpdateBlobsResponse)
+    r = c.call(
+        CAS + "BatchUpdateBlobs",
+        rx.BatchUpdateBlobsRequest(
+            instance_name=c.team, requests=[rx.BlobUpdate(digest=digest(b), data=b) for b in blobs]
+        ),
+        rx.BatchUpdateBlobsResponse,
+    )
     return [x.status.code for x in r.responses]
 
 
@@ -151,29 +190,55 @@
 
 def test_calls(s):
     red = Client(s, "red")
-    r = red.call(RE + "Capabilities/GetCapabilities", rx.GetCapabilitiesRequest(instance_name="red"), rx.ServerCapabilities)
-    check(list(r.cache_capabilities.digest_functions) == [1] and r.high_api_version.major == 2, "capabilities")
+    r = red.call(
+        RE + "Capabilities/GetCapabilities",
+        rx.GetCapabilitiesRequest(instance_name="red"),
+        rx.ServerCapabilities,
+    )
+    check(
+        list(r.cache_capabilities.digest_functions) == [1] and r.high_api_version.major == 2, "capabilities"
+    )
     a, b, empty, big = b"a" * 10, b"b" * 1000, b"", rng.randbytes(3_000_000)
     check(missing(red, a, b, empty) == [sha(a), sha(b)], "missing, but for the empty blob")
     check(batch(red, a, b, empty) == [0, 0, 0], "batch update")
     check(missing(red, a, b) == [], "nothing is missing any more")
-    wrong = red.call(CAS + "BatchUpdateBlobs", rx.BatchUpdateBlobsRequest(requests=[
-        rx.BlobUpdate(digest=digest(b"x"), data=b"y"), rx.BlobUpdate(digest=rx.Digest(hash="zz", size_bytes=1), data=b"y"),
-        rx.BlobUpdate(digest=digest(b"good"), data=b"good")]), rx.BatchUpdateBlobsResponse)
+    wrong = red.call(
+        CAS + "BatchUpdateBlobs",
+        rx.BatchUpdateBlobsRequest(
+            requests=[
+                rx.BlobUpdate(digest=digest(b"x"), data=b"y"),
+                rx.BlobUpdate(digest=rx.Digest(hash="zz", size_bytes=1), data=b"y"),
+                rx.BlobUpdate(digest=digest(b"good"), data=b"good"),
+            ]
+        ),
+        rx.BatchUpdateBlobsResponse,
+    )
     check([x.status.code for x in wrong.responses] == [3, 3, 0], "each blob of a batch has its own status")
-    got = red.call(CAS + "BatchReadBlobs", rx.BatchReadBlobsRequest(digests=[digest(a), digest(b"none"), digest(empty)]),
-                   rx.BatchReadBlobsResponse)
+    got = red.call(
+        CAS + "BatchReadBlobs",
+        rx.BatchReadBlobsRequest(digests=[digest(a), digest(b"none"), digest(empty)]),
+        rx.BatchReadBlobsResponse,
+    )
     check([x.status.code for x in got.responses] == [0, 5, 0] and got.responses[0].data == a, "batch read")
     check(red.write(big).committed_size == len(big), "write in chunks")
     check(red.write(big, upload="u2").committed_size == len(big), "write of what is there")
     name = f"red/blobs/{sha(big)}/{len(big)}"
     check(red.read(name) == big, "read")
-    check(red.read(name, 1000, 50) == big[1000:1050] and red.read(name, len(big)) == b"", "read with offset and limit")
+    check(
+        red.read(name, 1000, 50) == big[1000:1050] and red.read(name, len(big)) == b"",
+        "read with offset and limit",
+    )
     check(red.read(f"blobs/{fk_empty}/0") == b"", "read of the empty blob")
     refused(C.NOT_FOUND, red.read, f"red/blobs/{sha(b'nobody')}/6")
     refused(C.OUT_OF_RANGE, red.read, name, len(big) + 1)
-    for bad in ("", "red/blobs/xyz/3", f"red/blobs/{sha(a)}/-1", f"red/blobs/{sha(a)}", f"a/b/c/blobs/{sha(a)}/10",
-                f"red/blobs/{sha(a)}/10/more"):
+    for bad in (
+        "",
+        "red/blobs/xyz/3",
+        f"red/blobs/{sha(a)}/-1",
+        f"red/blobs/{sha(a)}",
+        f"a/b/c/blobs/{sha(a)}/10",
+        f"red/blobs/{sha(a)}/10/more",
+    ):
         refused(C.INVALID_ARGUMENT, red.read, bad)
 
 
@@ -184,23 +249,48 @@
     red = Client(s, "red")
     blob = rng.randbytes(500_000)
     name = f"red/uploads/resumed/blobs/{sha(blob)}/{len(blob)}"
-    refused(C.NOT_FOUND, red.call, BS + "QueryWriteStatus", rx.QueryWriteStatusRequest(resource_name=name),
-            rx.QueryWriteStatusResponse)
-    refused(C.INVALID_ARGUMENT, red.write_messages, [rx.WriteRequest(resource_name=name, data=blob[:200_000])])
-    q = red.call(BS + "QueryWriteStatus", rx.QueryWriteStatusRequest(resource_name=name), rx.QueryWriteStatusResponse)
+    refused(
+        C.NOT_FOUND,
+        red.call,
+        BS + "QueryWriteStatus",
+        rx.QueryWriteStatusRequest(resource_name=name),
+        rx.QueryWriteStatusResponse,
+    )
+    refused(
+        C.INVALID_ARGUMENT, red.write_messages, [rx.WriteRequest(resource_name=name, data=blob[:200_000])]
+    )
+    q = red.call(
+        BS + "QueryWriteStatus", rx.QueryWriteStatusRequest(resource_name=name), rx.QueryWriteStatusResponse
+    )
     check(q.committed_size == 200_000 and not q.complete, "a broken upload stands where it was")
-    refused(C.INVALID_ARGUMENT, red.write_messages, [rx.WriteRequest(resource_name=name, write_offset=5, data=b"x")])
-    r = red.write_messages([rx.WriteRequest(resource_name=name, write_offset=200_000, data=blob[200_000:],
-                                            finish_write=True)])
-    check(r.committed_size == len(blob) and red.read(f"red/blobs/{sha(blob)}/{len(blob)}") == blob, "gone on with")
-    q = red.call(BS + "QueryWriteStatus", rx.QueryWriteStatusRequest(resource_name=name), rx.QueryWriteStatusResponse)
+    refused(
+        C.INVALID_ARGUMENT,
+        red.write_messages,
+        [rx.WriteRequest(resource_name=name, write_offset=5, data=b"x")],
+    )
+    r = red.write_messages(
+        [rx.WriteRequest(resource_name=name, write_offset=200_000, data=blob[200_000:], finish_write=True)]
+    )
+    check(
+        r.committed_size == len(blob) and red.read(f"red/blobs/{sha(blob)}/{len(blob)}") == blob,
+        "gone on with",
+    )
+    q = red.call(
+        BS + "QueryWriteStatus", rx.QueryWriteStatusRequest(resource_name=name), rx.QueryWriteStatusResponse
+    )
     check(q.complete, "complete")
     lie = b"l" * 1000
     refused(C.INVALID_ARGUMENT, red.write, lie, "lie", digest=sha(b"other"))
-    refused(C.INVALID_ARGUMENT, red.write_messages, [rx.WriteRequest(
-        resource_name=f"red/uploads/x/blobs/{sha(lie)}/10", data=lie, finish_write=True)])
-    refused(C.INVALID_ARGUMENT, red.write_messages, [rx.WriteRequest(
-        resource_name=f"red/uploads/x/blobs/{sha(lie)}/2000", data=lie, finish_write=True)])
+    refused(
+        C.INVALID_ARGUMENT,
+        red.write_messages,
+        [rx.WriteRequest(resource_name=f"red/uploads/x/blobs/{sha(lie)}/10", data=lie, finish_write=True)],
+    )
+    refused(
+        C.INVALID_ARGUMENT,
+        red.write_messages,
+        [rx.WriteRequest(resource_name=f"red/uploads/x/blobs/{sha(lie)}/2000", data=lie, finish_write=True)],
+    )
     check(missing(red, lie) == [sha(lie)], "a lie is no blob")
     zstd = "/usr/bin/zstd"
     if os.path.exists(zstd):
@@ -211,7 +301,9 @@
         back = red.read(f"red/compressed-blobs/zstd/{sha(text)}/{len(text)}")
         plain = subprocess.run([zstd, "-dc"], input=back, stdout=subprocess.PIPE, check=True).stdout
         check(plain == text and len(back) < len(text) / 10, "compressed read")
-        bomb = subprocess.run([zstd, "-c"], input=b"\0" * 10_000_000, stdout=subprocess.PIPE, check=True).stdout
+        bomb = subprocess.run(
+            [zstd, "-c"], input=b"\0" * 10_000_000, stdout=subprocess.PIPE, check=True
+        ).stdout
         refused(C.INVALID_ARGUMENT, red.write, b"\0" * 100, "bomb", compressed=bomb)
 
 
@@ -225,9 +317,16 @@
     two = refused(C.PERMISSION_DENIED, blue.read, f"nosuch/blobs/{sha(secret)}/{len(secret)}")
     check(one.details() == two.details(), "another team's instance is refused as one that isn't there")
     for c in (nobody, Client(s, token="guess")):
-        refused(C.UNAUTHENTICATED, c.call, RE + "Capabilities/GetCapabilities", rx.GetCapabilitiesRequest(),
-                rx.ServerCapabilities)
-        refused(C.UNAUTHENTICATED, c.call, "/no.such/Call", rx.GetCapabilitiesRequest(), rx.ServerCapabilities)
+        refused(
+            C.UNAUTHENTICATED,
+            c.call,
+            RE + "Capabilities/GetCapabilities",
+            rx.GetCapabilitiesRequest(),
+            rx.ServerCapabilities,
+        )
+        refused(
+            C.UNAUTHENTICATED, c.call, "/no.such/Call", rx.GetCapabilitiesRequest(), rx.ServerCapabilities
+        )
     refused(C.UNIMPLEMENTED, red.call, "/no.such/Call", rx.GetCapabilitiesRequest(), rx.ServerCapabilities)
     # a key is replaced: both stand for a while, then only the new one
     new, entry = key("blue")
@@ -251,42 +350,71 @@
     out, inner = b"an output", b"in a tree"
     tree = rx.Tree(root=rx.Directory(files=[rx.FileNode(name="f", digest=digest(inner))])).SerializeToString()
     action = digest(b"action")
-    result = rx.ActionResult(exit_code=0, output_files=[rx.OutputFile(path="o/x", digest=digest(out))],
-                             output_directories=[rx.OutputDirectory(path="d", tree_digest=digest(tree))])
-    get = lambda c: c.call(AC + "GetActionResult", rx.GetActionResultRequest(action_digest=action), rx.ActionResult)
-    put = lambda c, r: c.call(AC + "UpdateActionResult", rx.UpdateActionResultRequest(action_digest=action, action_result=r),
-                              rx.ActionResult)
+    result = rx.ActionResult(
+        exit_code=0,
+        output_files=[rx.OutputFile(path="o/x", digest=digest(out))],
+        output_directories=[rx.OutputDirectory(path="d", tree_digest=digest(tree))],
+    )
+    get = lambda c: c.call(
+        AC + "GetActionResult", rx.GetActionResultRequest(action_digest=action), rx.ActionResult
+    )
+    put = lambda c, r: c.call(
+        AC + "UpdateActionResult",
+        rx.UpdateActionResultRequest(action_digest=action, action_result=r),
+        rx.ActionResult,
+    )
     refused(C.NOT_FOUND, get, red)
     e = refused(C.FAILED_PRECONDITION, put, red, result)
     details = dict(e.trailing_metadata()).get("grpc-status-details-bin", b"")
     failure = rx.PreconditionFailure.FromString(rx.Status.FromString(details).details[0].value)
-    check({v.subject for v in failure.violations} == {f"blobs/{sha(b)}/{len(b)}" for b in (out, tree)},
-          "each missing blob is named")
+    check(
+        {v.subject for v in failure.violations} == {f"blobs/{sha(b)}/{len(b)}" for b in (out, tree)},
+        "each missing blob is named",
+    )
     batch(red, out, tree)
     refused(C.FAILED_PRECONDITION, put, red, result)  # the file in the tree
     batch(red, inner)
     check(put(red, result) == result and get(red) == result, "a result is kept")
     refused(C.NOT_FOUND, get, blue)
     for path in ("../x", "/x", "a//b", "a/./b", ""):
-        refused(C.INVALID_ARGUMENT, put, red, rx.ActionResult(output_files=[rx.OutputFile(path=path, digest=digest(out))]))
+        refused(
+            C.INVALID_ARGUMENT,
+            put,
+            red,
+            rx.ActionResult(output_files=[rx.OutputFile(path=path, digest=digest(out))]),
+        )
     # a tree: shared parts once, pages, missing parts left out
     leaf = rx.Directory(files=[rx.FileNode(name="x", digest=digest(out))]).SerializeToString()
-    mid = rx.Directory(directories=[rx.DirectoryNode(name=n, digest=digest(leaf)) for n in "ab"]).SerializeToString()
+    mid = rx.Directory(
+        directories=[rx.DirectoryNode(name=n, digest=digest(leaf)) for n in "ab"]
+    ).SerializeToString()
     gone = digest(b"never sent")
-    root = rx.Directory(directories=[rx.DirectoryNode(name="m", digest=digest(mid)), rx.DirectoryNode(name="n", digest=digest(leaf)),
-                                     rx.DirectoryNode(name="z", digest=gone)]).SerializeToString()
+    root = rx.Directory(
+        directories=[
+            rx.DirectoryNode(name="m", digest=digest(mid)),
+            rx.DirectoryNode(name="n", digest=digest(leaf)),
+            rx.DirectoryNode(name="z", digest=gone),
+        ]
+    ).SerializeToString()
     batch(red, leaf, mid, root)
 
     def walk(size):
         dirs, token, pages = [], "", 0
         while True:
-            f = red.channel.unary_stream(CAS + "GetTree", request_serializer=lambda m: m.SerializeToString(),
-                                         response_deserializer=rx.GetTreeResponse.FromString)
-            for r in f(rx.GetTreeRequest(root_digest=digest(root), page_size=size, page_token=token), metadata=red.meta):
+            f = red.channel.unary_stream(
+                CAS + "GetTree",
+                request_serializer=lambda m: m.SerializeToString(),
+                response_deserializer=rx.GetTreeResponse.FromString,
+            )
+            for r in f(
+                rx.GetTreeRequest(root_digest=digest(root), page_size=size, page_token=token),
+                metadata=red.meta,
+            ):
                 dirs += [d.SerializeToString() for d in r.directories]
                 token, pages = r.next_page_token, pages + 1
             if not token:
                 return dirs, pages
+
     check(walk(0) == ([root, mid, leaf], 1), "the tree")
     dirs, pages = walk(1)
     check(dirs == [root, mid, leaf] and pages >= 3, f"the tree in pages: {pages}")
@@ -296,12 +424,22 @@
     red = Client(s, "red")
     raw = lambda path, data: red.channel.unary_unary(path)(data, metadata=red.meta, timeout=30)
     refused(C.INVALID_ARGUMENT, raw, CAS + "FindMissingBlobs", b"\xff\xff\xff\xff")
-    refused(C.INVALID_ARGUMENT, raw, CAS + "FindMissingBlobs", b"\x12\x00" * 1_500_000)  # as many empty digests
+    refused(
+        C.INVALID_ARGUMENT, raw, CAS + "FindMissingBlobs", b"\x12\x00" * 1_500_000
+    )  # as many empty digests
     refused(C.RESOURCE_EXHAUSTED, raw, CAS + "FindMissingBlobs", b"\x12\x00" * 4_000_000)
-    refused(C.INVALID_ARGUMENT, red.call, CAS + "FindMissingBlobs", rx.FindMissingBlobsRequest(digest_function=2),
-            rx.FindMissingBlobsResponse)
-    for junk in (b"GET / HTTP/1.1\r\n\r\n", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + rng.randbytes(2000),
-                 b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\x00\x00\x00\x04\x00\x00\x00\x00\x00" * 20000):
+    refused(
+        C.INVALID_ARGUMENT,
+        red.call,
+        CAS + "FindMissingBlobs",
+        rx.FindMissingBlobsRequest(digest_function=2),
+        rx.FindMissingBlobsResponse,
+    )
+    for junk in (
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + rng.randbytes(2000),
+        b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\x00\x00\x00\x04\x00\x00\x00\x00\x00" * 20000,
+    ):
         with socket.create_connection(("127.0.0.1", s.port), 5) as c:
             try:
                 c.sendall(junk)
@@ -323,10 +461,16 @@
         check(batch(red, b) == [0], "red's")
     check(missing(blue, *small) == [], "blue lost nothing")
     lost = missing(red, *blobs)
-    check(0 < len(lost) < 12 and sha(blobs[-1]) not in lost and sha(blobs[0]) in lost, f"the oldest went: {len(lost)}")
+    check(
+        0 < len(lost) < 12 and sha(blobs[-1]) not in lost and sha(blobs[0]) in lost,
+        f"the oldest went: {len(lost)}",
+    )
     e = refused(C.RESOURCE_EXHAUSTED, red.write, b"\0" * 9_000_000, "huge")
     details = dict(e.trailing_metadata()).get("grpc-status-details-bin", b"")
-    check(rx.RetryInfo.FromString(rx.Status.FromString(details).details[0].value).retry_delay.seconds > 0, "when to come back")
+    check(
+        rx.RetryInfo.FromString(rx.Status.FromString(details).details[0].value).retry_delay.seconds > 0,
+        "when to come back",
+    )
 
 
 def test_kill(s):
@@ -340,12 +484,23 @@
         c = Client(s, "red")
         stop = time.time() + rng.uniform(0.02, 0.25)
         futures = []
-        f = c.channel.unary_unary(CAS + "BatchUpdateBlobs", request_serializer=lambda m: m.SerializeToString(),
-                                  response_deserializer=rx.BatchUpdateBlobsResponse.FromString)
+        f = c.channel.unary_unary(
+            CAS + "BatchUpdateBlobs",
+            request_serializer=lambda m: m.SerializeToString(),
+            response_deserializer=rx.BatchUpdateBlobsResponse.FromString,
+        )
         while time.time() < stop:
             b = rng.randbytes(rng.randrange(1, 40_000))
-            futures.append((b, f.future(rx.BatchUpdateBlobsRequest(requests=[rx.BlobUpdate(digest=digest(b), data=b)]),
-                                        metadata=c.meta, timeout=10)))
+            futures.append(
+                (
+                    b,
+                    f.future(
+                        rx.BatchUpdateBlobsRequest(requests=[rx.BlobUpdate(digest=digest(b), data=b)]),
+                        metadata=c.meta,
+                        timeout=10,
+                    ),
+                )
+            )
             if len(futures) > 16:
                 futures[-16][1].exception()
         s.kill()
@@ -406,15 +561,29 @@
     many = [digest(b"%d" % i) for i in range(20000)]
     t = time.time()
     for _ in range(5):
-        c.call(CAS + "FindMissingBlobs", rx.FindMissingBlobsRequest(blob_digests=many), rx.FindMissingBlobsResponse)
+        c.call(
+            CAS + "FindMissingBlobs",
+            rx.FindMissingBlobsRequest(blob_digests=many),
+            rx.FindMissingBlobsResponse,
+        )
     find = (time.time() - t) / 100000
     mb = len(blob) / 1e6
     rss = [l for l in open(f"/proc/{s.process.pid}/status") if l.startswith("VmRSS")][0].split()[1]
-    print(json.dumps({"write_mb_s": round(mb / write), "write_mb_per_processor_s": round(mb / write_cpu),
-                      "read_mb_per_processor_s": round(mb / read_cpu), "plain_write_mb_s": round(mb / plain_write),
-                      "read_mb_s": round(mb / read), "plain_read_mb_s": round(mb / plain_read),
-                      "hash_mb_s": round(mb / hashing), "find_missing_per_s": round(1 / find),
-                      "resident_mb": int(rss) // 1024}))
+    print(
+        json.dumps(
+            {
+                "write_mb_s": round(mb / write),
+                "write_mb_per_processor_s": round(mb / write_cpu),
+                "read_mb_per_processor_s": round(mb / read_cpu),
+                "plain_write_mb_s": round(mb / plain_write),
+                "read_mb_s": round(mb / read),
+                "plain_read_mb_s": round(mb / plain_read),
+                "hash_mb_s": round(mb / hashing),
+                "find_missing_per_s": round(1 / find),
+                "resident_mb": int(rss) // 1024,
+            }
+        )
+    )
 
 
 if "--bench" in sys.argv:
@@ -427,6 +596,9 @@
         print("done", test.__name__, flush=True)
 service.kill()
 log = open(os.path.join(work, "log")).read()
-check("Sanitizer" not in log and "CRITICAL" not in log and "runtime error" not in log, "a clean log:\n" + log[-3000:])
+check(
+    "Sanitizer" not in log and "CRITICAL" not in log and "runtime error" not in log,
+    "a clean log:\n" + log[-3000:],
+)
 subprocess.call(["rm", "-rf", work])
 sys.exit(1 if failures else 0)
