--- a/src/simulation/scale/store_stand_in.c
+++ b/src/simulation/scale/store_stand_in.c
@@ -9,6 +9,7 @@
 #include "simulation/scale/stand_in_process.h"
 #include "simulation/store_model.h"
 #include "wire/store.h"
+#include "wire/store_service.h"
 
 #define HISTORY_CHANGES 10000 /* kept for watches (PROTOCOL) */
 #define LIST_KEYS_MAX 1000
--- a/src/simulation/scale/summary.c
+++ b/src/simulation/scale/summary.c
@@ -4,6 +4,7 @@
 #include <gsl/gsl_statistics_double.h>
 #include <string.h>
 
+#include "daemon/log.h"
 #include "simulation/scale/addresses.h"
 #include "simulation/scale/check_rules.h"
 #include "simulation/scale/metrics_reader.h"
@@ -14,7 +15,6 @@
   0.85 /* of the tasks that the load keeps running: less, and the region didn't fill */
 #define STARTED_SHARE_MIN 0.85 /* of the tasks submitted per second */
 #define SETTLE_S 5.0           /* jobs submitted so late in the window are not judged */
-#define MALFORMED_HEARTBEAT_LOG "a malformed report: " /* as src/daemon/daemon.c logs it */
 
 /* ------------------------------------------------------------------ one region */
 
@@ -122,8 +122,8 @@
                     *path = g_build_filename(plan->output_dir, base, NULL), *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, error))
       return FALSE;
-    for (const char *at = text; (at = strstr(at, MALFORMED_HEARTBEAT_LOG));
-         at += strlen(MALFORMED_HEARTBEAT_LOG))
+    for (const char *at = text; (at = strstr(at, FK_LOG_MALFORMED_HEARTBEAT));
+         at += strlen(FK_LOG_MALFORMED_HEARTBEAT))
       ++*count;
   }
   return TRUE;
--- a/test/test_gate.c
+++ b/test/test_admission.c
@@ -1,5 +1,5 @@
-/* The front door's decisions, without a socket: limits, the gate, the reader of requests, what can't be
- * reached. */
+/* Admission control without a socket: limits, decisions, the parser of requests, the health of dependencies.
+ */
 #include <string.h>
 
 #include "admission/admission.h"
@@ -11,12 +11,12 @@
 
 /* ------------------------------------------------------------------ limits */
 
-/* Whatever a controller has: nothing is promised twice, and everyone has something. */
+/* Whatever a controller has: no socket is promised twice, and each class of connections has some. */
 static void test_limits(void) {
   static const struct {
-    FkAdmissionResources means;
-    FkAdmissionOptions wishes;
-    guint outsiders; /* 0: not said */
+    FkAdmissionResources resources;
+    FkAdmissionOptions options;
+    guint clients; /* 0: not said */
   } cases[] = {
       {{5000, 264, 4}, {.head_s = 0}, 2557},         /* the sockets bound it */
       {{3500, 75, 2}, {.head_s = 0}, 1664},          /* here too; 1920 would be affordable */
@@ -27,22 +27,22 @@
       {{5000, 264, 4}, {.connections = 9999}, 2557}, /* more than there is */
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    FkAdmissionLimits l = fk_admission_limits_derive(&cases[i].means, &cases[i].wishes);
+    FkAdmissionLimits l = fk_admission_limits_derive(&cases[i].resources, &cases[i].options);
     guint in = l.lingering,
           out = l.store_connections + l.cloud_connections + l.worker_connections + l.peer_connections;
     for (guint g = 0; g < FK_CONNECTION_CLASSES; g++) {
       g_assert_cmpuint(l.connections[g], >=, 2);
       in += l.connections[g];
     }
-    g_assert_cmpfloat(in + out, <=, cases[i].means.sockets);
+    g_assert_cmpfloat(in + out, <=, cases[i].resources.sockets);
     g_assert_cmpuint(l.store_connections, >=, 2);
-    g_assert_cmpuint(l.buffered_bytes, <=, (gsize)(cases[i].means.ram_mb * 1048576 / 4));
+    g_assert_cmpuint(l.buffered_bytes, <=, (gsize)(cases[i].resources.ram_mb * 1048576 / 4));
     g_assert_cmpuint(l.requests, >=, 16);
-    if (cases[i].outsiders)
-      g_assert_cmpuint(l.connections[FK_CONNECTION_CLASS_CLIENT], ==, cases[i].outsiders);
+    if (cases[i].clients)
+      g_assert_cmpuint(l.connections[FK_CONNECTION_CLASS_CLIENT], ==, cases[i].clients);
   }
   FkAdmissionOptions own = {.head_s = 1, .body_s = 2, .idle_s = 3, .send_s = 4, .memory_mb = 1};
-  FkAdmissionLimits l = fk_admission_limits_derive(&cases[0].means, &own);
+  FkAdmissionLimits l = fk_admission_limits_derive(&cases[0].resources, &own);
   g_assert_cmpint(l.head_us, ==, 1 * S);
   g_assert_cmpint(l.body_us, ==, 2 * S);
   g_assert_cmpint(l.idle_us, ==, 3 * S);
@@ -53,7 +53,7 @@
 /* Sockets, and memory beyond 4,000, bound the workers' connections: 4,500 fit where there is room for them,
  * and what all connections together may take of the memory stays below nine tenths. Up to 4,000 it is the
  * sockets alone. */
-static void test_workers(void) {
+static void test_worker_connections(void) {
   static const struct {
     double sockets, ram_mb;
     guint workers;
@@ -64,19 +64,19 @@
       {20000, 264, 7816}, {50000, 264, 13516},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    FkAdmissionResources means = {cases[i].sockets, cases[i].ram_mb, 2};
-    FkAdmissionLimits l = fk_admission_limits_derive(&means, &(FkAdmissionOptions){0});
-    g_test_message("%g sockets, %g MB: %u workers, %u others", means.sockets, means.ram_mb,
+    FkAdmissionResources resources = {cases[i].sockets, cases[i].ram_mb, 2};
+    FkAdmissionLimits l = fk_admission_limits_derive(&resources, &(FkAdmissionOptions){0});
+    g_test_message("%g sockets, %g MB: %u workers, %u others", resources.sockets, resources.ram_mb,
                    l.connections[FK_CONNECTION_CLASS_WORKER], l.connections[FK_CONNECTION_CLASS_CLIENT]);
     g_assert_cmpuint(l.connections[FK_CONNECTION_CLASS_WORKER], ==, cases[i].workers);
     double bytes =
         10240.0 * (l.connections[FK_CONNECTION_CLASS_WORKER] + l.connections[FK_CONNECTION_CLASS_CLIENT]) +
         (double)l.buffered_bytes;
-    g_assert_cmpfloat(bytes, <=, 0.9 * means.ram_mb * 1048576);
+    g_assert_cmpfloat(bytes, <=, 0.9 * resources.ram_mb * 1048576);
   }
 }
 
-/* ------------------------------------------------------------------ the gate */
+/* ------------------------------------------------------------------ decisions */
 
 static FkAdmissionLimits small_limits(void) {
   return (FkAdmissionLimits){.connections = {8, 4, 2, 3},
@@ -91,29 +91,30 @@
                              .linger_us = 1 * S};
 }
 
-static void open_connection(FkAdmission *g, FkConnectionSlot *s, const char *from, gint64 now) {
-  fk_admission_connection_opened(g, s, from, FK_CONNECTION_CLASS_CLIENT, now);
+static void open_connection(FkAdmission *admission, FkConnectionSlot *s, const char *from, gint64 now) {
+  fk_admission_connection_opened(admission, s, from, FK_CONNECTION_CLASS_CLIENT, now);
 }
 
-static gboolean send_request(FkAdmission *g, FkConnectionSlot *s, FkRequestClass what, gint64 now,
+static gboolean send_request(FkAdmission *admission, FkConnectionSlot *s, FkRequestClass what, gint64 now,
                              FkRejection *v) {
-  fk_admission_begin_stage(g, s, FK_STAGE_HEAD, now);
-  if (!fk_admission_admit_request(g, s, what, now, v))
+  fk_admission_begin_stage(admission, s, FK_STAGE_HEAD, now);
+  if (!fk_admission_admit_request(admission, s, what, now, v))
     return FALSE;
-  fk_admission_begin_stage(g, s, FK_STAGE_BODY, now);
-  fk_admission_request_complete(g, s, now);
+  fk_admission_begin_stage(admission, s, FK_STAGE_BODY, now);
+  fk_admission_request_complete(admission, s, now);
   return TRUE;
 }
 
-static void close_all(FkAdmission *g, FkConnectionSlot *s, guint n) {
+static void close_all(FkAdmission *admission, FkConnectionSlot *s, guint n) {
   for (guint i = 0; i < n; i++)
-    fk_admission_connection_closed(g, &s[i]);
-  fk_admission_verify(g);
-  fk_admission_free(g);
+    fk_admission_connection_closed(admission, &s[i]);
+  fk_admission_verify(admission);
+  fk_admission_free(admission);
 }
 
-/* Each step has its time, an answer where one helps, and the clock of the next step starts anew. */
-static void test_times(void) {
+/* Each stage has its time limit, a response where one helps, and the time of the next stage starts from zero.
+ */
+static void test_timeouts(void) {
   static const struct {
     FkConnectionStage stage;
     gint64 most;
@@ -122,50 +123,50 @@
                {FK_STAGE_SENDING, 7 * S, 0},    {FK_STAGE_IDLE, 100 * S, 0}, {FK_STAGE_HANDLING, 0, 0}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     FkAdmissionLimits l = small_limits();
-    FkAdmission *g = fk_admission_new(&l);
+    FkAdmission *admission = fk_admission_new(&l);
     FkConnectionSlot s = {0};
     FkRejection v;
     gint64 t = 3 * S;
-    open_connection(g, &s, "a", t);
+    open_connection(admission, &s, "a", t);
     if (cases[i].stage >= FK_STAGE_HEAD)
-      fk_admission_begin_stage(g, &s, FK_STAGE_HEAD, t += S);
+      fk_admission_begin_stage(admission, &s, FK_STAGE_HEAD, t += S);
     if (cases[i].stage >= FK_STAGE_BODY)
-      fk_admission_begin_stage(g, &s, FK_STAGE_BODY, t += S);
+      fk_admission_begin_stage(admission, &s, FK_STAGE_BODY, t += S);
     if (cases[i].stage >= FK_STAGE_HANDLING)
-      fk_admission_request_complete(g, &s, t += S);
+      fk_admission_request_complete(admission, &s, t += S);
     if (cases[i].stage >= FK_STAGE_SENDING)
-      fk_admission_response_written(g, &s, cases[i].stage == FK_STAGE_IDLE, t += S);
+      fk_admission_response_written(admission, &s, cases[i].stage == FK_STAGE_IDLE, t += S);
     g_assert_cmpint(s.stage, ==, cases[i].stage);
     if (!cases[i].most) { /* under way: the core's deadlines, not ours */
-      g_assert_cmpint(fk_admission_next_deadline_us(g), ==, G_MAXINT64);
-      g_assert_null(fk_admission_next_eviction(g, t + 1000 * S, &v));
+      g_assert_cmpint(fk_admission_next_deadline_us(admission), ==, G_MAXINT64);
+      g_assert_null(fk_admission_next_eviction(admission, t + 1000 * S, &v));
     } else {
-      g_assert_cmpint(fk_admission_next_deadline_us(g), ==, t + cases[i].most);
-      g_assert_null(fk_admission_next_eviction(g, t + cases[i].most - 1, &v));
-      g_assert_true(fk_admission_next_eviction(g, t + cases[i].most, &v) == &s);
+      g_assert_cmpint(fk_admission_next_deadline_us(admission), ==, t + cases[i].most);
+      g_assert_null(fk_admission_next_eviction(admission, t + cases[i].most - 1, &v));
+      g_assert_true(fk_admission_next_eviction(admission, t + cases[i].most, &v) == &s);
       g_assert_cmpuint(v.status, ==, cases[i].status);
       g_assert_cmpint(s.stage, ==, cases[i].status ? FK_STAGE_LINGERING : FK_STAGE_UNTRACKED);
-      g_assert_cmpuint(fk_admission_rejections(g, FK_REJECTION_TIMEOUT), ==, 1);
+      g_assert_cmpuint(fk_admission_rejections(admission, FK_REJECTION_TIMEOUT), ==, 1);
       if (cases[i].status) /* and lingers no longer than its time */
-        g_assert_true(fk_admission_next_eviction(g, t + cases[i].most + S, &v) == &s &&
+        g_assert_true(fk_admission_next_eviction(admission, t + cases[i].most + S, &v) == &s &&
                       s.stage == FK_STAGE_UNTRACKED);
     }
-    close_all(g, &s, 1);
+    close_all(admission, &s, 1);
   }
 }
 
-/* A crowd from one address crowds out itself: the one that another address has stays, and so do newcomers. */
+/* A flood from one address evicts its own connections: another address's stays, and so do new ones. */
 static void test_eviction(void) {
   FkAdmissionLimits l = small_limits();
-  FkAdmission *g = fk_admission_new(&l);
+  FkAdmission *admission = fk_admission_new(&l);
   FkConnectionSlot other = {0}, many[40] = {{0}};
   FkRejection v;
-  open_connection(g, &other, "user", 0);
-  g_assert_true(send_request(g, &other, FK_REQUEST_CLASS_POLL, 0, &v));
-  fk_admission_response_written(g, &other, TRUE, 0); /* idle the longest of all */
+  open_connection(admission, &other, "user", 0);
+  g_assert_true(send_request(admission, &other, FK_REQUEST_CLASS_POLL, 0, &v));
+  fk_admission_response_written(admission, &other, TRUE, 0); /* idle the longest of all */
   for (guint i = 0; i < 40; i++) {
-    open_connection(g, &many[i], "crowd", 1 + i);
-    FkConnectionSlot *out = fk_admission_next_eviction(g, 1 + i, &v);
+    open_connection(admission, &many[i], "crowd", 1 + i);
+    FkConnectionSlot *out = fk_admission_next_eviction(admission, 1 + i, &v);
     if (i < 7) {
       g_assert_null(out);
     } else { /* its own, the longest waiting first; it said nothing, so nothing is said to it */
@@ -173,53 +174,53 @@
       g_assert_cmpuint(v.status, ==, 0);
       g_assert_cmpint(out->stage, ==, FK_STAGE_UNTRACKED);
     }
-    g_assert_null(fk_admission_next_eviction(g, 1 + i, &v));
-    fk_admission_verify(g);
+    g_assert_null(fk_admission_next_eviction(admission, 1 + i, &v));
+    fk_admission_verify(admission);
   }
   g_assert_cmpint(other.stage, ==, FK_STAGE_IDLE);
-  g_assert_cmpuint(fk_admission_connections(g, FK_CONNECTION_CLASS_CLIENT), ==, 8);
-  g_assert_cmpuint(fk_admission_rejections(g, FK_REJECTION_EVICTED), ==, 33);
-  fk_admission_connection_closed(g, &other);
-  close_all(g, many, 40);
+  g_assert_cmpuint(fk_admission_connections(admission, FK_CONNECTION_CLASS_CLIENT), ==, 8);
+  g_assert_cmpuint(fk_admission_rejections(admission, FK_REJECTION_EVICTED), ==, 33);
+  fk_admission_connection_closed(admission, &other);
+  close_all(admission, many, 40);
 }
 
-/* Places taken by outsiders don't keep a report or a health check out, and one that had its answer is closed
+/* Places taken by clients don't keep a report or a health check out, and one that had its answer is closed
  * after those that never asked. */
 static void test_shares(void) {
   FkAdmissionLimits l = small_limits();
-  FkAdmission *g = fk_admission_new(&l);
+  FkAdmission *admission = fk_admission_new(&l);
   FkConnectionSlot s[20] = {{0}};
   FkRejection v;
   for (guint i = 0; i < 8; i++)
-    open_connection(g, &s[i], "lb", i);
-  g_assert_true(send_request(g, &s[0], FK_REQUEST_CLASS_POLL, 9, &v));
-  fk_admission_response_written(g, &s[0], TRUE, 9);
-  /* six reports: four are counted as workers', the others stay outsiders and are served all the same */
+    open_connection(admission, &s[i], "lb", i);
+  g_assert_true(send_request(admission, &s[0], FK_REQUEST_CLASS_POLL, 9, &v));
+  fk_admission_response_written(admission, &s[0], TRUE, 9);
+  /* six reports: four are counted as workers', the others stay clients and are served all the same */
   for (guint i = 8; i < 14; i++) {
-    open_connection(g, &s[i], "worker", 10 + i);
-    while (fk_admission_next_eviction(g, 10 + i, &v))
+    open_connection(admission, &s[i], "worker", 10 + i);
+    while (fk_admission_next_eviction(admission, 10 + i, &v))
       ;
-    g_assert_true(send_request(g, &s[i], FK_REQUEST_CLASS_HEARTBEAT, 10 + i, &v));
+    g_assert_true(send_request(admission, &s[i], FK_REQUEST_CLASS_HEARTBEAT, 10 + i, &v));
     g_assert_cmpint(s[i].connection_class, ==,
                     i < 12 ? FK_CONNECTION_CLASS_WORKER : FK_CONNECTION_CLASS_CLIENT);
   }
-  open_connection(g, &s[14], "lb", 30);
-  while (fk_admission_next_eviction(g, 30, &v))
+  open_connection(admission, &s[14], "lb", 30);
+  while (fk_admission_next_eviction(admission, 30, &v))
     ;
-  g_assert_true(send_request(g, &s[14], FK_REQUEST_CLASS_HEALTH, 30, &v));
+  g_assert_true(send_request(admission, &s[14], FK_REQUEST_CLASS_HEALTH, 30, &v));
   g_assert_cmpint(s[14].connection_class, ==, FK_CONNECTION_CLASS_HEALTH_CHECK);
   g_assert_cmpint(s[0].stage, ==, FK_STAGE_IDLE);
-  g_assert_cmpuint(fk_admission_connections(g, FK_CONNECTION_CLASS_CLIENT), <=, 8);
+  g_assert_cmpuint(fk_admission_connections(admission, FK_CONNECTION_CLASS_CLIENT), <=, 8);
   /* a fifth worker's place is the longest idle one's of its own kind */
-  fk_admission_response_written(g, &s[8], TRUE, 31);
-  fk_admission_response_written(g, &s[9], TRUE, 32);
-  open_connection(g, &s[15], "worker", 33);
-  while (fk_admission_next_eviction(g, 33, &v))
+  fk_admission_response_written(admission, &s[8], TRUE, 31);
+  fk_admission_response_written(admission, &s[9], TRUE, 32);
+  open_connection(admission, &s[15], "worker", 33);
+  while (fk_admission_next_eviction(admission, 33, &v))
     ;
-  g_assert_true(send_request(g, &s[15], FK_REQUEST_CLASS_HEARTBEAT, 33, &v));
+  g_assert_true(send_request(admission, &s[15], FK_REQUEST_CLASS_HEARTBEAT, 33, &v));
   g_assert_cmpint(s[15].connection_class, ==, FK_CONNECTION_CLASS_WORKER);
-  g_assert_true(fk_admission_next_eviction(g, 33, &v) == &s[8]);
-  close_all(g, s, 20);
+  g_assert_true(fk_admission_next_eviction(admission, 33, &v) == &s[8]);
+  close_all(admission, s, 20);
 }
 
 /* Under overload: health checks, reports, cancellations, polls, submissions, in that order. */
@@ -233,14 +234,14 @@
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     FkAdmissionLimits l = small_limits();
     l.connections[FK_CONNECTION_CLASS_CLIENT] = 200;
-    FkAdmission *g = fk_admission_new(&l);
+    FkAdmission *admission = fk_admission_new(&l);
     FkConnectionSlot s[100] = {{0}};
     FkRejection v = {0};
     guint in = 0;
     for (; in < 100; in++) {
       g_autofree char *from = g_strdup_printf("10.0.0.%u", in);
-      open_connection(g, &s[in], from, 0);
-      if (!send_request(g, &s[in], cases[i].what, 0, &v))
+      open_connection(admission, &s[in], from, 0);
+      if (!send_request(admission, &s[in], cases[i].what, 0, &v))
         break;
     }
     g_assert_cmpuint(in, ==, cases[i].room);
@@ -248,9 +249,9 @@
       g_assert_cmpuint(v.status, ==, 503);
       g_assert_cmpuint(v.retry_after_s, >=, 1);
       g_assert_cmpint(s[in].stage, ==, FK_STAGE_LINGERING);
-      g_assert_cmpuint(fk_admission_rejections(g, FK_REJECTION_OVERLOADED), ==, 1);
+      g_assert_cmpuint(fk_admission_rejections(admission, FK_REJECTION_OVERLOADED), ==, 1);
     }
-    close_all(g, s, 100);
+    close_all(admission, s, 100);
   }
 }
 
@@ -259,82 +260,83 @@
   FkAdmissionLimits l = small_limits();
   l.connections[FK_CONNECTION_CLASS_CLIENT] = 200;
   l.requests = 100;
-  FkAdmission *g = fk_admission_new(&l);
+  FkAdmission *admission = fk_admission_new(&l);
   FkConnectionSlot s[200] = {{0}}, other[40] = {{0}};
   FkRejection v;
   guint first = 0, second = 0;
   for (; first < 200; first++) {
-    open_connection(g, &s[first], "greedy", 0);
-    if (!send_request(g, &s[first], FK_REQUEST_CLASS_SUBMIT, 0, &v))
+    open_connection(admission, &s[first], "greedy", 0);
+    if (!send_request(admission, &s[first], FK_REQUEST_CLASS_SUBMIT, 0, &v))
       break;
   }
   g_assert_cmpuint(first, ==, 65);
   /* with all of the submissions' room taken there is none left for others' submissions, but for their polls
    */
-  open_connection(g, &other[0], "modest", 0);
-  g_assert_true(send_request(g, &other[0], FK_REQUEST_CLASS_POLL, 0, &v));
+  open_connection(admission, &other[0], "modest", 0);
+  g_assert_true(send_request(admission, &other[0], FK_REQUEST_CLASS_POLL, 0, &v));
   /* when its requests are over, past half of the room it gets no more than its part */
   for (guint i = 0; i < 30; i++)
-    fk_admission_response_written(g, &s[i], TRUE, 1);
+    fk_admission_response_written(admission, &s[i], TRUE, 1);
   guint again = 0;
-  while (send_request(g, &s[again], FK_REQUEST_CLASS_SUBMIT, 2, &v))
+  while (send_request(admission, &s[again], FK_REQUEST_CLASS_SUBMIT, 2, &v))
     again++;
   g_assert_cmpuint(35 + again, <=, 33 + 2);
   for (guint i = 1; i < 40 && second == 0; i++) {
-    open_connection(g, &other[i], "modest", 3);
-    if (!send_request(g, &other[i], FK_REQUEST_CLASS_SUBMIT, 3, &v))
+    open_connection(admission, &other[i], "modest", 3);
+    if (!send_request(admission, &other[i], FK_REQUEST_CLASS_SUBMIT, 3, &v))
       second = i;
   }
   g_assert_cmpuint(second, >=, 25);
-  fk_admission_verify(g);
+  fk_admission_verify(admission);
   for (guint i = 0; i < 40; i++)
-    fk_admission_connection_closed(g, &other[i]);
-  close_all(g, s, 200);
+    fk_admission_connection_closed(admission, &other[i]);
+  close_all(admission, s, 200);
 }
 
 /* What is held is bounded as a whole, by address past half of it, and a report has more room than the rest.
  */
 static void test_memory(void) {
   FkAdmissionLimits l = small_limits();
-  FkAdmission *g = fk_admission_new(&l);
+  FkAdmission *admission = fk_admission_new(&l);
   FkConnectionSlot a = {0}, b = {0}, c = {0};
   FkRejection v;
-  open_connection(g, &a, "a", 0);
-  open_connection(g, &b, "b", 0);
-  open_connection(g, &c, "c", 0);
-  fk_admission_begin_stage(g, &a, FK_STAGE_HEAD, 0);
-  g_assert_true(fk_admission_admit_request(g, &a, FK_REQUEST_CLASS_SUBMIT, 0, &v));
-  fk_admission_begin_stage(g, &a, FK_STAGE_BODY, 0);
-  g_assert_true(fk_admission_set_buffered(g, &a, 3000, &v));
-  fk_admission_begin_stage(g, &b, FK_STAGE_HEAD, 0);
-  g_assert_true(fk_admission_admit_request(g, &b, FK_REQUEST_CLASS_HEARTBEAT, 0, &v));
-  fk_admission_begin_stage(g, &b, FK_STAGE_BODY, 0);
-  g_assert_true(fk_admission_set_buffered(g, &b, 5000, &v));
-  g_assert_false(fk_admission_set_buffered(g, &a, 4000, &v)); /* over half, and over a's half of 6,500 */
+  open_connection(admission, &a, "a", 0);
+  open_connection(admission, &b, "b", 0);
+  open_connection(admission, &c, "c", 0);
+  fk_admission_begin_stage(admission, &a, FK_STAGE_HEAD, 0);
+  g_assert_true(fk_admission_admit_request(admission, &a, FK_REQUEST_CLASS_SUBMIT, 0, &v));
+  fk_admission_begin_stage(admission, &a, FK_STAGE_BODY, 0);
+  g_assert_true(fk_admission_set_buffered(admission, &a, 3000, &v));
+  fk_admission_begin_stage(admission, &b, FK_STAGE_HEAD, 0);
+  g_assert_true(fk_admission_admit_request(admission, &b, FK_REQUEST_CLASS_HEARTBEAT, 0, &v));
+  fk_admission_begin_stage(admission, &b, FK_STAGE_BODY, 0);
+  g_assert_true(fk_admission_set_buffered(admission, &b, 5000, &v));
+  g_assert_false(
+      fk_admission_set_buffered(admission, &a, 4000, &v)); /* over half, and over a's half of 6,500 */
   g_assert_cmpuint(v.status, ==, 503);
-  fk_admission_reject(g, &a, FK_REJECTION_MEMORY, 0);
-  g_assert_cmpuint(fk_admission_buffered_bytes(g), ==, 5000);
-  g_assert_true(fk_admission_set_buffered(g, &b, 9900, &v));
-  fk_admission_begin_stage(g, &c, FK_STAGE_HEAD, 0);
-  g_assert_false(fk_admission_set_buffered(g, &c, 50, &v));
+  fk_admission_reject(admission, &a, FK_REJECTION_MEMORY, 0);
+  g_assert_cmpuint(fk_admission_buffered_bytes(admission), ==, 5000);
+  g_assert_true(fk_admission_set_buffered(admission, &b, 9900, &v));
+  fk_admission_begin_stage(admission, &c, FK_STAGE_HEAD, 0);
+  g_assert_false(fk_admission_set_buffered(admission, &c, 50, &v));
   /* what is under way is never refused half-way */
-  fk_admission_request_complete(g, &b, 0);
-  g_assert_true(fk_admission_set_buffered(g, &b, 20000, &v));
-  fk_admission_connection_closed(g, &a);
-  fk_admission_connection_closed(g, &b);
-  g_assert_cmpuint(fk_admission_buffered_bytes(g), ==, 50);
-  close_all(g, &c, 1);
+  fk_admission_request_complete(admission, &b, 0);
+  g_assert_true(fk_admission_set_buffered(admission, &b, 20000, &v));
+  fk_admission_connection_closed(admission, &a);
+  fk_admission_connection_closed(admission, &b);
+  g_assert_cmpuint(fk_admission_buffered_bytes(admission), ==, 50);
+  close_all(admission, &c, 1);
 }
 
-/* Random lives of connections from a few addresses: counts are always the sums of their parts, no kind is
- * over its share when all that must go has gone, who is crowded out is of a largest crowd that can be, and a
- * health check is never refused. */
-static void test_property(void) {
+/* Random connections from a few addresses: counts are always the sums of their parts, no class is over its
+ * limit when all evictions are done, an evicted client is of an address with the most evictable connections,
+ * and a health check is never rejected. */
+static void test_random_connections(void) {
   enum { N = 60, STEPS = 40000 };
   for (guint32 seed = 1; seed <= 4; seed++) {
     g_autoptr(GRand) r = g_rand_new_with_seed(seed);
     FkAdmissionLimits l = small_limits();
-    FkAdmission *g = fk_admission_new(&l);
+    FkAdmission *admission = fk_admission_new(&l);
     FkConnectionSlot s[N] = {{0}};
     gint64 t = 0;
     for (guint i = 0; i < STEPS; i++) {
@@ -345,30 +347,31 @@
       if (x->stage == FK_STAGE_UNTRACKED) {
         g_autofree char *from = g_strdup_printf("%d", (int)(5 * g_rand_double(r) * g_rand_double(r)));
         fk_admission_connection_opened(
-            g, x, from, g_rand_int_range(r, 0, 6) ? FK_CONNECTION_CLASS_CLIENT : FK_CONNECTION_CLASS_PEER, t);
+            admission, x, from,
+            g_rand_int_range(r, 0, 6) ? FK_CONNECTION_CLASS_CLIENT : FK_CONNECTION_CLASS_PEER, t);
       } else if (gone) {
-        fk_admission_connection_closed(g, x);
+        fk_admission_connection_closed(admission, x);
       } else if (x->stage == FK_STAGE_CONNECTED || x->stage == FK_STAGE_IDLE) {
-        fk_admission_begin_stage(g, x, FK_STAGE_HEAD, t);
+        fk_admission_begin_stage(admission, x, FK_STAGE_HEAD, t);
       } else if (x->stage == FK_STAGE_HEAD) {
         FkRequestClass what = x->connection_class == FK_CONNECTION_CLASS_PEER
                                   ? FK_REQUEST_CLASS_PEER
                                   : g_rand_int_range(r, 0, FK_REQUEST_CLASSES);
-        gboolean in = fk_admission_admit_request(g, x, what, t, &v);
+        gboolean in = fk_admission_admit_request(admission, x, what, t, &v);
         g_assert_true(in ||
                       (what != FK_REQUEST_CLASS_HEALTH && v.status == 503 && x->stage == FK_STAGE_LINGERING));
         if (in)
-          fk_admission_begin_stage(g, x, FK_STAGE_BODY, t);
+          fk_admission_begin_stage(admission, x, FK_STAGE_BODY, t);
       } else if (x->stage == FK_STAGE_BODY) {
-        if (fk_admission_set_buffered(g, x, (gsize)g_rand_int_range(r, 0, 3000), &v))
-          fk_admission_request_complete(g, x, t);
+        if (fk_admission_set_buffered(admission, x, (gsize)g_rand_int_range(r, 0, 3000), &v))
+          fk_admission_request_complete(admission, x, t);
         else
-          fk_admission_reject(g, x, FK_REJECTION_MEMORY, t);
+          fk_admission_reject(admission, x, FK_REJECTION_MEMORY, t);
       } else if (x->stage == FK_STAGE_HANDLING || x->stage == FK_STAGE_SENDING) {
-        fk_admission_response_written(g, x, g_rand_boolean(r), t);
-        fk_admission_set_buffered(g, x, x->stage == FK_STAGE_IDLE ? 0 : 100, &v);
+        fk_admission_response_written(admission, x, g_rand_boolean(r), t);
+        fk_admission_set_buffered(admission, x, x->stage == FK_STAGE_IDLE ? 0 : 100, &v);
       }
-      guint64 crowded = fk_admission_rejections(g, FK_REJECTION_EVICTED);
+      guint64 crowded = fk_admission_rejections(admission, FK_REJECTION_EVICTED);
       guint counts[5] = {0};
       gboolean can[5] = {0};
       FkAddressUsage *parties[5] = {0};
@@ -382,11 +385,11 @@
             can[p] |= outsider && s[k].stage != FK_STAGE_HANDLING && s[k].stage != FK_STAGE_SENDING;
             break;
           }
-      guint over =
-          fk_admission_connections(g, FK_CONNECTION_CLASS_CLIENT) > l.connections[FK_CONNECTION_CLASS_CLIENT];
-      for (guint n = 0; (out = fk_admission_next_eviction(g, t, &v)); n++)
-        if (n == 0 && over && fk_admission_rejections(g, FK_REJECTION_EVICTED) > crowded &&
-            fk_admission_connections(g, FK_CONNECTION_CLASS_CLIENT) ==
+      guint over = fk_admission_connections(admission, FK_CONNECTION_CLASS_CLIENT) >
+                   l.connections[FK_CONNECTION_CLASS_CLIENT];
+      for (guint n = 0; (out = fk_admission_next_eviction(admission, t, &v)); n++)
+        if (n == 0 && over && fk_admission_rejections(admission, FK_REJECTION_EVICTED) > crowded &&
+            fk_admission_connections(admission, FK_CONNECTION_CLASS_CLIENT) ==
                 l.connections[FK_CONNECTION_CLASS_CLIENT]) {
           guint was = 0, most = 0;
           for (guint p = 0; p < 5; p++) {
@@ -396,16 +399,16 @@
           }
           g_assert_true(!out->address || was == most);
         }
-      fk_admission_verify(g);
-      guint stuck = fk_admission_requests(g);
-      g_assert_cmpuint(fk_admission_connections(g, FK_CONNECTION_CLASS_CLIENT), <=,
+      fk_admission_verify(admission);
+      guint stuck = fk_admission_requests(admission);
+      g_assert_cmpuint(fk_admission_connections(admission, FK_CONNECTION_CLASS_CLIENT), <=,
                        MAX(l.connections[FK_CONNECTION_CLASS_CLIENT], stuck));
-      g_assert_cmpuint(fk_admission_connections(g, FK_CONNECTION_CLASS_HEALTH_CHECK), <=,
+      g_assert_cmpuint(fk_admission_connections(admission, FK_CONNECTION_CLASS_HEALTH_CHECK), <=,
                        l.connections[FK_CONNECTION_CLASS_HEALTH_CHECK]);
-      g_assert_cmpuint(fk_admission_connections(g, FK_CONNECTION_CLASS_WORKER), <=,
+      g_assert_cmpuint(fk_admission_connections(admission, FK_CONNECTION_CLASS_WORKER), <=,
                        l.connections[FK_CONNECTION_CLASS_WORKER]);
     }
-    close_all(g, s, N);
+    close_all(admission, s, N);
   }
 }
 
@@ -438,10 +441,10 @@
   return (ParseResult){r.stage, r.status, used, r.body_bytes};
 }
 
-static void test_requests(void) {
-  const FkAdmissionResources means = {5000, 264, 4};
+static void test_request_limits(void) {
+  const FkAdmissionResources resources = {5000, 264, 4};
   const FkAdmissionOptions none = {0};
-  const FkAdmissionLimits l = fk_admission_limits_derive(&means, &none);
+  const FkAdmissionLimits l = fk_admission_limits_derive(&resources, &none);
   g_autoptr(GString) a = g_string_new(""), b = g_string_new(""), c = g_string_new(""), d = g_string_new(""),
                      e = g_string_new("");
   g_string_assign(e, "POST /hello HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -551,59 +554,59 @@
   }
 }
 
-/* ------------------------------------------------------------------ what can't be reached */
+/* ------------------------------------------------------------------ health of dependencies */
 
 static void test_dependency_health(void) {
   static const struct {
     double at_s;
-    const char *note; /* NULL: it answers; "": nobody asks */
-    const char *says; /* a part of what is said, or NULL: nothing */
-    gboolean bad;
+    const char *failure; /* NULL: it answers; "": it isn't called */
+    const char *message; /* a part of the message; NULL: there is none */
+    gboolean is_warning;
   } steps[] = {
-      {0.1, "no answer", "never was since the start", TRUE}, /* at the start: the first failure */
-      {1, "no answer", NULL, FALSE},                         /* not again ... */
-      {10.2, "", "since 10.1 s", TRUE},                      /* ... but once a window */
-      {11, NULL, "reached again, after 10.9 s", FALSE},
+      {0.1, "no answer", " never_reached=true ", TRUE}, /* at the start: the first failure */
+      {1, "no answer", NULL, FALSE},                    /* not again ... */
+      {10.2, "", " unreachable_s=10.1 ", TRUE},         /* ... but once a window */
+      {11, NULL, "recovered name=\"the store\" outage_s=10.9", FALSE},
       {12, NULL, NULL, FALSE},
       {20, "it answers 503", NULL, FALSE}, /* one lost call, two: that happens */
       {21, "no answer", NULL, FALSE},
       {22, NULL, NULL, FALSE},
       {30, "no answer", NULL, FALSE},
       {31, "no answer", NULL, FALSE},
-      {32, "no answer", "(no answer) since 2.0 s; nothing goes", TRUE},
-      {33, NULL, "after 3.0 s", FALSE},
+      {32, "no answer", "failure=\"no answer\" unreachable_s=2.0 impact=\"nothing goes\"", TRUE},
+      {33, NULL, "outage_s=3.0", FALSE},
   };
-  FkDependencyHealth *r = fk_dependency_health_new(10 * S);
-  guint store = fk_dependency_health_add(r, "the store", "nothing goes"),
-        quiet = fk_dependency_health_add(r, "the cloud", "no machines");
+  FkDependencyHealth *health = fk_dependency_health_new(10 * S);
+  guint store = fk_dependency_health_add(health, "the store", "nothing goes"),
+        healthy = fk_dependency_health_add(health, "the cloud", "no machines");
   for (guint i = 0; i < G_N_ELEMENTS(steps); i++) {
     gint64 t = (gint64)(steps[i].at_s * S);
-    gboolean bad = FALSE;
-    fk_dependency_health_record(r, quiet, NULL, t);
-    if (!steps[i].note || *steps[i].note)
-      fk_dependency_health_record(r, store, steps[i].note, t);
-    g_autofree char *said = fk_dependency_health_next_message(r, t, &bad);
-    if (!steps[i].says != !said || (said && !strstr(said, steps[i].says)))
-      g_error("step %u: %s", i, said ? said : "nothing");
-    g_assert_cmpint(bad, ==, steps[i].bad);
-    g_assert_null(fk_dependency_health_next_message(r, t, &bad));
+    gboolean is_warning = FALSE;
+    fk_dependency_health_record(health, healthy, NULL, t);
+    if (!steps[i].failure || *steps[i].failure)
+      fk_dependency_health_record(health, store, steps[i].failure, t);
+    g_autofree char *message = fk_dependency_health_next_message(health, t, &is_warning);
+    if (!steps[i].message != !message || (message && !strstr(message, steps[i].message)))
+      g_error("step %u: %s", i, message ? message : "nothing");
+    g_assert_cmpint(is_warning, ==, steps[i].is_warning);
+    g_assert_null(fk_dependency_health_next_message(health, t, &is_warning));
   }
-  fk_dependency_health_free(r);
+  fk_dependency_health_free(health);
 }
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/door/limits", test_limits);
-  g_test_add_func("/door/workers", test_workers);
-  g_test_add_func("/door/times", test_times);
-  g_test_add_func("/door/crowd", test_eviction);
-  g_test_add_func("/door/shares", test_shares);
-  g_test_add_func("/door/order", test_priority_order);
-  g_test_add_func("/door/fair", test_fair_share);
-  g_test_add_func("/door/memory", test_memory);
-  g_test_add_func("/door/property", test_property);
-  g_test_add_func("/door/requests", test_requests);
-  g_test_add_func("/door/routes", test_routes);
-  g_test_add_func("/door/reach", test_dependency_health);
+  g_test_add_func("/admission/limits", test_limits);
+  g_test_add_func("/admission/worker_connections", test_worker_connections);
+  g_test_add_func("/admission/timeouts", test_timeouts);
+  g_test_add_func("/admission/eviction", test_eviction);
+  g_test_add_func("/admission/shares", test_shares);
+  g_test_add_func("/admission/priority_order", test_priority_order);
+  g_test_add_func("/admission/fair_share", test_fair_share);
+  g_test_add_func("/admission/memory", test_memory);
+  g_test_add_func("/admission/random_connections", test_random_connections);
+  g_test_add_func("/admission/request_limits", test_request_limits);
+  g_test_add_func("/admission/routes", test_routes);
+  g_test_add_func("/admission/dependency_health", test_dependency_health);
   return g_test_run();
 }
--- a/test/test_door.c
+++ b/test/test_http_server.c
@@ -1,5 +1,5 @@
-/* The front door and the calls outwards on real sockets of the loopback, in one process: the clients here are
- * driven from the same main loop, so that what happens when doesn't depend on threads. */
+/* The server and the HTTP client on real loopback sockets, in one process: the test's clients are driven from
+ * the same main loop, so that the order of events doesn't depend on threads. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -19,10 +19,10 @@
 #define PATIENCE (20 * S) /* longer than any of this takes: a test that waits so long has failed */
 #define BIG 60000
 
-/* ------------------------------------------------------------------ a small service behind a door */
+/* ------------------------------------------------------------------ a small service */
 
 typedef struct {
-  FkServer *door;
+  FkServer *server;
   SoupServer *soup;
   GQueue held; /* SoupServerMessage: submissions that wait for their answer */
   guint served, aborted;
@@ -77,20 +77,20 @@
 }
 
 static FkAdmissionLimits limits(void) {
-  const FkAdmissionResources means = {5000, 264, 2};
-  const FkAdmissionOptions wishes = {0};
-  return fk_admission_limits_derive(&means, &wishes);
+  const FkAdmissionResources resources = {5000, 264, 2};
+  const FkAdmissionOptions options = {0};
+  return fk_admission_limits_derive(&resources, &options);
 }
 
 static Service *open_service(const FkAdmissionLimits *l) {
   Service *s = g_new0(Service, 1);
   s->soup = soup_server_new("server-header", "test", NULL);
   soup_server_add_handler(s->soup, NULL, on_request, s, NULL);
-  s->door = fk_server_new(l);
+  s->server = fk_server_new(l);
   g_autoptr(GError) error = NULL;
   s->port = free_port();
   g_autofree char *where = g_strdup_printf("127.0.0.1:%u", s->port);
-  fk_soup_listener_open(s->door, s->soup, where, FK_CONNECTION_CLASS_CLIENT, classify, rejection_body,
+  fk_soup_listener_open(s->server, s->soup, where, FK_CONNECTION_CLASS_CLIENT, classify, rejection_body,
                         &error);
   g_assert_no_error(error);
   return s;
@@ -113,15 +113,15 @@
 static guint connections(const Service *s) {
   guint n = 0;
   for (guint g = 0; g < FK_CONNECTION_CLASSES; g++)
-    n += fk_admission_connections(fk_server_admission(s->door), g);
+    n += fk_admission_connections(fk_server_admission(s->server), g);
   return n;
 }
 
-/* What a service is left with when all clients have gone: nothing. */
+/* When all clients have disconnected, nothing is counted or buffered any more. */
 static void close_service(Service *s) {
   answer_held(s);
   gint64 end = g_get_monotonic_time() + PATIENCE;
-  const FkAdmission *g = fk_server_admission(s->door);
+  const FkAdmission *g = fk_server_admission(s->server);
   while ((fk_admission_addresses(g) || connections(s)) && g_get_monotonic_time() < end)
     run_iteration();
   g_assert_cmpuint(connections(s), ==, 0);
@@ -131,7 +131,7 @@
   fk_admission_verify(g);
   soup_server_disconnect(s->soup);
   g_object_unref(s->soup);
-  fk_server_free(s->door);
+  fk_server_free(s->server);
   g_free(s);
 }
 
@@ -222,7 +222,7 @@
 /* ------------------------------------------------------------------ cases */
 
 /* However a request comes, it is answered once, and the connection goes on. */
-static void test_serves(void) {
+static void test_serves_requests(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
   static const struct {
@@ -301,22 +301,22 @@
       /* a megabyte, well over every bound, and then some that nobody reads */
       while (sent < 3 * 1048576 && send_bytes(fd, piece, strlen(piece))) {
         sent += strlen(piece);
-        most = MAX(most, fk_admission_buffered_bytes(fk_server_admission(s->door)));
+        most = MAX(most, fk_admission_buffered_bytes(fk_server_admission(s->server)));
       }
     }
     g_assert_cmpuint(most, <=, l.wire_bytes + 16384);
-    g_assert_cmpuint(fk_admission_buffered_bytes(fk_server_admission(s->door)), ==, 0);
+    g_assert_cmpuint(fk_admission_buffered_bytes(fk_server_admission(s->server)), ==, 0);
     if (sent < 100000) /* else the connection may have been reset, long after the answer was sent */
       expect(fd, cases[i].start);
-    g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->door), FK_REJECTION_MALFORMED), ==,
+    g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_MALFORMED), ==,
                      i + 1);
     close(fd);
   }
   close_service(s);
 }
 
-/* A client that sends all it has before it looks for an answer, as most do, can do so, and then reads why: a
- * connection closed at once would be reset under its hands. */
+/* A client that sends all it has before it reads, as most do, can do so, and then reads the rejection: if the
+ * connection were closed at once, it would be reset. */
 static void test_rejection_is_readable(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -363,7 +363,7 @@
   }
   expect_end(idle);
   close(idle);
-  g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->door), FK_REJECTION_TIMEOUT), ==,
+  g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_TIMEOUT), ==,
                    G_N_ELEMENTS(cases) + 1);
   /* a header now and then doesn't buy more time */
   int drip = open_client(s);
@@ -379,7 +379,8 @@
   close_service(s);
 }
 
-/* Who asks on and on and reads nothing is cut off, and holds no more than its bound meanwhile. */
+/* A client that sends requests without end and reads nothing is disconnected, and buffers stay in their
+ * limit. */
 static void test_slow_readers(void) {
   FkAdmissionLimits l = limits();
   l.send_us = S / 2;
@@ -389,13 +390,13 @@
   const char *big = "GET /submissions/big HTTP/1.1\r\nHost: x\r\n\r\n";
   gsize most = 0;
   gint64 end = g_get_monotonic_time() + PATIENCE;
-  while (!fk_admission_rejections(fk_server_admission(s->door), FK_REJECTION_TIMEOUT) &&
+  while (!fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_TIMEOUT) &&
          g_get_monotonic_time() < end) {
     send(fd, big, strlen(big), MSG_NOSIGNAL);
     run_iteration();
-    most = MAX(most, fk_admission_buffered_bytes(fk_server_admission(s->door)));
+    most = MAX(most, fk_admission_buffered_bytes(fk_server_admission(s->server)));
   }
-  g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->door), FK_REJECTION_TIMEOUT), ==, 1);
+  g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_TIMEOUT), ==, 1);
   g_assert_cmpuint(most, >, 0);
   g_assert_cmpuint(most, <=, 65536 + BIG + 16384);
   g_assert_cmpuint(connections(s), ==, 0);
@@ -403,8 +404,8 @@
   close_service(s);
 }
 
-/* Sockets used up by silent connections from one address: a health check, a report and another address's user
- * get in at the first try, and who was there is still served. */
+/* All sockets are used by silent connections of one address: a health check, a heartbeat and another
+ * address's user connect at the first attempt, and the connections from before are still served. */
 static void test_connection_limit(void) {
   FkAdmissionLimits l = limits();
   l.connections[FK_CONNECTION_CLASS_CLIENT] = 20;
@@ -414,7 +415,7 @@
   expect(user, "HTTP/1.1 200");
   for (guint i = 0; i < G_N_ELEMENTS(silent); i++) {
     silent[i] = open_client(s);
-    g_assert_cmpuint(fk_admission_connections(fk_server_admission(s->door), FK_CONNECTION_CLASS_CLIENT), <=,
+    g_assert_cmpuint(fk_admission_connections(fk_server_admission(s->server), FK_CONNECTION_CLASS_CLIENT), <=,
                      20);
     if (i % 20 != 10)
       continue;
@@ -432,15 +433,15 @@
     close(report);
     close(fresh);
   }
-  g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->door), FK_REJECTION_EVICTED), >, 150);
+  g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_EVICTED), >, 150);
   for (guint i = 0; i < G_N_ELEMENTS(silent); i++)
     close(silent[i]);
   close(user);
   close_service(s);
 }
 
-/* Requests under way up to their bound: submissions are refused at once with when to come back, then polls;
- * reports and health checks go on. A flood of one address leaves another its part. */
+/* Requests in progress up to their limit: submissions are rejected at once with a Retry-After, then polls;
+ * heartbeats and health checks go on. A flood from one address leaves another its share. */
 static void test_request_limit(void) {
   FkAdmissionLimits l = limits();
   l.requests = 20;
@@ -453,7 +454,7 @@
     for (guint k = 0; k < 5; k++)
       run_iteration();
   }
-  in = (int)fk_admission_requests(fk_server_admission(s->door));
+  in = (int)fk_admission_requests(fk_server_admission(s->server));
   g_assert_cmpint(in, ==, 13); /* 65% of 20 */
   for (guint i = 13; i < G_N_ELEMENTS(flood); i++) {
     guint n = 1;
@@ -475,13 +476,13 @@
   close(flood[0]);
   for (guint k = 0; k < 10; k++)
     run_iteration();
-  g_assert_cmpuint(fk_admission_requests(fk_server_admission(s->door)), ==, 13);
+  g_assert_cmpuint(fk_admission_requests(fk_server_admission(s->server)), ==, 13);
   answer_held(s);
   for (guint i = 1; i < 13; i++)
     expect(flood[i], "HTTP/1.1 201");
   for (guint k = 0; k < 10; k++)
     run_iteration();
-  g_assert_cmpuint(fk_admission_requests(fk_server_admission(s->door)), ==, 0);
+  g_assert_cmpuint(fk_admission_requests(fk_server_admission(s->server)), ==, 0);
   for (guint i = 1; i < G_N_ELEMENTS(flood); i++)
     close(flood[i]);
   close(up);
@@ -490,8 +491,8 @@
   close_service(s);
 }
 
-/* A crowd whose requests are all there at once: health check and report first, whenever they came; every kind
- * has its part of each turn, and the later ones of a kind don't pass the earlier. */
+/* Many requests that are complete at once: health check and heartbeat first, whenever they came; each class
+ * has its part of each iteration, and within a class the order is kept. */
 static void test_order(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -525,7 +526,7 @@
   close_service(s);
 }
 
-/* Half bodies from many connections: what is held stays within the bound, and a report still fits. */
+/* Incomplete bodies on many connections: buffers stay within their limit, and a heartbeat is still taken. */
 static void test_partial_bodies(void) {
   FkAdmissionLimits l = limits();
   l.buffered_bytes = 400000;
@@ -537,11 +538,11 @@
     fds[i] = open_client(s);
     send_text(fds[i], "POST /submissions HTTP/1.1\r\nContent-Length: 65000\r\n\r\n");
     send_bytes(fds[i], body, 60000);
-    most = MAX(most, fk_admission_buffered_bytes(fk_server_admission(s->door)));
+    most = MAX(most, fk_admission_buffered_bytes(fk_server_admission(s->server)));
   }
   g_assert_cmpuint(most, <=, l.buffered_bytes);
   g_assert_cmpuint(most, >, l.buffered_bytes / 2);
-  g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->door), FK_REJECTION_MEMORY), >=, 30);
+  g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_MEMORY), >=, 30);
   int report = open_client(s);
   send_text(report, "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n");
   g_assert_true(send_bytes(report, body, 60000));
@@ -552,8 +553,8 @@
   close_service(s);
 }
 
-/* No descriptor is left for who knocks: that is said, doesn't take the processor, and who waits is served as
- * soon as there is one. */
+/* No descriptor is free for a new connection: that is logged, takes no CPU time, and clients that wait are
+ * served as soon as there is one. */
 static void test_no_descriptor(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -571,7 +572,7 @@
   none = was;
   none.rlim_cur = (rlim_t)fds[4] + 1;
   g_assert_cmpint(setrlimit(RLIMIT_NOFILE, &none), ==, 0);
-  g_test_expect_message(G_LOG_DOMAIN, G_LOG_LEVEL_WARNING, "*can't accept*");
+  g_test_expect_message(G_LOG_DOMAIN, G_LOG_LEVEL_WARNING, "*accept failed*");
   for (guint i = 0; i < 50; i++)
     run_iteration();
   g_test_assert_expected_messages();
@@ -584,8 +585,8 @@
   close_service(s);
 }
 
-/* Garbage, cuts and resets at random: nothing is left behind, and who behaves is served all the while. */
-static void test_random(void) {
+/* Garbage, disconnects and resets at random: nothing leaks, and well-behaved clients are served meanwhile. */
+static void test_random_input(void) {
   FkAdmissionLimits l = limits();
   l.connections[FK_CONNECTION_CLASS_CLIENT] = 30;
   l.first_byte_us = l.head_us = l.body_us = S / 20;
@@ -617,7 +618,7 @@
     }
     if (i % 20 == 0)
       answer_held(s);
-    fk_admission_verify(fk_server_admission(s->door));
+    fk_admission_verify(fk_server_admission(s->server));
     if (i % 500 == 0) {
       int fd = open_client_from(s, "127.0.0.9");
       send_text(fd, UP);
@@ -631,7 +632,7 @@
   close_service(s);
 }
 
-/* The door goes while connections are in every stage. */
+/* The server is freed while connections are in each stage. */
 static void test_free_with_open_streams(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -644,7 +645,7 @@
     for (guint k = 0; k < 5; k++)
       run_iteration();
   }
-  fk_server_free(s->door);
+  fk_server_free(s->server);
   answer_held(s);
   for (guint k = 0; k < 20; k++)
     run_iteration();
@@ -655,7 +656,7 @@
   g_free(s);
 }
 
-/* ------------------------------------------------------------------ calls outwards */
+/* ------------------------------------------------------------------ the HTTP client */
 
 typedef struct {
   const char *head, *then; /* what a system that misbehaves answers; `then` is repeated */
@@ -701,8 +702,8 @@
   *(Called *)data = (Called){TRUE, status, len};
 }
 
-/* An answer has a bound, and so has each of its steps: a call that may wait 30 s for an answer doesn't wait
- * so long for the rest of one. */
+/* A response is bounded in length and in the time of each of its steps: a call that may wait 30 s for a
+ * response doesn't wait so long for the rest of one. */
 static void test_http_client(void) {
   static const struct {
     const char *head, *then;
@@ -734,7 +735,7 @@
     gint64 begun = g_get_monotonic_time();
     /* (headers without end run into the deadline instead) */
     if (cases[i].status == 0 && i != 6 && (cases[i].then || strstr(cases[i].head, "100001")))
-      g_test_expect_message(G_LOG_DOMAIN, G_LOG_LEVEL_WARNING, "*the answer is over 100000 bytes*");
+      g_test_expect_message(G_LOG_DOMAIN, G_LOG_LEVEL_WARNING, "*response too long*bytes_max=100000*");
     fk_http_client_call(h, "GET", addr, "/x", NULL, cases[i].deadline_s, on_response, &c);
     while (!c.done)
       run_iteration();
@@ -756,18 +757,18 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/sockets/serves", test_serves);
-  g_test_add_func("/sockets/bounds", test_size_limits);
-  g_test_add_func("/sockets/reads_why", test_rejection_is_readable);
-  g_test_add_func("/sockets/slow", test_slow_senders);
-  g_test_add_func("/sockets/reads_not", test_slow_readers);
-  g_test_add_func("/sockets/used_up", test_connection_limit);
-  g_test_add_func("/sockets/under_way", test_request_limit);
-  g_test_add_func("/sockets/order", test_order);
-  g_test_add_func("/sockets/half_bodies", test_partial_bodies);
-  g_test_add_func("/sockets/no_descriptor", test_no_descriptor);
-  g_test_add_func("/sockets/random", test_random);
-  g_test_add_func("/sockets/freed", test_free_with_open_streams);
-  g_test_add_func("/sockets/calls", test_http_client);
+  g_test_add_func("/http_server/serves_requests", test_serves_requests);
+  g_test_add_func("/http_server/size_limits", test_size_limits);
+  g_test_add_func("/http_server/rejection_is_readable", test_rejection_is_readable);
+  g_test_add_func("/http_server/slow_senders", test_slow_senders);
+  g_test_add_func("/http_server/slow_readers", test_slow_readers);
+  g_test_add_func("/http_server/connection_limit", test_connection_limit);
+  g_test_add_func("/http_server/request_limit", test_request_limit);
+  g_test_add_func("/http_server/order", test_order);
+  g_test_add_func("/http_server/partial_bodies", test_partial_bodies);
+  g_test_add_func("/http_server/no_descriptor", test_no_descriptor);
+  g_test_add_func("/http_server/random_input", test_random_input);
+  g_test_add_func("/http_server/free_with_open_streams", test_free_with_open_streams);
+  g_test_add_func("/http_server/http_client", test_http_client);
   return g_test_run();
 }
--- a/test/test_scale.c
+++ b/test/test_scale_tools.c
@@ -17,6 +17,7 @@
 #include "simulation/worker_model.h"
 #include "wire/cloud.h"
 #include "wire/store.h"
+#include "wire/store_service.h"
 #include "wire/user.h"
 #include "wire/worker.h"
 
@@ -297,7 +298,7 @@
       {14, FK_RUN_EVENT_TASK_LOST, 0, "i-1"}}},
     {"invented", {{1, FK_RUN_EVENT_TASK_STARTED, 4000, "i-1"}}}};
 
-static void test_rules(void) {
+static void test_rule_checks(void) {
   g_autoptr(FkScalePlan) plan = small_plan();
   g_autofree char *id = fk_scale_job_id(0, BULK_JOB);
   for (guint i = 0; i < G_N_ELEMENTS(rule_cases); i++) {
@@ -393,9 +394,9 @@
   g_assert_true(g_file_set_contents(second, "up\n", -1, &error));
   g_assert_true(fk_scale_count_malformed_heartbeats(plan, 0, &n, &error));
   g_assert_cmpuint(n, ==, 0);
-  g_assert_true(
-      g_file_set_contents(first, "warning a malformed report: \nup\na malformed report: {}\n", -1, &error));
-  g_assert_true(g_file_set_contents(second, "a malformed report: []", -1, &error));
+  g_assert_true(g_file_set_contents(
+      first, "warning heartbeat malformed body=\nup\nheartbeat malformed body={}\n", -1, &error));
+  g_assert_true(g_file_set_contents(second, "heartbeat malformed body=[]", -1, &error));
   g_assert_true(fk_scale_count_malformed_heartbeats(plan, 0, &n, &error));
   g_assert_cmpuint(n, ==, 3);
   g_unlink(first);
@@ -423,7 +424,7 @@
 }
 
 /* One worker with a running task, which no controller hears of; the main loop sleeps past its lease's end. */
-static void test_lease_ends(void) {
+static void test_lease_expiry(void) {
   static FkWorkerStandIn stand_in;
   FkSimulatedWorkers *workers = &stand_in.workers;
   g_autoptr(FkScalePlan) plan = small_plan();
@@ -551,19 +552,19 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/scale/store_model", test_store_model);
-  g_test_add_func("/scale/store_rate_limit", test_store_rate_limit);
-  g_test_add_func("/scale/worker_model", test_worker_model);
-  g_test_add_func("/scale/codecs", test_codecs);
-  g_test_add_func("/scale/store_codec", test_store_codec);
-  g_test_add_func("/scale/jobs", test_jobs);
-  g_test_add_func("/scale/plan", test_plan);
-  g_test_add_func("/scale/load_balancer", test_load_balancer);
-  g_test_add_func("/scale/rules", test_rules);
-  g_test_add_func("/scale/quota_rule", test_quota_rule);
-  g_test_add_func("/scale/redirects", test_redirects);
-  g_test_add_func("/scale/malformed_heartbeats", test_malformed_heartbeats);
-  g_test_add_func("/scale/lease_ends", test_lease_ends);
-  g_test_add_func("/scale/worker_processes", test_worker_processes);
+  g_test_add_func("/scale_tools/store_model", test_store_model);
+  g_test_add_func("/scale_tools/store_rate_limit", test_store_rate_limit);
+  g_test_add_func("/scale_tools/worker_model", test_worker_model);
+  g_test_add_func("/scale_tools/codecs", test_codecs);
+  g_test_add_func("/scale_tools/store_codec", test_store_codec);
+  g_test_add_func("/scale_tools/jobs", test_jobs);
+  g_test_add_func("/scale_tools/plan", test_plan);
+  g_test_add_func("/scale_tools/load_balancer", test_load_balancer);
+  g_test_add_func("/scale_tools/rule_checks", test_rule_checks);
+  g_test_add_func("/scale_tools/quota_rule", test_quota_rule);
+  g_test_add_func("/scale_tools/redirects", test_redirects);
+  g_test_add_func("/scale_tools/malformed_heartbeats", test_malformed_heartbeats);
+  g_test_add_func("/scale_tools/lease_expiry", test_lease_expiry);
+  g_test_add_func("/scale_tools/worker_processes", test_worker_processes);
   return g_test_run();
 }
