--- a/src/simulation/scale/slopes.c
+++ b/src/simulation/scale/slopes.c
@@ -11,7 +11,7 @@
 #define RUNS_MIN 3
 #define RUNS_MAX 50
 #define STEADY_WINDOWS 6
-#define CPU_PROFILE_LOG "by purpose: " /* as src/core/leader/leader.c logs it */
+#define CPU_PROFILE_LOG "by purpose: " /* as src/core/leader/window.c logs it */
 
 /* A straight line through figures of the first region of each run: from its summary, or from the CPU profiles
  * that its controllers logged. */
--- a/test/test_scale_tools.c
+++ b/test/test_scale_tools.c
@@ -559,12 +559,12 @@
   g_test_add_func("/scale_tools/store_codec", test_store_codec);
   g_test_add_func("/scale_tools/jobs", test_jobs);
   g_test_add_func("/scale_tools/plan", test_plan);
-  g_test_add_func("/scale_tools/balancer", test_load_balancer);
+  g_test_add_func("/scale_tools/load_balancer", test_load_balancer);
   g_test_add_func("/scale_tools/rule_checks", test_rule_checks);
   g_test_add_func("/scale_tools/quota_rule", test_quota_rule);
   g_test_add_func("/scale_tools/redirects", test_redirects);
   g_test_add_func("/scale_tools/malformed_heartbeats", test_malformed_heartbeats);
   g_test_add_func("/scale_tools/lease_expiry", test_lease_expiry);
-  g_test_add_func("/scale_tools/fleet_processes", test_worker_processes);
+  g_test_add_func("/scale_tools/worker_processes", test_worker_processes);
   return g_test_run();
 }
