--- a/src/simulation/digest.c
+++ b/src/simulation/digest.c
@@ -43,7 +43,7 @@
 
 #define DAY .seconds = 220, .cancels = TRUE, .machines = 12
 #define ALL_OF(s)                                                                                            \
-  .seconds = (s), .lost = 0.03, .late = 0.03, .kills = TRUE, .cuts = TRUE, .outages = TRUE, .deaths = TRUE,    \
+  .seconds = (s), .lost = 0.03, .late = 0.03, .kills = TRUE, .cuts = TRUE, .outages = TRUE, .deaths = TRUE,  \
   .hangs = TRUE, .cancels = TRUE, .gangs = TRUE
 #define FIVE .controllers = 5, .more = TRUE
 #define PLANNED .seconds = 220, .cancels = TRUE, .late = 0.01, .machines = 30, .up = 24
