--- a/src/simulation/digest.c
+++ b/src/simulation/digest.c
@@ -43,8 +43,8 @@
 
 #define DAY .seconds = 220, .cancels = TRUE, .machines = 12
 #define ALL_OF(s)                                                                                            \
-  .seconds = s, .lost = 0.03, .late = 0.03, .controller_crashes = TRUE, .partitions = TRUE, .outages = TRUE, \
-  .machine_deaths = TRUE, .machine_hangs = TRUE, .cancels = TRUE, .gangs = TRUE
+  .seconds = (s), .lost = 0.03, .late = 0.03, .controller_crashes = TRUE, .partitions = TRUE,                \
+  .outages = TRUE, .machine_deaths = TRUE, .machine_hangs = TRUE, .cancels = TRUE, .gangs = TRUE
 #define FIVE .controllers = 5, .store_and_peer_faults = TRUE
 #define PLANNED .seconds = 220, .cancels = TRUE, .late = 0.01, .machines = 30, .up = 24
 #define TWICE PLANNED, .scale = 2
