--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -4,7 +4,10 @@
 #include "core/controller_internal.h"
 #include "core/scheduling/backfill_reservation.h"
 #include "core/scheduling/capacity_index.h"
+#include "core/scheduling/quota_partition.h"
+#include "core/scheduling/scheduling_cycle.h"
 #include "core/scheduling/scheduling_queue.h"
+#include "core/scheduling/starvation.h"
 
 #define TYPES_INTERVAL_S 60 /* between queries of the cloud's instance types */
 #define TYPES_RETRY_MIN_S 0.6
--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -6,59 +6,14 @@
 #include "core/cpu_profile.h"
 #include "core/messages.h"
 #include "core/scheduling/elastic_sizing.h"
+#include "core/shards/shards.h"
 #include "core/state/job_dependencies.h"
 #include "core/store_session/calls.h"
 #include "core/store_session/read_freshness.h"
 #include "core/store_session/session.h"
-#include "core/workers/failure_detector.h"
-
-/* A machine in this home's care. */
-struct FkWorkerState {
-  gboolean owned; /* the view has shown our claim */
-  FkFailureDetector failure_detector;
-  FkHeartbeat *heartbeat; /* the latest by (session, seq) */
-  FkRev restarted_under;  /* the claim under which it began anew: that token proves nothing of its new life */
-  guint64 command_call;   /* the direct call under way, or 0 */
-  FkRev command_shard_rev;      /* and its token */
-  GHashTable *starts_in_doubt;  /* starts that may arrive, or arrive again: "job/task#attempt" -> the token
-                          that they  were  sent under */
-  GHashTable *starts_in_flight; /* starts in the direct call under way */
-  GHashTable *starts_replied;   /* starts in the answer to the latest report */
-  FkHeartbeatSequence starts_replied_to;
-  guint lingering_attempts; /* ended attempts that must not be forgotten yet */
-  FkTime command_after;
-  gboolean
-      reconciled;  /* nothing pressing was found when it was looked at last, and its report shows our token */
-  FkRev shard_rev; /* the claim, and since when */
-  FkTime shard_rev_since;
-};
-
-typedef struct {
-  FkRequestId request;
-  FkHeartbeat *heartbeat;
-  FkTime received_at;
-  FkRev shard_rev; /* the claim when it came */
-} FkHeldHeartbeat;
-
-typedef struct {
-  FkTime sent_at;
-  char *target;
-} FkRedirect;
-
-/* This home's machines of one zone, and how many of them were heard lately. */
-typedef struct {
-  const char *zone; /* interned */
-  guint heard_lately, machines;
-  guint heard_just_now;     /* heard in the last moment ... */
-  double expected_just_now; /* ... and how many should have been */
-  FkTime outage_seen_at;    /* the last moment at which so few were heard that it may be we who are cut off */
-  FkTime outage_began;      /* when that began */
-  FkTime all_silent_at;     /* ... at which none were */
-  guint partitioned;        /* speak, and don't hear us */
-} FkZoneReachability;
+#include "core/workers/workers.h"
 
 typedef struct FkAutoscaler FkAutoscaler;
-typedef struct FkCompletion FkCompletion;
 typedef struct FkCostAccounting FkCostAccounting;
 typedef struct FkSchedulingQueue FkSchedulingQueue;
 typedef struct FkCapacityIndex FkCapacityIndex;
@@ -71,9 +26,6 @@
 #define FK_CLOCK_DRIFT 0.0012 /* two clocks, each off by 0.05%, and a little */
 #define FK_LEASE_MARGIN_S 2.0
 
-#define FK_DRAIN_REASON_IDLE "idle"
-#define FK_DRAIN_REASON_DRAIN "drain" /* what runs there moves, then it goes */
-
 typedef struct {
   const char *machine; /* interned */
   const char *team;    /* interned */
@@ -136,39 +88,6 @@
   gboolean inheriting;            /* and whether any did */
 } FkPendingRequests;
 
-/* Heartbeats and direct commands of the workers that this controller owns. */
-typedef struct {
-  GQueue *held_heartbeats;        /* FkHeldHeartbeat: waiting for a shard to be acquired */
-  guint duplicate_heartbeats;     /* refused in this window: copies */
-  guint impossible_tokens;        /* refused in this window: with a token that no shard has */
-  GHashTable *redirects;          /* machine -> FkRedirect */
-  GHashTable *commands;           /* call -> machine id (interned) */
-  FkTime last_tick, behind_until; /* we were too slow lately to tell who is silent */
-  guint slice, round;             /* of the machines, to be looked through next; how often all were */
-  GArray *zones;                  /* FkZoneReachability, counted once in all slices */
-} FkWorkerPool;
-
-/* Completions that are proven and not committed yet. */
-typedef struct {
-  GHashTable *pending;            /* attempt -> FkCompletion: proven, to be written down */
-  GHashTable *pending_by_machine; /* machine (interned) -> how many of them are there */
-  gboolean writing;
-  guint page;
-  FkRev wait_rev;
-  gboolean urgent; /* a service waits to be started elsewhere: not for the pace */
-  FkTime write_after;
-} FkCompletions;
-
-/* Acquiring shards, and writing their machine registry's pages. */
-typedef struct {
-  gboolean acquiring;
-  FkRev acquire_wait_rev;
-  FkTime acquire_after, handback_after;
-  gboolean page_writing;
-  FkRev page_wait_rev;
-  FkTime page_write_after;
-} FkShardOwnership;
-
 /* Launches: their fence, the one under way and what it reserves. */
 typedef struct {
   GHashTable *hindrances;              /* why nothing was launched -> cycles, in this window */
@@ -248,63 +167,6 @@
 /* Does it with its processor time charged to that purpose. */
 void fk_cpu_profile_run(FkController *c, FkCpuPurpose what, void (*fn)(FkController *));
 
-/* claims.c */
-gboolean fk_shard_is_owned(FkController *c, const FkShard *g);
-const char *fk_shard_preferred_owner(FkController *c, const FkShard *g);
-void fk_shard_ownership_tick(FkController *c);
-
-/* roster.c */
-/* Seconds that so many writes must last, when all controllers together may use `share` of the budget. */
-double fk_write_pace_s(FkController *c, guint writes, double share);
-void fk_machine_registry_add(FkController *c, FkMachine *m, const FkHeartbeat *r);
-void fk_machine_registry_set_drain_reason(FkController *c, FkMachine *m, const char *why, double notice_s);
-void fk_machine_registry_remove(FkController *c, FkMachine *m);
-void fk_machine_registry_tick(FkController *c);
-
-/* ends.c */
-char *fk_attempt_key(const char *job, guint32 task, FkAttempt attempt);
-gboolean fk_completion_is_pending(FkController *c, const FkMachine *m, const FkAllocationRef *b);
-void fk_completions_add(FkController *c, const FkMachine *m, const FkAllocationRef *b, FkCompletionKind how,
-                        gboolean guarded);
-void fk_completions_tick(FkController *c);
-void fk_completions_clear(FkController *c);
-void fk_completion_free(gpointer e);
-
-/* quota.c */
-void fk_quota_partition_tick(FkController *c);
-
-/* serving.c */
-void fk_starvation_tick(FkController *c);
-/* A line for each class and team; those of which less than half is served as a warning. */
-void fk_starvation_log(FkController *c);
-/* The job is one of the largest of its class, of which less than half is served. */
-gboolean fk_starvation_affects_largest(FkController *c, const FkJob *j);
-/* The job's class is hardly served. */
-gboolean fk_starvation_affects_class(FkController *c, const FkJob *j);
-/* The job is of a class or team of which less than half is served, and which hasn't a floor of the fleet's
- * `room` (CPUs) yet. */
-gboolean fk_starvation_lifts(FkController *c, const FkJob *j, double room);
-
-/* home.c */
-/* A report at our present token has come: older tokens' commands and answers are void. */
-gboolean fk_worker_has_echoed_token(const FkMachine *m);
-void fk_workers_tick(FkController *c);
-void fk_workers_view_changed(FkController *c);
-gboolean fk_machine_is_owned(FkController *c, const FkMachine *m);
-gboolean fk_machine_is_usable(FkController *c, const FkMachine *m);
-
-/* place.c */
-void fk_scheduling_cycle_run(FkController *c);
-gboolean fk_placement_fits_type(const FkSpec *s, const FkInstanceType *t);
-gboolean fk_placement_is_allowed(FkController *c, const FkJob *j, const FkMachine *m);
-gboolean fk_placement_fits_machine(FkController *c, const FkMachine *m, const FkSpec *s);
-/* Seconds from now until a waiting task must start for the tightest aim of its class that can still be met,
- * leaving `slack` times its run time; G_MAXDOUBLE when none can. */
-double fk_job_latest_start(FkController *c, const FkJob *j, double slack);
-gboolean fk_team_quota_allows_task(FkController *c, const FkSpec *s);
-/* Where a long task would go now; `zone` NULL: anywhere. */
-FkMachine *fk_long_path_best_machine(FkController *c, const FkJob *j, GPtrArray *machines, const char *zone);
-const FkInstanceType *fk_machine_type(FkController *c, const FkMachine *m);
 
 /* leader.c */
 /* After the view has changed and launches were tried. */
@@ -335,13 +197,3 @@
 void fk_cost_accounting_tick(FkController *c);
 /* Logs the accounts since the last time, and starts them anew. */
 void fk_cost_accounting_log(FkController *c);
-
-/* recover.c */
-/* Tasks of services booked there that nobody has cancelled. */
-guint fk_machine_service_tasks(const FkMachine *m);
-/* Adds to `names`, up to `most_names`, the ids of those of the silent machines `serving` (with services,
- * sorted here) whose turn it is to be returned. */
-void fk_service_failover_select(FkController *c, GPtrArray *serving, GPtrArray *names, guint most_names);
-/* FkJob, borrowed from the view, one for each task of a service on a silent machine: room for them is wanted.
- */
-GPtrArray *fk_service_failover_demand(FkController *c);
--- a/src/core/controller_status.c
+++ b/src/core/controller_status.c
@@ -66,17 +66,3 @@
   return fk_controller_is_ready(c) && g_hash_table_size(c->autoscaling.instance_types) > 0 &&
          !isolated_from_store && !isolated_from_all;
 }
-
-gboolean fk_shard_is_owned(FkController *c, const FkShard *shard) {
-  return shard->owner && g_str_equal(shard->owner, c->settings->node) &&
-         g_str_equal(shard->owner_incarnation, c->incarnation);
-}
-
-gboolean fk_machine_is_owned(FkController *c, const FkMachine *machine) {
-  return machine->shard && fk_shard_is_owned(c, machine->shard);
-}
-
-gboolean fk_worker_has_echoed_token(const FkMachine *machine) {
-  return machine->worker && machine->worker->failure_detector.token_echoed.n &&
-         machine->worker->failure_detector.token_echoed.n == machine->shard->rev.n;
-}
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -22,65 +22,67 @@
 
 typedef struct FkWorkerState FkWorkerState;
 
-/* When a worker that was redirected to its owner came back: the last two times. */
+/* When a worker that was redirected to its shard's owner last came back from there, and the time before. */
 typedef struct {
   FkTime last_at, previous_at;
-} FkHandback;
+} FkReturnedWorker;
 
 /* The most parts of a shard's machine page. It is one record while a value holds it, then several: "zone.k",
  * "zone.k+1", ... Only versions that support dependencies read those with a number. */
 #define FK_SHARD_PAGES_MAX 8
 
-/* A part of a zone's machines, which have one owner. The revision of its record is the fencing token of them
- * all. */
+/* Machines of one zone that have one owner together: the revision of the record that names the owner is the
+ * fencing token of them all. */
 typedef struct {
   const char *id, *zone;               /* interned */
-  char *owner, *owner_incarnation;     /* NULL: none yet */
-  FkRev rev;                           /* of its record: the fencing token; 0: none */
-  FkRev page_revs[FK_SHARD_PAGES_MAX]; /* of its page's parts */
-  gboolean oversized;                  /* a part was written under larger limits than those to come */
-  GPtrArray *machines;                 /* FkMachine: those described in the page, and others seen */
-  FkTime acquire_after, no_handback_until;
-  FkTime ignore_returns_until; /* another controller has just acquired it: that its workers come back proves
-                                  nothing */
-  gboolean was_owned;
-  FkRev later_token;       /* the highest token that its workers have echoed; above `rev` another
-                              controller has acquired it, and the view is behind */
-  guint announcements_due; /* machines that are to be told the new token at once */
-  gboolean acquire_wanted; /* its workers can't reach their owner, or a start must be made void */
-  gboolean page_dirty;     /* its page is to be written ... */
+  char *owner, *owner_incarnation;     /* the controller; NULL: none yet */
+  FkRev rev;                           /* of the owner's record; 0: none */
+  FkRev page_revs[FK_SHARD_PAGES_MAX]; /* of the pages that describe its machines */
+  gboolean oversized;                  /* a page was written under larger limits than those to come */
+  GPtrArray *machines;                 /* FkMachine: those in the pages, and others that were heard */
+  gboolean was_owned;                  /* by this controller, at the last tick */
+  gboolean acquire_wanted;             /* its workers can't reach their owner, or need a new fencing token */
+  FkTime acquire_after;
+  FkTime no_handback_until;      /* its workers couldn't reach this controller: it is left with its owner */
+  FkTime ignore_returns_until;   /* another has just taken it from us: workers that come back prove nothing */
+  GHashTable *returned_machines; /* id -> FkReturnedWorker*: those that came back from their owner lately */
+  FkRev later_token; /* the highest token that its workers have shown while our view was old: above `rev`,
+                        another controller owns it by now */
+  guint announcements_due; /* workers to be shown a new token at once */
+  gboolean page_dirty;     /* a page is to be written ... */
   FkTime page_dirty_since;
-  FkTime removal_due; /* ... by then at the latest, since a machine is to be taken out; 0: none is */
-  GHashTable *returned_machines; /* id of a machine that came back from its owner lately -> FkHandback* */
+  FkTime removal_due; /* ... by then at the latest, since a machine is to be removed; 0: none is */
 } FkShard;
 
 /* A machine, with what the view, its shard's owner and the scheduler know of it. */
 typedef struct {
-  const char *id;                   /* interned */
-  FkMachineRecord *record;          /* NULL: not described in its shard's page */
-  FkShard *shard;                   /* NULL: its zone isn't known */
-  FkRev page_rev;                   /* of the latest part of the shard's page that had it, */
-  guint page_part;                  /* and which that is */
-  FkMachineRecord *pending_record;  /* what is to be written of it */
-  const char *pending_drain_reason; /* interned: to be written; NULL: as it is */
+  const char *id;          /* interned */
+  FkMachineRecord *record; /* NULL: not registered */
+  FkShard *shard;          /* NULL: its zone isn't known */
+  FkRev page_rev;          /* the latest of its shard's pages that described it ... */
+  guint page_part;         /* ... and which that is */
+  /* What this controller asks the registry to write of it. */
+  FkMachineRecord *pending_record;  /* owned; NULL: it needn't be added */
+  const char *pending_drain_reason; /* interned; NULL: it stays as it is */
   double pending_notice_s;
-  gboolean pending_clear, pending_removal;
-  struct FkInstanceType *type;                             /* cached */
-  GArray *allocations;                                     /* FkAllocationRef */
-  double allocated_cpus, allocated_gpus, allocated_mem_gb; /* by `allocations` */
-  double reserved_cpus, reserved_gpus, reserved_mem_gb;    /* in transactions under way */
-  double allocated_long_cpus;
-  const char *drain_reason; /* interned: why it should go, or NULL */
-  FkTime drain_reason_since;
-  FkTime record_seen;
-  double notice_s;
+  gboolean pending_clear;      /* it needn't go any more */
+  gboolean pending_removal;    /* it is gone */
+  struct FkInstanceType *type; /* cached */
+  GArray *allocations;         /* FkAllocationRef */
+  double allocated_cpus, allocated_gpus, allocated_mem_gb;
+  double reserved_cpus, reserved_gpus, reserved_mem_gb; /* by launches under way */
+  double allocated_long_cpus;                           /* of those allocated, to the long path's tasks */
+  const char *drain_reason;                             /* interned: why it should go, or NULL ... */
+  FkTime drain_reason_since;                            /* ... and since when this controller knows */
+  FkTime record_seen;                                   /* when this controller first saw its record */
+  double notice_s; /* seconds from then until its termination; < 0: none was given */
   FkTime idle_since;
-  gboolean blacklisted;
-  FkTime full_until;                /* it refused a start: no other until then */
-  FkWorkerState *worker;            /* what its owner keeps of it; NULL: owned elsewhere */
-  GDestroyNotify worker_state_free; /* frees `worker` */
-  GHashTable *images;               /* images of tasks allocated there (interned) */
-  GPtrArray *probes; /* FkJob, with a reference: short jobs that may start there; NULL: none yet */
+  gboolean blacklisted;             /* in the short partition: closed to newly arrived long jobs */
+  FkTime full_until;                /* it refused a start: nothing new for a while */
+  FkWorkerState *worker;            /* what this controller keeps of it as its owner, or NULL */
+  GDestroyNotify worker_state_free; /* of `worker` */
+  GHashTable *images;               /* interned: images started there lately */
+  GPtrArray *probes; /* FkJob, with a reference: short jobs that may start here; NULL: none yet */
 } FkMachine;
 
 /* A live controller. */
--- a/test/test_looks.c
+++ b/test/test_scheduling_cycle.c
@@ -5,6 +5,7 @@
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/capacity_index.h"
 #include "core/scheduling/launch_batch.h"
+#include "core/scheduling/scheduling_cycle.h"
 #include "core/scheduling/scheduling_queue.h"
 #include "rig.h"
 #include "scheduling_queue/capacity_buckets.h"
@@ -156,13 +157,13 @@
 }
 
 /* With fewer jobs than are refreshed in a look, each takes its place anew in every look. */
-static void test_few_are_all_looked_at(void) {
+static void test_few_jobs_are_all_refreshed(void) {
   Cost c = cost_of(100, ROOM, 100);
   g_assert_cmpfloat(c.jobs, >=, 100);
 }
 
 /* A look sees every machine with room, however many there are, and none without. */
-static void test_all_that_have_room(void) {
+static void test_all_machines_with_capacity(void) {
   static const struct {
     guint machines, with_room;
   } cases[] = {{100, 100}, {2000, 1900}, {2500, 2001}, {4500, 4500}};
@@ -193,7 +194,7 @@
 
 /* Jobs that each want a whole machine: the plan leaves no machine idle that one of them waits for. Besides,
  * it looks at 2,000 jobs. */
-static void test_all_that_are_wanted(void) {
+static void test_plan_covers_all_machines(void) {
   static const struct {
     guint machines, jobs, idle;
   } cases[] = {{100, 3000, 0}, {2500, 999, 1500}, {2500, 2399, 100}, {4500, 4499, 0}};
@@ -207,23 +208,18 @@
       add_line(lines, g_strdup_printf("fk/l/j/run-%u", 100000 + k), g_strdup(WHOLE));
     g_ptr_array_add(lines, NULL);
     watched(r, (const char *const *)lines->pdata);
-    FkCapacityPlan bins = {g_array_new(FALSE, TRUE, sizeof(FkCapacityBin)),
-                           g_hash_table_new_full(fk_capacity_bin_hash, fk_capacity_bin_equal, g_free, NULL),
-                           g_array_new(FALSE, TRUE, sizeof(FkCapacityBin))};
+    g_autoptr(FkCapacityPlan) plan = fk_capacity_plan_new();
     gint64 began_us = g_get_monotonic_time();
-    fk_autoscaler_plan_demand(r->c, &bins);
+    fk_autoscaler_plan_demand(r->c, plan);
     double took_ms = (double)(g_get_monotonic_time() - began_us) / 1e3;
     guint idle = 0;
-    for (guint k = 0; k < bins.bins->len; k++) {
-      const FkCapacityBin *b = &g_array_index(bins.bins, FkCapacityBin, k);
+    for (guint k = 0; k < plan->bins->len; k++) {
+      const FkCapacityBin *b = &g_array_index(plan->bins, FkCapacityBin, k);
       idle += b->key.kind == FK_CAPACITY_BIN_IDLE ? b->count : 0;
     }
     g_test_message("%u machines, %u jobs: %u idle, planned in %.1f ms", cases[i].machines, cases[i].jobs,
                    idle, took_ms);
     g_assert_cmpuint(idle, ==, cases[i].idle);
-    g_array_unref(bins.bins);
-    g_array_unref(bins.to_provision);
-    g_hash_table_unref(bins.index);
     rig_free(r);
   }
 }
@@ -234,7 +230,7 @@
   "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16}"
 
 /* A large launch makes the next one wait, but not urgent work; what that writes is added to the pause. */
-static void test_urgent_before_its_time(void) {
+static void test_urgent_launch_before_pause(void) {
   Rig *r = rig_new(TRUE);
   FkController *c = r->c;
   report(r, 1, 1, 11, NULL, FK_EXIT_NONE);
@@ -258,7 +254,8 @@
 /* ------------------------------------------------------------------ the indexes */
 
 static void test_wait_key(void) {
-  const FkWaitKey usual = {.rank = 2, .standing = 1, .hopeful = TRUE, .work = 10, .since_us = 100};
+  const FkWaitKey usual = {
+      .priority = 2, .standing = 1, .feasible = TRUE, .remaining_work = 10, .since_us = 100};
   FkWaitKey other = usual;
   g_assert_cmpint(fk_wait_key_compare(&usual, &other), ==, 0);
 #define BEFORE(field, value)                                                                                 \
@@ -266,15 +263,15 @@
   other.field = value;                                                                                       \
   g_assert_cmpint(fk_wait_key_compare(&other, &usual), ==, -1);                                              \
   g_assert_cmpint(fk_wait_key_compare(&usual, &other), ==, 1)
-  BEFORE(rank, 1);
+  BEFORE(priority, 1);
   BEFORE(standing, 0);
   BEFORE(urgent, TRUE);
-  BEFORE(work, 5);
+  BEFORE(remaining_work, 5);
   BEFORE(since_us, 50);
 #undef BEFORE
   other = usual;
-  other.hopeful = FALSE;
-  other.work = 1;
+  other.feasible = FALSE;
+  other.remaining_work = 1;
   g_assert_cmpint(fk_wait_key_compare(&usual, &other), ==, -1);
 }
 
@@ -296,7 +293,7 @@
     g_assert_cmpuint(since, >, last);
     last = since;
   }
-  FkWaitKey ahead = {.rank = -1};
+  FkWaitKey ahead = {.priority = -1};
   fk_wait_queue_put(q, GUINT_TO_POINTER(50), &ahead);
   g_assert_cmpuint(fk_wait_queue_place(q, GUINT_TO_POINTER(50)), ==, 1);
   g_assert_true(fk_wait_queue_remove(q, GUINT_TO_POINTER(50)));
@@ -313,7 +310,7 @@
 static gboolean any(gpointer item, gpointer unused) { return TRUE; }
 
 /* Held against a plain table through a thousand random changes. */
-static void test_capacity(void) {
+static void test_capacity_buckets(void) {
   enum { ITEMS = 60 };
   double free_cpus[ITEMS + 1];
   FkCapacityBuckets *c = fk_capacity_buckets_new();
@@ -345,14 +342,14 @@
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/looks/wait_key", test_wait_key);
-  g_test_add_func("/looks/wait_queue", test_wait_queue);
-  g_test_add_func("/looks/capacity", test_capacity);
-  g_test_add_func("/looks/few", test_few_are_all_looked_at);
-  g_test_add_func("/looks/all_that_have_room", test_all_that_have_room);
-  g_test_add_func("/looks/all_that_are_wanted", test_all_that_are_wanted);
-  g_test_add_func("/looks/flat_in_jobs", test_flat_in_jobs);
-  g_test_add_func("/looks/flat_in_machines", test_flat_in_machines);
-  g_test_add_func("/looks/urgent_before_its_time", test_urgent_before_its_time);
+  g_test_add_func("/scheduling_cycle/wait_key", test_wait_key);
+  g_test_add_func("/scheduling_cycle/wait_queue", test_wait_queue);
+  g_test_add_func("/scheduling_cycle/capacity_buckets", test_capacity_buckets);
+  g_test_add_func("/scheduling_cycle/few_jobs_are_all_refreshed", test_few_jobs_are_all_refreshed);
+  g_test_add_func("/scheduling_cycle/all_machines_with_capacity", test_all_machines_with_capacity);
+  g_test_add_func("/scheduling_cycle/plan_covers_all_machines", test_plan_covers_all_machines);
+  g_test_add_func("/scheduling_cycle/flat_in_jobs", test_flat_in_jobs);
+  g_test_add_func("/scheduling_cycle/flat_in_machines", test_flat_in_machines);
+  g_test_add_func("/scheduling_cycle/urgent_launch_before_pause", test_urgent_launch_before_pause);
   return g_test_run();
 }
