--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -167,33 +167,41 @@
 /* Does it with its processor time charged to that purpose. */
 void fk_cpu_profile_run(FkController *c, FkCpuPurpose what, void (*fn)(FkController *));
 
+/* leader/leader.c */
 
-/* leader.c */
-/* After the view has changed and launches were tried. */
+/* After the view has changed and launches were tried: preempts, if this controller leads. */
 void fk_leader_view_changed(FkController *c);
+/* Campaigns for the leadership, and does the leader's periodic work. */
 void fk_leader_tick(FkController *c);
+
+/* leader/window.c */
+
+/* Each window writes the wait times of short tasks and logs statistics; the leader sizes the short partition.
+ */
 void fk_windows_tick(FkController *c);
 
-/* fleet.c */
+/* autoscaler/autoscaler.c */
+
 FkAutoscaler *fk_autoscaler_new(FkTime now);
-void fk_autoscaler_free(FkAutoscaler *f);
+void fk_autoscaler_free(FkAutoscaler *autoscaler);
+/* A round of the leader's autoscaler. */
 void fk_autoscaler_tick(FkController *c);
+/* Forgets everything: leadership has changed. */
 void fk_autoscaler_reset(FkController *c);
-/* The machine is being returned, or the cloud has said that it is gone. */
-gboolean fk_autoscaler_is_terminating(FkController *c, const FkMachine *m);
-
-/* What room for the task costs where it is cheapest, an hour; G_MAXDOUBLE: no type has any. */
-double fk_autoscaler_cheapest_price(FkController *c, const FkSpec *s);
-/* What the machines that are rented and not up yet cost, an hour. */
+/* The machine is being terminated, or the cloud has confirmed that it is gone. */
+gboolean fk_autoscaler_is_terminating(FkController *c, const FkMachine *machine);
+/* An hour's price of what the task takes on the cheapest type; G_MAXDOUBLE: it fits no type. */
+double fk_autoscaler_cheapest_price(FkController *c, const FkSpec *spec);
+/* An hour's price of the instances that have been provisioned and haven't joined. */
 double fk_autoscaler_booting_price(FkController *c);
-
-/* How many times as long as usual idle machines are kept (rent/hold.h). */
+/* In how many times the configured idle time machines are terminated (instance_models/idle_retention.h). */
 double fk_autoscaler_retention_factor(FkController *c, gboolean spot);
 
-/* money.c */
+/* autoscaler/cost_accounting.c */
+
 FkCostAccounting *fk_cost_accounting_new(void);
-void fk_cost_accounting_free(FkCostAccounting *m);
-/* The leader's look at what its machines are doing. */
+void fk_cost_accounting_free(FkCostAccounting *accounting);
+/* Samples what the machines cost and are doing; called by the leader. */
 void fk_cost_accounting_tick(FkController *c);
-/* Logs the accounts since the last time, and starts them anew. */
+/* Logs the costs since the last call, and starts anew. */
 void fk_cost_accounting_log(FkController *c);
--- a/src/simulation/event_queue.c
+++ b/src/simulation/event_queue.c
@@ -31,7 +31,7 @@
   g_free(a);
 }
 
-void fk_agenda_drop(FkEventQueue *a, GDestroyNotify data_free) {
+void fk_event_queue_clear(FkEventQueue *a, GDestroyNotify data_free) {
   GSequenceIter *first;
   while (!g_sequence_iter_is_end(first = g_sequence_get_begin_iter(a->entries))) {
     data_free(((Entry *)g_sequence_get(first))->data);
--- a/src/simulation/scale/simulated_workers.c
+++ b/src/simulation/scale/simulated_workers.c
@@ -314,7 +314,7 @@
 void fk_simulated_workers_close(FkSimulatedWorkers *workers) {
   for (guint i = 0; i < workers->all->len; i++) /* answers that still arrive are void */
     ((FkSimulatedWorker *)workers->all->pdata[i])->heartbeat_id = ++workers->last_serial;
-  fk_agenda_drop(workers->event_queue, g_free);
+  fk_event_queue_clear(workers->event_queue, g_free);
   g_clear_pointer(&workers->event_queue, fk_event_queue_free);
   g_clear_pointer(&workers->events, fk_event_log_free);
   g_clear_pointer(&workers->metrics, fk_metrics_log_free);
--- a/src/simulation/store_model.h
+++ b/src/simulation/store_model.h
@@ -1,5 +1,5 @@
-/* The state service as a model without a clock or a socket of its own: keys, revisions, holds, history and
- * budgets, as PROTOCOL has them. The simulated world and the stand-in that listens on loopback both own one.
+/* A model of the key-value store without a clock or a socket of its own: keys, revisions, leases, history and
+ * rate limits, as the protocol has them. Used by the simulation and by the store of scale runs.
  * Values are JSON text, which is kept and handed back as it is. Times are microseconds of the owner's clock.
  */
 #pragma once
@@ -9,7 +9,7 @@
 
 typedef struct {
   char *path, *value;
-  guint64 revision, lease; /* revision of its latest change; the hold it hangs on, or 0 */
+  guint64 revision, lease; /* of its latest change; the lease that it is attached to, or 0 */
 } FkStoreItem;
 
 typedef struct {
@@ -51,12 +51,12 @@
                                      GPtrArray *failed);
 
 guint64 fk_store_model_grant_lease(FkStoreModel *s, gint64 now, double ttl_s);
-/* FALSE: there is no such hold any more. */
-gboolean fk_store_model_keep_alive(FkStoreModel *s, gint64 now, guint64 hold);
-gboolean fk_store_model_revoke_lease(FkStoreModel *s, guint64 hold);
-/* Ends the holds whose time is over, and deletes what hangs on them. */
+/* FALSE: the lease has expired or was revoked. */
+gboolean fk_store_model_keep_alive(FkStoreModel *s, gint64 now, guint64 lease);
+gboolean fk_store_model_revoke_lease(FkStoreModel *s, guint64 lease);
+/* Ends the leases that have expired, and deletes the keys attached to them. */
 void fk_store_model_expire_leases(FkStoreModel *s, gint64 now);
-/* Every hold has its full time from that moment on: an outage is over. */
+/* Every lease has its full time from that moment on: an outage is over. */
 void fk_store_model_extend_leases(FkStoreModel *s, gint64 from);
 
 /* Requests and writes a second, each with a burst of one second's worth. */
--- a/src/simulation/worker_model.c
+++ b/src/simulation/worker_model.c
@@ -78,9 +78,9 @@
   return TRUE;
 }
 
-/* ------------------------------------------------------------------ orders */
+/* ------------------------------------------------------------------ commands */
 
-/* What an order meets on the machine. */
+/* What a command meets on the machine. */
 typedef struct {
   FkWorkerTask *same;     /* this task and attempt, in any state */
   gboolean other_attempt; /* another attempt of the task, not exited */
@@ -129,9 +129,9 @@
   t->exit_reason = FK_EXIT_STOPPED;
 }
 
-void fk_worker_model_execute(FkWorkerModel *w, const FkWorkerHooks *h, const GPtrArray *orders) {
-  for (guint i = 0; orders && i < orders->len; i++) {
-    const FkCommand *o = orders->pdata[i];
+void fk_worker_model_execute(FkWorkerModel *w, const FkWorkerHooks *h, const GPtrArray *commands) {
+  for (guint i = 0; commands && i < commands->len; i++) {
+    const FkCommand *o = commands->pdata[i];
     TaskLookup f = find_task(w, h, o);
     gboolean exited = f.same && f.same->state == FK_TASK_EXITED;
     if (o->kind == FK_COMMAND_START && !f.same)
@@ -143,19 +143,19 @@
   }
 }
 
-gboolean fk_worker_model_heartbeat_answered(FkWorkerModel *w, const FkWorkerHooks *h, guint64 session,
-                                            gint64 sent, FkFencingToken token, const GPtrArray *orders) {
-  if (!fk_worker_model_command(w, h, session, token, orders))
+gboolean fk_worker_model_heartbeat_answered(FkWorkerModel *w, const FkWorkerHooks *h, guint64 incarnation,
+                                            gint64 sent, FkFencingToken token, const GPtrArray *commands) {
+  if (!fk_worker_model_command(w, h, incarnation, token, commands))
     return FALSE;
   w->lease_start = sent;
   return TRUE;
 }
 
-gboolean fk_worker_model_command(FkWorkerModel *w, const FkWorkerHooks *h, guint64 session,
-                                 FkFencingToken token, const GPtrArray *orders) {
-  if (token.n < w->fencing_token || session != w->incarnation)
+gboolean fk_worker_model_command(FkWorkerModel *w, const FkWorkerHooks *h, guint64 incarnation,
+                                 FkFencingToken token, const GPtrArray *commands) {
+  if (token.n < w->fencing_token || incarnation != w->incarnation)
     return FALSE;
   w->fencing_token = token.n;
-  fk_worker_model_execute(w, h, orders);
+  fk_worker_model_execute(w, h, commands);
   return TRUE;
 }
--- a/src/simulation/worker_model.h
+++ b/src/simulation/worker_model.h
@@ -1,6 +1,6 @@
-/* One machine's worker as a model without a clock or a socket of its own: session, tokens, lease, tasks and
- * commands, as PROTOCOL has them ("Workers -> controller nodes"). The simulated world and the hollow workers
- * that listen on loopback both own such models. Times are microseconds of the owner's clock. */
+/* A model of one machine's worker without a clock or a socket of its own: incarnation, fencing token, lease,
+ * tasks and commands, as the protocol has them ("Workers -> controller nodes"). Used by the simulation and by
+ * the hollow workers of scale runs. Times are microseconds of the owner's clock. */
 #pragma once
 #include "core/messages.h"
 
@@ -10,8 +10,8 @@
   guint64 attempt;
   FkTaskState state;
   FkExitReason exit_reason;
-  guint64 serial;    /* tells this try from all others of the process */
-  gboolean resident; /* holds its image: on the machine */
+  guint64 serial;    /* tells this attempt from all others of the process */
+  gboolean resident; /* on the machine: it holds its resources */
 } FkWorkerTask;
 
 typedef struct {
@@ -19,7 +19,7 @@
   gboolean spot;
   double cpus; /* in all */
   guint64 incarnation, sequence, fencing_token;
-  gint64 lease_start; /* when the report that was answered last was sent, or the session began */
+  gint64 lease_start; /* when the last answered heartbeat was sent, or the incarnation began */
   GPtrArray *tasks;   /* FkWorkerTask */
 } FkWorkerModel;
 
@@ -34,24 +34,25 @@
   guint64 *last_serial; /* the latest serial given */
 } FkWorkerHooks;
 
-/* Session 1, without tasks; takes copies of the names. */
+/* Incarnation 1, without tasks; copies the strings. */
 void fk_worker_model_init(FkWorkerModel *w, const char *id, const char *addr, const char *type,
                           const char *zone, gboolean spot, double cpus);
 void fk_worker_model_clear(FkWorkerModel *w);
+/* NULL: there is no such task. */
 FkWorkerTask *fk_worker_model_task(const FkWorkerModel *w, guint64 serial);
-/* A report of what there is now, counted. */
+/* A heartbeat of the present state, with the next sequence number. Owned by the caller. */
 FkHeartbeat *fk_worker_model_heartbeat(FkWorkerModel *w);
-/* Carries the orders out one after the other. */
-void fk_worker_model_execute(FkWorkerModel *w, const FkWorkerHooks *h, const GPtrArray *orders);
-/* The answer to a report of that session that was sent then; FALSE: it is dropped. */
-gboolean fk_worker_model_heartbeat_answered(FkWorkerModel *w, const FkWorkerHooks *h, guint64 session,
-                                            gint64 sent, FkFencingToken token, const GPtrArray *orders);
-/* A direct command; FALSE: refused, and nothing is carried out. */
-gboolean fk_worker_model_command(FkWorkerModel *w, const FkWorkerHooks *h, guint64 session,
-                                 FkFencingToken token, const GPtrArray *orders);
-/* Everything that it has is lost, without an end. */
+/* Carries out FkCommand after FkCommand. */
+void fk_worker_model_execute(FkWorkerModel *w, const FkWorkerHooks *h, const GPtrArray *commands);
+/* The answer to a heartbeat of that incarnation that was sent then renews the lease; FALSE: it is dropped. */
+gboolean fk_worker_model_heartbeat_answered(FkWorkerModel *w, const FkWorkerHooks *h, guint64 incarnation,
+                                            gint64 sent, FkFencingToken token, const GPtrArray *commands);
+/* Direct commands; FALSE: refused for their token or incarnation, and nothing is carried out. */
+gboolean fk_worker_model_command(FkWorkerModel *w, const FkWorkerHooks *h, guint64 incarnation,
+                                 FkFencingToken token, const GPtrArray *commands);
+/* All tasks are lost, without an exit. */
 void fk_worker_model_clear_tasks(FkWorkerModel *w, const FkWorkerHooks *h);
-/* Where the lease has run out, the next session begins with nothing. Whether it has. */
+/* An expired lease begins the next incarnation, without tasks. Whether it has. */
 gboolean fk_worker_model_check_lease(FkWorkerModel *w, const FkWorkerHooks *h, gint64 now, double lease_s);
-/* It isn't there any more. */
+/* The task leaves the machine: its resources are free. */
 void fk_worker_model_release_task(FkWorkerModel *w, const FkWorkerHooks *h, FkWorkerTask *t);
