--- a/src/simulation/check_view.c
+++ b/src/simulation/check_view.c
@@ -1,4 +1,4 @@
-/* What the view keeps by difference, computed afresh. */
+/* The running sums and indexes of the view, computed anew from its records. */
 #include "simulation/check_view.h"
 
 #include <math.h>
--- a/src/simulation/check_view.h
+++ b/src/simulation/check_view.h
@@ -1,5 +1,5 @@
 #pragma once
 #include "core/state/view.h"
 
-/* Fails where an index or a running sum of the view isn't what a full look gives. */
+/* Aborts where an index or a running sum of the view differs from its full recomputation. */
 void sim_check_view(FkView *v);
--- a/src/simulation/recovery.h
+++ b/src/simulation/recovery.h
@@ -1,4 +1,4 @@
-/* The growth experiment: a share of the machines is lost at once, at several sizes of the fleet. */
+/* The recovery experiment: a share of the machines is lost at once, at several sizes of the cluster. */
 #pragma once
 #include <glib.h>
 
--- a/src/simulation/simulation_internal.h
+++ b/src/simulation/simulation_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the simulated world share. */
+/* What the modules of the simulation share. Times are microseconds of simulated time. */
 #pragma once
 #include "simulation/event_queue.h"
 #include "simulation/simulation.h"
@@ -24,9 +24,9 @@
   FkSettings *settings; /* its version's */
   void (*settings_free)(FkSettings *);
   guint generation, starts;
-  gint64 store_partition_until, worker_partition_until; /* until */
+  gint64 store_partition_until, worker_partition_until;
   gint64 peer_partition_until;
-  gint64 paused_until; /* it stands still until then; what is sent to it waits */
+  gint64 paused_until; /* the process stops until then; what is sent to it waits */
 } SimController;
 
 typedef struct {
@@ -36,10 +36,10 @@
   gint64 inbound_partition_until;         /* until then nothing reaches it; what it sends arrives */
   gboolean inbound_held;                  /* ... and commands are held back until then, not lost */
   gint64 outbound_partition_until;        /* until then it reaches no controller; direct commands reach it */
-  float free_cpus[SIM_FREE_CPUS_SAMPLES]; /* CPUs free, a look a second, the latest of them round */
+  float free_cpus[SIM_FREE_CPUS_SAMPLES]; /* a ring of samples, one a second */
   guint controller;
-  guint incarnation;           /* what was sent to an earlier one belongs to connections that are gone */
-  guint64 heartbeat_in_flight; /* the report under way */
+  guint incarnation;           /* what was sent to an earlier one is lost */
+  guint64 heartbeat_in_flight; /* 0: none */
   gint64 created_at;
 } SimWorker;
 
@@ -53,12 +53,12 @@
   gboolean one_zone, spread;
   gboolean accepted, reported_done, reported_cancelled, cancel_requested;
   gint64 cancel_requested_at, cancelled_at, done_at, accepted_at;
-  gint64 answered_at; /* the last question about it that was answered */
+  gint64 answered_at; /* the last query about it that was answered */
   gint64 started_at;  /* its first task started; 0: not yet */
   gboolean large;
   guint8 *finished;
   double run_s;
-  gboolean lost; /* its machine was lost, and it isn't back */
+  gboolean lost; /* with its machine, and it doesn't run again yet */
   gboolean always_fails;
   const char *class_name;
   FkJobPriority priority;
@@ -69,8 +69,8 @@
       startable_since; /* since then a machine that fits has room, and nothing of it was started; 0: not so */
   guint startable_starts;
   gboolean impossible;                /* it can never run */
-  GPtrArray *dependencies;            /* UJob; NULL: none */
-  gboolean submit_after_dependencies; /* its user submits it once all that it needs are over */
+  GPtrArray *dependencies;            /* SimJob; NULL: none */
+  gboolean submit_after_dependencies; /* submitted once all of them are over */
   const char *unknown_dependency;     /* a job that nobody submitted, or NULL */
 } SimJob;
 
@@ -110,10 +110,10 @@
   gint64 zone_partition_until;     /* until then */
   GPtrArray *workers, *jobs, *calls, *watches;
   GHashTable *workers_by_id, *jobs_by_id;
-  GHashTable *requests;    /* number -> Req */
-  GHashTable *running_on;  /* "job/task" -> Worker: where it is */
+  GHashTable *requests;    /* number -> SimRequest */
+  GHashTable *running_on;  /* "job/task" -> SimWorker: where it truly runs */
   gint64 machines_lost_at; /* when the share of the machines was lost; 0: not yet */
-  gboolean finished;       /* what the experiment waits for has happened */
+  gboolean finished;       /* the recovery experiment is over */
   gint64 core_ns;          /* spent in the controllers' cores since then */
   SimResult result;
 };
@@ -205,13 +205,13 @@
 void sim_store_notify_watches(Sim *sim);
 gboolean sim_store_refuses(Sim *sim, int controller);
 void sim_store_handle(Sim *sim, gpointer p);
-/* When a copy of what was sent arrives. */
+/* Until a duplicate of what was sent arrives. */
 double sim_duplicate_delay_s(Sim *sim);
 
 /* workers.c */
-/* It is no more, and nothing that ran there. */
+/* The machine is gone, with all that ran there. */
 void sim_worker_lose(Sim *sim, SimWorker *w);
-/* The machine is back within a fraction of a second, and has begun anew. */
+/* The machine restarts within a fraction of a second, without tasks. */
 void sim_worker_restart(Sim *sim, SimWorker *w);
 void sim_worker_free(gpointer p);
 SimWorker *sim_worker_find(Sim *sim, const char *id);
@@ -221,7 +221,7 @@
 void sim_worker_command_arrives(Sim *sim, gpointer p);
 void sim_worker_send_heartbeat(Sim *sim, gpointer p);
 void sim_worker_reply_arrives(Sim *sim, gpointer p);
-/* A leader begins: the reports that were kept come to every controller. */
+/* A leader begins: the heartbeats that were held back come to every controller. */
 void sim_release_stale_heartbeats(Sim *sim);
 
 /* cloud.c */
@@ -270,14 +270,15 @@
 guint sim_worst_class_percent(Sim *sim);
 
 /* planned_faults.c */
-/* The plan's faults are set off at their times. */
+/* Schedules the plan's faults. */
 void sim_schedule_faults(Sim *sim);
-/* For all; once it is over every hold has its full time again. */
+/* The store refuses everybody; once that is over every lease has its full time again. */
 void sim_begin_store_outage(Sim *sim, double s);
-/* Chance that a message comes once more now. */
+/* The probability that a message is duplicated now. */
 double sim_duplicate_share(const Sim *sim);
 
 /* random_faults.c */
-/* The growth experiment's loss: just so many machines, whatever runs there. */
+/* The recovery experiment's loss: exactly that share of the machines, whatever runs there. */
 void sim_lose_share(Sim *sim, gpointer p);
+/* Injects faults by chance, again and again. An event's function. */
 void sim_random_fault(Sim *sim, gpointer p);
--- a/src/simulation/store.c
+++ b/src/simulation/store.c
@@ -1,4 +1,4 @@
-/* The state service, after PROTOCOL. */
+/* The store: the model with the delays, refusals and duplicates of the plan. */
 #include <string.h>
 
 #include "simulation/check_transaction.h"
--- a/src/simulation/workers.c
+++ b/src/simulation/workers.c
@@ -1,4 +1,4 @@
-/* The machines: what they run, what they report, what they are told. */
+/* The machines: their workers' models, heartbeats and commands, and the checks when tasks start. */
 #include <string.h>
 
 #include "simulation/simulation_internal.h"
