--- a/src/core/autoscaler/arrival_rates.c
+++ b/src/core/autoscaler/arrival_rates.c
@@ -3,8 +3,8 @@
 
 #define TIME_CONSTANT_S 30.0
 #define INITIAL_PER_S 0.02
-#define GROWTH_MAX 2.0     /* an update: a burst at the start isn't taken for the rate to come */
-#define LEADER_SETTLED_S 1 /* what a new leader sees until then has waited for long: no arrivals */
+#define GROWTH_MAX 2.0    /* an update: a burst at the start isn't taken for the rate to come */
+#define LEADER_STABLE_S 1 /* what a new leader sees until then has waited for long: no arrivals */
 
 static FkArrivalRate *rate_of_class(FkAutoscaler *a, const FkJob *job) {
   FkArrivalRate *rate = g_hash_table_lookup(a->arrival_rates, job->spec->class_name);
@@ -19,7 +19,7 @@
 
 static void count_arrivals(FkController *c) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
-  gint64 settled_us = c->leader.since.us + LEADER_SETTLED_S * G_USEC_PER_SEC;
+  gint64 stable_us = c->leader.since.us + LEADER_STABLE_S * G_USEC_PER_SEC;
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init(&it, c->view->jobs);
@@ -28,7 +28,7 @@
     if (job->spec->shape != FK_SHAPE_SERVICE || job->first_seen_at.us <= a->arrivals_counted_at.us)
       continue;
     FkArrivalRate *rate = rate_of_class(a, job);
-    if (job->first_seen_at.us <= settled_us)
+    if (job->first_seen_at.us <= stable_us)
       continue;
     rate->arrivals++;
     fk_spec_unref(rate->spec);
--- a/src/core/autoscaler/consolidation.c
+++ b/src/core/autoscaler/consolidation.c
@@ -10,7 +10,7 @@
 #define RESTART_MARGIN_S 5.0    /* for a task to start again */
 #define RUN_TIME_MAX_RATIO 1.6  /* of its expected run time, that a task may take */
 #define REMAINING_MIN_RATIO 0.6 /* of its expected remaining time, that a task may end after */
-#define SERVICE_SETTLED_S 30.0
+#define SERVICE_STABLE_S 30.0
 
 /* Where a task stands, in seconds. */
 typedef struct {
@@ -55,7 +55,7 @@
     return FALSE;
   double ran_s = fk_time_between(allocation->first_seen_at, c->now);
   if (job->spec->shape == FK_SHAPE_SERVICE)
-    return ran_s >= SERVICE_SETTLED_S;
+    return ran_s >= SERVICE_STABLE_S;
   TaskProgress task = {.waited_s = fk_time_between((FkTime){job->startable_us}, c->now),
                        .run_s = fk_view_expected_run_s(c->view, job->spec)};
   task.left_s = MAX(0, task.run_s - ran_s);
--- a/src/core/autoscaler/machine_listing.c
+++ b/src/core/autoscaler/machine_listing.c
@@ -6,7 +6,7 @@
 #define LIST_RETRY_MIN_S 1.0
 #define LIST_RETRY_MAX_S 2.0
 #define LIST_INTERVAL_MIN_S 3.0
-#define RECORD_SETTLED_S 1.0 /* a record younger than this may be newer than the list */
+#define RECORD_STABLE_S 1.0 /* a record younger than this may be newer than the list */
 
 /* Not in the list yet: known from its age. */
 static FkBootingInstance *booting_instance_from_list(FkController *c, const FkCloudMachine *listed) {
@@ -23,7 +23,7 @@
 /* A machine with a record that has stopped by itself is as good as silent. */
 static void check_joined_machine(FkController *c, FkMachine *machine, const FkCloudMachine *listed) {
   if (listed->state == FK_CLOUD_MACHINE_FAILED && !machine->drain_reason &&
-      fk_time_between(machine->record_seen, c->now) > RECORD_SETTLED_S)
+      fk_time_between(machine->record_seen, c->now) > RECORD_STABLE_S)
     fk_machine_registry_set_drain_reason(c, machine, "silent", -1);
 }
 
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -273,8 +273,8 @@
   const FkSpec *spec = job->spec;
   guint32 waiting = allowed_tasks(c, job, *used_cpus);
   RankedOffer cheapest;
-  gboolean offered = cheapest_offer(c, spec, fk_job_waiting_tasks(job), FALSE, &cheapest);
-  double patience = patience_s(c, job, offered ? cheapest.ready_s : UNKNOWN_READY_S);
+  gboolean has_offer = cheapest_offer(c, spec, fk_job_waiting_tasks(job), FALSE, &cheapest);
+  double patience = patience_s(c, job, has_offer ? cheapest.ready_s : UNKNOWN_READY_S);
   double run_s = fk_view_expected_run_s(c->view, spec);
   gboolean low_cost_only = spec->spot && fk_scheduling_queue_is_low_cost_only(c, job);
   while (waiting) {
--- a/src/core/autoscaler/termination.c
+++ b/src/core/autoscaler/termination.c
@@ -6,7 +6,7 @@
 #define TERMINATION_INTERVAL_S 0.7
 #define TERMINATION_RETRY_S 1.0
 #define TERMINATED_RETENTION_S 300.0 /* the cloud's list lags by far less */
-#define DRAIN_SETTLED_S 0.5          /* an idle machine may have been given a task just before */
+#define DRAIN_STABLE_S 0.5           /* an idle machine may have been given a task just before */
 
 #define MIN_BILLED_S 60.0 /* a machine costs so much at the least: an earlier end saves nothing */
 #define JOIN_TIMEOUT_S 45.0
@@ -76,7 +76,7 @@
     return FALSE;
   return !waits_until_empty(machine) ||
          (!machine->allocations->len &&
-          fk_time_between(machine->drain_reason_since, c->now) >= DRAIN_SETTLED_S);
+          fk_time_between(machine->drain_reason_since, c->now) >= DRAIN_STABLE_S);
 }
 
 /* Adds the ids of drained machines to `ids`. Silent machines with services are left to the failover, which
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -70,10 +70,10 @@
 }
 
 /* What the job's team has above its share, and its class above the starvation floor. */
-static double reclaimable_cpus(FkController *c, const FkJob *job, double fleet_cpus) {
+static double reclaimable_cpus(FkController *c, const FkJob *job, double cluster_cpus) {
   const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, job->spec->team);
   const FkServiceLevelRow *row = fk_service_level_class(c->view->service_level, job->spec->class_name);
-  return MIN(team->used - team->share, (row ? row->cpus : 0) - FK_SERVICE_FLOOR_SHARE * fleet_cpus);
+  return MIN(team->used - team->share, (row ? row->cpus : 0) - FK_SERVICE_FLOOR_SHARE * cluster_cpus);
 }
 
 /* Asks tasks of the chunk to stop, the latest first, with `cpus_max` together at most. Returns their CPUs. */
@@ -95,20 +95,20 @@
 
 void fk_preemption_reclaim(FkController *c, FkStopTransaction *stops) {
   double wait_s, stopping_cpus = 0, reclaimed_cpus = 0;
-  double fleet_cpus = fk_scheduling_queue_fleet_cpus(c);
+  double cluster_cpus = fk_scheduling_queue_cluster_cpus(c);
   double blocked_cpus = fk_scheduling_queue_blocked_cpus(c, &wait_s);
   const FkJob *blocked = fk_scheduling_queue_first_blocked(c);
-  if (!blocked || wait_s < BLOCKED_WAIT_MIN_S || blocked_cpus < BLOCKED_SHARE_MIN * fleet_cpus ||
+  if (!blocked || wait_s < BLOCKED_WAIT_MIN_S || blocked_cpus < BLOCKED_SHARE_MIN * cluster_cpus ||
       fk_time_between(c->leader.quota_reclaimed_at, c->now) < RECLAIM_INTERVAL_S)
     return;
   g_autoptr(GArray) candidates = find_candidates(c, blocked, &stopping_cpus);
-  double wanted_cpus = MIN(blocked_cpus, RECLAIM_SHARE_MAX * fleet_cpus) - stopping_cpus;
+  double wanted_cpus = MIN(blocked_cpus, RECLAIM_SHARE_MAX * cluster_cpus) - stopping_cpus;
   guint chunks = 0;
   for (guint i = 0; i < candidates->len && reclaimed_cpus < wanted_cpus && chunks < CHUNKS_PER_ROUND_MAX;
        i++) {
     const Candidate *candidate = &g_array_index(candidates, Candidate, i);
     double cpus_max =
-        MIN(wanted_cpus - reclaimed_cpus, reclaimable_cpus(c, candidate->job, fleet_cpus) - reclaimed_cpus);
+        MIN(wanted_cpus - reclaimed_cpus, reclaimable_cpus(c, candidate->job, cluster_cpus) - reclaimed_cpus);
     double cpus = stop_tasks(c, stops, candidate, cpus_max);
     chunks += cpus > 0;
     reclaimed_cpus += cpus;
--- a/src/core/scheduling/scheduling_queue.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -15,7 +15,7 @@
 #define SELECTED_PER_CYCLE 256
 #define EXAMINED_PER_CYCLE_MAX (4 * SELECTED_PER_CYCLE)
 
-#define FLEET_COUNT_INTERVAL_S 1.0
+#define CLUSTER_COUNT_INTERVAL_S 1.0
 #define BLOCKED_JOBS_MAX 4           /* that others back off for: the first of the queue */
 #define BACK_OFF_AFTER_S 1.0         /* a job that has waited for less may yet find room beside others */
 #define SERVICE_LEVEL_SUFFICIENT 0.5 /* of a class: no expensive machines are provisioned for the rest */
@@ -29,8 +29,8 @@
   guint waiting_services;         /* tasks of services that wait */
   guint64 refreshed_count;        /* jobs refreshed in all cycles */
   FkFairShareDemand *team_shares; /* in the settings' order of teams */
-  double fleet_cpus, fleet_gpus;  /* of the machines that are up */
-  FkTime fleet_counted_at;
+  double cluster_cpus, cluster_gpus; /* of the machines that are up */
+  FkTime cluster_counted_at;
   GPtrArray *blocked; /* FkJob, with a reference: the first arrays that only lack free capacity */
   double blocked_cpus, blocked_wait_s; /* of all such arrays; of the first */
 };
@@ -109,7 +109,7 @@
     job->effective_priority = MAX(job->effective_priority, FK_JOB_PRIORITY_NORMAL);
   /* an aged job is raised until its first task has started */
   if (job->effective_priority < FK_JOB_PRIORITY_NORMAL ||
-      !(aged || fk_starvation_raises_priority(c, job, c->leader.scheduling_queue->fleet_cpus)))
+      !(aged || fk_starvation_raises_priority(c, job, c->leader.scheduling_queue->cluster_cpus)))
     return;
   job->effective_priority = FK_JOB_PRIORITY_NORMAL;
   job->fair_share_standing = FK_STANDING_PROTECTED;
@@ -127,16 +127,16 @@
   const FkServiceLevelRow *row = fk_service_level_class(c->view->service_level, job->spec->class_name);
   return team->guaranteed_cpus <= 0 && job->spec->shape == FK_SHAPE_ARRAY && !has_objective(c, job->spec) &&
          row && (row->expected_jobs <= 0 || fk_service_level_share(row) >= SERVICE_LEVEL_SUFFICIENT) &&
-         !fk_starvation_raises_priority(c, job, c->leader.scheduling_queue->fleet_cpus);
+         !fk_starvation_raises_priority(c, job, c->leader.scheduling_queue->cluster_cpus);
 }
 
 /* ------------------------------------------------------------------ fair shares */
 
-static void count_fleet_capacity(FkController *c, FkSchedulingQueue *queue) {
-  if (fk_time_between(queue->fleet_counted_at, c->now) < FLEET_COUNT_INTERVAL_S)
+static void count_cluster_capacity(FkController *c, FkSchedulingQueue *queue) {
+  if (fk_time_between(queue->cluster_counted_at, c->now) < CLUSTER_COUNT_INTERVAL_S)
     return;
-  queue->fleet_counted_at = c->now;
-  queue->fleet_cpus = queue->fleet_gpus = 0;
+  queue->cluster_counted_at = c->now;
+  queue->cluster_cpus = queue->cluster_gpus = 0;
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init(&it, c->view->machines);
@@ -144,8 +144,8 @@
     const FkMachine *machine = value;
     const FkInstanceType *type =
         machine->record && !machine->drain_reason ? fk_machine_type(c, machine) : NULL;
-    queue->fleet_cpus += type ? type->cpus : 0;
-    queue->fleet_gpus += type ? type->gpus : 0;
+    queue->cluster_cpus += type ? type->cpus : 0;
+    queue->cluster_gpus += type ? type->gpus : 0;
   }
 }
 
@@ -155,20 +155,20 @@
     const FkTeam *team = c->settings->teams->pdata[i];
     const FkTeamUsage *usage = fk_view_ensure_team(c->view, team->name);
     queue->team_shares[i] = (FkFairShareDemand){
-        .guarantee = fk_fair_share_dominant(team->guaranteed_cpus, team->guaranteed_gpus, queue->fleet_cpus,
-                                            queue->fleet_gpus),
+        .guarantee = fk_fair_share_dominant(team->guaranteed_cpus, team->guaranteed_gpus, queue->cluster_cpus,
+                                            queue->cluster_gpus),
         .quota = team->max_cpus,
-        .used = fk_fair_share_dominant(usage->cpus, usage->gpus, queue->fleet_cpus, queue->fleet_gpus),
+        .used = fk_fair_share_dominant(usage->cpus, usage->gpus, queue->cluster_cpus, queue->cluster_gpus),
         .wanted = queue->team_demand_cpus[i] > FK_AMOUNT_EPSILON ? queue->team_demand_cpus[i] : 0};
   }
-  fk_fair_share_divide(queue->team_shares, queue->team_count, queue->fleet_cpus);
+  fk_fair_share_divide(queue->team_shares, queue->team_count, queue->cluster_cpus);
 }
 
 const FkFairShareDemand *fk_scheduling_queue_team_share(FkController *c, const char *team) {
   return &c->leader.scheduling_queue->team_shares[fk_settings_team_index(c->settings, team)];
 }
 
-double fk_scheduling_queue_fleet_cpus(FkController *c) { return c->leader.scheduling_queue->fleet_cpus; }
+double fk_scheduling_queue_cluster_cpus(FkController *c) { return c->leader.scheduling_queue->cluster_cpus; }
 
 /* ------------------------------------------------------------------ blocked jobs */
 
@@ -229,8 +229,8 @@
   if (!fk_settings_find_team(c->settings, spec->team))
     return;
   double tasks = fk_job_waiting_tasks(job);
-  double demand =
-      fk_fair_share_dominant(tasks * spec->cpus, tasks * spec->gpus, queue->fleet_cpus, queue->fleet_gpus);
+  double demand = fk_fair_share_dominant(tasks * spec->cpus, tasks * spec->gpus, queue->cluster_cpus,
+                                         queue->cluster_gpus);
   guint services = spec->shape == FK_SHAPE_SERVICE ? fk_job_waiting_tasks(job) : 0;
   queue->team_demand_cpus[fk_settings_team_index(c->settings, spec->team)] += demand - job->demand_cpus;
   queue->waiting_services += services - job->waiting_services;
@@ -337,7 +337,7 @@
 GPtrArray *fk_scheduling_queue_select_jobs(FkController *c) {
   FkSchedulingQueue *queue = c->leader.scheduling_queue;
   g_autoptr(GPtrArray) refreshed = jobs_to_refresh(c, queue);
-  count_fleet_capacity(c, queue);
+  count_cluster_capacity(c, queue);
   for (guint i = 0; i < refreshed->len; i++)
     update_demand(c, queue, refreshed->pdata[i]);
   divide_fair_shares(c, queue);
--- a/src/core/scheduling/scheduling_queue.h
+++ b/src/core/scheduling/scheduling_queue.h
@@ -26,7 +26,7 @@
 /* What a team uses, wants and is due as of the latest cycle, in CPUs. The team must be in the settings. */
 const FkFairShareDemand *fk_scheduling_queue_team_share(FkController *c, const char *team);
 /* CPUs of all machines that are up and not draining. */
-double fk_scheduling_queue_fleet_cpus(FkController *c);
+double fk_scheduling_queue_cluster_cpus(FkController *c);
 /* The first blocked array, or NULL; borrowed until the next cycle. */
 const FkJob *fk_scheduling_queue_first_blocked(FkController *c);
 /* CPUs that all blocked arrays wait for, and for how long the first of them has waited. */
--- a/src/core/scheduling/starvation.c
+++ b/src/core/scheduling/starvation.c
@@ -56,14 +56,14 @@
          fk_service_level_is_large(level, class_name, fk_spec_cpu_seconds(job->spec));
 }
 
-gboolean fk_starvation_raises_priority(FkController *c, const FkJob *job, double fleet_cpus) {
+gboolean fk_starvation_raises_priority(FkController *c, const FkJob *job, double cluster_cpus) {
   if (!c->leader.starving)
     return FALSE;
   const FkServiceLevelRow *rows[] = {fk_service_level_class(c->view->service_level, job->spec->class_name),
                                      fk_service_level_team(c->view->service_level, job->spec->team)};
   for (guint i = 0; i < G_N_ELEMENTS(rows); i++)
     if (rows[i] && fk_service_level_is_starved(rows[i]) &&
-        rows[i]->cpus < FK_SERVICE_FLOOR_SHARE * fleet_cpus)
+        rows[i]->cpus < FK_SERVICE_FLOOR_SHARE * cluster_cpus)
       return TRUE;
   return FALSE;
 }
--- a/src/core/scheduling/starvation.h
+++ b/src/core/scheduling/starvation.h
@@ -11,6 +11,6 @@
 gboolean fk_starvation_affects_largest(FkController *c, const FkJob *job);
 /* The job's class starves. */
 gboolean fk_starvation_affects_class(FkController *c, const FkJob *job);
-/* The job's class or team starves, and runs on less than the floor of `fleet_cpus`: its priority is raised.
+/* The job's class or team starves, and runs on less than the floor of `cluster_cpus`: its priority is raised.
  */
-gboolean fk_starvation_raises_priority(FkController *c, const FkJob *job, double fleet_cpus);
+gboolean fk_starvation_raises_priority(FkController *c, const FkJob *job, double cluster_cpus);
--- a/src/core/shards/completions.c
+++ b/src/core/shards/completions.c
@@ -127,8 +127,9 @@
   return job && index < job->chunk_count ? job->base_chunks[index] : NULL;
 }
 
-/* Adds to `kept` what a page must still say of a chunk: completions that its own record doesn't show. */
-static void keep_unrecorded(FkController *c, GPtrArray *kept, const FkCompletionRecord *record) {
+/* Adds to `unrecorded` what a page must still say of a chunk: completions that its own record doesn't show.
+ */
+static void keep_unrecorded(FkController *c, GPtrArray *unrecorded, const FkCompletionRecord *record) {
   const FkChunk *base = find_base_chunk(c, record->chunk);
   if (!base)
     return;
@@ -146,7 +147,7 @@
     }
   }
   if (any)
-    g_ptr_array_add(kept, left);
+    g_ptr_array_add(unrecorded, left);
   else
     fk_completion_record_free(left);
 }
@@ -159,23 +160,23 @@
 static GPtrArray *read_page(FkController *c, guint number, gsize *size) {
   g_autofree char *name = page_name(c, number);
   const FkCompletionPage *page = g_hash_table_lookup(c->view->completion_pages, name);
-  GPtrArray *kept = g_ptr_array_new_with_free_func(fk_completion_record_free);
-  for (guint i = 0; page && i < page->ends->len; i++)
-    keep_unrecorded(c, kept, page->ends->pdata[i]);
+  GPtrArray *unrecorded = g_ptr_array_new_with_free_func(fk_completion_record_free);
+  for (guint i = 0; page && i < page->records->len; i++)
+    keep_unrecorded(c, unrecorded, page->records->pdata[i]);
   *size = PAGE_OVERHEAD_BYTES;
-  for (guint i = 0; i < kept->len; i++)
-    *size += completion_record_size(kept->pdata[i]);
-  return kept;
+  for (guint i = 0; i < unrecorded->len; i++)
+    *size += completion_record_size(unrecorded->pdata[i]);
+  return unrecorded;
 }
 
 /* The page to write next: the one written last, until it is half full; or NULL if all are. */
 static GPtrArray *open_page(FkController *c, gsize *size) {
-  for (guint tries = 0; tries < PAGES_MAX; tries++) {
+  for (guint attempts = 0; attempts < PAGES_MAX; attempts++) {
     g_autoptr(GPtrArray) page = read_page(c, c->completions.page, size);
     if (*size < PAGE_OPEN_BYTES_PER_KB * c->settings->value_kb)
       return g_steal_pointer(&page);
     /* a small page is likelier among the first */
-    c->completions.page = tries || !c->completions.page ? c->completions.page + 1 : 0;
+    c->completions.page = attempts || !c->completions.page ? c->completions.page + 1 : 0;
     if (c->completions.page >= PAGES_MAX)
       c->completions.page = 0;
   }
--- a/src/core/state/view.c
+++ b/src/core/state/view.c
@@ -52,7 +52,7 @@
 
 static void completion_page_free(gpointer data) {
   FkCompletionPage *e = data;
-  g_ptr_array_unref(e->ends);
+  g_ptr_array_unref(e->records);
   g_free(e);
 }
 
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -10,7 +10,7 @@
 /* A page of completions. */
 typedef struct {
   FkRev rev;
-  GPtrArray *ends; /* FkCompletionRecord */
+  GPtrArray *records; /* FkCompletionRecord */
 } FkCompletionPage;
 
 /* How an allocation ended. */
--- a/src/core/state/view_completions.c
+++ b/src/core/state/view_completions.c
@@ -104,8 +104,8 @@
 
 /* Drops the records of the old page that the new one has not replaced. */
 static void remove_completion_records(FkView *v, const FkCompletionPage *old) {
-  for (guint i = 0; i < old->ends->len; i++) {
-    FkCompletionRecord *completion = old->ends->pdata[i];
+  for (guint i = 0; i < old->records->len; i++) {
+    FkCompletionRecord *completion = old->records->pdata[i];
     GPtrArray *of_chunk =
         completion->page ? g_hash_table_lookup(v->completions_by_chunk, completion->chunk) : NULL;
     if (of_chunk && g_ptr_array_remove_fast(of_chunk, completion) && !of_chunk->len)
@@ -122,10 +122,10 @@
   if (record) {
     page = g_new0(FkCompletionPage, 1);
     page->rev = rev;
-    page->ends = g_steal_pointer(&record->completions);
+    page->records = g_steal_pointer(&record->completions);
   }
-  for (guint i = 0; page && i < page->ends->len; i++) {
-    FkCompletionRecord *completion = page->ends->pdata[i];
+  for (guint i = 0; page && i < page->records->len; i++) {
+    FkCompletionRecord *completion = page->records->pdata[i];
     completion->page = page;
     set_completion_record(v, completion, old);
   }
--- a/src/core/workers/commands.c
+++ b/src/core/workers/commands.c
@@ -67,14 +67,14 @@
 static void add_forgets(const FkMachine *machine, GPtrArray *commands) {
   FkWorkerState *worker = machine->worker;
   const GPtrArray *tasks = worker->heartbeat->tasks;
-  worker->lingering_attempts = 0;
+  worker->retained_attempts = 0;
   for (guint i = 0; i < tasks->len && commands->len < COMMANDS_MAX; i++) {
     const FkTaskStatus *status = tasks->pdata[i];
     if (status->state != FK_TASK_EXITED || find_allocation(machine, status))
       continue;
     g_autofree char *key = fk_attempt_key(status->job, status->task, status->attempt);
     if (start_may_arrive(worker, key))
-      worker->lingering_attempts++;
+      worker->retained_attempts++;
     else
       g_ptr_array_add(commands, command_for_status(FK_COMMAND_FORGET, status));
   }
--- a/src/core/workers/failure_detector.c
+++ b/src/core/workers/failure_detector.c
@@ -70,7 +70,7 @@
     return FK_HEARTBEAT_RESTARTED;
   }
   note_receiving(detector);
-  detector->last_heard_at = now;
+  detector->last_contact_at = now;
   if (sequence_is_known(detector->newest_message) &&
       !fk_heartbeat_sequence_after(sequence, detector->newest_message))
     return FK_HEARTBEAT_STALE;
@@ -91,7 +91,7 @@
 }
 
 gboolean fk_failure_detector_token_echoed(FkFailureDetector *detector, FkRev token, FkTime now) {
-  detector->last_heard_at = now;
+  detector->last_contact_at = now;
   if (fk_rev_equal(detector->token_echoed, token))
     return FALSE;
   detector->token_echoed = token;
@@ -114,8 +114,8 @@
 }
 
 FkTime fk_failure_detector_silent_since(const FkFailureDetector *detector) {
-  return detector->last_heard_at.us > detector->owned_since.us ? detector->last_heard_at
-                                                               : detector->owned_since;
+  return detector->last_contact_at.us > detector->owned_since.us ? detector->last_contact_at
+                                                                 : detector->owned_since;
 }
 
 FkTime fk_failure_detector_lease_from(const FkFailureDetector *detector, double trust_s) {
--- a/src/core/workers/failure_detector.h
+++ b/src/core/workers/failure_detector.h
@@ -23,7 +23,7 @@
   /* Whether it is alive. */
   FkTime token_first_echoed_at; /* when a message first showed a token of this ownership; 0: none has */
   FkRev token_echoed;           /* the latest of our tokens that it has shown */
-  FkTime last_heard_at;         /* when something that proves it alive came last */
+  FkTime last_contact_at;       /* when something that proves it alive came last */
   FkTime last_replied_at;       /* when we last replied to a heartbeat during this ownership; 0: never ... */
   guint64 replied_incarnation;  /* ... and the worker's incarnation then */
   FkHeartbeatSequence newest_message;   /* the newest message, and ... */
--- a/src/core/workers/heartbeats.c
+++ b/src/core/workers/heartbeats.c
@@ -93,7 +93,7 @@
 static void reject_duplicate(FkController *c, FkRequestId request, FkMachine *machine) {
   c->workers.duplicate_heartbeats++;
   fk_heartbeat_reply_new(c, request, STATUS_UNAVAILABLE);
-  if (fk_time_between(machine->worker->failure_detector.last_heard_at, c->now) >= DUPLICATE_PROBE_AFTER_S)
+  if (fk_time_between(machine->worker->failure_detector.last_contact_at, c->now) >= DUPLICATE_PROBE_AFTER_S)
     fk_commands_send(c, machine, TRUE);
 }
 
--- a/src/core/workers/reconciliation.c
+++ b/src/core/workers/reconciliation.c
@@ -3,11 +3,11 @@
  * heartbeat, a command's reply or the view changes something, and needs no memory of what it did before. */
 #include "core/workers/workers_internal.h"
 
-#define RENEW_TOKEN_AFTER_S 3.0   /* workers must have had time to receive the latest token */
-#define LINGERING_ATTEMPTS_MAX 64 /* ended attempts that a worker reports before its token is renewed */
-#define RETRY_FULL_MACHINE_S 2.0  /* a machine that refused a start gets no others for so long */
+#define RENEW_TOKEN_AFTER_S 3.0  /* workers must have had time to receive the latest token */
+#define RETAINED_ATTEMPTS_MAX 64 /* ended attempts that a worker reports before its token is renewed */
+#define RETRY_FULL_MACHINE_S 2.0 /* a machine that refused a start gets no others for so long */
 #define RETRY_UNKNOWN_JOB_S 1.0
-#define HEARD_AGAIN_S 1.0 /* a silent machine heard within this is no longer drained */
+#define REACHABLE_AGAIN_S 1.0 /* a silent machine heard within this is no longer drained */
 
 gboolean fk_allocation_is_leaving(const FkAllocationRef *allocation) {
   return allocation->stop_requested || allocation->job->cancelled;
@@ -25,7 +25,7 @@
   const FkWorkerState *worker = machine->worker;
   gboolean restarted =
       worker->restarted_under.n && fk_rev_equal(worker->restarted_under, machine->shard->rev);
-  if (restarted || worker->lingering_attempts > LINGERING_ATTEMPTS_MAX)
+  if (restarted || worker->retained_attempts > RETAINED_ATTEMPTS_MAX)
     request_new_token(c, machine);
 }
 
@@ -35,7 +35,7 @@
   VERDICT_KEEP,     /* it runs, may still start, or can't be judged */
   VERDICT_RELEASED, /* certainly ended without a result */
   VERDICT_DONE,
-  VERDICT_NEEDS_TOKEN /* it has ended, but for a start that only a new token fences off */
+  VERDICT_TOKEN_MISSING /* it has ended, but for a start that only a new token fences off */
 } Verdict;
 
 static Verdict verdict_by_status(const FkTaskStatus *status) {
@@ -61,7 +61,7 @@
   if (g_hash_table_contains(worker->starts_in_flight, key) ||
       g_hash_table_contains(worker->starts_replied, key))
     return VERDICT_KEEP;
-  return g_hash_table_contains(worker->starts_in_doubt, key) ? VERDICT_NEEDS_TOKEN : VERDICT_RELEASED;
+  return g_hash_table_contains(worker->starts_in_doubt, key) ? VERDICT_TOKEN_MISSING : VERDICT_RELEASED;
 }
 
 static FkExitReason exit_reason(const FkMachine *machine, const FkAllocationRef *allocation) {
@@ -105,7 +105,7 @@
     switch (verdict) {
     case VERDICT_KEEP:
       break;
-    case VERDICT_NEEDS_TOKEN:
+    case VERDICT_TOKEN_MISSING:
       token_needed = TRUE;
       break;
     case VERDICT_RELEASED:
@@ -139,10 +139,10 @@
          g_strcmp0(machine->pending_drain_reason, FK_DRAIN_REASON_SILENT) == 0;
 }
 
-static gboolean is_heard_again(FkController *c, const FkMachine *machine) {
+static gboolean is_reachable_again(FkController *c, const FkMachine *machine) {
   const FkFailureDetector *detector = &machine->worker->failure_detector;
   return fk_worker_has_echoed_token(machine) &&
-         fk_time_between(detector->last_heard_at, c->now) < HEARD_AGAIN_S &&
+         fk_time_between(detector->last_contact_at, c->now) < REACHABLE_AGAIN_S &&
          !fk_failure_detector_is_partitioned(detector, c->now);
 }
 
@@ -152,7 +152,7 @@
     fk_reconciliation_set_drain_reason(c, machine, FK_DRAIN_REASON_NOTICE, notice_s);
   else if (fk_fault_attribution_machine_is_faulty(c->view->fault_attribution, machine->id))
     fk_reconciliation_set_drain_reason(c, machine, FK_DRAIN_REASON_FAULTY, -1);
-  else if (is_drained_as_silent(machine) && is_heard_again(c, machine))
+  else if (is_drained_as_silent(machine) && is_reachable_again(c, machine))
     fk_machine_registry_set_drain_reason(c, machine, NULL, -1);
 }
 
--- a/src/core/workers/workers.c
+++ b/src/core/workers/workers.c
@@ -6,10 +6,10 @@
 #define TICK_LATE_S 0.7           /* a tick so much later than the last: this controller is behind */
 #define BEHIND_PAUSE_S 3.0        /* nobody is judged as silent for so long after that */
 #define UNREGISTERED_PROBES_MAX 2 /* probes of a machine that isn't registered */
-#define UNREGISTERED_HEARD_S 60.0 /* ... which is forgotten after so long */
+#define UNREGISTERED_CONTACT_S 60.0 /* ... which is forgotten after so long */
 #define UNREGISTERED_ALLOCATION_S 1.0
-#define USABLE_HEARD_MIN_S 5.0 /* a machine not heard for so long gets nothing new ... */
-#define USABLE_HEARD_INTERVALS 2.0
+#define USABLE_CONTACT_MIN_S 5.0 /* a machine without a heartbeat for so long gets nothing new ... */
+#define USABLE_CONTACT_INTERVALS 2.0
 
 /* ---- changes of the view ---- */
 
@@ -90,7 +90,7 @@
   }
 }
 
-/* Forgets machines that aren't registered, have no allocations and aren't heard. */
+/* Forgets machines that aren't registered, have no allocations and send no heartbeats. */
 static void forget_gone_machines(FkController *c) {
   g_autoptr(GPtrArray) gone = g_ptr_array_new();
   GHashTableIter iter;
@@ -102,9 +102,9 @@
       continue;
     if (c->leader.is_leader)
       release_allocations(c, machine);
-    gboolean heard =
-        machine->worker && fk_time_between(fk_worker_silent_since(machine), c->now) < UNREGISTERED_HEARD_S;
-    if (!machine->allocations->len && machine->reserved_cpus <= 0 && !heard)
+    gboolean in_contact =
+        machine->worker && fk_time_between(fk_worker_silent_since(machine), c->now) < UNREGISTERED_CONTACT_S;
+    if (!machine->allocations->len && machine->reserved_cpus <= 0 && !in_contact)
       g_ptr_array_add(gone, machine);
   }
   for (guint i = 0; i < gone->len; i++)
@@ -164,14 +164,15 @@
   }
 }
 
-/* What isn't heard, or doesn't hear, is as good as gone: it gets nothing new until that is over. */
+/* A machine that isn't heard from, or doesn't hear, is as good as gone: it gets nothing new until that is
+ * over. */
 gboolean fk_machine_is_usable(FkController *c, const FkMachine *machine) {
   if (!machine->record || machine->drain_reason || !fk_time_reached(c->now, machine->full_until))
     return FALSE;
   if (!fk_machine_is_owned(c, machine) || !machine->worker)
     return TRUE;
   const FkFailureDetector *detector = &machine->worker->failure_detector;
-  double heard_s = MAX(USABLE_HEARD_MIN_S, USABLE_HEARD_INTERVALS * c->settings->heartbeat_interval_s);
+  double contact_s = MAX(USABLE_CONTACT_MIN_S, USABLE_CONTACT_INTERVALS * c->settings->heartbeat_interval_s);
   return !fk_failure_detector_is_suspected(detector) &&
-         fk_time_between(detector->last_heard_at, c->now) < heard_s;
+         fk_time_between(detector->last_contact_at, c->now) < contact_s;
 }
--- a/src/core/workers/workers.h
+++ b/src/core/workers/workers.h
@@ -21,7 +21,7 @@
   GHashTable *starts_in_flight;          /* in the direct call under way */
   GHashTable *starts_replied;            /* in the reply to ... */
   FkHeartbeatSequence starts_replied_to; /* ... this heartbeat */
-  guint lingering_attempts;              /* ended attempts that must not be forgotten yet */
+  guint retained_attempts;               /* ended attempts that must not be forgotten yet */
 };
 
 /* A heartbeat that waits until this controller owns the worker's shard. */
@@ -42,8 +42,8 @@
 typedef struct {
   const char *zone; /* interned */
   guint machines;
-  guint heard_lately;       /* heard within the shortest silence that counts */
-  guint heard_just_now;     /* heard in the last moment ... */
+  guint recently_seen;      /* heard within the shortest silence that counts */
+  guint just_seen;          /* heard in the last moment ... */
   double expected_just_now; /* ... and how many should have been */
   guint partitioned;        /* heard, and don't hear us */
   FkTime outage_seen_at;    /* the last moment with so few heard that it may be we who are cut off ... */
--- a/src/core/workers/zone_reachability.c
+++ b/src/core/workers/zone_reachability.c
@@ -27,13 +27,13 @@
 }
 
 static void reset_counts(FkZoneReachability *zone) {
-  zone->machines = zone->heard_lately = zone->heard_just_now = zone->partitioned = 0;
+  zone->machines = zone->recently_seen = zone->just_seen = zone->partitioned = 0;
   zone->expected_just_now = 0;
 }
 
 /* Shorter than the shortest silence: when the first worker of a zone is judged after a cut, none of the
  * others may count as heard from before the cut. */
-static double heard_lately_s(FkController *c) {
+static double recent_contact_s(FkController *c) {
   double interval_s = c->settings->heartbeat_interval_s;
   double shortest_silence_s =
       PROBE_AFTER_INTERVALS * MIN(interval_s, SERVICE_INTERVAL_MAX_S) + PROBE_REPLY_WAIT_S;
@@ -47,11 +47,11 @@
     if (!machine->worker || !machine->record)
       continue;
     const FkFailureDetector *detector = &machine->worker->failure_detector;
-    double heard_ago_s = fk_time_between(detector->last_heard_at, c->now);
+    double since_contact_s = fk_time_between(detector->last_contact_at, c->now);
     zone->machines++;
     zone->partitioned += fk_failure_detector_is_partitioned(detector, c->now);
-    zone->heard_lately += heard_ago_s < lately_s;
-    zone->heard_just_now += heard_ago_s < JUST_NOW_S;
+    zone->recently_seen += since_contact_s < lately_s;
+    zone->just_seen += since_contact_s < JUST_NOW_S;
     if (!machine->drain_reason)
       zone->expected_just_now += MIN(1, JUST_NOW_S / MIN(interval_s, fk_worker_probe_after_s(c, machine)));
   }
@@ -64,9 +64,9 @@
 static gboolean may_be_cut_off(const FkZoneReachability *zone) {
   if (!zone->machines)
     return FALSE;
-  return zone->heard_lately < OUTAGE_SHARE * (zone->machines - 1) ||
+  return zone->recently_seen < OUTAGE_SHARE * (zone->machines - 1) ||
          (zone->expected_just_now >= EXPECTED_JUST_NOW_MIN &&
-          zone->heard_just_now < OUTAGE_SHARE * zone->expected_just_now);
+          zone->just_seen < OUTAGE_SHARE * zone->expected_just_now);
 }
 
 static void note_outage(FkController *c, FkZoneReachability *zone) {
@@ -75,7 +75,7 @@
       zone->outage_began = c->now;
     zone->outage_seen_at = c->now;
   }
-  if (zone->machines && !zone->heard_lately)
+  if (zone->machines && !zone->recently_seen)
     zone->all_silent_at = c->now;
 }
 
@@ -83,7 +83,7 @@
   GArray *zones = c->workers.zones;
   for (guint i = 0; i < zones->len; i++)
     reset_counts(&g_array_index(zones, FkZoneReachability, i));
-  double lately_s = heard_lately_s(c);
+  double lately_s = recent_contact_s(c);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init(&iter, c->view->shards);
--- a/src/fair_share/fair_share.h
+++ b/src/fair_share/fair_share.h
@@ -1,8 +1,8 @@
 /* Fair shares of the fleet's capacity: guarantees first, then what is left by water-filling among all teams
  * that demand more, each to the same level, best-effort teams like any other. The number of tasks doesn't
  * matter: 25,000 tasks of one team are one demand. Pure. Amounts are in one unit, the dominant resource (the
- * larger part of the fleet's CPUs or GPUs), expressed in CPUs. Alternatives weighed: docs/guests.md,
- * "Borrowed room". */
+ * larger part of the fleet's CPUs or GPUs), expressed in CPUs. Alternatives weighed:
+ * docs/best-effort-teams.md, "Borrowed room". */
 #pragma once
 #include <glib.h>
 
--- a/src/fair_share/quota.h
+++ b/src/fair_share/quota.h
@@ -5,7 +5,7 @@
 
 /* The quota that a setting means; infinite for 0, so that no quota needs no special case. A team with neither
  * quota nor guarantee is best-effort: it runs on capacity that nobody else has a claim to, and is limited by
- * nothing else (reasons: docs/guests.md). */
+ * nothing else (reasons: docs/best-effort-teams.md). */
 double fk_quota_from_setting(double setting);
 /* Whether there is a quota at all. */
 gboolean fk_quota_is_limited(double quota);
--- a/src/fault_attribution/fault_attribution.h
+++ b/src/fault_attribution/fault_attribution.h
@@ -1,6 +1,7 @@
 /* Fault attribution: whether a failed task is its job's fault, which may have been submitted with a mistake
  * and fails on every machine, or its machine's, which may be faulty and fails every job. Pure: evidence in,
- * verdicts out; without a clock, the store or placement. Alternatives weighed: docs/guests.md, "Blame". */
+ * verdicts out; without a clock, the store or placement. Alternatives weighed: docs/best-effort-teams.md,
+ * "Fault attribution". */
 #pragma once
 #include "core/types.h"
 
--- a/src/instance_models/idle_retention.h
+++ b/src/instance_models/idle_retention.h
@@ -1,6 +1,7 @@
 /* How long an idle machine is worth keeping, learnt from what followed earlier terminations: where much of
  * what is terminated is provisioned again soon, the next machine is kept longer (the ski-rental problem: keep
- * paying, or pay the boot again). Pure; amounts are CPUs. Alternatives: docs/guests.md, "Idle machines". */
+ * paying, or pay the boot again). Pure; amounts are CPUs. Alternatives: docs/best-effort-teams.md, "Idle
+ * machines". */
 #pragma once
 #include "core/types.h"
 
--- a/src/simulation/check_view.c
+++ b/src/simulation/check_view.c
@@ -6,15 +6,15 @@
 
 typedef struct {
   double cpus, gpus, mem_gb, long_cpus;
-  guint books;
+  guint allocations;
 } Totals;
 
 static gboolean nearly_equal(double a, double b) { return fabs(a - b) < 1e-3; }
 
 /* What the page's entries have of the chunk: what is done, or what has ended without a result. */
 static void apply_completions(FkChunk *c, const FkCompletionPage *page, const char *key, gboolean done) {
-  for (guint i = 0; i < page->ends->len; i++) {
-    const FkCompletionRecord *e = page->ends->pdata[i];
+  for (guint i = 0; i < page->records->len; i++) {
+    const FkCompletionRecord *e = page->records->pdata[i];
     if (!g_str_equal(e->chunk, key))
       continue;
     for (guint k = 0; done && k < MIN(e->done->len, c->task_count); k++) {
@@ -70,13 +70,13 @@
 static void check_job(FkView *v, const FkJob *j, GHashTable *machines, GHashTable *teams) {
   const FkSpec *s = j->spec;
   gboolean is_long = s->shape != FK_SHAPE_ARRAY || s->estimate_s >= v->settings->tuning.short_cutoff_s;
-  guint32 booked = 0, done = 0;
+  guint32 allocated = 0, done = 0;
   for (guint32 i = 0; i < j->chunk_count; i++) {
     if (!j->chunks[i])
       continue;
     g_autoptr(FkChunk) should = recompute_chunk(v, j, i);
     check_chunk(j->chunks[i], should);
-    booked += should->allocations->len;
+    allocated += should->allocations->len;
     done += should->done_count;
     for (guint k = 0; k < should->allocations->len; k++) {
       const FkAllocation *b = &g_array_index(should->allocations, FkAllocation, k);
@@ -86,7 +86,7 @@
         both[n]->gpus += s->gpus;
         both[n]->mem_gb += s->mem_gb;
         both[n]->long_cpus += is_long ? s->cpus : 0;
-        both[n]->books++;
+        both[n]->allocations++;
       }
       gboolean found = FALSE;
       FkMachine *m = fk_view_find_machine(v, b->machine);
@@ -99,7 +99,7 @@
       g_assert_true(found);
     }
   }
-  g_assert_cmpuint(j->allocated, ==, booked);
+  g_assert_cmpuint(j->allocated, ==, allocated);
   g_assert_cmpuint(j->done, ==, done);
 }
 
@@ -115,7 +115,7 @@
   while (g_hash_table_iter_next(&it, &key, &p)) {
     FkMachine *m = p;
     Totals *s = totals_for(machines, key);
-    g_assert_cmpuint(m->allocations->len, ==, s->books);
+    g_assert_cmpuint(m->allocations->len, ==, s->allocations);
     g_assert_true(nearly_equal(m->allocated_cpus, s->cpus) && nearly_equal(m->allocated_gpus, s->gpus) &&
                   nearly_equal(m->allocated_mem_gb, s->mem_gb) &&
                   nearly_equal(m->allocated_long_cpus, s->long_cpus));
--- a/src/simulation/digest.c
+++ b/src/simulation/digest.c
@@ -475,11 +475,11 @@
   static const struct {
     const char *name;
     double guarantee, limit;
-  } guests[] = {{"guest", 0, 0}, {"unlimited", 8, 0}, {"borrower", 0, 8}};
-  for (guint i = 0; x->plan.best_effort_teams && i < G_N_ELEMENTS(guests); i++) {
+  } extra_teams[] = {{"guest", 0, 0}, {"unlimited", 8, 0}, {"borrower", 0, 8}};
+  for (guint i = 0; x->plan.best_effort_teams && i < G_N_ELEMENTS(extra_teams); i++) {
     FkTeam *t = g_new0(FkTeam, 1);
-    *t = (FkTeam){g_strdup(guests[i].name), guests[i].guarantee, fk_quota_from_setting(guests[i].limit), 0,
-                  fk_quota_from_setting(0)};
+    *t = (FkTeam){g_strdup(extra_teams[i].name), extra_teams[i].guarantee,
+                  fk_quota_from_setting(extra_teams[i].limit), 0, fk_quota_from_setting(0)};
     g_ptr_array_add(s->teams, t);
   }
   if (x->limits_fall) {
@@ -519,7 +519,7 @@
   return result;
 }
 
-int fk_lab_digest(int argc, char **argv) {
+int fk_sim_digest(int argc, char **argv) {
   g_autofree char *only = NULL, *out = NULL, *text = NULL;
   const GOptionEntry entries[] = {
       {"only", 0, 0, G_OPTION_ARG_STRING, &only, "Play this schedule alone", "NAME"},
--- a/src/simulation/digest.h
+++ b/src/simulation/digest.h
@@ -26,4 +26,4 @@
 FkDigest fk_digest_play(guint index, FILE *text);
 
 /* `flaxknot-sim digest`, with its own options. Prints the table. */
-int fk_lab_digest(int argc, char **argv);
+int fk_sim_digest(int argc, char **argv);
--- a/src/simulation/event_queue.c
+++ b/src/simulation/event_queue.c
@@ -69,8 +69,8 @@
     fk_event_queue_run_next(a);
 }
 
-static gboolean on_clock(gpointer agenda) {
-  fk_event_queue_run_until(agenda, g_get_monotonic_time());
+static gboolean on_clock(gpointer queue) {
+  fk_event_queue_run_until(queue, g_get_monotonic_time());
   return G_SOURCE_CONTINUE;
 }
 
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -1,5 +1,5 @@
 /* A queue of events by time: the clock of the simulation, and the one timer of a process with thousands of
- * hollow workers. Times are microseconds; of equal ones the first added runs first. */
+ * simulated workers. Times are microseconds; of equal ones the first added runs first. */
 #pragma once
 #include <glib.h>
 
--- a/src/simulation/main.c
+++ b/src/simulation/main.c
@@ -11,7 +11,7 @@
   const char *name, *what;
   int (*run)(int argc, char **argv);
 } subcommands[] = {
-    {"digest", "one checksum a schedule, over everything that its controllers send", fk_lab_digest},
+    {"digest", "one checksum a schedule, over everything that its controllers send", fk_sim_digest},
     {"recovery", "how long a fleet takes to recover from the loss of many machines", fk_sim_recovery},
     {"scale", "real controllers against thousands of simulated workers, in real time", fk_sim_scale},
     {"slopes", "straight lines through the figures of several scale runs", fk_sim_slopes}};
--- a/src/simulation/scale/processes.c
+++ b/src/simulation/scale/processes.c
@@ -49,8 +49,8 @@
   g_free(process);
 }
 
-static char *path_in(const FkScalePlan *plan, const char *name, const char *ending) {
-  g_autofree char *base = g_strconcat(name, ending, NULL);
+static char *path_in(const FkScalePlan *plan, const char *name, const char *extension) {
+  g_autofree char *base = g_strconcat(name, extension, NULL);
   return g_build_filename(plan->output_dir, base, NULL);
 }
 
--- a/src/simulation/version.c
+++ b/src/simulation/version.c
@@ -6,9 +6,9 @@
 #include "wire/settings.h"
 #include "wire/store.h"
 
-static FkSettings *settings(const char *platform, const char *operator_wishes) {
+static FkSettings *settings(const char *platform, const char *operator_settings) {
   FkSettings *s = fk_settings_parse(platform, strlen(platform), NULL);
-  if (s && !fk_tuning_parse(&s->tuning, operator_wishes, strlen(operator_wishes), NULL))
+  if (s && !fk_tuning_parse(&s->tuning, operator_settings, strlen(operator_settings), NULL))
     g_clear_pointer(&s, fk_settings_free);
   return s;
 }
--- a/src/simulation/version.h
+++ b/src/simulation/version.h
@@ -9,14 +9,15 @@
 
 typedef struct {
   const char *name;
-  FkSettings *(*parse_settings)(const char *platform, const char *operator_wishes); /* JSON; NULL: refused */
+  FkSettings *(*parse_settings)(const char *platform,
+                                const char *operator_settings); /* JSON; NULL: refused */
   void (*settings_free)(FkSettings *s);
   cJSON *(*record_to_json)(const FkRecord *r);
   FkStoreEvent *(*parse_event)(const char *path, const char *value,
                                guint64 stamp); /* `value` NULL: deleted */
   void (*store_event_free)(FkStoreEvent *e);
   void (*output_free)(FkOutput *o);
-  FkController *(*controller_new)(const FkSettings *s, const char *life, guint32 seed, FkTime now);
+  FkController *(*controller_new)(const FkSettings *s, const char *incarnation, guint32 seed, FkTime now);
   void (*controller_free)(FkController *c);
   FkOutput *(*next_output)(FkController *c);
   void (*tick)(FkController *c, FkTime now, gint64 wall_us);
@@ -39,8 +40,8 @@
   const char *(*store_progress)(FkController *c, FkTime now, FkRev *store_progress, FkRev *applied,
                                 double *store_age_s);
   void (*peer_progress_received)(FkController *c, FkTime now, const char *peer_progress_received,
-                                 const char *life, FkRev store_progress, FkRev applied, double store_age_s,
-                                 FkTime transaction_sent);
+                                 const char *incarnation, FkRev store_progress, FkRev applied,
+                                 double store_age_s, FkTime transaction_sent);
   void (*instance_types_received)(FkController *c, FkTime now, FkOutcome o,
                                   GPtrArray *instance_types_received);
   void (*machines_received)(FkController *c, FkTime now, FkOutcome o, GPtrArray *list_received,
--- a/src/simulation/worker_model.h
+++ b/src/simulation/worker_model.h
@@ -1,6 +1,6 @@
 /* A model of one machine's worker without a clock or a socket of its own: incarnation, fencing token, lease,
  * tasks and commands, as the protocol has them ("Workers -> controller nodes"). Used by the simulation and by
- * the hollow workers of scale runs. Times are microseconds of the owner's clock. */
+ * the simulated workers of scale runs. Times are microseconds of the owner's clock. */
 #pragma once
 #include "core/messages.h"
 
--- a/test/test_combined_faults.c
+++ b/test/test_combined_faults.c
@@ -1,6 +1,6 @@
-/* Combined faults: first the combinations that docs/meetings.md has by name, then every fault with every
- * other at seeded offsets, at three and five controllers. The world's checkers know nothing of the core: they
- * count from what a user was told, and look at what is on the machines. */
+/* Combined faults: first the combinations that docs/combined-faults.md has by name, then every fault with
+ * every other at seeded offsets, at three and five controllers. The world's checkers know nothing of the
+ * core: they count from what a user was told, and look at what is on the machines. */
 #include <string.h>
 
 #include "schedules.h"
--- a/test/test_failure_modes.c
+++ b/test/test_failure_modes.c
@@ -1,7 +1,7 @@
 /* Troubles that were on no list, at one controller core fed by hand: copies of reports and repeats of what
  * was carried out, machines that hear nothing or have begun anew, a controller alone with its workers or
  * without a view, jobs that wait too long to begin. Each case fails with its guard taken out
- * (docs/end-of-day.md). */
+ * (docs/service-checks.md). */
 #include <string.h>
 
 #include "core/scheduling/backfill_reservation.h"
--- a/test/test_job_dependencies.c
+++ b/test/test_job_dependencies.c
@@ -1,6 +1,6 @@
 /* Jobs that need others, at one controller core fed by hand: what is answered before the view has what
  * anybody can have been told, what is accepted and when, and that only a committed final releases a job. Each
- * case fails with its guard taken out (docs/chains.md). */
+ * case fails with its guard taken out (docs/job-dependencies.md). */
 #include <string.h>
 
 #include "rig.h"
