--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -115,19 +115,19 @@
   cJSON *list = cJSON_AddArrayToObject(json, "builds");
   for (guint i = 0; i < types->len; i++) {
     const FkInstanceType *type = types->pdata[i];
-    cJSON *item = cJSON_CreateObject(), *zones = cJSON_CreateArray();
-    cJSON_AddStringToObject(item, "name", type->name);
-    cJSON_AddNumberToObject(item, "cores", type->cpus);
-    cJSON_AddNumberToObject(item, "cards", type->gpus);
-    cJSON_AddNumberToObject(item, "mem_gb", type->mem_gb);
-    cJSON_AddNumberToObject(item, "pull_gb_per_s", type->fetch_gb_per_s);
-    cJSON_AddNumberToObject(item, "price", type->price);
-    cJSON_AddNumberToObject(item, "low_price", type->spot_price);
-    cJSON_AddNumberToObject(item, "ready_s", type->boot_s);
+    cJSON *type_json = cJSON_CreateObject(), *zones = cJSON_CreateArray();
+    cJSON_AddStringToObject(type_json, "name", type->name);
+    cJSON_AddNumberToObject(type_json, "cores", type->cpus);
+    cJSON_AddNumberToObject(type_json, "cards", type->gpus);
+    cJSON_AddNumberToObject(type_json, "mem_gb", type->mem_gb);
+    cJSON_AddNumberToObject(type_json, "pull_gb_per_s", type->fetch_gb_per_s);
+    cJSON_AddNumberToObject(type_json, "price", type->price);
+    cJSON_AddNumberToObject(type_json, "low_price", type->spot_price);
+    cJSON_AddNumberToObject(type_json, "ready_s", type->boot_s);
     for (guint zone = 0; type->zones && type->zones[zone]; zone++)
       cJSON_AddItemToArray(zones, cJSON_CreateString(type->zones[zone]));
-    cJSON_AddItemToObject(item, "yards", zones);
-    cJSON_AddItemToArray(list, item);
+    cJSON_AddItemToObject(type_json, "yards", zones);
+    cJSON_AddItemToArray(list, type_json);
   }
   return fk_json_print(json);
 }
