--- a/src/simulation/digest.c
+++ b/src/simulation/digest.c
@@ -367,28 +367,54 @@
   }
 }
 
+/* A reply to a user. */
+static void add_user_reply(GString *s, const FkOutput *o) {
+  g_string_append(s, " answer");
+  add_number(s, "request", o->request.n);
+  add_number(s, "status", (guint64)o->status);
+  add_text(s, "job", o->job);
+  add_number(s, "phase", (guint64)o->phase);
+  add_number(s, "done", o->done);
+  add_number(s, "running", o->running);
+  add_real(s, "retry", o->retry_s);
+  add_body(s, fk_user_print_reply(o));
+}
+
+/* A reply to a worker's heartbeat. */
+static void add_heartbeat_reply(GString *s, const FkOutput *o) {
+  g_string_append(s, " reply");
+  add_number(s, "request", o->request.n);
+  add_number(s, "status", (guint64)o->status);
+  add_number(s, "token", o->fencing_token.n);
+  add_real(s, "retry", o->retry_s);
+  add_text(s, "to", o->redirect_to);
+  add_body(s, fk_worker_print_reply(o));
+}
+
+/* Commands sent straight to a worker. */
+static void add_commands(GString *s, const FkOutput *o) {
+  g_string_append(s, " commands");
+  add_number(s, "call", o->call);
+  add_text(s, "machine", o->machine);
+  add_text(s, "address", o->addr);
+  add_body(s, fk_worker_print_commands(o));
+}
+
+/* A call to the cloud that changes something. */
+static void add_cloud_call(GString *s, const char *what, guint64 call, char *body /* taken */) {
+  g_string_append(s, what);
+  add_number(s, "call", call);
+  add_body(s, body);
+}
+
 /* One output, the way that its receiver sees it. */
 static void add_output(GString *s, const FkVersion *v, const FkOutput *o) {
   switch (o->kind) {
   case FK_OUTPUT_USER_REPLY:
-    g_string_append(s, " answer");
-    add_number(s, "request", o->request.n);
-    add_number(s, "status", (guint64)o->status);
-    add_text(s, "job", o->job);
-    add_number(s, "phase", (guint64)o->phase);
-    add_number(s, "done", o->done);
-    add_number(s, "running", o->running);
-    add_real(s, "retry", o->retry_s);
-    add_body(s, fk_user_print_reply(o));
+    add_user_reply(s, o);
     break;
   case FK_OUTPUT_HEARTBEAT_REPLY:
-    g_string_append(s, " reply");
-    add_number(s, "request", o->request.n);
-    add_number(s, "status", (guint64)o->status);
-    add_number(s, "token", o->fencing_token.n);
-    add_real(s, "retry", o->retry_s);
-    add_text(s, "to", o->redirect_to);
-    add_body(s, fk_worker_print_reply(o));
+    add_heartbeat_reply(s, o);
     break;
   case FK_OUTPUT_COMMIT:
     g_string_append(s, " commit");
@@ -418,11 +444,7 @@
     add_number(s, "hold", o->rev.n);
     break;
   case FK_OUTPUT_COMMANDS:
-    g_string_append(s, " commands");
-    add_number(s, "call", o->call);
-    add_text(s, "machine", o->machine);
-    add_text(s, "address", o->addr);
-    add_body(s, fk_worker_print_commands(o));
+    add_commands(s, o);
     break;
   case FK_OUTPUT_PEER_QUERY:
     g_string_append(s, " peer");
@@ -433,14 +455,10 @@
     g_string_append(s, " types");
     break;
   case FK_OUTPUT_PROVISION:
-    g_string_append(s, " rent");
-    add_number(s, "call", o->call);
-    add_body(s, fk_cloud_print_provision(o));
+    add_cloud_call(s, " rent", o->call, fk_cloud_print_provision(o));
     break;
   case FK_OUTPUT_TERMINATE:
-    g_string_append(s, " return");
-    add_number(s, "call", o->call);
-    add_body(s, fk_cloud_print_terminate(o));
+    add_cloud_call(s, " return", o->call, fk_cloud_print_terminate(o));
     break;
   case FK_OUTPUT_LIST_MACHINES:
     g_string_append(s, " machines");
