--- a/src/core/scheduling/elastic_sizing.h
+++ b/src/core/scheduling/elastic_sizing.h
@@ -1,7 +1,7 @@
 /* Elastic Sizing (Dice, section 3.2): how many machines are blacklisted for newly arrived long jobs, so that
  * short tasks find room there. */
 #pragma once
-#include "core/types.h"
+#include "common/types.h"
 
 typedef struct {
   double short_share; /* measured: the short tasks' part of allocated time, smoothed; zero at start */
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -1,7 +1,7 @@
 /* Settings of the platform and of the operators. Plain data, read by wire/settings.c. */
 #pragma once
 #include "admission/limits.h"
-#include "core/types.h"
+#include "common/types.h"
 
 /* Another controller. */
 typedef struct {
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -1,6 +1,6 @@
 /* Specifications of jobs, and the chunks that hold the states of their tasks with the legal changes. */
 #pragma once
-#include "core/types.h"
+#include "common/types.h"
 
 /* An array's tasks run one by one, a service's until it is cancelled, a gang's only all together. */
 typedef enum { FK_SHAPE_ARRAY, FK_SHAPE_SERVICE, FK_SHAPE_GANG } FkShape;
--- a/src/core/workers/failure_detector.h
+++ b/src/core/workers/failure_detector.h
@@ -7,7 +7,7 @@
  *
  * Pure: the owner says what was received and what was sent. */
 #pragma once
-#include "core/types.h"
+#include "common/types.h"
 
 /* A message of the worker's own count: the larger is the newer, until the worker's machine restarts. */
 typedef struct {
--- a/src/fault_attribution/fault_attribution.h
+++ b/src/fault_attribution/fault_attribution.h
@@ -3,7 +3,7 @@
  * verdicts out; without a clock, the store or placement. Alternatives weighed: docs/best-effort-teams.md,
  * "Fault attribution". */
 #pragma once
-#include "core/types.h"
+#include "common/types.h"
 
 typedef struct FkFaultAttribution FkFaultAttribution;
 
--- a/src/instance_models/idle_retention.h
+++ b/src/instance_models/idle_retention.h
@@ -3,7 +3,7 @@
  * paying, or pay the boot again). Pure; amounts are CPUs. Alternatives: docs/best-effort-teams.md, "Idle
  * machines". */
 #pragma once
-#include "core/types.h"
+#include "common/types.h"
 
 #define FK_IDLE_RETENTION_FACTOR_MAX 8.0
 
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -1,6 +1,6 @@
 /* The interface between controllers: how far each has seen the store's changes. */
 #pragma once
-#include "core/types.h"
+#include "common/types.h"
 #include "wire/json.h"
 
 #define FK_PEER_PROGRESS_PATH "/seen"
