--- a/src/core/scheduling/backfill_reservation.c
+++ b/src/core/scheduling/backfill_reservation.c
@@ -3,20 +3,23 @@
 #include "core/scheduling/placement.h"
 #include "core/scheduling/team_quota.h"
 
-#define START_DEADLINE_S 240.0 /* by then a job must have started (the service check) */
-#define AGED_SHARE 0.55        /* of that time: the rest is enough for a machine to run empty */
+#define START_DEADLINE_S 240.0 /* a job must have started within this time (the service check) */
+/* share of START_DEADLINE_S after which a job is aged: the rest is long enough for a machine to become
+ * empty */
+#define AGED_SHARE 0.55
 #define REFRESH_INTERVAL_S 2.0
-#define RESERVING_JOBS_MAX 3 /* at a time, the first of the queue */
+#define RESERVING_JOBS_MAX 3 /* jobs with reservations at the same time: the first ones in queue order */
 #define MACHINES_PER_JOB_MAX 32
-#define RUN_TIME_MARGIN 1.5 /* times the expected run time: by then a task has mostly ended */
-#define STOPPING_S 1.0      /* until a task that was asked to stop has, and the least for any other */
+#define RUN_TIME_MARGIN 1.5 /* times the expected run time: a task has mostly ended by then */
+/* expected time until a stopping task has ended, and the minimum for a task that isn't stopping */
+#define STOPPING_S 1.0
 #define LOGGED_JOBS_MAX 5
 
 typedef struct {
-  char *job; /* id */
+  char *job; /* id of the job that the machine is reserved for */
   FkJobPriority priority;
   guint queue_position;
-  FkTime available_at; /* when the job could start there */
+  FkTime available_at; /* when the job can start on the machine */
 } Reservation;
 
 struct FkBackfillReservations {
@@ -56,7 +59,7 @@
 
 /* ------------------------------------------------------------------ where capacity becomes free soonest */
 
-/* Capacity that becomes free, and in how many seconds. */
+/* Capacity that is expected to become free in `in_s` seconds. */
 typedef struct {
   double in_s, cpus, gpus, mem_gb;
 } Release;
@@ -66,7 +69,7 @@
   return x->in_s < y->in_s ? -1 : x->in_s > y->in_s;
 }
 
-/* Whether a task fits once so much has become free. */
+/* Returns whether a task fits the machine once the released capacity is free. */
 static gboolean fits(const FkInstanceType *type, const FkMachine *machine, const Release *released,
                      const FkSpec *spec) {
   return machine->allocated_cpus + machine->reserved_cpus - released->cpus + spec->cpus <=
@@ -77,7 +80,8 @@
              type->mem_gb + FK_AMOUNT_EPSILON;
 }
 
-/* Release: what the machine's tasks will free, the soonest first. Services run until they are stopped. */
+/* Returns the expected releases (Release) of the machine's tasks, the earliest first. Services are left out
+ * unless they are stopping: they run until they are stopped. */
 static GArray *expected_releases(FkController *c, const FkMachine *machine) {
   GArray *releases = g_array_new(FALSE, FALSE, sizeof(Release));
   for (guint i = 0; i < machine->allocations->len; i++) {
@@ -97,7 +101,8 @@
   return releases;
 }
 
-/* Seconds until the machine has room for such a task if nothing more is placed there; G_MAXDOUBLE: never. */
+/* Returns in how many seconds the machine has capacity for such a task if nothing more is placed there;
+ * G_MAXDOUBLE if never. */
 static double available_in_s(FkController *c, const FkMachine *machine, const FkSpec *spec) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   Release total = {0};
@@ -133,7 +138,8 @@
          (!zone || g_str_equal(zone, machine->record->zone));
 }
 
-/* Candidate: where the job could start, the soonest first; in the zone (NULL: any). */
+/* Returns the machines (Candidate) on which the job could start, the earliest available first, limited to
+ * `zone` (NULL: any zone). */
 static GArray *find_candidates(FkController *c, const FkJob *job, const char *zone) {
   GArray *candidates = g_array_new(FALSE, FALSE, sizeof(Candidate));
   GHashTableIter it;
@@ -151,12 +157,14 @@
   return candidates;
 }
 
-/* Machines that the job needs at the same time to start: one for each of a gang's tasks, else one. */
+/* Returns how many machines the job needs at the same time to start: one for each task of a gang, one for any
+ * other job. */
 static guint machines_needed(const FkJob *job) {
   return job->spec->shape == FK_SHAPE_GANG ? MIN(job->spec->tasks, MACHINES_PER_JOB_MAX) : 1;
 }
 
-/* For a job that must run in one zone, the zone where the last machine that it needs is available soonest. */
+/* Returns the candidates for the job. For a job that must run in one zone, they are those of the zone in
+ * which the last machine that it needs is available earliest. */
 static GArray *best_candidates(FkController *c, const FkJob *job) {
   if (!job->spec->one_zone)
     return find_candidates(c, job, NULL);
@@ -203,7 +211,7 @@
   }
 }
 
-/* Whether the team's quota allows the tasks that must start together. */
+/* Returns whether the team's quota allows the tasks that must start together. */
 static gboolean quota_allows_start(FkController *c, const FkSpec *spec) {
   return fk_team_quota_allows_tasks(c, spec, spec->shape == FK_SHAPE_GANG ? spec->tasks : 1);
 }
@@ -224,19 +232,20 @@
   }
 }
 
-/* Asked for every job and machine of a cycle, while mostly no machine is reserved. */
+/* Called for every job and machine of a cycle: returns early if no machine is reserved, which is the usual
+ * case. */
 static const Reservation *find_reservation(FkController *c, const FkMachine *machine) {
   GHashTable *by_machine = c->leader.backfill_reservations->by_machine;
   return g_hash_table_size(by_machine) ? g_hash_table_lookup(by_machine, machine->id) : NULL;
 }
 
-/* The job that the reservation is for, while it still waits. */
-static FkJob *waiting_holder(FkController *c, const Reservation *reservation) {
+/* Returns the job that the reservation is for, or NULL if it no longer waits. */
+static FkJob *find_waiting_holder(FkController *c, const Reservation *reservation) {
   FkJob *job = fk_view_find_job(c->view, reservation->job);
   return job && fk_job_waiting_tasks(job) && job->urgent ? job : NULL;
 }
 
-static gboolean comes_before(const FkJob *job, const Reservation *reservation) {
+static gboolean precedes_holder(const FkJob *job, const Reservation *reservation) {
   return job->effective_priority < reservation->priority ||
          (job->effective_priority == reservation->priority &&
           job->queue_position < reservation->queue_position);
@@ -244,8 +253,8 @@
 
 gboolean fk_backfill_reservation_blocks(FkController *c, const FkJob *job, const FkMachine *machine) {
   const Reservation *reservation = find_reservation(c, machine);
-  if (!reservation || g_str_equal(reservation->job, job->spec->id) || comes_before(job, reservation) ||
-      !waiting_holder(c, reservation))
+  if (!reservation || g_str_equal(reservation->job, job->spec->id) || precedes_holder(job, reservation) ||
+      !find_waiting_holder(c, reservation))
     return FALSE;
   double run_s = RUN_TIME_MARGIN * fk_view_expected_run_s(c->view, job->spec);
   return job->spec->shape != FK_SHAPE_ARRAY ||
@@ -267,7 +276,7 @@
 
 FkJob *fk_backfill_reservation_holder(FkController *c, const FkMachine *machine) {
   const Reservation *reservation = find_reservation(c, machine);
-  return reservation ? waiting_holder(c, reservation) : NULL;
+  return reservation ? find_waiting_holder(c, reservation) : NULL;
 }
 
 /* ------------------------------------------------------------------ log */
--- a/src/core/scheduling/capacity_index.c
+++ b/src/core/scheduling/capacity_index.c
@@ -3,7 +3,7 @@
 #include "core/scheduling/placement.h"
 #include "scheduling_queue/capacity_buckets.h"
 
-#define FREE_CPUS_MIN 0.25 /* with less a machine counts as full */
+#define FREE_CPUS_MIN 0.25 /* a machine with less counts as full */
 
 struct FkCapacityIndex {
   FkCapacityBuckets *all, *owned; /* FkMachine by free CPUs; reservations aren't subtracted */
@@ -35,7 +35,7 @@
   fk_capacity_buckets_remove(index->owned, machine);
 }
 
-/* FALSE: its type isn't known yet, so that it must be updated again. */
+/* Returns FALSE if the machine's type isn't known yet, so that the machine must be updated again. */
 static gboolean update_machine(FkController *c, FkMachine *machine) {
   FkCapacityIndex *index = c->leader.capacity_index;
   const FkInstanceType *type = fk_machine_type(c, machine);
@@ -80,7 +80,7 @@
          fk_machine_is_usable(required->controller, machine);
 }
 
-/* Appends all machines with so many free CPUs that are wanted. */
+/* Appends the machines that have at least `cpus` free CPUs and satisfy `wanted`. */
 static void find_machines(FkCapacityIndex *index, const FkCapacityBuckets *buckets, double cpus,
                           gboolean (*wanted)(gpointer machine, gpointer data), gpointer data,
                           GPtrArray *machines) {
--- a/src/core/scheduling/capacity_index.h
+++ b/src/core/scheduling/capacity_index.h
@@ -1,24 +1,24 @@
-/* The capacity index: machines by their free capacity, updated incrementally, so that a scheduling cycle only
- * goes through machines with room. */
+/* The capacity index: machines by their free capacity, updated incrementally, so that a scheduling cycle
+ * examines only machines that have free capacity. */
 #pragma once
 #include "core/controller_internal.h"
 
 FkCapacityIndex *fk_capacity_index_new(void);
 void fk_capacity_index_free(FkCapacityIndex *index);
-/* Empties the index: the view is going to be read again. */
+/* Empties the index, before the view is read from the store again. */
 void fk_capacity_index_reset(FkCapacityIndex *index);
 
-/* Applies what has changed in the view since the last call. */
+/* Applies the changes of the view since the last call. */
 void fk_capacity_index_refresh(FkController *c);
-/* Usable machines with so much free (FkMachine, borrowed; free the array): those that this controller owns,
- * or all. */
+/* Returns the usable machines (FkMachine, borrowed) with at least `cpus` and `mem_gb` free: those that this
+ * controller owns, or all. The caller frees the array. */
 GPtrArray *fk_capacity_index_find_open(FkController *c, gboolean owned_only, double cpus, double mem_gb);
-/* All usable machines, with or without free capacity; the same ownership. */
+/* Returns all usable machines (FkMachine, borrowed), with or without free capacity. The caller frees the
+ * array. */
 GPtrArray *fk_capacity_index_usable_machines(FkController *c);
-/* All machines that this controller owns, usable or not; borrowed until the next refresh. */
+/* Returns all machines that this controller owns, usable or not; borrowed until the next refresh. */
 const GPtrArray *fk_capacity_index_owned_machines(FkController *c);
-/* Free CPUs of spot machines that aren't draining; counted up to `needed` at least, where there are so many.
- */
+/* Returns the free CPUs of spot machines that aren't draining. Stops counting once `needed` is reached. */
 double fk_capacity_index_spot_cpus(FkController *c, double needed);
-/* How many machines were examined so far: what the cycles have cost. */
+/* Returns how many machines have been examined so far: a measure of what the cycles cost. */
 guint64 fk_capacity_index_examined_count(const FkCapacityIndex *index);
--- a/src/core/scheduling/launch_batch.c
+++ b/src/core/scheduling/launch_batch.c
@@ -2,12 +2,12 @@
 
 #include "core/scheduling/reservation.h"
 
-#define TRANSACTION_BYTES_MAX 40000 /* of the store's 64 KiB */
+#define TRANSACTION_BYTES_MAX 40000 /* below the store's limit of 64 KiB */
 #define GUARDS_PER_WRITE_MAX 4
-#define ALLOCATION_GUARDS 4     /* at most, that one task adds: job, chunk, team and shard */
-#define PREEMPTION_GUARDS 6     /* the same, and room for the fence */
-#define GUARDS_PER_VICTIM 2     /* job and chunk */
-#define WRITES_PER_ALLOCATION 2 /* at most: chunk and team */
+#define ALLOCATION_GUARDS 4     /* maximum that one task adds: job, chunk, team and shard */
+#define PREEMPTION_GUARDS 6     /* ALLOCATION_GUARDS and room for the launch fence */
+#define GUARDS_PER_VICTIM 2     /* maximum that one victim adds: job and chunk */
+#define WRITES_PER_ALLOCATION 2 /* maximum: chunk and team */
 
 /* Estimated sizes in a transaction. */
 #define CHUNK_BYTES 300
@@ -16,8 +16,9 @@
 #define TEAM_BYTES 200
 #define SHARD_GUARD_BYTES 60
 
-/* A transaction is sent as soon as it is built: one that waited for the write budget would be out of date by
- * then. So it opens no more chunks than there are writes left; further tasks of open chunks cost nothing. */
+/* Returns whether the batch may contain `more` further writes. A transaction is sent as soon as it is built:
+ * one that waited for the write budget would be out of date by then. So it opens no more chunks than there
+ * are writes available; further tasks of chunks that are already open add no write. */
 static gboolean has_writes_left(FkController *c, const FkLaunchBatch *batch, guint more) {
   return (batch->txn ? batch->txn->writes->len : 0) + more <=
          MIN(c->settings->transaction_ops_max, MAX(FK_LAUNCH_WRITES_ALLOWANCE, c->launches.write_room));
@@ -33,7 +34,8 @@
          (batch->txn->guards->len + ALLOCATION_GUARDS > guards_max || batch->bytes > TRANSACTION_BYTES_MAX);
 }
 
-/* The job's chunk as the transaction will write it; opened if it isn't yet. */
+/* Returns the job's chunk as the transaction will write it; adds it to the transaction if it isn't part of it
+ * yet. */
 static FkChunk *open_chunk(FkController *c, FkLaunchBatch *batch, const FkJob *job, guint32 index) {
   char *path = fk_key_chunk_path(job->spec->id, index);
   FkChunk *copy = g_hash_table_lookup(batch->chunks, path);
@@ -60,9 +62,10 @@
   return copy;
 }
 
-/* The team's record protects its quota. Serialized: every launch writes it, so that launches commit one after
- * another. Partitioned: launches only guard it, so that nobody changes the shares meanwhile. A team without a
- * quota has nothing to protect, and its launches wait for nobody else's. */
+/* Guards the team's record, which protects its quota. Serialized: every launch also writes the record, so
+ * that launches commit one after another. Partitioned: launches only guard it, so that the shares can't
+ * change before they commit. A team without a quota needs no guard, and its launches don't conflict with
+ * others. */
 static void guard_team_quota(FkController *c, FkLaunchBatch *batch, const char *name) {
   const FkTeam *team = fk_settings_find_team(c->settings, name);
   if (!fk_team_has_limit(team) || g_hash_table_contains(batch->teams, name))
@@ -75,20 +78,22 @@
   batch->bytes += TEAM_BYTES;
 }
 
-/* Elastic Sizing counts waits for a free machine only: not the time for which a task ran before its machine
- * was lost, nor an outage of the store, during which nothing can start wherever there is capacity. After a
- * mass failure the mean would else be minutes, and close machines to long jobs without any use. */
-static FkTime could_start_since(FkController *c, const FkJob *job) {
+/* Returns since when the job's next task could have started if a machine had been free. Elastic Sizing counts
+ * only waits for a free machine: not the time for which a task ran before its machine was lost, nor an outage
+ * of the store, during which nothing can start even where there is capacity. Otherwise the mean wait would be
+ * minutes after a mass failure, and machines would be blacklisted for long jobs to no effect. */
+static FkTime waiting_since(FkController *c, const FkJob *job) {
   FkTime since = {MAX(job->startable_us, job->attempt_lost_at.us)};
   return since.us > c->store_session.store_recovered_at.us ? since : c->store_session.store_recovered_at;
 }
 
-/* Otherwise one large array of one team would dominate the mean and close all machines to long jobs. Jobs of
- * a few short tasks, which Elastic Sizing is there for, are counted in full. */
-#define WAITS_PER_JOB_MAX 20 /* in a window */
+/* Maximum number of waits counted for one job in a window. Without it, one large array of one team would
+ * dominate the mean and blacklist all machines for long jobs. Jobs of a few short tasks, for which Elastic
+ * Sizing exists, are counted in full. */
+#define WAITS_PER_JOB_MAX 20
 
-static void count_wait(FkController *c, FkWaitTimes *waits, FkJob *job) {
-  double wait_s = fk_time_between(could_start_since(c, job), c->now);
+static void record_wait(FkController *c, FkWaitTimes *waits, FkJob *job) {
+  double wait_s = fk_time_between(waiting_since(c, job), c->now);
   waits->sum_s += wait_s;
   waits->count++;
   if (job->wait_times_window != c->window.index)
@@ -100,7 +105,7 @@
   waits->capped_count++;
 }
 
-/* Whether the batch allocates, or stops, tasks of the job already. */
+/* Returns whether the batch already allocates or stops tasks of the job. */
 static gboolean contains_job(const FkLaunchBatch *batch, const FkJob *job) {
   g_autofree char *path = fk_key_path(FK_KEY_JOB, job->spec->id);
   for (guint i = 0; batch->txn && i < batch->txn->guards->len; i++)
@@ -111,7 +116,7 @@
 
 static gboolean job_may_start_task(FkController *c, const FkLaunchBatch *batch, FkJob *job) {
   const FkSpec *spec = job->spec;
-  if (job->blocked || job->cancelled) /* all dependencies must be committed as done */
+  if (job->blocked || job->cancelled) /* dependencies must be committed as done first */
     return FALSE;
   if (job->failing && spec->shape != FK_SHAPE_GANG) {
     /* one task at a time is enough to tell whether the job still fails everywhere */
@@ -119,12 +124,14 @@
       return FALSE;
     job->cycle_tried_at = c->now;
   }
-  /* Zone constraints are checked against the view, so they hold with one task a transaction only. */
+  /* Zone constraints are checked against the view, so they hold only if a transaction starts at most one task
+   * of the job. */
   gboolean zone_bound = (spec->one_zone || spec->spread) && spec->shape != FK_SHAPE_GANG;
   return !zone_bound || !contains_job(batch, job);
 }
 
-/* The first of the job's chunks with a waiting task that may still be written; FALSE: there is none. */
+/* Finds the first of the job's chunks that has a waiting task and can still be written. Returns FALSE if
+ * there is none. */
 static gboolean find_chunk(FkController *c, const FkLaunchBatch *batch, FkJob *job, const FkMachine *machine,
                            guint32 *index, gboolean *is_open) {
   for (guint32 i = job->unstarted_hint; i < job->chunk_count; i++) {
@@ -175,7 +182,7 @@
            machine->record->type, fk_time_between((FkTime){job->startable_us}, c->now),
            g_hash_table_contains(machine->images, job->spec->image) ? "present" : "missing");
   if (!fk_spec_is_long(c, job->spec))
-    count_wait(c, &batch->waits, job);
+    record_wait(c, &batch->waits, job);
   return TRUE;
 }
 
--- a/src/core/scheduling/long_path.c
+++ b/src/core/scheduling/long_path.c
@@ -9,12 +9,14 @@
 #include "core/scheduling/service_reserve.h"
 #include "core/scheduling/team_quota.h"
 
-#define GANG_LAUNCH_S 8.0         /* for all transactions of one gang's launch */
-#define IMAGE_FETCH_LONG_S 1.0    /* a service that must wait for so long is late */
-#define WORK_LOST_MAX_CORE_S 60.0 /* that a service may cost others rather than wait for its image */
-#define PREEMPTION_SEARCHES_MAX 3 /* in a cycle: each goes through all machines and what they run */
-#define RESERVED_TASKS_MAX 24     /* in a cycle, of services and gangs */
-#define GANG_RESERVES_QUOTA_S 60.0
+#define GANG_LAUNCH_S 8.0      /* time limit for all transactions of one gang's launch */
+#define IMAGE_FETCH_LONG_S 1.0 /* a service that must wait longer than this for its image is late */
+/* work that may be lost by preemption so that a service needn't wait for its image */
+#define WORK_LOST_MAX_CORE_S 60.0
+/* in a cycle: each search examines all machines and the tasks that run there */
+#define PREEMPTION_SEARCHES_MAX 3
+#define RESERVED_TASKS_MAX 24      /* tasks of services and gangs for which a cycle reserves capacity */
+#define GANG_RESERVES_QUOTA_S 60.0 /* for which an aged gang without machines reserves quota */
 #define FETCH_GB_PER_S_MIN 0.01
 
 /* Weights of the cost of a machine. */
@@ -33,9 +35,9 @@
   return job->spec->image_gb / MAX(FETCH_GB_PER_S_MIN, fk_machine_type(c, machine)->fetch_gb_per_s);
 }
 
-/* Lower is better. Whether the image must be fetched at all counts most, then what it costs to keep the
- * machine for as long as the task runs there: a few replicas must not hold the largest machine. Last, the
- * fuller machine. */
+/* Returns the cost of placing a task of the job on the machine; lower is better. Whether the image must be
+ * fetched at all weighs most. Next comes the price of keeping the machine for as long as the task runs there:
+ * a few replicas must not hold the largest machine. Last, the fuller machine is preferred. */
 static double machine_cost(FkController *c, const FkJob *job, const FkMachine *machine) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   double fetch_s = image_fetch_s(c, job, machine);
@@ -46,10 +48,10 @@
          free_share - (machine->allocated_long_cpus > 0 ? LONG_TASKS_BONUS : 0);
 }
 
-/* The blacklist protects short tasks from newly arrived long ones of their own priority or below. Services of
- * a higher priority would wait behind work that they may preempt, and a long job that has itself waited for
- * longer than the bound on short waits is no longer newly arrived: for both a blacklisted machine is the last
- * choice. */
+/* Returns whether the job may use blacklisted machines as a last resort. The blacklist protects short tasks
+ * from newly arrived long ones of the same or a lower priority. Services of a higher priority would otherwise
+ * wait for tasks that they may preempt, and a long job that has itself waited for longer than the bound on
+ * short waits is no longer newly arrived. */
 static gboolean ignores_blacklist(FkController *c, const FkJob *job) {
   return job->spec->priority < FK_JOB_PRIORITY_NORMAL ||
          fk_time_between((FkTime){job->startable_us}, c->now) > c->settings->tuning.max_wait_s;
@@ -85,7 +87,7 @@
   g_hash_table_insert(zones, (gpointer)zone, GUINT_TO_POINTER(zone_count(zones, zone) + 1));
 }
 
-/* zone -> how many tasks of the job are allocated there. */
+/* Returns a table: zone -> number of tasks of the job allocated there. */
 static GHashTable *tasks_by_zone(FkController *c, const FkJob *job) {
   GHashTable *zones = g_hash_table_new(g_str_hash, g_str_equal);
   for (guint32 i = 0; i < job->chunk_count; i++)
@@ -98,8 +100,8 @@
   return zones;
 }
 
-/* A machine for each waiting task of the gang, in the zone (NULL: any); NULL: not all of them find one now.
- */
+/* Returns a machine for each waiting task of the gang, limited to `zone` (NULL: any zone); NULL if there
+ * isn't one for each task now. */
 static GPtrArray *plan_gang_in_zone(FkController *c, FkJob *job, GPtrArray *machines, const char *zone) {
   g_autoptr(GPtrArray) plan = g_ptr_array_new();
   g_autoptr(GHashTable) zones = tasks_by_zone(c, job);
@@ -122,7 +124,8 @@
   return plan->len == waiting ? g_steal_pointer(&plan) : NULL;
 }
 
-/* The same in any zone, or in the first with room for all where one zone must hold them. */
+/* Plans the gang in any zone or, if it must run in one zone, in the first one with capacity for all of its
+ * tasks. */
 static GPtrArray *plan_gang(FkController *c, FkJob *job, GPtrArray *machines) {
   if (!job->spec->one_zone)
     return plan_gang_in_zone(c, job, machines, NULL);
@@ -132,7 +135,8 @@
   return plan;
 }
 
-/* All tasks of a launch get the same attempt number, above those of all earlier ones. */
+/* Starts a launch of the gang. All of its tasks get the same attempt number, which is higher than any number
+ * used before. */
 static void begin_gang_launch(FkController *c, FkJob *job) {
   job->gang_until = fk_time_add(c->now, GANG_LAUNCH_S);
   job->gang_attempt.n = 1;
@@ -142,10 +146,11 @@
       job->gang_attempt.n = MAX(job->gang_attempt.n, job->chunks[i]->next_attempt);
 }
 
-/* A gang is placed as a whole: some of its tasks alone would only wait on their machines. */
+/* Places the waiting tasks of the gang, provided that there is a machine for each of them: a part of a gang
+ * would only occupy its machines and wait. */
 static void place_gang(FkController *c, FkLaunchBatch *batch, FkJob *job, GPtrArray *machines) {
-  /* A launch in several transactions goes on only while everything that it has allocated still is: a task
-   * that has left since must not get the same attempt number again. */
+  /* A launch that takes several transactions continues only while all tasks that it has allocated still are:
+   * a task that has ended since then must not get the same attempt number again. */
   if (job->allocated && (fk_time_reached(c->now, job->gang_until) || job->allocated != job->gang_allocated))
     return;
   if (!fk_team_quota_allows_tasks(c, job->spec, fk_job_waiting_tasks(job)))
@@ -164,16 +169,17 @@
 
 /* ------------------------------------------------------------------ services and long arrays */
 
-/* What one cycle of the long path keeps track of. */
+/* The state of one cycle of the long path. */
 typedef struct {
-  GPtrArray *machines; /* FkMachine with free capacity, borrowed */
-  GPtrArray *usable;   /* all usable machines but those that preemption has used; NULL: not looked up yet */
-  GPtrArray *unplaceable; /* FkSpec, borrowed: no capacity for them, and none to be made */
-  guint searches_left;    /* for victims */
-  double spare_slots;     /* see service_reserve.h */
+  GPtrArray *machines; /* FkMachine with free capacity; borrowed */
+  /* all usable machines except those that preemption has used in this cycle; NULL until needed */
+  GPtrArray *usable;
+  GPtrArray *unplaceable; /* FkSpec (borrowed) for which there is no capacity, even by preemption */
+  guint searches_left;    /* searches for victims of preemption that this cycle may still do */
+  double spare_slots;     /* slots that arrays may still use (service_reserve.h) */
 } Cycle;
 
-/* Where one of two jobs finds nothing, the other won't either. */
+/* Returns whether two jobs have the same requirements: if one can't be placed, neither can the other. */
 static gboolean has_same_demand(const FkSpec *a, const FkSpec *b) {
   return a->cpus == b->cpus && a->gpus == b->gpus && a->mem_gb == b->mem_gb && a->priority == b->priority &&
          a->spot == b->spot && g_strcmp0(a->zone, b->zone) == 0 && !a->types && !b->types &&
@@ -187,8 +193,8 @@
   return FALSE;
 }
 
-/* Places one task by preemption: a service needn't wait for capacity, or for its image, where only tasks of a
- * lower priority that stop at once are in its way. FALSE: nothing was placed. */
+/* Places one task by preemption: a service needn't wait for capacity, or for its image to be fetched, if only
+ * tasks of a lower priority that stop immediately stand in its way. Returns FALSE if nothing was placed. */
 static gboolean preempt(FkController *c, FkLaunchBatch *batch, Cycle *cycle, FkJob *job, double cost_max) {
   g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(FkAllocationRef));
   if (!cycle->usable)
@@ -201,7 +207,7 @@
   return TRUE;
 }
 
-/* Places one waiting task. FALSE: no further task of the job can be placed. */
+/* Places one waiting task. Returns FALSE if no further task of the job can be placed. */
 static gboolean place_task(FkController *c, FkLaunchBatch *batch, Cycle *cycle, FkJob *job) {
   FkMachine *best = fk_long_path_best_machine(c, job, cycle->machines, NULL);
   if (cycle->searches_left && job->spec->priority < FK_JOB_PRIORITY_NORMAL &&
@@ -237,8 +243,8 @@
                  .searches_left = PREEMPTION_SEARCHES_MAX,
                  .spare_slots =
                      fk_service_reserve_spare_slots(c, machines, g_hash_table_size(c->view->machines), 1)};
-  /* Each job needs a chunk of its own: once the writes are used up, going through all machines for each of
-   * hundreds of waiting jobs would be for nothing. */
+  /* Each job needs a write of its own: once the writes are used up, examining all machines for each of
+   * hundreds of waiting jobs would be wasted work. */
   for (guint i = 0; i < jobs->len; i++) {
     if (fk_launch_batch_is_full(c, batch) || fk_launch_batch_is_out_of_chunks(c, batch))
       break;
@@ -261,7 +267,7 @@
   if (machine)
     fk_reservation_apply(machine, spec, 1);
   if (usage->partition && spec->shape != FK_SHAPE_GANG) {
-    /* the leader's share of the quota pays for it, not this controller's */
+    /* counts against the leader's share of the quota, not against this controller's */
     reservation.quota_cpus = 0;
   } else {
     usage->reserved_cpus += spec->cpus;
@@ -285,10 +291,11 @@
   }
 }
 
-/* A gang that waits for its team's quota reserves what becomes free of it: tasks that start one by one would
- * else keep it waiting for ever. One that waits for machines must not: with a spread gang in a fleet that had
- * lost all machines of a zone, nothing else of its team could start beside idle ones. A gang that has waited
- * too long to start reserves the quota for a while all the same, so that capacity can be made for it. */
+/* Returns whether a waiting gang reserves its team's quota. A gang that waits for quota reserves what becomes
+ * free, since tasks that start one by one could otherwise keep it waiting forever. A gang that waits for
+ * machines must not: with a spread gang in a fleet that had lost all machines of a zone, no other job of its
+ * team could start although machines were idle. A gang that has waited too long to start still reserves the
+ * quota for a while, so that capacity can be made for it. */
 static gboolean gang_reserves_quota(FkController *c, const FkJob *job, gboolean has_machines) {
   double aged_s = fk_backfill_reservation_aged_s(c, job);
   return has_machines || (aged_s >= 0 && aged_s < GANG_RESERVES_QUOTA_S);
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,6 +1,6 @@
 #include "core/scheduling/placement.h"
 
-/* Looked up once a machine: the type is cached in it. */
+/* The type is looked up once for each machine, and cached in it. */
 const FkInstanceType *fk_machine_type(FkController *c, const FkMachine *machine) {
   if (!machine->type && machine->record)
     ((FkMachine *)machine)->type = g_hash_table_lookup(c->autoscaling.instance_types, machine->record->type);
@@ -16,7 +16,8 @@
          spec->mem_gb <= type->mem_gb + FK_AMOUNT_EPSILON;
 }
 
-/* Whether one more task in the zone respects `one_zone` and `spread`, given where the others run. */
+/* Returns whether one more task in the zone respects `one_zone` and `spread`, given where the job's other
+ * tasks run. */
 static gboolean zone_is_allowed(FkController *c, const FkJob *job, const char *zone) {
   const FkSpec *spec = job->spec;
   guint tasks_in_zone = 0;
@@ -28,7 +29,7 @@
       const FkMachine *other =
           fk_view_find_machine(c->view, g_array_index(allocations, FkAllocation, k).machine);
       if (!other || !other->record)
-        return FALSE; /* its zone isn't known: wait until the allocation has ended */
+        return FALSE; /* the zone of the other task isn't known: wait until its allocation has ended */
       gboolean same_zone = g_str_equal(other->record->zone, zone);
       if (spec->one_zone && !same_zone)
         return FALSE;
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -3,19 +3,22 @@
 #pragma once
 #include "core/controller_internal.h"
 
-/* The machine's instance type; NULL while its record or the list of types isn't known. Types are never freed
- * while the controller lives. */
+/* Returns the machine's instance type; NULL if its record or the list of types isn't known yet. Types aren't
+ * freed during the controller's lifetime. */
 const FkInstanceType *fk_machine_type(FkController *c, const FkMachine *machine);
 
-/* Whether a task fits an empty machine of the type, and its job allows the type and one of its zones. */
+/* Returns whether a task fits an empty machine of the type, and its job allows the type and one of the type's
+ * zones. */
 gboolean fk_placement_fits_type(const FkSpec *spec, const FkInstanceType *type);
 
-/* Whether the job allows the machine: its type, zone and purchase option (spot or not), where the job's other
- * tasks run, and whether the job has failed there lately. Free capacity isn't checked. */
+/* Returns whether the job may run on the machine: its type, zone and purchase option (spot or not) are
+ * allowed, `one_zone` and `spread` hold given where the job's other tasks run, and the job hasn't failed
+ * there recently. Free capacity isn't checked. */
 gboolean fk_placement_is_allowed(FkController *c, const FkJob *job, const FkMachine *machine);
 
-/* Whether the machine has free capacity for one task, beside all allocations and reservations. */
+/* Returns whether the machine has free capacity for one task, in addition to all allocations and
+ * reservations. */
 gboolean fk_placement_fits_machine(FkController *c, const FkMachine *machine, const FkSpec *spec);
 
-/* The same for amounts of CPU and memory; GPUs aren't checked. */
+/* Returns whether the machine has so much CPU and memory free; GPUs aren't checked. */
 gboolean fk_placement_has_capacity(FkController *c, const FkMachine *machine, double cpus, double mem_gb);
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -4,19 +4,20 @@
 #include "core/scheduling/scheduling_queue.h"
 #include "core/scheduling/starvation.h"
 
-#define BLOCKED_WAIT_MIN_S 15.0 /* before that, tasks that end mostly make enough room */
-#define BLOCKED_SHARE_MIN 0.02  /* of the fleet's CPUs: for less, the work done is worth more */
-#define OVER_SHARE_FACTOR 1.25  /* times its share: so far above it a team gives capacity back */
-#define RECLAIM_INTERVAL_S 4.0  /* by then the view shows that the last victims have stopped */
-#define RECLAIM_SHARE_MAX 0.05  /* of the fleet's CPUs, in one round */
-#define CHUNKS_PER_ROUND_MAX 6  /* each costs a write */
+#define BLOCKED_WAIT_MIN_S 15.0 /* until then, tasks that end usually free enough capacity */
+#define BLOCKED_SHARE_MIN 0.02  /* of the fleet's CPUs: for less, the work lost outweighs the gain */
+/* a team gives capacity back if it uses more than this multiple of its share */
+#define OVER_SHARE_FACTOR 1.25
+#define RECLAIM_INTERVAL_S 4.0 /* time until the view shows that the last victims have stopped */
+#define RECLAIM_SHARE_MAX 0.05 /* of the fleet's CPUs, in one round */
+#define CHUNKS_PER_ROUND_MAX 6 /* each costs a write */
 
-/* All tasks of a chunk are stopped by one write, and were mostly placed together: so the unit is the chunk.
- */
+/* A chunk whose tasks may be stopped. The unit is the chunk because one write stops all of its tasks, and
+ * they were mostly placed together. */
 typedef struct {
   FkJob *job;
   guint32 index;
-  double cpus, loss_core_s; /* of its tasks that aren't stopping yet */
+  double cpus, loss_core_s; /* sums over its tasks that aren't stopping yet */
 } Candidate;
 
 static int compare_by_loss(gconstpointer a, gconstpointer b) {
@@ -25,8 +26,10 @@
   return x_loss != y_loss ? (x_loss < y_loss ? -1 : 1) : g_strcmp0(x->job->spec->id, y->job->spec->id);
 }
 
-/* Lower priorities give way to higher ones; and to a job that waits within its team's guarantee, everything
- * that other teams run above their own share. No team falls below its share by that. */
+/* Returns whether tasks of the job may be stopped for the blocked job. A lower priority yields to a higher
+ * one if its team uses far more than its share. If everything that the blocked job's team demands is within
+ * its guarantee, tasks of the same or a higher priority yield too, provided that their team is well above its
+ * share. No team falls below its share by this. */
 static gboolean is_preemptible_for(FkController *c, const FkJob *job, const FkJob *blocked) {
   const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, job->spec->team);
   if (job->spec->shape != FK_SHAPE_ARRAY || job->cancelled ||
@@ -39,7 +42,8 @@
          team->used > MAX(team->share, team->guarantee) && fk_fair_share_standing(team) == FK_STANDING_OVER;
 }
 
-/* Adds the job's chunks that have tasks to stop; `stopping_cpus` gains what its other tasks will free. */
+/* Adds the job's chunks that have tasks to stop to `candidates`, and the CPUs of its tasks that are already
+ * stopping to `stopping_cpus`. */
 static void add_candidates(FkController *c, GArray *candidates, FkJob *job, double *stopping_cpus) {
   for (guint32 i = 0; i < job->chunk_count; i++) {
     Candidate candidate = {job, i, 0, 0};
@@ -69,14 +73,15 @@
   return candidates;
 }
 
-/* What the job's team has above its share, and its class above the starvation floor. */
+/* Returns the CPUs that may be reclaimed from the job: what its team uses above its share, and its class
+ * above the starvation floor, whichever is less. */
 static double reclaimable_cpus(FkController *c, const FkJob *job, double cluster_cpus) {
   const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, job->spec->team);
   const FkServiceLevelRow *row = fk_service_level_class(c->view->service_level, job->spec->class_name);
   return MIN(team->used - team->share, (row ? row->cpus : 0) - FK_SERVICE_FLOOR_SHARE * cluster_cpus);
 }
 
-/* Asks tasks of the chunk to stop, the latest first, with `cpus_max` together at most. Returns their CPUs. */
+/* Asks tasks of the chunk to stop, the latest first, up to `cpus_max` in total. Returns their CPUs. */
 static double stop_tasks(FkController *c, FkStopTransaction *stops, const Candidate *candidate,
                          double cpus_max) {
   const FkSpec *spec = candidate->job->spec;
--- a/src/core/scheduling/preemption_cost.c
+++ b/src/core/scheduling/preemption_cost.c
@@ -3,7 +3,8 @@
 #include "core/scheduling/placement.h"
 
 #define IMMEDIATE_VICTIMS_MAX 3
-#define LAUNCHING_JOB_COST_CORE_S 20.0 /* a job that still launches tasks writes its chunks all the time */
+/* added for a job that still launches tasks: it writes its chunks all the time */
+#define LAUNCHING_JOB_COST_CORE_S 20.0
 #define IMAGE_FETCH_COST_CORE_S 1000.0
 
 typedef struct {
@@ -44,7 +45,8 @@
   return (spec->checkpoint_s > 0 ? MIN(ran_s, spec->checkpoint_s) : ran_s) * spec->cpus;
 }
 
-/* A chunk that is larger than the limits allow can't be written before some of its tasks have ended. */
+/* Returns whether the task's chunk can be written. One that is larger than the limits allow can't be, before
+ * some of its tasks have ended. */
 static gboolean can_be_stopped(FkController *c, const FkAllocationRef *allocation) {
   const FkJob *job = allocation->job;
   const FkChunk *chunk = job->chunks[allocation->task / job->spec->chunk_tasks];
@@ -56,7 +58,7 @@
          (fk_job_waiting_tasks(allocation->job) ? LAUNCHING_JOB_COST_CORE_S : 0);
 }
 
-/* What is free, and what tasks that stop already will free. */
+/* Returns the machine's free capacity plus what its stopping tasks will free. */
 static Capacity available_capacity(FkController *c, const FkMachine *machine, gboolean immediate_only) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   Capacity available = {type->cpus - machine->allocated_cpus - machine->reserved_cpus,
@@ -78,7 +80,7 @@
   return !immediate_only || (stops_immediately(allocation) && running->shape == FK_SHAPE_ARRAY);
 }
 
-/* The task that costs least to stop and isn't a victim yet, or NULL. */
+/* Returns the task with the lowest stop cost that isn't a victim yet, or NULL. */
 static const FkAllocationRef *cheapest_victim(FkController *c, const FkSpec *spec, const FkMachine *machine,
                                               gboolean immediate_only, const GArray *victims, double *cost) {
   const FkAllocationRef *best = NULL;
@@ -87,7 +89,7 @@
     if (!is_preemptible(allocation, spec, immediate_only))
       continue;
     double own_cost = stop_cost(c, allocation);
-    /* the most expensive check last: it goes through all that the job has running */
+    /* the most expensive check is last: it goes through all running tasks of the job's chunk */
     if ((best && own_cost >= *cost) || is_victim(victims, allocation) || !can_be_stopped(c, allocation))
       continue;
     best = allocation;
@@ -96,7 +98,8 @@
   return best;
 }
 
-/* Whom to stop so that a task fits the machine, and what that costs. FALSE: it can't be made to fit. */
+/* Finds the tasks to stop so that a task fits the machine, and the cost of that. Returns FALSE if it can't be
+ * made to fit. */
 static gboolean find_victims(FkController *c, const FkSpec *spec, const FkMachine *machine,
                              gboolean immediate_only, GArray *victims, double *cost) {
   Capacity available = available_capacity(c, machine, immediate_only);
--- a/src/core/scheduling/preemption_cost.h
+++ b/src/core/scheduling/preemption_cost.h
@@ -1,15 +1,15 @@
-/* What it would cost to make capacity for a task by stopping tasks of a lower priority, and on which machine
- * it costs least. Costs are in core-seconds of work lost. */
+/* The cost of freeing capacity for a task by stopping tasks of a lower priority, and the machine on which it
+ * is lowest. Costs are core-seconds of lost work. */
 #pragma once
 #include "core/controller_internal.h"
 
-/* Work that is lost when a task that has run since then is stopped: all of it, or what it has done since its
- * last checkpoint at most. */
+/* Returns the work that is lost if a task that has run since `since` is stopped: all of it or, with
+ * checkpoints, at most what was done in one checkpoint interval. */
 double fk_preemption_work_lost(FkController *c, const FkSpec *spec, FkTime since);
 
-/* The machine on which a task of the job costs least, among those where it costs less than `cost_max`; NULL:
- * there is none. A machine without the job's image counts as 1000 core-seconds more. `immediate_only`: only
- * tasks that stop as soon as they are asked, and a few of them. Whom to stop is put into `victims`
- * (FkAllocationRef), in place of what it held. */
+/* Returns the machine on which the cost of placing a task of the job is lowest and below `cost_max`; NULL if
+ * there is none. A machine without the job's image costs 1000 core-seconds more. With `immediate_only`, only
+ * tasks that stop without delay are victims, and only a few of them. `victims` is overwritten with the tasks
+ * to stop (FkAllocationRef). */
 FkMachine *fk_preemption_best_machine(FkController *c, const FkJob *job, GPtrArray *machines,
                                       gboolean immediate_only, double cost_max, GArray *victims);
--- a/src/core/scheduling/quota_partition.c
+++ b/src/core/scheduling/quota_partition.c
@@ -2,15 +2,18 @@
 
 #include "fair_share/quota.h"
 
-#define SERIALIZED_MIN_S 4.0   /* a team whose shares were found too small stays serialized for so long ... */
-#define SERIALIZED_MAX_S 120.0 /* ... and twice as long, up to this, each time that it happens again */
-#define SHARE_TASKS_MIN 4      /* a share must have room for so many of the team's largest tasks */
-#define LEADER_WEIGHT 2.0      /* the leader places services for all */
+/* minimum time for which a team stays serialized after its shares were found too small */
+#define SERIALIZED_MIN_S 4.0
+/* that time doubles, up to this, each time that the shares are found too small again */
+#define SERIALIZED_MAX_S 120.0
+#define SHARE_TASKS_MIN 4 /* a share must allow at least this many of the team's largest launches */
+#define LEADER_WEIGHT 2.0 /* the leader places the services, whichever controller accepted them */
 #define PARTITIONED_MIN_S 1.0
 #define PAUSE_MAX_S 3.0
-#define FREE_SHARE_MIN 0.2 /* a quota is partitioned only while so much of it is free */
+#define FREE_SHARE_MIN 0.2 /* a quota is partitioned only while more than this share of it is free */
 
-/* controller -> double*: its share in CPUs. Empty: a pause. */
+/* Returns an empty partition: controller -> double* (its share in CPUs). A partition without shares means
+ * that the team's launches are paused. */
 static GHashTable *partition_new(void) {
   return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
@@ -28,8 +31,8 @@
   fk_transaction_send(c, txn, on_record_committed, NULL, NULL);
 }
 
-/* Pauses the team's launches. Needs no guard: nobody may launch on a pause, so it is safe whatever the record
- * was before. */
+/* Pauses the team's launches. The write needs no guard: no controller may launch during a pause, so a pause
+ * is safe whatever the record was before. */
 static void write_pause(FkController *c, const char *team) {
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
   FkRecord *record = fk_record_new(FK_KEY_TEAM);
@@ -38,7 +41,8 @@
   send_record(c, team, txn, record);
 }
 
-/* Ends the pause that the view shows: with a partition, or serialized (NULL). */
+/* Ends the pause that the view shows, with a partition or, if `partition` is NULL, by serializing the
+ * launches. */
 static void write_partition(FkController *c, const char *team, const FkTeamUsage *usage,
                             GHashTable *partition /* taken */) {
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
@@ -49,14 +53,15 @@
   send_record(c, team, txn, record);
 }
 
-/* The leader, which places the services, and who exhausted its share last get more. */
+/* Returns the weight of a controller when free quota is divided. The leader, which places the services, and
+ * the controller that exhausted its share last have a higher weight. */
 static double share_weight(FkController *c, const FkTeamUsage *usage, const char *node) {
   guint node_count = g_hash_table_size(c->view->nodes);
   return (g_strcmp0(node, c->view->leader) == 0 ? LEADER_WEIGHT : 1) +
          (g_strcmp0(usage->last_exhausted_by, node) == 0 ? node_count : 0);
 }
 
-/* Each controller keeps what it uses, and gets its part of what is free. */
+/* Returns the partition in which each controller keeps what it uses and gets its part of the free quota. */
 static GHashTable *compute_shares(FkController *c, const FkTeam *team, const FkTeamUsage *usage) {
   GHashTable *partition = partition_new();
   double weights = 0, free_cpus = fk_quota_left(team->max_cpus, usage->cpus);
@@ -75,7 +80,7 @@
   return partition;
 }
 
-/* CPUs of the team's largest launch: a task, or a whole gang. */
+/* Returns the CPUs of the team's largest launch: a task, or a whole gang. */
 static double largest_launch_cpus(FkController *c, const FkTeam *team) {
   double largest = 0;
   GHashTableIter it;
@@ -89,7 +94,7 @@
   return largest;
 }
 
-/* Whether every controller's share would be large enough to be of use. */
+/* Returns whether every controller's share would be large enough to be useful. */
 static gboolean is_worth_partitioning(FkController *c, const FkTeam *team, const FkTeamUsage *usage) {
   double free_cpus = fk_quota_left(team->max_cpus, usage->cpus);
   return free_cpus > FREE_SHARE_MIN * team->max_cpus &&
@@ -97,8 +102,8 @@
                          (g_hash_table_size(c->view->nodes) + LEADER_WEIGHT - 1);
 }
 
-/* Shares are of CPUs: a team whose GPUs are limited too stays serialized, and one without a quota has nothing
- * to divide. */
+/* Returns whether the team's quota can be partitioned. Shares are in CPUs, so a team whose GPUs are limited
+ * too stays serialized; a team without a quota has nothing to divide. */
 static gboolean can_partition(const FkTeam *team) {
   return fk_quota_is_limited(team->max_cpus) && !fk_quota_is_limited(team->max_gpus);
 }
@@ -107,9 +112,10 @@
   return usage->partition && !g_hash_table_size(usage->partition);
 }
 
-/* Shares change in two steps. A pause gives nobody anything: launches guarded by earlier revisions of the
- * record are void, so that a view of the pause shows exactly what everybody has launched. Then the controller
- * that wrote the pause divides the quota, or serializes it, guarded by the pause's revision. */
+/* Ends a pause. Shares change in two steps. The pause gives no controller a share and invalidates the guards
+ * of launches based on earlier revisions of the record, so that a view of the pause shows exactly what every
+ * controller has launched. Then the controller that wrote the pause divides the quota, or serializes it,
+ * guarded by the pause's revision. */
 static void finish_pause(FkController *c, const FkTeam *team, FkTeamUsage *usage) {
   if (is_worth_partitioning(c, team, usage)) {
     g_info("quota partitioned team=%s used_cpus=%.0f max_cpus=%.0f", team->name, usage->cpus, team->max_cpus);
@@ -121,14 +127,15 @@
   write_partition(c, team->name, usage, NULL);
 }
 
-/* The controller that wrote the pause ends it; the leader does if that one seems to have failed. */
+/* Returns whether this controller must end the pause: it wrote the pause, or it is the leader and the
+ * controller that wrote it seems to have failed. */
 static gboolean must_finish_pause(FkController *c, const FkTeamUsage *usage) {
   return g_strcmp0(usage->last_exhausted_by, c->settings->node) == 0 ||
          (c->leader.is_leader && fk_time_between(usage->changed_at, c->now) > PAUSE_MAX_S);
 }
 
-/* A controller whose share is exhausted pauses a partitioned team; the leader, a serialized one that is worth
- * partitioning. */
+/* Returns whether this controller must pause the team: the team is partitioned and this controller's share is
+ * exhausted, or this controller is the leader and the team is serialized but worth partitioning. */
 static gboolean must_pause(FkController *c, const FkTeam *team, const FkTeamUsage *usage) {
   if (usage->partition)
     return usage->share_exhausted && fk_time_between(usage->changed_at, c->now) > PARTITIONED_MIN_S;
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -1,9 +1,9 @@
-/* Reservations: capacity and quota that launches in flight will take, from the moment that they are decided
- * until the view shows them or they have failed. */
+/* Reservations: capacity and quota that launches in flight will take, held from the decision until the view
+ * shows the allocations or the launch has failed. */
 #pragma once
 #include "core/controller_internal.h"
 
-/* Adds (`sign` 1) or removes (-1) one task's amounts to or from the machine's reserved capacity. */
+/* Adds one task's amounts to the machine's reserved capacity (`sign` 1) or subtracts them (-1). */
 void fk_reservation_apply(FkMachine *machine, const FkSpec *spec, int sign);
 
 /* Reserves capacity and quota for a launch in flight, until fk_reservation_clear_all(). */
--- a/src/core/scheduling/scheduling_cycle.c
+++ b/src/core/scheduling/scheduling_cycle.c
@@ -1,5 +1,5 @@
-/* A cycle runs the long path first, which is the leader's, and then every controller's short path; what both
- * place goes into one transaction. */
+/* A cycle runs the long path first, on the leader only, and then the short path, on every controller. All
+ * tasks that they place are launched by one transaction. */
 #include "core/scheduling/scheduling_cycle.h"
 
 #include "core/scheduling/capacity_index.h"
@@ -9,14 +9,15 @@
 #include "core/scheduling/scheduling_queue.h"
 #include "core/scheduling/short_path.h"
 
-#define LAUNCH_WRITE_SHARE 0.3 /* of the store's write budget */
+#define LAUNCH_WRITE_SHARE 0.3 /* share of the store's write budget for launches */
 #define LAUNCH_PAUSE_MAX_S 3.0
-#define RETRY_DELAY_MIN_S 0.15 /* after a failed write, drawn at random up to ... */
+#define RETRY_DELAY_MIN_S 0.15 /* the delay after a failed write is drawn at random between these two */
 #define RETRY_DELAY_MAX_S 0.5
-#define CYCLE_PAUSE_PER_MACHINE_S 1e-4 /* the pause between cycles grows with the fleet ... */
-#define CYCLE_PAUSE_MAX_S 0.1          /* ... up to this */
+#define CYCLE_PAUSE_PER_MACHINE_S 1e-4 /* the pause between cycles grows with the number of machines */
+#define CYCLE_PAUSE_MAX_S 0.1          /* upper limit of that pause */
 #define URGENT_INTERVAL_S 0.2
-#define URGENT_PAUSE_MIN_S 0.7 /* a shorter pause isn't worth the writes of a launch of its own */
+/* a shorter pause isn't bypassed: it isn't worth the writes of a separate launch */
+#define URGENT_PAUSE_MIN_S 0.7
 
 /* ------------------------------------------------------------------ the launch fence */
 
@@ -35,9 +36,10 @@
     c->launches.launch_after = fk_time_add(c->now, retry_delay_s(c));
 }
 
-/* Launches of this controller, of an earlier incarnation or without an answer, may still be in flight. Every
- * launch is guarded by the controller's fence: once it has changed and the view shows that, none of them can
- * commit any more, and those that did are in the view, so that they count against the team's quota. */
+/* Writes this controller's launch fence. Launches of an earlier incarnation of this controller, or launches
+ * without an answer, may still be in flight. Every launch is guarded by the controller's fence: once the
+ * fence has changed and the view shows the change, none of them can commit any more, and those that did
+ * commit are in the view, so that they count against the team's quota. */
 static void write_fence(FkController *c) {
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
   char *path = fk_key_path(FK_KEY_LAUNCH_FENCE, c->settings->node);
@@ -52,7 +54,7 @@
 /* ------------------------------------------------------------------ the launch */
 
 typedef struct {
-  FkWaitTimes waits; /* of the short tasks that it starts */
+  FkWaitTimes waits; /* waits of the short tasks that the launch starts */
 } Launch;
 
 static void on_launch_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
@@ -67,18 +69,20 @@
   if (outcome != FK_OUTCOME_OK && outcome != FK_OUTCOME_CONFLICT)
     c->launches.failures++;
   if (outcome == FK_OUTCOME_UNKNOWN)
-    c->launches.fence_needed = TRUE; /* it may yet commit: not beside the next one */
+    /* it may still commit: no other launch is sent until the fence rules that out */
+    c->launches.fence_needed = TRUE;
   if (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT)
-    c->launches.wait_rev = epoch; /* the next decision needs a view that shows this */
+    c->launches.wait_rev = epoch; /* the next cycle needs a view that includes this launch */
   else
     c->launches.launch_after = c->launches.urgent_after = fk_time_add(c->now, retry_delay_s(c));
   if (outcome == FK_OUTCOME_OK)
     fk_wait_times_add(&c->window.waits, &launch->waits);
 }
 
-/* The next cycle's pause: the launch's writes at the pace of this controller's part of the write budget. */
+/* Sets the pause until the next cycle: how long the launch's writes last at this controller's part of the
+ * write budget. What remains of a pause that an urgent launch bypassed is added. */
 static void pause_after_launch(FkController *c, guint writes, gboolean urgent_only) {
-  /* the leader places all services, so it may write as much as all others together */
+  /* the leader places all services, so it may write as much as all other controllers together */
   guint parts = c->leader.is_leader ? 2 : 1 + g_hash_table_size(c->view->nodes);
   double pace_s = fk_write_pace_s(c, writes, LAUNCH_WRITE_SHARE * fk_controller_live_count(c) * 2 / parts);
   double left_s = urgent_only ? MAX(0, fk_time_between(c->now, c->launches.launch_after)) : 0;
@@ -95,15 +99,16 @@
 
 /* ------------------------------------------------------------------ the cycle */
 
-/* The pause saves writes for what comes next, and urgent jobs are what they are saved for. They bypass it, a
- * few times a second, and what they write is added to the pause of the others: after a launch of twenty
- * writes they would else wait for up to 3 s. */
+/* Returns whether urgent jobs may bypass the pause between launches. The pause saves writes, and urgent jobs
+ * are what they are saved for. They bypass it a few times a second, and the time for their writes is added to
+ * the pause of the other jobs. Without the bypass they would wait for up to 3 s after a launch of twenty
+ * writes. */
 static gboolean can_bypass_pause(FkController *c) {
   return fk_time_between(c->now, c->launches.launch_after) > URGENT_PAUSE_MIN_S &&
          fk_time_reached(c->now, c->launches.urgent_after) && fk_scheduling_queue_has_urgent(c);
 }
 
-/* Why no cycle can run now, or NULL. */
+/* Returns why no cycle can run now, or NULL if one can. */
 static const char *blocking_reason(FkController *c, gboolean urgent_only) {
   if (!fk_controller_is_ready(c) || !g_hash_table_size(c->autoscaling.instance_types))
     return "not_ready";
@@ -118,13 +123,13 @@
   return NULL;
 }
 
-/* Counts why nothing was launched, for the log of the window. */
-static void count_hindrance(FkController *c, const char *reason) {
+/* Counts a reason why nothing was launched, for the window's log. */
+static void count_no_launch(FkController *c, const char *reason) {
   guint count = GPOINTER_TO_UINT(g_hash_table_lookup(c->launches.hindrances, reason));
   g_hash_table_insert(c->launches.hindrances, (gpointer)reason, GUINT_TO_POINTER(count + 1));
 }
 
-/* Keeps the jobs above the normal priority, which come first. */
+/* Keeps only the jobs above the normal priority; they are first in the queue. */
 static void keep_urgent_jobs(GPtrArray *jobs) {
   guint urgent = 0;
   while (urgent < jobs->len && ((FkJob *)jobs->pdata[urgent])->effective_priority < FK_JOB_PRIORITY_NORMAL)
@@ -132,7 +137,7 @@
   g_ptr_array_set_size(jobs, (gint)urgent);
 }
 
-/* Machines with room for the smallest task of the long path. */
+/* Returns the machines with capacity for the smallest task of the long path. */
 static GPtrArray *open_machines_for_long_path(FkController *c, GPtrArray *jobs) {
   double cpus = G_MAXDOUBLE, mem_gb = G_MAXDOUBLE;
   for (guint i = 0; i < jobs->len; i++) {
@@ -166,7 +171,7 @@
   gboolean urgent_only = can_bypass_pause(c);
   const char *reason = blocking_reason(c, urgent_only);
   if (reason) {
-    count_hindrance(c, reason);
+    count_no_launch(c, reason);
     return;
   }
   if (c->launches.fence_needed) {
@@ -188,5 +193,5 @@
   if (batch.txn)
     send_launch(c, &batch);
   else
-    count_hindrance(c, fk_capacity_index_owned_machines(c)->len ? "no_capacity" : "no_machine");
+    count_no_launch(c, fk_capacity_index_owned_machines(c)->len ? "no_capacity" : "no_machine");
 }
--- a/src/core/scheduling/scheduling_cycle.h
+++ b/src/core/scheduling/scheduling_cycle.h
@@ -1,7 +1,8 @@
-/* The scheduling cycle: places waiting tasks and launches them, one transaction at a time. */
+/* The scheduling cycle: places waiting tasks and launches them. A controller has one launch transaction in
+ * flight at a time. */
 #pragma once
 #include "core/controller_internal.h"
 
-/* Runs one cycle, unless something blocks it: a launch in flight, a view that is behind, the pause between
+/* Runs one cycle, unless something blocks it: a launch in flight, a view that lags behind, the pause between
  * launches or the store's write budget. */
 void fk_scheduling_cycle_run(FkController *c);
--- a/src/core/scheduling/scheduling_queue.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -8,31 +8,34 @@
 
 #include <string.h>
 
-/* The cost of a cycle depends on what has changed since the last one, not on how much waits: jobs whose
- * waiting tasks may have changed are sorted in again, and of all others so many a cycle, in rotation; then
- * the first of the queue are selected. Fewer jobs than this all take part in every cycle. */
+/* The cost of a cycle depends on what has changed since the last one, not on the number of waiting jobs. A
+ * cycle refreshes the queue position of the jobs whose waiting tasks may have changed, and of
+ * REFRESHED_PER_CYCLE others in rotation; then it selects the first jobs of the queue. If fewer jobs wait,
+ * all of them take part in every cycle. */
 #define REFRESHED_PER_CYCLE 256
 #define SELECTED_PER_CYCLE 256
 #define EXAMINED_PER_CYCLE_MAX (4 * SELECTED_PER_CYCLE)
 
 #define CLUSTER_COUNT_INTERVAL_S 1.0
-#define BLOCKED_JOBS_MAX 4           /* that others back off for: the first of the queue */
-#define BACK_OFF_AFTER_S 1.0         /* a job that has waited for less may yet find room beside others */
-#define SERVICE_LEVEL_SUFFICIENT 0.5 /* of a class: no expensive machines are provisioned for the rest */
+#define BLOCKED_JOBS_MAX 4 /* jobs to which others yield: the first of the queue */
+/* a job that has waited for less may still find capacity without others yielding to it */
+#define BLOCKED_AFTER_S 1.0
+/* share of a class that is served, at which no expensive machines are provisioned for the rest */
+#define SERVICE_LEVEL_SUFFICIENT 0.5
 
 struct FkSchedulingQueue {
-  FkWaitQueue *waiting;           /* FkJob, with a reference: those with waiting tasks */
-  guint cursor;                   /* into the view's list of jobs: which is refreshed next */
+  FkWaitQueue *waiting;           /* FkJob (with a reference) that have waiting tasks */
+  guint cursor;                   /* index in the view's list of jobs of the next one to refresh */
   guint64 cycle;                  /* number of the latest cycle */
-  guint team_count;               /* of the settings */
-  double *team_demand_cpus;       /* what a team's waiting tasks ask for, in the settings' order of teams */
-  guint waiting_services;         /* tasks of services that wait */
-  guint64 refreshed_count;        /* jobs refreshed in all cycles */
+  guint team_count;               /* number of teams in the settings */
+  double *team_demand_cpus;       /* demand of each team's waiting tasks, in the settings' order of teams */
+  guint waiting_services;         /* waiting tasks of services */
+  guint64 refreshed_count;        /* number of refreshes in all cycles */
   FkFairShareDemand *team_shares; /* in the settings' order of teams */
-  double cluster_cpus, cluster_gpus; /* of the machines that are up */
+  double cluster_cpus, cluster_gpus; /* capacity of the machines that are up and not draining */
   FkTime cluster_counted_at;
-  GPtrArray *blocked; /* FkJob, with a reference: the first arrays that only lack free capacity */
-  double blocked_cpus, blocked_wait_s; /* of all such arrays; of the first */
+  GPtrArray *blocked; /* FkJob (with a reference): the first arrays that lack nothing but free capacity */
+  double blocked_cpus, blocked_wait_s; /* CPUs that all such arrays wait for; wait of the first of them */
 };
 
 FkSchedulingQueue *fk_scheduling_queue_new(const FkSettings *settings) {
@@ -74,8 +77,8 @@
 
 /* ------------------------------------------------------------------ priority */
 
-/* Seconds from now until a waiting task must start for the job's tightest objective or deadline that can
- * still be met; G_MAXDOUBLE: none can. */
+/* Returns in how many seconds a waiting task must start at the latest for the job to meet the tightest
+ * objective or deadline that it can still meet; G_MAXDOUBLE if it can meet none. */
 static double latest_start_s(FkController *c, const FkJob *job) {
   const FkSpec *spec = job->spec;
   double needed_s =
@@ -84,7 +87,7 @@
   double allowed_s = fk_job_allowed_s(job);
   if (allowed_s >= needed_s)
     best = allowed_s - needed_s;
-  /* A service's objective is its start. After an outage the services that can still meet it come before
+  /* A service's objective applies to its start. After an outage, the services that can still meet it precede
    * those that can't. */
   const char *kind = spec->shape == FK_SHAPE_SERVICE ? "wait" : "finished";
   for (guint i = 0; i < c->settings->objectives->len; i++) {
@@ -96,10 +99,10 @@
   return best;
 }
 
-/* Priorities order a team's own jobs, and those of teams with a guarantee. A team without one can't get ahead
- * of them by priority; and a job of a class or team that starves, or one that has waited too long to start,
- * is raised to the normal priority. (Without this, one team's six arrays waited for up to 352 s to start on a
- * recorded day.) */
+/* Sets the job's effective priority. Priorities order the jobs within a team, and the jobs of teams with a
+ * guarantee. A job of a team without a guarantee can't precede the latter by its priority. A job whose class
+ * or team starves, or that has waited too long to start, is raised to the normal priority. (Without this, one
+ * team's six arrays waited for up to 352 s to start on a recorded day.) */
 static void update_priority(FkController *c, FkJob *job) {
   gboolean aged = fk_backfill_reservation_is_aged(c, job);
   job->effective_priority = job->inherited_priority;
@@ -107,7 +110,7 @@
   job->fair_share_standing = fk_fair_share_standing(fk_scheduling_queue_team_share(c, job->spec->team));
   if (fk_settings_find_team(c->settings, job->spec->team)->guaranteed_cpus <= 0)
     job->effective_priority = MAX(job->effective_priority, FK_JOB_PRIORITY_NORMAL);
-  /* an aged job is raised until its first task has started */
+  /* an aged job stays raised until its first task has started */
   if (job->effective_priority < FK_JOB_PRIORITY_NORMAL ||
       !(aged || fk_starvation_raises_priority(c, job, c->leader.scheduling_queue->cluster_cpus)))
     return;
@@ -149,7 +152,7 @@
   }
 }
 
-/* Each team's share of the fleet, by what it uses and what it waits for. */
+/* Computes each team's fair share of the fleet from its usage and the demand of its waiting tasks. */
 static void divide_fair_shares(FkController *c, FkSchedulingQueue *queue) {
   for (guint i = 0; i < queue->team_count; i++) {
     const FkTeam *team = c->settings->teams->pdata[i];
@@ -172,7 +175,7 @@
 
 /* ------------------------------------------------------------------ blocked jobs */
 
-/* Finds the arrays of the normal priority or above that only lack free capacity. */
+/* Finds the blocked jobs: arrays of the normal priority or above that lack nothing but free capacity. */
 static void update_blocked_jobs(FkController *c, FkSchedulingQueue *queue, GPtrArray *jobs) {
   clear_blocked(queue);
   for (guint i = 0; i < jobs->len; i++) {
@@ -180,7 +183,7 @@
     double wait_s = fk_time_between(job->first_seen_at, c->now);
     if (job->effective_priority > FK_JOB_PRIORITY_NORMAL)
       break;
-    if (job->spec->shape != FK_SHAPE_ARRAY || job->failing || wait_s < BACK_OFF_AFTER_S ||
+    if (job->spec->shape != FK_SHAPE_ARRAY || job->failing || wait_s < BLOCKED_AFTER_S ||
         !fk_team_quota_allows_task(c, job->spec))
       continue;
     queue->blocked_cpus += fk_job_waiting_tasks(job) * job->spec->cpus;
@@ -217,13 +220,13 @@
   return c->leader.scheduling_queue->blocked_cpus;
 }
 
-/* ------------------------------------------------------------------ the queue itself */
+/* ------------------------------------------------------------------ the queue */
 
 static gboolean has_waiting_tasks(FkController *c, const FkJob *job) {
   return fk_job_waiting_tasks(job) && fk_settings_find_team(c->settings, job->spec->team);
 }
 
-/* Updates what the job adds to its team's demand and to the count of waiting services. */
+/* Updates the job's contribution to its team's demand and to the number of waiting services. */
 static void update_demand(FkController *c, FkSchedulingQueue *queue, FkJob *job) {
   const FkSpec *spec = job->spec;
   if (!fk_settings_find_team(c->settings, spec->team))
@@ -238,7 +241,8 @@
   job->waiting_services = services;
 }
 
-/* Sorts the job in by its present key, or takes it out when no task of it waits. */
+/* Moves the job to the position of its current key, or removes it from the queue if none of its tasks
+ * waits. */
 static void refresh_job(FkController *c, FkSchedulingQueue *queue, FkJob *job) {
   queue->refreshed_count++;
   if (!has_waiting_tasks(c, job)) {
@@ -257,7 +261,8 @@
   fk_wait_queue_put(queue->waiting, job, &key);
 }
 
-/* FkJob, with references: those whose waiting tasks may have changed, and the next of all in rotation. */
+/* Returns the jobs to refresh (FkJob, with references): those whose waiting tasks may have changed, and the
+ * next ones of all jobs in rotation. */
 static GPtrArray *jobs_to_refresh(FkController *c, FkSchedulingQueue *queue) {
   GPtrArray *jobs = g_ptr_array_new_with_free_func(fk_job_unref);
   GHashTableIter it;
@@ -272,14 +277,15 @@
   return jobs;
 }
 
-/* With more jobs than a cycle selects, those without quota would only take others' places. */
+/* Returns whether tasks of the job may start now. If more jobs wait than a cycle selects, those without quota
+ * are left out, since they would only take the place of others. */
 static gboolean can_start(gpointer item, gpointer controller) {
   FkController *c = controller;
   FkJob *job = item;
-  gboolean crowded = fk_wait_queue_size(c->leader.scheduling_queue->waiting) > SELECTED_PER_CYCLE;
+  gboolean exceeds_selection = fk_wait_queue_size(c->leader.scheduling_queue->waiting) > SELECTED_PER_CYCLE;
   job->quota_available = fk_team_quota_is_available(c, job->spec);
   return has_waiting_tasks(c, job) && fk_time_reached(c->now, job->retry_at) &&
-         (job->quota_available || !crowded);
+         (job->quota_available || !exceeds_selection);
 }
 
 static int compare_by_position(gconstpointer a, gconstpointer b) {
@@ -287,8 +293,8 @@
   return x->queue_position < y->queue_position ? -1 : x->queue_position > y->queue_position;
 }
 
-/* The first of the queue, and those refreshed in this cycle that come after them: so each is selected now and
- * then. */
+/* Returns the first jobs of the queue, and those of the jobs refreshed in this cycle that come after them, so
+ * that each job is selected from time to time. */
 static GPtrArray *select_jobs(FkController *c, FkSchedulingQueue *queue, const GPtrArray *refreshed) {
   GPtrArray *jobs = g_ptr_array_new();
   queue->cycle++;
--- a/src/core/scheduling/service_reserve.c
+++ b/src/core/scheduling/service_reserve.c
@@ -5,10 +5,11 @@
 
 #include <math.h>
 
-#define RESERVE_ARRIVALS_S 5.0 /* of arrivals: freeing or booting capacity takes about as long */
-#define RESERVE_SHARE_MAX 0.02 /* slots a machine */
+/* the reserve covers the arrivals of this time: freeing or booting capacity takes about as long */
+#define RESERVE_ARRIVALS_S 5.0
+#define RESERVE_SHARE_MAX 0.02 /* slots per machine */
 
-/* Tasks of the service that fit the machine's free capacity. */
+/* Returns how many tasks of the service fit the machine's free capacity. */
 static double service_slots(FkController *c, const FkMachine *machine, const FkSpec *service) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   if (!type || (machine->record->spot && !service->spot) || !fk_placement_fits_type(service, type))
--- a/src/core/scheduling/short_path.c
+++ b/src/core/scheduling/short_path.c
@@ -11,24 +11,26 @@
 #include <string.h>
 
 #define PROBES_PER_MACHINE_MAX 24
-#define SAMPLED_SLOTS_PER_PROBE 1.5 /* on the machines that are sampled */
+/* free slots that the sampled machines must have for each wanted probe */
+#define SAMPLED_SLOTS_PER_PROBE 1.5
 #define SAMPLED_MACHINES_MIN 16
 #define STEAL_ROTATION_S 0.5
-#define PROBE_INTERVAL_S 1.0 /* a job that waits gets further probes, on full machines too */
+#define PROBE_INTERVAL_S 1.0 /* a waiting job gets further probes at this interval, on full machines too */
 
-/* Machines that are sampled in one cycle, for all jobs together: with thousands of waiting jobs, sampling for
- * each of them costs a hundred times what can come of it. The first jobs of the queue come first; a part is
- * left for others. */
+/* Machines sampled in one cycle, for all jobs together: with thousands of waiting jobs, sampling for each of
+ * them costs a hundred times what it can gain. The first jobs of the queue are served first; a part of the
+ * samples is left for the others. */
 #define OPEN_SAMPLES_MAX 4000
 #define FULL_SAMPLES_MAX 2000
-#define OTHERS_SAMPLE_DIVISOR 4 /* others get one of so many */
-#define SAMPLES_PER_PROBE 2     /* machines that may be drawn for each wanted probe, ... */
-#define SAMPLES_MIN 8           /* ... and besides */
+#define OTHERS_SAMPLE_DIVISOR 4 /* the other jobs get one in this many samples */
+#define SAMPLES_PER_PROBE 2     /* machines that may be drawn for each wanted probe */
+#define SAMPLES_MIN 8           /* machines that may be drawn in addition */
 
-/* ------------------------------------------------------------------ whose jobs */
+/* ------------------------------------------------------------------ job ownership */
 
-/* A short job is first its owner's, the controller that accepted it. What the owner has no room for rotates:
- * one other controller at a time may take its tasks, so that they don't all write the same chunk. */
+/* Returns whether this controller may take tasks of the job now. At first only the job's owner may, the
+ * controller that accepted it. Tasks for which the owner has no capacity rotate: one other controller at a
+ * time may take them, so that they don't all write the same chunk. */
 static gboolean is_own_job(FkController *c, const FkJob *job) {
   const char *owner = job->spec->owner, *node = c->settings->node;
   const GPtrArray *peers = c->settings->peers;
@@ -48,16 +50,16 @@
   return !fk_spec_is_long(c, job->spec) && is_own_job(c, job);
 }
 
-/* Whether the rotation has passed all controllers. */
-static gboolean every_controller_had_a_chance(FkController *c, const FkJob *job) {
+/* Returns whether every controller has had its turn to take tasks of the job. */
+static gboolean rotation_is_complete(FkController *c, const FkJob *job) {
   double all_s = c->settings->tuning.steal_after_s + STEAL_ROTATION_S * (c->settings->peers->len + 1);
   return fk_time_between(job->first_seen_at, c->now) > all_s;
 }
 
 /* ------------------------------------------------------------------ probes */
 
-/* A machine's probes are a small array of jobs: searching it takes a few comparisons of pointers, and probes
- * of jobs that have ended are found without a look-up. */
+/* Returns whether the job has a probe. A machine's probes are a small array of jobs: a search takes a few
+ * pointer comparisons, and probes of jobs that have ended are found without a lookup. */
 static gboolean has_probe(const GPtrArray *probes, const FkJob *job) {
   for (guint i = 0; i < probes->len; i++)
     if (probes->pdata[i] == job)
@@ -65,10 +67,10 @@
   return FALSE;
 }
 
-/* A full queue keeps the jobs that come first in the scheduling queue: otherwise many jobs that came early
- * would keep out all later ones, however short or urgent. Jobs whose team has no quota left can't start and
- * are evicted first: two dozen of them kept another team's job out of every queue, beside idle machines.
- * FALSE: the job comes after all of them. */
+/* Evicts from a full queue the probe of the job that comes last in the scheduling queue. Otherwise many jobs
+ * that arrived early would keep all later ones out of it, however short or urgent. Jobs whose team has no
+ * quota left can't start and are evicted first: two dozen of them kept another team's job out of every
+ * machine's queue while machines were idle. Returns FALSE if `job` itself comes last. */
 static gboolean evict_probe(GPtrArray *probes, const FkJob *job) {
   guint last = probes->len, last_position = job->queue_position;
   for (guint i = 0; i < probes->len; i++) {
@@ -86,7 +88,8 @@
   return TRUE;
 }
 
-/* Whether the machine's queue holds a probe of the job now. */
+/* Ensures that the machine's queue contains a probe of the job. Returns FALSE if the queue is full and the
+ * job would come last in it. */
 static gboolean ensure_probe(FkMachine *machine, FkJob *job) {
   if (!machine->probes)
     machine->probes = g_ptr_array_new_with_free_func(fk_job_unref);
@@ -98,7 +101,7 @@
   return TRUE;
 }
 
-/* Batch sampling: machines drawn at random (a partial Fisher-Yates shuffle) get a probe of the job. */
+/* Batch sampling: adds a probe of the job to machines drawn at random (a partial Fisher-Yates shuffle). */
 static void probe_machines(FkController *c, FkJob *job, GPtrArray *machines, guint *samples_left) {
   guint wanted = (guint)ceil(fk_job_waiting_tasks(job) * c->settings->tuning.probe_ratio);
   guint samples = MIN(MIN(machines->len, SAMPLES_PER_PROBE * wanted + SAMPLES_MIN), *samples_left);
@@ -128,7 +131,8 @@
   }
 }
 
-/* The usable ones among the machines that this controller owns, or among so many of them drawn at random. */
+/* Returns the usable machines among those that this controller owns or, if it owns more than
+ * FULL_SAMPLES_MAX, among that many consecutive ones from a random start. */
 static GPtrArray *sample_owned_machines(FkController *c) {
   const GPtrArray *owned = fk_capacity_index_owned_machines(c);
   GPtrArray *sample = g_ptr_array_new();
@@ -141,7 +145,8 @@
   return sample;
 }
 
-/* Probes machines without free capacity as well, so that the jobs are in their queues when there is some. */
+/* Adds probes to machines without free capacity too, so that the jobs are already queued there when capacity
+ * becomes free. */
 static void probe_full_machines(FkController *c, GPtrArray *jobs) {
   g_autoptr(GPtrArray) machines = NULL;
   guint samples_left = FULL_SAMPLES_MAX;
@@ -156,7 +161,8 @@
   }
 }
 
-/* A machine that is reserved for a short job gets its probe, and is among the open ones. */
+/* Adds a probe of the job to each machine that is reserved for a short job, and makes sure that the machine
+ * is in `open`. */
 static void probe_reserved_machines(FkController *c, GPtrArray *open) {
   g_autoptr(GPtrArray) reserved = fk_backfill_reservation_machines(c);
   for (guint i = 0; i < reserved->len; i++) {
@@ -172,9 +178,9 @@
   }
 }
 
-/* ------------------------------------------------------------------ which machines */
+/* ------------------------------------------------------------------ preferred machines */
 
-/* The smallest CPU and memory demand among the arrays; FALSE: there are none. */
+/* Finds the smallest CPU and memory demand among the arrays. Returns FALSE if there are none. */
 static gboolean smallest_demand(GPtrArray *jobs, double *cpus, double *mem_gb) {
   gboolean found = FALSE;
   for (guint i = 0; i < jobs->len; i++) {
@@ -188,9 +194,9 @@
   return found;
 }
 
-/* Spot machines first: most services can't use them. Then those that are cheaper to keep, so that the most
- * expensive ones run empty first and are terminated; then the fuller. Equal ones always in the same order:
- * some should be full and some empty, not all half full. */
+/* Spot machines first: most services can't use them. Next, machines that are cheaper to keep, so that the
+ * most expensive ones become empty first and are terminated; then the fuller ones. The order of equal
+ * machines is stable, so that some become full and some empty instead of all half full. */
 static int compare_by_load(gconstpointer a, gconstpointer b, gpointer controller) {
   const FkMachine *x = *(FkMachine *const *)a, *y = *(FkMachine *const *)b;
   const FkInstanceType *x_type = fk_machine_type(controller, x), *y_type = fk_machine_type(controller, y);
@@ -204,12 +210,12 @@
   return g_strcmp0(x->id, y->id);
 }
 
-/* What this controller's waiting short jobs ask of the machines that are sampled. */
+/* The demand of this controller's waiting short jobs for sampled machines. */
 typedef struct {
   double probes;
   const FkSpec *largest;
-  gboolean constrained;   /* some may use one zone or some types only */
-  gboolean ordinary_only; /* some may not use spot machines */
+  gboolean constrained;   /* some jobs are restricted to one zone or to certain types */
+  gboolean ordinary_only; /* some jobs may not use spot machines */
 } SamplingDemand;
 
 static SamplingDemand sampling_demand(FkController *c, GPtrArray *jobs) {
@@ -236,10 +242,10 @@
                FK_AMOUNT_EPSILON);
 }
 
-/* Where there is room for much more than what waits, only the preferred machines are sampled, with slots for
- * every probe and half as many again: the others run empty and can be terminated. Machines that some of the
- * jobs may not use don't count: sixteen idle spot machines came first, and a job that may use ordinary ones
- * only waited for 90 s beside twelve of these. */
+/* If there is much more free capacity than demand, only the preferred machines are sampled, with slots for
+ * every probe and half as many again: the other machines become empty and can be terminated. Machines that
+ * some of the jobs may not use don't count: sixteen idle spot machines came first, and a job that may only
+ * use ordinary machines waited for 90 s although twelve of them were idle. */
 static void keep_preferred_machines(FkController *c, GPtrArray *open, GPtrArray *jobs) {
   const SamplingDemand demand = sampling_demand(c, jobs);
   if (!demand.largest || demand.constrained)
@@ -260,9 +266,9 @@
 
 /* ------------------------------------------------------------------ late binding */
 
-/* Whether spot machines, of any controller, have room for all short jobs that wait. While they do, a job that
- * may run on spot isn't placed on an ordinary machine, which costs several times as much, before every
- * controller has had a chance to place it. */
+/* Returns whether spot machines, of any controller, have capacity for all waiting short jobs. While they do,
+ * a job that may run on spot isn't placed on an ordinary machine, which costs several times as much, until
+ * every controller has had its turn to place it. */
 static gboolean spot_capacity_suffices(FkController *c, GPtrArray *jobs) {
   double demand_cpus = 0;
   for (guint i = 0; i < jobs->len; i++) {
@@ -273,8 +279,8 @@
   return demand_cpus <= 0 || fk_capacity_index_spot_cpus(c, demand_cpus) >= demand_cpus;
 }
 
-/* The jobs in the machine's queue that may start now, in the order of the scheduling queue. Probes of jobs
- * without waiting tasks are removed. Returns how many there are. */
+/* Fills `waiting` with the jobs in the machine's queue that may start now, in the order of the scheduling
+ * queue, and removes the probes of jobs without waiting tasks. Returns how many jobs there are. */
 static guint sort_probes(FkController *c, FkMachine *machine, FkJob *waiting[PROBES_PER_MACHINE_MAX]) {
   guint count = 0;
   for (guint i = 0; machine->probes && i < machine->probes->len;) {
@@ -302,8 +308,8 @@
          fk_launch_batch_allocate(c, batch, job, machine);
 }
 
-/* A machine with room takes tasks from its queue in the order of the scheduling queue, not of arrival:
- * priorities and deadlines hold inside a machine's queue too. */
+/* Places tasks of the jobs in the machine's queue. They are taken in the order of the scheduling queue, not
+ * of arrival: priorities and deadlines apply inside a machine's queue too. */
 static void bind_queue(FkController *c, FkLaunchBatch *batch, FkMachine *machine, double *spare_slots,
                        gboolean prefer_spot) {
   FkJob *waiting[PROBES_PER_MACHINE_MAX];
@@ -312,7 +318,7 @@
     FkJob *job = waiting[i];
     if (batch->urgent_only && job->effective_priority >= FK_JOB_PRIORITY_NORMAL)
       continue;
-    if (prefer_spot && !machine->record->spot && job->spec->spot && !every_controller_had_a_chance(c, job))
+    if (prefer_spot && !machine->record->spot && job->spec->spot && !rotation_is_complete(c, job))
       continue;
     if (fk_scheduling_queue_must_back_off(c, job, machine))
       continue;
--- a/src/core/scheduling/starvation.c
+++ b/src/core/scheduling/starvation.c
@@ -14,8 +14,9 @@
                              .size = fk_spec_cpu_seconds(job->spec)};
 }
 
-/* Jobs that fail everywhere aren't counted: no capacity would serve them before their users mend them. */
-static gboolean counts(const FkJob *job) { return !job->cancelled && !job->failing && !job->blocked; }
+/* Returns whether the job counts towards the service level. Jobs that fail everywhere don't: no amount of
+ * capacity would help before their users fix them. */
+static gboolean is_counted(const FkJob *job) { return !job->cancelled && !job->failing && !job->blocked; }
 
 void fk_starvation_tick(FkController *c) {
   FkServiceLevel *level = c->view->service_level;
@@ -32,7 +33,7 @@
       fk_service_level_add_size(level, job->spec->class_name, fk_spec_cpu_seconds(job->spec));
       job->size_recorded = TRUE;
     }
-    if (!counts(job))
+    if (!is_counted(job))
       continue;
     const FkServiceLevelJob live = service_level_job(c, job);
     fk_service_level_add_live_job(level, &live);
--- a/src/core/scheduling/stop_transaction.c
+++ b/src/core/scheduling/stop_transaction.c
@@ -1,6 +1,6 @@
 #include "core/scheduling/stop_transaction.h"
 
-#define CHUNKS_MAX 8 /* in one transaction */
+#define CHUNKS_MAX 8 /* written by one transaction */
 #define SEND_INTERVAL_S 0.3
 
 static void on_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch, GPtrArray *failed) {
@@ -10,7 +10,8 @@
     c->leader.preempt_wait_rev = epoch;
 }
 
-/* The job's chunk as the transaction will write it; NULL: there is no room for it. */
+/* Returns the job's chunk as the transaction will write it; adds it to the transaction if it isn't part of it
+ * yet. Returns NULL if there is no room for it. */
 static FkChunk *open_chunk(FkController *c, FkStopTransaction *stops, const FkJob *job, guint32 index) {
   if (!stops->txn) {
     stops->txn = fk_transaction_new(c, FK_PRIORITY_LAUNCH);
--- a/src/core/scheduling/team_quota.h
+++ b/src/core/scheduling/team_quota.h
@@ -1,16 +1,15 @@
-/* Whether a team's quota leaves room for further tasks, by the view and the reservations of this controller.
- */
+/* Checks of a team's quota against the view and the reservations of this controller. */
 #pragma once
 #include "core/controller_internal.h"
 
-/* Whether this controller may allocate so many more tasks: by what is left of the quota, or of its own share
- * while the quota is partitioned. Where only the share is too small, that is noted in the team's usage, so
- * that the shares are divided anew (quota_partition.h). */
+/* Returns whether this controller may allocate `tasks` more tasks: by what is left of the quota or, while the
+ * quota is partitioned, of its own share. If only the share is too small, marks it as exhausted in the team's
+ * usage, so that the shares are recomputed (quota_partition.h). */
 gboolean fk_team_quota_allows_tasks(FkController *c, const FkSpec *spec, guint32 tasks);
 
-/* The same for one task. */
+/* Returns whether this controller may allocate one more task; see fk_team_quota_allows_tasks(). */
 gboolean fk_team_quota_allows_task(FkController *c, const FkSpec *spec);
 
-/* Whether the team's whole quota has room for one more task, whichever controller may launch it. Notes
- * nothing. */
+/* Returns whether the team's whole quota allows one more task, whichever controller launches it. Doesn't mark
+ * the share as exhausted. */
 gboolean fk_team_quota_is_available(FkController *c, const FkSpec *spec);
