--- a/src/scheduling_queue/capacity_buckets.c
+++ b/src/scheduling_queue/capacity_buckets.c
@@ -1,20 +1,20 @@
 #include "scheduling_queue/capacity_buckets.h"
 
 #define BUCKETS_PER_CPU 4
-#define BUCKET_MAX 1024 /* the last one, which also has everything with more */
-#define ROUNDING 1e-6   /* amounts are sums of fractions */
+#define BUCKET_MAX 1024 /* the last bucket, which also holds everything with more */
+#define ROUNDING 1e-6   /* tolerance for rounding errors: amounts are sums of fractions */
 
 typedef struct {
   gpointer item;
-  guint bucket, bucket_index;
-  guint item_index; /* in the list of all items */
+  guint bucket, bucket_index; /* the bucket, and the index in it */
+  guint item_index;           /* index in the list of all items */
 } Entry;
 
 struct FkCapacityBuckets {
-  GPtrArray *buckets[BUCKET_MAX + 1]; /* Entry; NULL: never used yet */
+  GPtrArray *buckets[BUCKET_MAX + 1]; /* Entry; NULL if never used */
   GPtrArray *items;
   GHashTable *index; /* item -> Entry */
-  guint highest;     /* all buckets above are empty */
+  guint highest;     /* index of the highest bucket that isn't empty, or 0 */
 };
 
 FkCapacityBuckets *fk_capacity_buckets_new(void) {
@@ -49,7 +49,7 @@
   return !buckets->buckets[bucket] || !buckets->buckets[bucket]->len;
 }
 
-static void enter_bucket(FkCapacityBuckets *buckets, Entry *entry, guint bucket) {
+static void add_to_bucket(FkCapacityBuckets *buckets, Entry *entry, guint bucket) {
   if (!buckets->buckets[bucket])
     buckets->buckets[bucket] = g_ptr_array_new();
   entry->bucket = bucket;
@@ -58,7 +58,7 @@
   buckets->highest = MAX(buckets->highest, bucket);
 }
 
-static void leave_bucket(FkCapacityBuckets *buckets, const Entry *entry) {
+static void remove_from_bucket(FkCapacityBuckets *buckets, const Entry *entry) {
   GPtrArray *entries = buckets->buckets[entry->bucket];
   g_ptr_array_remove_index_fast(entries, entry->bucket_index);
   if (entry->bucket_index < entries->len)
@@ -82,17 +82,17 @@
   if (entry && entry->bucket == bucket)
     return;
   if (entry)
-    leave_bucket(buckets, entry);
+    remove_from_bucket(buckets, entry);
   else
     entry = add_entry(buckets, item);
-  enter_bucket(buckets, entry, bucket);
+  add_to_bucket(buckets, entry, bucket);
 }
 
 void fk_capacity_buckets_remove(FkCapacityBuckets *buckets, gpointer item) {
   const Entry *entry = g_hash_table_lookup(buckets->index, item);
   if (!entry)
     return;
-  leave_bucket(buckets, entry);
+  remove_from_bucket(buckets, entry);
   g_ptr_array_remove_index_fast(buckets->items, entry->item_index);
   if (entry->item_index < buckets->items->len) {
     Entry *moved = g_hash_table_lookup(buckets->index, buckets->items->pdata[entry->item_index]);
--- a/src/scheduling_queue/capacity_buckets.h
+++ b/src/scheduling_queue/capacity_buckets.h
@@ -1,5 +1,6 @@
-/* Items by their free capacity, in buckets: those with enough of it are found without going through the
- * others. Pure; an item is any pointer, which the index neither dereferences nor owns. Amounts are CPUs. */
+/* Items in buckets by free capacity, so that those with enough of it are found without examining the others.
+ * A pure data structure: an item is any pointer, which it neither dereferences nor owns. Amounts are in CPUs.
+ * */
 #pragma once
 #include <glib.h>
 
@@ -10,12 +11,13 @@
 void fk_capacity_buckets_clear(FkCapacityBuckets *buckets);
 /* Inserts the item, or updates its free capacity. */
 void fk_capacity_buckets_put(FkCapacityBuckets *buckets, gpointer item, double cpus);
-/* Does nothing if the item isn't there. */
+/* Removes the item; does nothing if it isn't there. */
 void fk_capacity_buckets_remove(FkCapacityBuckets *buckets, gpointer item);
-/* All items, in no order; borrowed until the next change. */
+/* Returns all items, in no particular order; borrowed until the next change. */
 const GPtrArray *fk_capacity_buckets_items(const FkCapacityBuckets *buckets);
-/* Appends up to `count_max` wanted items with so much free capacity to `items`, the fullest first; some may
- * have up to a quarter CPU less. Returns how many were examined. */
+/* Appends up to `count_max` items that satisfy `wanted` and have at least `cpus` free to `items`, those with
+ * the least free capacity first; some may have up to a quarter CPU less than `cpus`. Returns how many items
+ * were examined. */
 guint fk_capacity_buckets_find(const FkCapacityBuckets *buckets, double cpus, guint count_max,
                                gboolean (*wanted)(gpointer item, gpointer data), gpointer data,
                                GPtrArray *items);
