--- a/src/fair_share/fair_share.c
+++ b/src/fair_share/fair_share.c
@@ -1,26 +1,27 @@
 #include "fair_share/fair_share.h"
 
-/* Use within this of the share counts as fair: other criteria decide the order there, and since tasks run for
- * a minute or so, use can't follow the share more exactly. */
+/* Use within this relative distance from the share counts as fair. There, other criteria decide the order;
+ * since tasks run for a minute or so, use can't follow the share more exactly. */
 #define SHARE_TOLERANCE 0.2
-#define AMOUNT_EPSILON 1e-6 /* amounts are sums of fractions */
-#define BISECTION_STEPS 40  /* to a millionth, whatever the amounts */
+#define AMOUNT_EPSILON 1e-6 /* tolerance for rounding errors: amounts are sums of fractions */
+#define BISECTION_STEPS 40  /* the error of the level is below a millionth of the largest demand */
 
 double fk_fair_share_dominant(double cpus, double gpus, double all_cpus, double all_gpus) {
   return all_gpus > 0 ? MAX(cpus, gpus / all_gpus * all_cpus) : cpus;
 }
 
-/* What it would use: never more than its quota. */
+/* Returns what the team would use; never more than its quota. */
 static double total_demand(const FkFairShareDemand *demand) {
   return MIN(demand->used + demand->wanted, demand->quota);
 }
 
-/* What it would use of its guarantee. */
+/* Returns what the team would use of its guarantee. */
 static double guaranteed(const FkFairShareDemand *demand) {
   return MIN(demand->guarantee, total_demand(demand));
 }
 
-/* The sum of all shares when each is filled up to `level` above its guarantee, as far as it demands. */
+/* Returns the sum of all shares when each team gets up to `level` above its guarantee, as far as it demands
+ * that. */
 static double total_at_level(const FkFairShareDemand *demands, guint count, double level) {
   double sum = 0;
   for (guint i = 0; i < count; i++)
@@ -35,7 +36,7 @@
   if (total_at_level(demands, count, highest) <= capacity) {
     level = highest;
   } else if (guaranteed_sum < capacity) {
-    /* water-filling: the sum grows with the level, which is found by bisection */
+    /* water-filling: the sum of the shares grows with the level, which is found by bisection */
     double low = 0, high = highest;
     for (guint i = 0; i < BISECTION_STEPS; i++) {
       level = (low + high) / 2;
@@ -43,7 +44,7 @@
     }
     level = low;
   }
-  /* more is guaranteed than there is: all are scaled down alike */
+  /* if more is guaranteed than the capacity, all guarantees are scaled down by the same factor */
   double scale = guaranteed_sum > capacity && guaranteed_sum > 0 ? capacity / guaranteed_sum : 1;
   for (guint i = 0; i < count; i++)
     demands[i].share = scale < 1 ? scale * guaranteed(&demands[i])
--- a/src/fair_share/quota.c
+++ b/src/fair_share/quota.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-#define AMOUNT_EPSILON 1e-6 /* amounts are sums of fractions */
+#define AMOUNT_EPSILON 1e-6 /* tolerance for rounding errors: amounts are sums of fractions */
 
 double fk_quota_from_setting(double setting) { return setting > 0 ? setting : INFINITY; }
 
--- a/src/fair_share/service_level.c
+++ b/src/fair_share/service_level.c
@@ -4,16 +4,17 @@
 #include <string.h>
 
 #define GRACE_S 45.0 /* younger jobs aren't expected to be served: a machine may have to boot first */
-#define STARVATION_WAIT_S 60.0    /* that a task has waited in a class or team which is hardly served */
-#define STARVATION_SHARE 0.5      /* of the expected jobs is served */
-#define SIZE_STEPS_PER_DOUBLING 4 /* of the size histogram */
-#define SIZE_STEPS 160            /* up to 2^40 CPU-seconds; larger jobs are in the last */
-#define LARGEST_SHARE 0.1         /* of the jobs seen */
-#define NAMES_MAX 1000            /* of classes, and of teams: users may invent any number */
+#define STARVATION_WAIT_S 60.0 /* a class or team starves only if one of its tasks has waited for longer */
+/* a class or team starves only if less than this share of the expected jobs is served */
+#define STARVATION_SHARE 0.5
+#define SIZE_STEPS_PER_DOUBLING 4 /* resolution of the size histogram */
+#define SIZE_STEPS 160            /* up to 2^40 CPU-seconds; larger jobs are in the last step */
+#define LARGEST_SHARE 0.1         /* share of the jobs seen */
+#define NAMES_MAX 1000            /* names of classes, and of teams: users may invent any number of them */
 
 struct FkServiceLevel {
-  GHashTable *classes, *largest, *teams; /* name -> FkServiceLevelRow, whose name is the key */
-  GHashTable *sizes; /* class -> guint32[SIZE_STEPS]: how many jobs of that size were added */
+  GHashTable *classes, *largest, *teams; /* name -> FkServiceLevelRow, whose `name` is the key */
+  GHashTable *sizes; /* class -> guint32[SIZE_STEPS]: number of jobs added in each size step */
 };
 
 FkServiceLevel *fk_service_level_new(void) {
@@ -42,7 +43,7 @@
   g_hash_table_remove_all(level->teams);
 }
 
-/* NULL: there are too many names. */
+/* Returns the row with that name, which is created if needed; NULL if there are too many names. */
 static FkServiceLevelRow *row_of(GHashTable *table, const char *name, int kind) {
   FkServiceLevelRow *row = g_hash_table_lookup(table, name);
   if (row || g_hash_table_size(table) >= NAMES_MAX)
@@ -80,7 +81,7 @@
   return total && (above == 0 || (double)above < LARGEST_SHARE * (double)total);
 }
 
-/* The rows that a job counts in; some may be NULL. */
+/* Sets `rows` to the rows in which a job counts; some may be NULL. */
 static void rows_of(FkServiceLevel *level, const char *class_name, const char *team, double size,
                     FkServiceLevelRow *rows[3]) {
   rows[0] = row_of(level->classes, class_name, FK_SERVICE_LEVEL_CLASS);
