--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -1,4 +1,5 @@
-/* What a team may use and is owed, and who is to blame for what fails: tables of cases, no core. */
+/* Table-driven tests of the pure decision modules: quotas, fair shares, service levels, fault attribution,
+ * idle retention and boot times. No controller is involved. */
 #include <math.h>
 #include <string.h>
 
@@ -13,10 +14,11 @@
   static const struct {
     double guarantee, setting;
     FkTeamKind kind;
-    double used, each, times;
+    double used, per_task, tasks;
     gboolean allowed;
   } cases[] = {
-      /* 422 for good to a whole guest team: a limit of 0 was read as nothing allowed */
+      /* A limit of 0 was read as "nothing allowed": every job of a whole best-effort team was permanently
+       * rejected with 422. */
       {0, 0, FK_TEAM_BEST_EFFORT, 0, 0.25, 25000, TRUE},
       {0, 0, FK_TEAM_BEST_EFFORT, 1e15, 1e9, 100000, TRUE},
       {8, 0, FK_TEAM_UNLIMITED, 1e6, 8, 1, TRUE},
@@ -26,63 +28,63 @@
       {8, 16, FK_TEAM_ORDINARY, 12, 4, 2, FALSE},
       {8, 4, FK_TEAM_QUOTA_BELOW_GUARANTEE, 0, 8, 1, FALSE},
       {8, 4, FK_TEAM_QUOTA_BELOW_GUARANTEE, 0, 4, 1, TRUE},
-      /* sums near 2^53: 9,000,000 tasks' worth of the largest setting, and one CPU more */
+      /* sums near 2^53: 9,000,000 tasks of the largest setting, and one CPU more than the quota */
       {0, 1e9, FK_TEAM_WITHOUT_GUARANTEE, 0, 1e9, 9e6, FALSE},
       {0, 1e9, FK_TEAM_WITHOUT_GUARANTEE, 1e9 - 1, 1, 1, TRUE},
       {0, 1e9, FK_TEAM_WITHOUT_GUARANTEE, 1e9 - 1, 2, 1, FALSE},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    double most = fk_quota_from_setting(cases[i].setting);
+    double quota = fk_quota_from_setting(cases[i].setting);
     g_test_message("case %u", i);
-    g_assert_cmpint(fk_team_kind(cases[i].guarantee, most), ==, cases[i].kind);
-    g_assert_cmpint(fk_quota_allows(most, cases[i].used, cases[i].each, cases[i].times), ==,
+    g_assert_cmpint(fk_team_kind(cases[i].guarantee, quota), ==, cases[i].kind);
+    g_assert_cmpint(fk_quota_allows(quota, cases[i].used, cases[i].per_task, cases[i].tasks), ==,
                     cases[i].allowed);
-    g_assert_cmpfloat(fk_quota_left(most, cases[i].used), >=, 0);
+    g_assert_cmpfloat(fk_quota_left(quota, cases[i].used), >=, 0);
   }
   g_assert_cmpfloat(fk_quota_left(fk_quota_from_setting(4), 6), ==, 0);
   g_assert_true(isinf(fk_quota_left(fk_quota_from_setting(0), 1e15)));
 }
 
-/* A story of failures ('x': job a on machine m fails) and successes, and the verdicts at its end. Each event
- * is three characters: x or +, the job's letter, the machine's digit; a space between; '>' is a task of the
- * job that goes on for a minute. */
+/* A sequence of task results and the expected verdicts after it. An event has three characters, and events
+ * are separated by a space: 'x' (a task failed) or '+' (a task succeeded), the job's letter and the machine's
+ * digit; '>' is a task of the job that has been running for a minute. */
 typedef struct {
-  const char *story;
-  const char *doubted, *sick; /* letters and digits */
-} BlameCase;
+  const char *results;
+  const char *failing_jobs, *faulty_machines; /* letters of failing jobs, digits of faulty machines */
+} AttributionCase;
 
-static const BlameCase blame_cases[] = {
+static const AttributionCase attribution_cases[] = {
     {"", "", ""},
     {"xa1 xa1", "", ""},
-    /* a hundred tasks on one large machine say nothing: the job was tried nowhere else */
+    /* a hundred failed tasks on one large machine prove nothing: the job was tried nowhere else */
     {"xa1 xa1 xa1 xa1 xa1", "", ""},
-    /* on two machines: the job, and neither machine (1,100 healthy machines were returned for 4% of the jobs)
-     */
+    /* failures on two machines: the job is failing and neither machine is faulty (1,100 healthy machines were
+     * returned because of 4% of the jobs) */
     {"xa1 xa1 xa2 xa2 xa2 xa1", "a", ""},
     {"xa1 xa2 xa3 xb1 xb2 xb3 xc1 xc2 xc3", "abc", ""},
-    /* three jobs that work elsewhere: the machine */
+    /* three jobs that succeed elsewhere: the machine is faulty */
     {"xa1 +a2 xb1 +b2 xc1 +c3", "", "1"},
-    /* jobs of which nothing is known count half: with half of all jobs faulty, healthy machines were returned
-     */
+    /* jobs without any other result count half: with half of all jobs faulty, healthy machines were
+     * returned */
     {"xa1 xa1 xb1 xc1", "", ""},
     {"xa1 xa1 xb1 xb1 xc1 xc1", "", "1"},
     {"xa1 xb1 xc1 +a2 +b2 +c2", "", "1"},
-    /* one job that works elsewhere */
+    /* one job that succeeds elsewhere: the machine is faulty */
     {"xa1 xa1 +a2 xa1", "", "1"},
-    /* ... or whose other tasks outlive those that failed */
+    /* the same if another of its tasks runs for longer than those that failed */
     {"xa1 xa1 xa1 >a1", "", "1"},
     {"xa1 xa2 >a3", "", ""},
-    /* a job on two faulty machines isn't doubted */
+    /* a job on two faulty machines isn't failing */
     {"xb1 xb1 xc1 xd2 xd2 xe2 xa1 xa2", "", ""},
-    /* a success clears the machine, and the job for good */
+    /* a success clears the machine, and clears the job permanently */
     {"xa1 xb1 +c1 xd1", "", ""},
     {"xa1 xa2 +a3 xa4 xa5 xa6", "", ""},
-    /* a broken job on a faulty machine: both */
+    /* a failing job on a faulty machine: both are found */
     {"xa1 xa2 xa3 xb3 xb3 +b1 xb3", "a", "3"},
 };
 
-static void tell(FkFaultAttribution *b, const char *story, FkTime *now) {
-  g_auto(GStrv) events = g_strsplit(story, " ", -1);
+static void apply_results(FkFaultAttribution *b, const char *results, FkTime *now) {
+  g_auto(GStrv) events = g_strsplit(results, " ", -1);
   for (guint i = 0; events[i] && *events[i]; i++) {
     char job[] = {events[i][1], 0}, machine[] = {events[i][2], 0};
     *now = fk_time_add(*now, 0.1);
@@ -96,28 +98,28 @@
 }
 
 static void test_fault_attribution(void) {
-  for (guint i = 0; i < G_N_ELEMENTS(blame_cases); i++) {
-    const BlameCase *k = &blame_cases[i];
+  for (guint i = 0; i < G_N_ELEMENTS(attribution_cases); i++) {
+    const AttributionCase *k = &attribution_cases[i];
     FkFaultAttribution *b = fk_fault_attribution_new();
     FkTime now = {1000000};
-    g_test_message("%s", k->story);
-    tell(b, k->story, &now);
-    g_autoptr(GString) doubted = g_string_new(NULL);
-    g_autoptr(GString) sick = g_string_new(NULL);
+    g_test_message("%s", k->results);
+    apply_results(b, k->results, &now);
+    g_autoptr(GString) failing_jobs = g_string_new(NULL);
+    g_autoptr(GString) faulty_machines = g_string_new(NULL);
     for (char c = 'a'; c <= 'e'; c++)
       if (fk_fault_attribution_job_is_failing(b, (char[]){c, 0}))
-        g_string_append_c(doubted, c);
+        g_string_append_c(failing_jobs, c);
     for (char c = '1'; c <= '6'; c++)
       if (fk_fault_attribution_machine_is_faulty(b, (char[]){c, 0}))
-        g_string_append_c(sick, c);
-    g_assert_cmpstr(doubted->str, ==, k->doubted);
-    g_assert_cmpstr(sick->str, ==, k->sick);
+        g_string_append_c(faulty_machines, c);
+    g_assert_cmpstr(failing_jobs->str, ==, k->failing_jobs);
+    g_assert_cmpstr(faulty_machines->str, ==, k->faulty_machines);
     fk_fault_attribution_free(b);
   }
 }
 
-/* However the failures come, pauses are bounded, never shrink while a job goes on failing, and what is kept
- * goes with the jobs and machines. */
+/* In any sequence of failures, retry delays are bounded and never shrink while a job continues to fail, and
+ * the stored state is removed with the jobs and machines. */
 static void test_fault_attribution_pauses(void) {
   GRand *rand = g_rand_new_with_seed(7);
   for (guint round = 0; round < 200; round++) {
@@ -151,35 +153,40 @@
   g_rand_free(rand);
 }
 
-#define NONE INFINITY
+#define UNLIMITED INFINITY
 
 static void test_fair_share(void) {
   static const struct {
-    double room;
-    FkFairShareDemand claimants[3]; /* guarantee, limit, used, wanted, due */
+    double capacity;
+    FkFairShareDemand demands[3]; /* guarantee, quota, used, wanted, expected share */
     FkStanding standing[3];
   } cases[] = {
       /* enough for all */
-      {100, {{40, NONE, 10, 10, 20}, {0, NONE, 0, 30, 30}, {40, 40, 50, 0, 40}}, {0, 1, 3}},
-      /* a guest's huge array beside two that want a little more than their guarantees: what is left goes to
-         all alike, and who wants less leaves its part to the others */
-      {100, {{30, NONE, 30, 5, 35}, {30, NONE, 30, 10, 40}, {0, NONE, 0, 6000, 25}}, {2, 1, 1}},
-      {100, {{30, NONE, 30, 70, 43.333}, {30, NONE, 30, 70, 43.333}, {0, NONE, 40, 6000, 13.333}}, {1, 1, 3}},
-      /* a limit binds before the level */
-      {100, {{10, 15, 10, 50, 15}, {0, 20, 0, 50, 20}, {0, NONE, 0, 500, 65}}, {1, 1, 1}},
-      /* more guaranteed than there is: all give way alike, and nothing is left to borrow */
-      {50, {{60, NONE, 0, 60, 30}, {40, NONE, 0, 40, 20}, {0, NONE, 0, 10, 0}}, {0, 0, 2}},
-      /* all that it wants fits its guarantee: it doesn't wait for the others, whatever they are due */
-      {10, {{20, NONE, 0, 20, 10}, {0, NONE, 10, 5, 0}, {0, NONE, 0, 0, 0}}, {0, 3, 2}},
-      {0, {{5, NONE, 0, 5, 0}, {0, NONE, 0, 5, 0}, {0, NONE, 0, 0, 0}}, {0, 2, 2}},
+      {100, {{40, UNLIMITED, 10, 10, 20}, {0, UNLIMITED, 0, 30, 30}, {40, 40, 50, 0, 40}}, {0, 1, 3}},
+      /* a best-effort team's huge array beside two teams that want a little more than their guarantees: the
+       * rest is divided equally, and a team that wants less leaves its part to the others */
+      {100,
+       {{30, UNLIMITED, 30, 5, 35}, {30, UNLIMITED, 30, 10, 40}, {0, UNLIMITED, 0, 6000, 25}},
+       {2, 1, 1}},
+      {100,
+       {{30, UNLIMITED, 30, 70, 43.333}, {30, UNLIMITED, 30, 70, 43.333}, {0, UNLIMITED, 40, 6000, 13.333}},
+       {1, 1, 3}},
+      /* a quota limits a share below the level */
+      {100, {{10, 15, 10, 50, 15}, {0, 20, 0, 50, 20}, {0, UNLIMITED, 0, 500, 65}}, {1, 1, 1}},
+      /* more is guaranteed than the capacity: all guarantees are scaled down equally, and nothing is left for
+       * others */
+      {50, {{60, UNLIMITED, 0, 60, 30}, {40, UNLIMITED, 0, 40, 20}, {0, UNLIMITED, 0, 10, 0}}, {0, 0, 2}},
+      /* the whole demand is within the guarantee: the team doesn't wait for others, whatever their shares */
+      {10, {{20, UNLIMITED, 0, 20, 10}, {0, UNLIMITED, 10, 5, 0}, {0, UNLIMITED, 0, 0, 0}}, {0, 3, 2}},
+      {0, {{5, UNLIMITED, 0, 5, 0}, {0, UNLIMITED, 0, 5, 0}, {0, UNLIMITED, 0, 0, 0}}, {0, 2, 2}},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     FkFairShareDemand c[3];
-    memcpy(c, cases[i].claimants, sizeof c);
-    fk_fair_share_divide(c, 3, cases[i].room);
+    memcpy(c, cases[i].demands, sizeof c);
+    fk_fair_share_divide(c, 3, cases[i].capacity);
     g_test_message("case %u: %.3f %.3f %.3f", i, c[0].share, c[1].share, c[2].share);
     for (guint k = 0; k < 3; k++) {
-      g_assert_cmpfloat_with_epsilon(c[k].share, cases[i].claimants[k].share, 0.01);
+      g_assert_cmpfloat_with_epsilon(c[k].share, cases[i].demands[k].share, 0.01);
       g_assert_cmpint(fk_fair_share_standing(&c[k]), ==, cases[i].standing[k]);
     }
   }
@@ -187,72 +194,76 @@
   g_assert_cmpfloat(fk_fair_share_dominant(10, 2, 100, 4), ==, 50);
 }
 
-/* Whatever the numbers: the sum fits the room; nobody gets more than it wants or may have; nobody who gets
- * less than it wants is below its guarantee while another borrows; and nothing is left over while somebody
- * wants. */
+/* For random demands: the sum of the shares is within the capacity; no share exceeds the team's demand or
+ * quota; no team that gets less than it demands is below its guarantee while another is above its own; and no
+ * capacity is left over while a team demands more. */
 static void test_fair_share_properties(void) {
   GRand *rand = g_rand_new_with_seed(11);
   for (guint round = 0; round < 3000; round++) {
     FkFairShareDemand c[6];
     guint n = (guint)g_rand_int_range(rand, 1, 7);
-    double scale = pow(10, g_rand_int_range(rand, 0, 9)), room = scale * g_rand_double_range(rand, 0, 8),
+    double scale = pow(10, g_rand_int_range(rand, 0, 9)), capacity = scale * g_rand_double_range(rand, 0, 8),
            sum = 0, wanted = 0;
     for (guint i = 0; i < n; i++) {
-      double most = g_rand_boolean(rand) ? NONE : scale * g_rand_double_range(rand, 0, 4);
-      c[i] = (FkFairShareDemand){g_rand_boolean(rand) ? 0 : scale * g_rand_double_range(rand, 0, 3), most,
+      double quota = g_rand_boolean(rand) ? UNLIMITED : scale * g_rand_double_range(rand, 0, 4);
+      c[i] = (FkFairShareDemand){g_rand_boolean(rand) ? 0 : scale * g_rand_double_range(rand, 0, 3), quota,
                                  scale * g_rand_double(rand), scale * g_rand_double_range(rand, 0, 5), -1};
     }
-    fk_fair_share_divide(c, n, room);
+    fk_fair_share_divide(c, n, capacity);
     double eps = 1e-6 * scale * 10;
     for (guint i = 0; i < n; i++) {
-      double demand = MIN(c[i].used + c[i].wanted, c[i].quota), sure = MIN(c[i].guarantee, demand);
+      double demand = MIN(c[i].used + c[i].wanted, c[i].quota), guarantee_used = MIN(c[i].guarantee, demand);
       g_assert_cmpfloat(c[i].share, >=, 0);
       g_assert_cmpfloat(c[i].share, <=, demand + eps);
       sum += c[i].share;
       wanted += demand;
-      for (guint k = 0; k < n && c[i].share < sure - eps; k++)
+      for (guint k = 0; k < n && c[i].share < guarantee_used - eps; k++)
         g_assert_cmpfloat(c[k].share, <=, c[k].guarantee + eps);
     }
-    g_assert_cmpfloat(sum, <=, room + eps);
+    g_assert_cmpfloat(sum, <=, capacity + eps);
     double guaranteed = 0;
     for (guint i = 0; i < n; i++)
       guaranteed += MIN(c[i].guarantee, MIN(c[i].used + c[i].wanted, c[i].quota));
-    if (guaranteed < room)
-      g_assert_cmpfloat(sum, >=, MIN(room, wanted) - eps * 10);
+    if (guaranteed < capacity)
+      g_assert_cmpfloat(sum, >=, MIN(capacity, wanted) - eps * 10);
   }
   g_rand_free(rand);
 }
 
 static void test_service_level(void) {
   static const struct {
-    const char *what;
+    const char *description;
     FkServiceLevelJob jobs[2];
     guint ended;
     double share;
     gboolean starved;
   } cases[] = {
-      {"nothing due yet", {{"c", "t", 10, 4, 0, 0, 4, 0, 1}}, 0, 1, FALSE},
-      {"none of it has started", {{"c", "t", 70, 4, 0, 0, 4, 0, 1}}, 0, 0, TRUE},
-      {"... but not for long", {{"c", "t", 50, 4, 0, 0, 4, 0, 1}}, 0, 0, FALSE},
+      {"no job is expected to be served yet", {{"c", "t", 10, 4, 0, 0, 4, 0, 1}}, 0, 1, FALSE},
+      {"no task has started", {{"c", "t", 70, 4, 0, 0, 4, 0, 1}}, 0, 0, TRUE},
+      {"no task has started, but the wait is short", {{"c", "t", 50, 4, 0, 0, 4, 0, 1}}, 0, 0, FALSE},
       {"half of a huge array is done or runs",
        {{"c", "t", 300, 20000, 6000, 4000, 10000, 1000, 1}},
        0,
        0.5,
        FALSE},
-      {"a little less", {{"c", "t", 300, 20000, 6000, 3000, 11000, 750, 1}}, 0, 0.45, TRUE},
-      {"those that ended count",
+      {"a little less than half of it is done or runs",
+       {{"c", "t", 300, 20000, 6000, 3000, 11000, 750, 1}},
+       0,
+       0.45,
+       TRUE},
+      {"jobs that ended count",
        {{"c", "t", 300, 1, 0, 0, 1, 0, 1}, {"c", "t", 300, 1, 0, 0, 1, 0, 1}},
        2,
        0.5,
        FALSE},
-      {"all run, late", {{"c", "t", 300, 2, 0, 2, 0, 4, 1}}, 0, 1, FALSE},
+      {"all tasks run, though they started late", {{"c", "t", 300, 2, 0, 2, 0, 4, 1}}, 0, 1, FALSE},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     FkServiceLevel *b = fk_service_level_new();
-    g_test_message("%s", cases[i].what);
+    g_test_message("%s", cases[i].description);
     for (guint k = 0; k < cases[i].ended; k++)
       fk_service_level_job_ended(b, "c", "t", 1);
-    for (guint look = 0; look < 2; look++) { /* a second look counts nothing twice */
+    for (guint round = 0; round < 2; round++) { /* a second count must not add anything */
       fk_service_level_begin(b);
       for (guint k = 0; k < 2 && cases[i].jobs[k].tasks; k++)
         fk_service_level_add_live_job(b, &cases[i].jobs[k]);
@@ -268,7 +279,7 @@
   }
 }
 
-/* Users invent names: what is kept of them is bounded, and those known are still counted. */
+/* Users may invent class names: the number of stored names is bounded, and known names are still counted. */
 static void test_service_level_bounded(void) {
   FkServiceLevel *b = fk_service_level_new();
   for (guint i = 0; i < 5000; i++) {
@@ -286,22 +297,22 @@
   FkIdleRetention h;
   fk_idle_retention_init(&h, now);
   g_assert_cmpfloat(fk_idle_retention_factor(&h, now), ==, 1);
-  /* load falls: what goes isn't rented again, and nothing is kept longer */
+  /* the load falls: terminated capacity isn't provisioned again, and nothing is retained longer */
   for (guint i = 0; i < 60; i++)
     fk_idle_retention_terminated(&h, 40, now = fk_time_add(now, 1));
   g_assert_cmpfloat(fk_idle_retention_factor(&h, now), ==, 1);
-  /* it comes back within the minute: the more of it, the longer */
+  /* capacity is provisioned again within the minute: the more of it, the longer the retention */
   fk_idle_retention_provisioned(&h, 300, now = fk_time_add(now, 20));
-  double some = fk_idle_retention_factor(&h, now);
-  g_assert_cmpfloat(some, >, 1);
+  double factor_before = fk_idle_retention_factor(&h, now);
+  g_assert_cmpfloat(factor_before, >, 1);
   fk_idle_retention_provisioned(&h, 1000, now);
-  g_assert_cmpfloat(fk_idle_retention_factor(&h, now), >, some);
+  g_assert_cmpfloat(fk_idle_retention_factor(&h, now), >, factor_before);
   g_assert_cmpfloat(fk_idle_retention_factor(&h, now), <=, FK_IDLE_RETENTION_FACTOR_MAX);
-  /* what went long ago isn't what is rented now; and what was learnt fades */
+  /* capacity that was terminated long ago doesn't count as provisioned again, and the factor decays */
   fk_idle_retention_terminated(&h, 1000, now = fk_time_add(now, 200));
-  double faded = fk_idle_retention_factor(&h, now);
+  double factor_decayed = fk_idle_retention_factor(&h, now);
   fk_idle_retention_provisioned(&h, 5000, now = fk_time_add(now, 100));
-  g_assert_cmpfloat(fk_idle_retention_factor(&h, now), <=, faded);
+  g_assert_cmpfloat(fk_idle_retention_factor(&h, now), <=, factor_decayed);
   g_assert_cmpfloat(fk_idle_retention_factor(&h, fk_time_add(now, 1000)), ==, 1);
   fk_idle_retention_clear(&h);
 }
@@ -309,20 +320,22 @@
 static void test_boot_times(void) {
   FkBootTimeModel b;
   fk_boot_time_init(&b);
-  /* before anything is seen: a new one is as good as sure, one that is long overdue isn't */
+  /* before any observation: a machine that was just requested is almost certain to join, one that is long
+   * overdue isn't */
   g_assert_cmpfloat(fk_boot_time_probability(&b, 0, 1.5), >, 0.8);
   g_assert_cmpfloat(fk_boot_time_probability(&b, 2.75, 1), >,
-                    0.3); /* one three times as late is worth waiting for */
+                    0.3); /* a machine that takes three times as long is worth waiting for */
   g_assert_cmpfloat(fk_boot_time_probability(&b, 3.8, 2), <, 0.1);
   g_assert_cmpfloat_with_epsilon(fk_boot_time_remaining(&b, 0), 1.25, 0.35);
   g_assert_cmpfloat(fk_boot_time_remaining(&b, 1.2), <, fk_boot_time_remaining(&b, 0));
-  /* machines come three times as late: one of twice the age is still awaited, and for how long is known */
+  /* machines take three times as long: one of twice the usual age is still expected, and the remaining time
+   * follows the observations */
   FkBootTimeModel late = b;
   for (guint i = 0; i < 200; i++)
     fk_boot_time_observe_joined(&late, 3);
   g_assert_cmpfloat(fk_boot_time_probability(&late, 2, 1), >, fk_boot_time_probability(&b, 2, 1));
   g_assert_cmpfloat(fk_boot_time_remaining(&late, 1), >, 1.5);
-  /* many never come: one that is late is hardly reckoned with */
+  /* many machines never join: a late one is unlikely to */
   FkBootTimeModel never = b;
   for (guint i = 0; i < 200; i++) {
     fk_boot_time_observe_given_up(&never, 3);
@@ -330,7 +343,7 @@
   }
   g_assert_cmpfloat(fk_boot_time_probability(&never, 1.6, 1), <, 0.25);
   g_assert_cmpfloat(fk_boot_time_probability(&never, 0, 1), >, 0.4);
-  /* chances are chances, at any age, after any history */
+  /* probabilities stay between 0 and 1 at any age, after any history */
   GRand *rand = g_rand_new_with_seed(3);
   for (guint i = 0; i < 2000; i++) {
     double age = g_rand_double_range(rand, 0, 20);
--- a/test/test_scheduling_cycle.c
+++ b/test/test_scheduling_cycle.c
@@ -1,5 +1,6 @@
-/* What a look at placement costs, counted: jobs that take their places anew, machines looked at. It must not
- * grow with what waits, nor with the machines that have no room. And the two indexes it rests on. */
+/* The cost of a scheduling cycle, counted as jobs refreshed and machines examined: it must not grow with the
+ * number of waiting jobs, nor with the number of machines without free capacity. Also tests the two data
+ * structures on which this depends: the wait queue and the capacity buckets. */
 #include <string.h>
 
 #include "core/autoscaler/autoscaler_internal.h"
@@ -13,12 +14,12 @@
 #include "wire/store.h"
 
 #define FILLER_TASKS 100
-#define BOX_TASKS 4 /* of the filler's that fill a machine */
-#define LOOKS 20
-#define LOOK_EVERY_S 0.3
-#define AMPLE 1e7
+#define TASKS_PER_MACHINE 4 /* filler tasks that fill one machine */
+#define CYCLES 20
+#define CYCLE_INTERVAL_S 0.3
+#define AMPLE_QUOTA_CPUS 1e7
 
-/* Lines for watched(): path and value by turns, owned. */
+/* Appends a path and its value to `lines`, in the form that watched() expects; `lines` owns both. */
 static void add_line(GPtrArray *lines, char *path /* taken */, char *value /* taken */) {
   g_ptr_array_add(lines, path);
   g_ptr_array_add(lines, value);
@@ -58,14 +59,14 @@
     add_line(lines, g_strdup_printf("fk/l/j/run-%u", 100000 + i), job_value(10 + i % 90, 10 + i % 50));
 }
 
-/* Machines from the first on are filled by jobs that run. */
+/* Fills the first `n` machines with running jobs. */
 static void fill_machines(GPtrArray *lines, guint n) {
-  for (guint first = 0; first < n * BOX_TASKS; first += FILLER_TASKS) {
-    guint tasks = MIN(FILLER_TASKS, n * BOX_TASKS - first);
+  for (guint first = 0; first < n * TASKS_PER_MACHINE; first += FILLER_TASKS) {
+    guint tasks = MIN(FILLER_TASKS, n * TASKS_PER_MACHINE - first);
     FkRecord *r = fk_record_new(FK_KEY_CHUNK);
     r->chunk = fk_chunk_new(0, tasks);
     for (guint i = 0; i < tasks; i++) {
-      g_autofree char *machine = g_strdup_printf("i-%06u", (first + i) / BOX_TASKS);
+      g_autofree char *machine = g_strdup_printf("i-%06u", (first + i) / TASKS_PER_MACHINE);
       fk_chunk_allocate(r->chunk, i, machine, "c-0");
     }
     g_autoptr(cJSON) value = fk_store_record_to_json(r);
@@ -75,7 +76,7 @@
   }
 }
 
-static void hear_all(Rig *r, guint machines) {
+static void receive_heartbeats(Rig *r, guint machines) {
   for (guint i = 0; i < machines; i++) {
     g_autofree char *id = g_strdup_printf("i-%06u", i);
     FkHeartbeat *report = says(r, id, "north", 1, ++r->tally);
@@ -91,10 +92,10 @@
   }
 }
 
-/* One look that nothing hinders; how many tasks it books. */
-static guint look(Rig *r) {
+/* Runs one scheduling cycle that nothing blocks. Returns how many tasks it allocates. */
+static guint run_cycle(Rig *r) {
   FkController *c = r->c;
-  c->now = r->now = fk_time_add(r->now, LOOK_EVERY_S);
+  c->now = r->now = fk_time_add(r->now, CYCLE_INTERVAL_S);
   c->launches.launching = c->launches.fencing = c->launches.fence_needed = FALSE;
   c->launches.launch_after = r->now;
   c->launches.wait_rev.n = 0;
@@ -106,94 +107,98 @@
 }
 
 typedef struct {
-  double jobs, machines, booked; /* a look */
-} Cost;
+  double jobs, machines, allocated; /* means for one cycle */
+} CycleCost;
 
-/* The mean of some looks, each after a pause and with writes to spare. */
-static Cost cost_of(guint machines, guint with_room, guint jobs) {
+/* Returns the mean cost of CYCLES cycles, each after a pause and with enough writes available. */
+static CycleCost mean_cycle_cost(guint machines, guint with_capacity, guint jobs) {
   Rig *r = rig_new(TRUE);
   FkController *c = r->c;
   for (guint i = 0; i < r->s->teams->len; i++)
-    ((FkTeam *)r->s->teams->pdata[i])->max_cpus = AMPLE;
+    ((FkTeam *)r->s->teams->pdata[i])->max_cpus = AMPLE_QUOTA_CPUS;
   g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
   add_machines(lines, machines);
   add_jobs(lines, jobs);
-  fill_machines(lines, machines - with_room);
+  fill_machines(lines, machines - with_capacity);
   g_ptr_array_add(lines, NULL);
   watched(r, (const char *const *)lines->pdata);
-  hear_all(r, machines);
-  look(r); /* takes over all that there is */
+  receive_heartbeats(r, machines);
+  run_cycle(r); /* the first cycle processes the initial state */
   guint64 jobs_before = fk_scheduling_queue_refreshed_count(c->leader.scheduling_queue),
           machines_before = fk_capacity_index_examined_count(c->leader.capacity_index);
-  Cost cost = {0};
-  for (guint i = 0; i < LOOKS; i++)
-    cost.booked += look(r);
-  cost.jobs = (double)(fk_scheduling_queue_refreshed_count(c->leader.scheduling_queue) - jobs_before) / LOOKS;
+  CycleCost cost = {0};
+  for (guint i = 0; i < CYCLES; i++)
+    cost.allocated += run_cycle(r);
+  cost.jobs =
+      (double)(fk_scheduling_queue_refreshed_count(c->leader.scheduling_queue) - jobs_before) / CYCLES;
   cost.machines =
-      (double)(fk_capacity_index_examined_count(c->leader.capacity_index) - machines_before) / LOOKS;
-  cost.booked /= LOOKS;
-  g_test_message("%u machines, %u with room, %u jobs: %.0f jobs and %.0f machines a look, %.0f booked",
-                 machines, with_room, jobs, cost.jobs, cost.machines, cost.booked);
+      (double)(fk_capacity_index_examined_count(c->leader.capacity_index) - machines_before) / CYCLES;
+  cost.allocated /= CYCLES;
+  g_test_message("%u machines, %u with free capacity, %u jobs: %.0f jobs refreshed and %.0f machines "
+                 "examined per cycle, %.0f tasks allocated",
+                 machines, with_capacity, jobs, cost.jobs, cost.machines, cost.allocated);
   rig_free(r);
   return cost;
 }
 
-#define FLAT 1.5
-#define ROOM 40 /* machines */
+#define COST_GROWTH_MAX 1.5
+#define MACHINES_WITH_CAPACITY 40
 
-static void test_flat_in_jobs(void) {
-  Cost few = cost_of(500, ROOM, 1000), many = cost_of(500, ROOM, 10000);
-  g_assert_cmpfloat(many.jobs, <=, FLAT * few.jobs);
-  g_assert_cmpfloat(many.machines, <=, FLAT * few.machines);
-  g_assert_cmpfloat(many.booked, >=, few.booked / FLAT);
-  g_assert_cmpfloat(few.booked, >, 0);
+static void test_cost_independent_of_jobs(void) {
+  CycleCost few = mean_cycle_cost(500, MACHINES_WITH_CAPACITY, 1000),
+            many = mean_cycle_cost(500, MACHINES_WITH_CAPACITY, 10000);
+  g_assert_cmpfloat(many.jobs, <=, COST_GROWTH_MAX * few.jobs);
+  g_assert_cmpfloat(many.machines, <=, COST_GROWTH_MAX * few.machines);
+  g_assert_cmpfloat(many.allocated, >=, few.allocated / COST_GROWTH_MAX);
+  g_assert_cmpfloat(few.allocated, >, 0);
 }
 
-static void test_flat_in_machines(void) {
-  Cost few = cost_of(500, ROOM, 1000), many = cost_of(8000, ROOM, 1000);
-  g_assert_cmpfloat(many.jobs, <=, FLAT * few.jobs);
-  g_assert_cmpfloat(many.machines, <=, FLAT * few.machines);
-  g_assert_cmpfloat(many.booked, >=, few.booked / FLAT);
+static void test_cost_independent_of_machines(void) {
+  CycleCost few = mean_cycle_cost(500, MACHINES_WITH_CAPACITY, 1000),
+            many = mean_cycle_cost(8000, MACHINES_WITH_CAPACITY, 1000);
+  g_assert_cmpfloat(many.jobs, <=, COST_GROWTH_MAX * few.jobs);
+  g_assert_cmpfloat(many.machines, <=, COST_GROWTH_MAX * few.machines);
+  g_assert_cmpfloat(many.allocated, >=, few.allocated / COST_GROWTH_MAX);
 }
 
-/* With fewer jobs than are refreshed in a look, each takes its place anew in every look. */
+/* If there are fewer jobs than a cycle refreshes, every cycle refreshes all of them. */
 static void test_few_jobs_are_all_refreshed(void) {
-  Cost c = cost_of(100, ROOM, 100);
+  CycleCost c = mean_cycle_cost(100, MACHINES_WITH_CAPACITY, 100);
   g_assert_cmpfloat(c.jobs, >=, 100);
 }
 
-/* A look sees every machine with room, however many there are, and none without. */
+/* A cycle finds every machine with free capacity, however many there are, and no other machine. */
 static void test_all_machines_with_capacity(void) {
   static const struct {
-    guint machines, with_room;
+    guint machines, with_capacity;
   } cases[] = {{100, 100}, {2000, 1900}, {2500, 2001}, {4500, 4500}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
     g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
     add_machines(lines, cases[i].machines);
-    fill_machines(lines, cases[i].machines - cases[i].with_room);
+    fill_machines(lines, cases[i].machines - cases[i].with_capacity);
     g_ptr_array_add(lines, NULL);
     watched(r, (const char *const *)lines->pdata);
-    hear_all(r, cases[i].machines);
+    receive_heartbeats(r, cases[i].machines);
     fk_capacity_index_refresh(r->c);
-    for (guint ours = 0; ours < 2; ours++) {
-      gint64 began_us = g_get_monotonic_time();
-      g_autoptr(GPtrArray) open = fk_capacity_index_find_open(r->c, ours, 2, 2);
-      g_test_message("%u of %u machines with room: found in %.2f ms", open->len, cases[i].machines,
-                     (double)(g_get_monotonic_time() - began_us) / 1e3);
-      g_assert_cmpuint(open->len, ==, cases[i].with_room);
+    for (guint owned_only = 0; owned_only < 2; owned_only++) {
+      gint64 started_us = g_get_monotonic_time();
+      g_autoptr(GPtrArray) open = fk_capacity_index_find_open(r->c, owned_only, 2, 2);
+      g_test_message("%u of %u machines with free capacity found in %.2f ms", open->len, cases[i].machines,
+                     (double)(g_get_monotonic_time() - started_us) / 1e3);
+      g_assert_cmpuint(open->len, ==, cases[i].with_capacity);
     }
     rig_free(r);
   }
 }
 
-#define WHOLE                                                                                                \
+#define WHOLE_MACHINE_JOB                                                                                    \
   "{\"class\":\"c\",\"team\":\"red\",\"shape\":0,\"rank\":2,\"tasks\":1,\"cpus\":8,\"gpus\":0,\"mem\":2,"    \
   "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
   "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16}"
 
-/* Jobs that each want a whole machine: the plan leaves no machine idle that one of them waits for. Besides,
- * it looks at 2,000 jobs. */
+/* Jobs that each need a whole machine: the capacity plan leaves no machine idle for which one of them waits.
+ * It covers at least 2,000 jobs, and as many as there are machines. */
 static void test_plan_covers_all_machines(void) {
   static const struct {
     guint machines, jobs, idle;
@@ -201,17 +206,17 @@
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
     for (guint k = 0; k < r->s->teams->len; k++)
-      ((FkTeam *)r->s->teams->pdata[k])->max_cpus = AMPLE;
+      ((FkTeam *)r->s->teams->pdata[k])->max_cpus = AMPLE_QUOTA_CPUS;
     g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
     add_machines(lines, cases[i].machines);
     for (guint k = 0; k < cases[i].jobs; k++)
-      add_line(lines, g_strdup_printf("fk/l/j/run-%u", 100000 + k), g_strdup(WHOLE));
+      add_line(lines, g_strdup_printf("fk/l/j/run-%u", 100000 + k), g_strdup(WHOLE_MACHINE_JOB));
     g_ptr_array_add(lines, NULL);
     watched(r, (const char *const *)lines->pdata);
     g_autoptr(FkCapacityPlan) plan = fk_capacity_plan_new();
-    gint64 began_us = g_get_monotonic_time();
+    gint64 started_us = g_get_monotonic_time();
     fk_autoscaler_plan_demand(r->c, plan);
-    double took_ms = (double)(g_get_monotonic_time() - began_us) / 1e3;
+    double took_ms = (double)(g_get_monotonic_time() - started_us) / 1e3;
     guint idle = 0;
     for (guint k = 0; k < plan->bins->len; k++) {
       const FkCapacityBin *b = &g_array_index(plan->bins, FkCapacityBin, k);
@@ -224,24 +229,25 @@
   }
 }
 
-#define URGENT                                                                                               \
+#define URGENT_JOB                                                                                           \
   "{\"class\":\"u\",\"team\":\"red\",\"shape\":0,\"rank\":1,\"tasks\":1,\"cpus\":2,\"gpus\":0,\"mem\":2,"    \
   "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
   "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16}"
 
-/* A large launch makes the next one wait, but not urgent work; what that writes is added to the pause. */
+/* After a large launch there is a pause before the next one. An urgent job bypasses it, and the time for its
+ * writes is added to the pause. */
 static void test_urgent_launch_before_pause(void) {
   Rig *r = rig_new(TRUE);
   FkController *c = r->c;
   report(r, 1, 1, 11, NULL, FK_EXIT_NONE);
   c->launches.fence_needed = c->launches.fencing = c->launches.launching = FALSE;
   c->launches.wait_rev.n = 0;
-  c->launches.write_room = FK_LAUNCH_WRITES_MIN; /* few: nothing is unhurried */
+  c->launches.write_room = FK_LAUNCH_WRITES_MIN; /* so few that only urgent jobs are launched */
   c->launches.launch_after = fk_time_add(r->now, 2);
   g_ptr_array_set_size(r->outs, 0);
   tick(r, 0.5);
-  g_assert_null(find(r, FK_OUTPUT_COMMIT, "fk/l/t/")); /* run-1 waits, and isn't urgent */
-  const char *urgent[] = {"fk/l/j/run-2", URGENT, NULL};
+  g_assert_null(find(r, FK_OUTPUT_COMMIT, "fk/l/t/")); /* run-1 waits and isn't urgent */
+  const char *urgent[] = {"fk/l/j/run-2", URGENT_JOB, NULL};
   FkTime before = c->launches.launch_after;
   watched(r, urgent);
   tick(r, 0.3);
@@ -251,28 +257,28 @@
   rig_free(r);
 }
 
-/* ------------------------------------------------------------------ the indexes */
+/* ------------------------------------------------------------------ wait queue and capacity buckets */
 
 static void test_wait_key(void) {
-  const FkWaitKey usual = {
+  const FkWaitKey base = {
       .priority = 2, .standing = 1, .feasible = TRUE, .remaining_work = 10, .since_us = 100};
-  FkWaitKey other = usual;
-  g_assert_cmpint(fk_wait_key_compare(&usual, &other), ==, 0);
-#define BEFORE(field, value)                                                                                 \
-  other = usual;                                                                                             \
+  FkWaitKey other = base;
+  g_assert_cmpint(fk_wait_key_compare(&base, &other), ==, 0);
+#define ASSERT_SORTS_FIRST(field, value)                                                                     \
+  other = base;                                                                                              \
   other.field = value;                                                                                       \
-  g_assert_cmpint(fk_wait_key_compare(&other, &usual), ==, -1);                                              \
-  g_assert_cmpint(fk_wait_key_compare(&usual, &other), ==, 1)
-  BEFORE(priority, 1);
-  BEFORE(standing, 0);
-  BEFORE(urgent, TRUE);
-  BEFORE(remaining_work, 5);
-  BEFORE(since_us, 50);
-#undef BEFORE
-  other = usual;
+  g_assert_cmpint(fk_wait_key_compare(&other, &base), ==, -1);                                               \
+  g_assert_cmpint(fk_wait_key_compare(&base, &other), ==, 1)
+  ASSERT_SORTS_FIRST(priority, 1);
+  ASSERT_SORTS_FIRST(standing, 0);
+  ASSERT_SORTS_FIRST(urgent, TRUE);
+  ASSERT_SORTS_FIRST(remaining_work, 5);
+  ASSERT_SORTS_FIRST(since_us, 50);
+#undef ASSERT_SORTS_FIRST
+  other = base;
   other.feasible = FALSE;
   other.remaining_work = 1;
-  g_assert_cmpint(fk_wait_key_compare(&usual, &other), ==, -1);
+  g_assert_cmpint(fk_wait_key_compare(&base, &other), ==, -1);
 }
 
 static gboolean is_even(gpointer item, gpointer unused) { return GPOINTER_TO_UINT(item) % 2 == 0; }
@@ -307,9 +313,9 @@
   fk_wait_queue_free(q);
 }
 
-static gboolean any(gpointer item, gpointer unused) { return TRUE; }
+static gboolean accept_all(gpointer item, gpointer unused) { return TRUE; }
 
-/* Held against a plain table through a thousand random changes. */
+/* Compares the buckets with a plain array through a thousand random changes. */
 static void test_capacity_buckets(void) {
   enum { ITEMS = 60 };
   double free_cpus[ITEMS + 1];
@@ -325,14 +331,15 @@
       fk_capacity_buckets_put(c, GUINT_TO_POINTER(i), free_cpus[i]);
     double wanted = g_test_rand_int_range(0, 60) / 4.0;
     g_autoptr(GPtrArray) found = g_ptr_array_new();
-    guint looked_at = fk_capacity_buckets_find(c, wanted, ITEMS, any, NULL, found), should = 0, all = 0;
+    guint examined = fk_capacity_buckets_find(c, wanted, ITEMS, accept_all, NULL, found), expected = 0,
+          item_count = 0;
     for (guint k = 1; k <= ITEMS; k++) {
-      should += free_cpus[k] >= wanted;
-      all += free_cpus[k] >= 0;
+      expected += free_cpus[k] >= wanted;
+      item_count += free_cpus[k] >= 0;
     }
-    g_assert_cmpuint(found->len, ==, should);
-    g_assert_cmpuint(looked_at, ==, should);
-    g_assert_cmpuint(fk_capacity_buckets_items(c)->len, ==, all);
+    g_assert_cmpuint(found->len, ==, expected);
+    g_assert_cmpuint(examined, ==, expected);
+    g_assert_cmpuint(fk_capacity_buckets_items(c)->len, ==, item_count);
     for (guint k = 1; k < found->len; k++)
       g_assert_cmpfloat(free_cpus[GPOINTER_TO_UINT(found->pdata[k - 1])], <=,
                         free_cpus[GPOINTER_TO_UINT(found->pdata[k])]);
@@ -348,8 +355,8 @@
   g_test_add_func("/scheduling_cycle/few_jobs_are_all_refreshed", test_few_jobs_are_all_refreshed);
   g_test_add_func("/scheduling_cycle/all_machines_with_capacity", test_all_machines_with_capacity);
   g_test_add_func("/scheduling_cycle/plan_covers_all_machines", test_plan_covers_all_machines);
-  g_test_add_func("/scheduling_cycle/flat_in_jobs", test_flat_in_jobs);
-  g_test_add_func("/scheduling_cycle/flat_in_machines", test_flat_in_machines);
+  g_test_add_func("/scheduling_cycle/flat_in_jobs", test_cost_independent_of_jobs);
+  g_test_add_func("/scheduling_cycle/flat_in_machines", test_cost_independent_of_machines);
   g_test_add_func("/scheduling_cycle/urgent_launch_before_pause", test_urgent_launch_before_pause);
   return g_test_run();
 }
