--- a/src/core/scheduling/elastic_sizing.c
+++ b/src/core/scheduling/elastic_sizing.c
@@ -7,7 +7,7 @@
 guint fk_elastic_sizing_update(FkElasticSizing *sizing, double sum_s, guint64 count, double max_wait_s,
                                double span, guint machines, double short_time, double long_time) {
   sizing->mean_wait_s = count ? sum_s / (double)count : 0;
-  /* the paper's Linear model; a mean wait above the bound counts as the bound */
+  /* the Linear model of the Dice paper; a mean wait above the bound counts as the bound */
   sizing->wait_ratio = CLAMP(sizing->mean_wait_s / max_wait_s, 0.0, 1.0);
   sizing->blacklisted = (guint)lround(sizing->wait_ratio * span * machines);
   if (short_time + long_time > 0) {
--- a/src/core/scheduling/launch_batch.h
+++ b/src/core/scheduling/launch_batch.h
@@ -4,7 +4,7 @@
 #pragma once
 #include "core/controller_internal.h"
 
-#define FK_LAUNCH_WRITES_MIN 2 /* available writes without which no launch is started */
+#define FK_LAUNCH_WRITES_MIN 2 /* writes that must be available in the write budget for a launch to start */
 /* writes that a launch may always use: a small overdraft of the write budget is soon made up */
 #define FK_LAUNCH_WRITES_ALLOWANCE 4
 
@@ -24,10 +24,10 @@
 /* Returns whether the write budget is used up: only tasks of chunks that the batch already writes can be
  * added. */
 gboolean fk_launch_batch_is_out_of_chunks(FkController *c, const FkLaunchBatch *batch);
-/* Allocates the job's first waiting task to the machine. Returns FALSE if it can't be added. */
+/* Allocates the job's first waiting task to the machine. Returns FALSE if the batch can't take the task. */
 gboolean fk_launch_batch_allocate(FkController *c, FkLaunchBatch *batch, FkJob *job, FkMachine *machine);
 /* Allocates the job's first waiting task to the machine and asks the victims (FkAllocationRef) to stop, in
  * the same transaction: the controller that owns the machine sends the stops and the start in one message, in
- * this order. Returns FALSE if the task can't be added. */
+ * this order. Returns FALSE if the batch can't take the task. */
 gboolean fk_launch_batch_preempt(FkController *c, FkLaunchBatch *batch, FkJob *job, FkMachine *machine,
                                  const GArray *victims);
--- a/src/core/scheduling/launches.h
+++ b/src/core/scheduling/launches.h
@@ -13,8 +13,9 @@
 
 typedef struct {
   GHashTable *hindrances; /* reason why a cycle launched nothing -> number of cycles in this window */
-  guint launched, conflicts, failures; /* launches sent, rejected by a guard, and failed, in this window */
-  guint services_waiting;              /* waiting tasks of services as of the last cycle */
+  /* launches answered, rejected by a guard, and failed, in this window */
+  guint launched, conflicts, failures;
+  guint services_waiting; /* waiting tasks of services as of the last cycle */
   /* a launch with an unknown outcome may still commit: none is sent until a write of this controller's fence
    * has made that impossible */
   gboolean fence_needed;
--- a/src/core/scheduling/long_path.c
+++ b/src/core/scheduling/long_path.c
@@ -16,7 +16,7 @@
 /* in a cycle: each search examines all machines and the tasks that run there */
 #define PREEMPTION_SEARCHES_MAX 3
 #define RESERVED_TASKS_MAX 24      /* tasks of services and gangs for which a cycle reserves capacity */
-#define GANG_RESERVES_QUOTA_S 60.0 /* for which an aged gang without machines reserves quota */
+#define GANG_RESERVES_QUOTA_S 60.0 /* time for which an aged gang that waits for machines reserves quota */
 #define FETCH_GB_PER_S_MIN 0.01
 
 /* Weights of the cost of a machine. */
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -20,5 +20,5 @@
  * reservations. */
 gboolean fk_placement_fits_machine(FkController *c, const FkMachine *machine, const FkSpec *spec);
 
-/* Returns whether the machine has so much CPU and memory free; GPUs aren't checked. */
+/* Returns whether the machine has `cpus` and `mem_gb` free; GPUs aren't checked. */
 gboolean fk_placement_has_capacity(FkController *c, const FkMachine *machine, double cpus, double mem_gb);
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -5,11 +5,12 @@
 #include "core/scheduling/starvation.h"
 
 #define BLOCKED_WAIT_MIN_S 15.0 /* until then, tasks that end usually free enough capacity */
-#define BLOCKED_SHARE_MIN 0.02  /* of the fleet's CPUs: for less, the work lost outweighs the gain */
+/* minimum demand of blocked jobs, as a share of the fleet's CPUs: for less, the work lost isn't worth it */
+#define BLOCKED_SHARE_MIN 0.02
 /* a team gives capacity back if it uses more than this multiple of its share */
 #define OVER_SHARE_FACTOR 1.25
 #define RECLAIM_INTERVAL_S 4.0 /* time until the view shows that the last victims have stopped */
-#define RECLAIM_SHARE_MAX 0.05 /* of the fleet's CPUs, in one round */
+#define RECLAIM_SHARE_MAX 0.05 /* maximum for one round, as a share of the fleet's CPUs */
 #define CHUNKS_PER_ROUND_MAX 6 /* each costs a write */
 
 /* A chunk whose tasks may be stopped. The unit is the chunk because one write stops all of its tasks, and
--- a/src/core/scheduling/quota_partition.c
+++ b/src/core/scheduling/quota_partition.c
@@ -7,7 +7,8 @@
 /* that time doubles, up to this, each time that the shares are found too small again */
 #define SERIALIZED_MAX_S 120.0
 #define SHARE_TASKS_MIN 4 /* a share must allow at least this many of the team's largest launches */
-#define LEADER_WEIGHT 2.0 /* the leader places the services, whichever controller accepted them */
+/* weight of the leader, which places the services of all controllers */
+#define LEADER_WEIGHT 2.0
 #define PARTITIONED_MIN_S 1.0
 #define PAUSE_MAX_S 3.0
 #define FREE_SHARE_MIN 0.2 /* a quota is partitioned only while more than this share of it is free */
--- a/src/core/scheduling/scheduling_queue.h
+++ b/src/core/scheduling/scheduling_queue.h
@@ -12,7 +12,7 @@
  * borrowed from the view; the caller frees the array). If there are too many, these are the first of the
  * queue and some of the others in rotation. Updates everything that the functions below return. */
 GPtrArray *fk_scheduling_queue_select_jobs(FkController *c);
-/* Returns whether a job above the normal priority waits that this controller may place. */
+/* Returns whether there is a waiting job above the normal priority that this controller may place. */
 gboolean fk_scheduling_queue_has_urgent(FkController *c);
 /* Returns how many times a job's queue position has been updated so far: a measure of what the cycles
  * cost. */
--- a/src/core/scheduling/service_reserve.c
+++ b/src/core/scheduling/service_reserve.c
@@ -5,7 +5,8 @@
 
 #include <math.h>
 
-/* the reserve covers the arrivals of this time: freeing or booting capacity takes about as long */
+/* the reserve covers the services that arrive in this time, about as long as freeing or booting capacity
+ * takes */
 #define RESERVE_ARRIVALS_S 5.0
 #define RESERVE_SHARE_MAX 0.02 /* slots per machine */
 
--- a/src/core/scheduling/short_path.c
+++ b/src/core/scheduling/short_path.c
@@ -24,7 +24,7 @@
 #define FULL_SAMPLES_MAX 2000
 #define OTHERS_SAMPLE_DIVISOR 4 /* the other jobs get one in this many samples */
 #define SAMPLES_PER_PROBE 2     /* machines that may be drawn for each wanted probe */
-#define SAMPLES_MIN 8           /* machines that may be drawn in addition */
+#define SAMPLES_MIN 8           /* machines that may be drawn in addition, for each job */
 
 /* ------------------------------------------------------------------ job ownership */
 
--- a/src/core/scheduling/stop_transaction.c
+++ b/src/core/scheduling/stop_transaction.c
@@ -11,7 +11,7 @@
 }
 
 /* Returns the job's chunk as the transaction will write it; adds it to the transaction if it isn't part of it
- * yet. Returns NULL if there is no room for it. */
+ * yet. Returns NULL if the transaction can't take another chunk. */
 static FkChunk *open_chunk(FkController *c, FkStopTransaction *stops, const FkJob *job, guint32 index) {
   if (!stops->txn) {
     stops->txn = fk_transaction_new(c, FK_PRIORITY_LAUNCH);
--- a/src/core/scheduling/stop_transaction.h
+++ b/src/core/scheduling/stop_transaction.h
@@ -8,10 +8,10 @@
   GHashTable *chunks; /* path -> FkChunk as it will be written, owned by the transaction */
 } FkStopTransaction;
 
-/* Asks one task to stop. Returns FALSE if the transaction has no room for another chunk. A task whose chunk
- * can't be written at present is skipped. */
+/* Asks one task to stop. Returns FALSE if the transaction can't take another chunk. A task whose chunk can't
+ * be written at present is skipped. */
 gboolean fk_stop_transaction_add(FkController *c, FkStopTransaction *stops, FkJob *job, guint32 task);
-/* Asks all running tasks of the job to stop, as far as the transaction has room. */
+/* Asks all running tasks of the job to stop, until the transaction can't take another chunk. */
 void fk_stop_transaction_add_job(FkController *c, FkStopTransaction *stops, FkJob *job);
 /* Sends the transaction, unless it is empty, and clears it. */
 void fk_stop_transaction_send(FkController *c, FkStopTransaction *stops);
--- a/src/fair_share/service_level.c
+++ b/src/fair_share/service_level.c
@@ -4,7 +4,8 @@
 #include <string.h>
 
 #define GRACE_S 45.0 /* younger jobs aren't expected to be served: a machine may have to boot first */
-#define STARVATION_WAIT_S 60.0 /* a class or team starves only if one of its tasks has waited for longer */
+/* a class or team starves only if one of its tasks has waited for longer than this */
+#define STARVATION_WAIT_S 60.0
 /* a class or team starves only if less than this share of the expected jobs is served */
 #define STARVATION_SHARE 0.5
 #define SIZE_STEPS_PER_DOUBLING 4 /* resolution of the size histogram */
