--- a/src/core/scheduling/backfill_reservation.c
+++ b/src/core/scheduling/backfill_reservation.c
@@ -10,16 +10,16 @@
 #define REFRESH_INTERVAL_S 2.0
 #define RESERVING_JOBS_MAX 3 /* jobs with reservations at the same time: the first ones in queue order */
 #define MACHINES_PER_JOB_MAX 32
-#define RUN_TIME_MARGIN 1.5 /* times the expected run time: a task has mostly ended by then */
+#define RUN_TIME_MARGIN 1.5 /* factor on the expected run time, after which most tasks have ended */
 /* expected time until a stopping task has ended, and the minimum for a task that isn't stopping */
 #define STOPPING_S 1.0
 #define LOGGED_JOBS_MAX 5
 
 typedef struct {
-  char *job; /* id of the job that the machine is reserved for */
+  char *job; /* id of the job that holds the reservation */
   FkJobPriority priority;
   guint queue_position;
-  FkTime available_at; /* when the job can start on the machine */
+  FkTime available_at; /* when that job can start on the machine */
 } Reservation;
 
 struct FkBackfillReservations {
@@ -239,7 +239,7 @@
   return g_hash_table_size(by_machine) ? g_hash_table_lookup(by_machine, machine->id) : NULL;
 }
 
-/* Returns the job that the reservation is for, or NULL if it no longer waits. */
+/* Returns the job that holds the reservation, or NULL if it no longer waits. */
 static FkJob *find_waiting_holder(FkController *c, const Reservation *reservation) {
   FkJob *job = fk_view_find_job(c->view, reservation->job);
   return job && fk_job_waiting_tasks(job) && job->urgent ? job : NULL;
--- a/src/core/scheduling/backfill_reservation.h
+++ b/src/core/scheduling/backfill_reservation.h
@@ -1,8 +1,8 @@
 /* Aging and backfill reservations. Machines are reserved for jobs that have waited too long to start; other
- * jobs are backfilled on a reserved machine only if they are expected to end before the reserving job can
- * start there. Without reservations, the largest jobs of a class starve under a steady stream of small ones,
- * which end sooner and fill each gap as it opens: an array whose tasks each need a whole machine waited for
- * 400 s and more. */
+ * jobs are backfilled on a reserved machine only if they are expected to end before the job that holds the
+ * reservation can start there. Without reservations, the largest jobs of a class starve under a steady stream
+ * of small ones, which end sooner and fill each gap as it opens: an array whose tasks each need a whole
+ * machine waited for 400 s and more. */
 #pragma once
 #include "core/controller_internal.h"
 
@@ -23,7 +23,7 @@
 gboolean fk_backfill_reservation_blocks(FkController *c, const FkJob *job, const FkMachine *machine);
 /* Returns all reserved machines (FkMachine, borrowed); the caller frees the array. */
 GPtrArray *fk_backfill_reservation_machines(FkController *c);
-/* Returns the waiting job that the machine is reserved for (borrowed from the view), or NULL if there is
+/* Returns the waiting job that holds the machine's reservation (borrowed from the view), or NULL if there is
  * none. */
 FkJob *fk_backfill_reservation_holder(FkController *c, const FkMachine *machine);
 /* Logs the aged jobs and the reason why each is blocked. */
--- a/src/core/scheduling/capacity_index.c
+++ b/src/core/scheduling/capacity_index.c
@@ -100,7 +100,7 @@
   return fk_capacity_buckets_items(c->leader.capacity_index->owned);
 }
 
-static gboolean is_spot(gpointer item, gpointer unused) {
+static gboolean is_available_spot(gpointer item, gpointer unused) {
   const FkMachine *machine = item;
   return machine->record->spot && !machine->drain_reason;
 }
@@ -108,7 +108,7 @@
 double fk_capacity_index_spot_cpus(FkController *c, double needed) {
   FkCapacityIndex *index = c->leader.capacity_index;
   g_autoptr(GPtrArray) spot = g_ptr_array_new();
-  find_machines(index, index->all, FREE_CPUS_MIN, is_spot, NULL, spot);
+  find_machines(index, index->all, FREE_CPUS_MIN, is_available_spot, NULL, spot);
   double cpus = 0;
   for (guint i = 0; i < spot->len && cpus < needed; i++) {
     const FkMachine *machine = spot->pdata[i];
--- a/src/core/scheduling/elastic_sizing.h
+++ b/src/core/scheduling/elastic_sizing.h
@@ -13,7 +13,8 @@
 
 /* Updates the sizing after one window and returns how many machines to blacklist. `sum_s` and `count` are the
  * sum and number of the waits of the window's short tasks; `max_wait_s` is the bound on their mean. `span` is
- * the share of `machines` that may be blacklisted above the floor; `short_time` and `long_time` are the
- * allocated time of short and long tasks in the window, both in the same unit. */
+ * the share of `machines` that may be blacklisted above the floor; `short_allocated_time` and
+ * `long_allocated_time` are the allocated time of short and long tasks in the window, in the same unit. */
 guint fk_elastic_sizing_update(FkElasticSizing *sizing, double sum_s, guint64 count, double max_wait_s,
-                               double span, guint machines, double short_time, double long_time);
+                               double span, guint machines, double short_allocated_time,
+                               double long_allocated_time);
--- a/src/core/scheduling/launch_batch.c
+++ b/src/core/scheduling/launch_batch.c
@@ -4,10 +4,10 @@
 
 #define TRANSACTION_BYTES_MAX 40000 /* below the store's limit of 64 KiB */
 #define GUARDS_PER_WRITE_MAX 4
-#define ALLOCATION_GUARDS 4     /* maximum that one task adds: job, chunk, team and shard */
-#define PREEMPTION_GUARDS 6     /* ALLOCATION_GUARDS and room for the launch fence */
-#define GUARDS_PER_VICTIM 2     /* maximum that one victim adds: job and chunk */
-#define WRITES_PER_ALLOCATION 2 /* maximum: chunk and team */
+#define ALLOCATION_GUARDS 4     /* maximum guards that one task adds: job, chunk, team and shard */
+#define PREEMPTION_GUARDS 6     /* enough guards for a preempting task, including the launch fence */
+#define GUARDS_PER_VICTIM 2     /* maximum guards that one victim adds: job and chunk */
+#define WRITES_PER_ALLOCATION 2 /* maximum writes that one task adds: its chunk and its team's record */
 
 /* Estimated sizes in a transaction. */
 #define CHUNK_BYTES 300
--- a/src/core/scheduling/launches.h
+++ b/src/core/scheduling/launches.h
@@ -13,7 +13,8 @@
 
 typedef struct {
   GHashTable *hindrances; /* reason why a cycle launched nothing -> number of cycles in this window */
-  /* launches answered, rejected by a guard, and failed, in this window */
+  /* launches whose outcome was reported in this window; of these, those rejected by a guard, and those that
+   * failed or whose outcome is unknown */
   guint launched, conflicts, failures;
   guint services_waiting; /* waiting tasks of services as of the last cycle */
   /* a launch with an unknown outcome may still commit: none is sent until a write of this controller's fence
--- a/src/core/scheduling/long_path.c
+++ b/src/core/scheduling/long_path.c
@@ -13,7 +13,7 @@
 #define IMAGE_FETCH_LONG_S 1.0 /* a service that must wait longer than this for its image is late */
 /* work that may be lost by preemption so that a service needn't wait for its image */
 #define WORK_LOST_MAX_CORE_S 60.0
-/* in a cycle: each search examines all machines and the tasks that run there */
+/* maximum number in a cycle: each search examines all machines and the tasks that run there */
 #define PREEMPTION_SEARCHES_MAX 3
 #define RESERVED_TASKS_MAX 24      /* tasks of services and gangs for which a cycle reserves capacity */
 #define GANG_RESERVES_QUOTA_S 60.0 /* time for which an aged gang that waits for machines reserves quota */
@@ -149,8 +149,9 @@
 /* Places the waiting tasks of the gang, provided that there is a machine for each of them: a part of a gang
  * would only occupy its machines and wait. */
 static void place_gang(FkController *c, FkLaunchBatch *batch, FkJob *job, GPtrArray *machines) {
-  /* A launch that takes several transactions continues only while all tasks that it has allocated still are:
-   * a task that has ended since then must not get the same attempt number again. */
+  /* A gang launch that takes several transactions continues only while all tasks that it has allocated are
+   * still allocated. If one of them has ended since, continuing would give it the same attempt number
+   * again. */
   if (job->allocated && (fk_time_reached(c->now, job->gang_until) || job->allocated != job->gang_allocated))
     return;
   if (!fk_team_quota_allows_tasks(c, job->spec, fk_job_waiting_tasks(job)))
@@ -175,11 +176,13 @@
   /* all usable machines except those that preemption has used in this cycle; NULL until needed */
   GPtrArray *usable;
   GPtrArray *unplaceable; /* FkSpec (borrowed) for which there is no capacity, even by preemption */
-  guint searches_left;    /* searches for victims of preemption that this cycle may still do */
+  guint searches_left;    /* remaining searches for victims of preemption in this cycle */
   double spare_slots;     /* slots that arrays may still use (service_reserve.h) */
 } Cycle;
 
-/* Returns whether two jobs have the same requirements: if one can't be placed, neither can the other. */
+/* Returns whether two jobs certainly need the same capacity, so that if there is none for one of them, there
+ * is none for the other. Jobs that are limited to some types or constrained in their zones never count as the
+ * same. */
 static gboolean has_same_demand(const FkSpec *a, const FkSpec *b) {
   return a->cpus == b->cpus && a->gpus == b->gpus && a->mem_gb == b->mem_gb && a->priority == b->priority &&
          a->spot == b->spot && g_strcmp0(a->zone, b->zone) == 0 && !a->types && !b->types &&
@@ -202,7 +205,7 @@
   FkMachine *machine = fk_preemption_best_machine(c, job, cycle->usable, TRUE, cost_max, victims);
   if (!machine || !fk_launch_batch_preempt(c, batch, job, machine, victims))
     return FALSE;
-  /* the same victims must not be counted on twice */
+  /* the same victims must not be chosen for two placements */
   g_ptr_array_remove_fast(cycle->usable, machine);
   return TRUE;
 }
@@ -267,7 +270,7 @@
   if (machine)
     fk_reservation_apply(machine, spec, 1);
   if (usage->partition && spec->shape != FK_SHAPE_GANG) {
-    /* counts against the leader's share of the quota, not against this controller's */
+    /* this quota counts against the leader's share, not against this controller's */
     reservation.quota_cpus = 0;
   } else {
     usage->reserved_cpus += spec->cpus;
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -4,7 +4,8 @@
 #include "core/scheduling/scheduling_queue.h"
 #include "core/scheduling/starvation.h"
 
-#define BLOCKED_WAIT_MIN_S 15.0 /* until then, tasks that end usually free enough capacity */
+/* wait of the first blocked job before which nothing is reclaimed: tasks that end usually free enough */
+#define BLOCKED_WAIT_MIN_S 15.0
 /* minimum demand of blocked jobs, as a share of the fleet's CPUs: for less, the work lost isn't worth it */
 #define BLOCKED_SHARE_MIN 0.02
 /* a team gives capacity back if it uses more than this multiple of its share */
@@ -14,7 +15,7 @@
 #define CHUNKS_PER_ROUND_MAX 6 /* each costs a write */
 
 /* A chunk whose tasks may be stopped. The unit is the chunk because one write stops all of its tasks, and
- * they were mostly placed together. */
+ * tasks of a chunk were mostly placed together. */
 typedef struct {
   FkJob *job;
   guint32 index;
@@ -27,10 +28,11 @@
   return x_loss != y_loss ? (x_loss < y_loss ? -1 : 1) : g_strcmp0(x->job->spec->id, y->job->spec->id);
 }
 
-/* Returns whether tasks of the job may be stopped for the blocked job. A lower priority yields to a higher
- * one if its team uses far more than its share. If everything that the blocked job's team demands is within
- * its guarantee, tasks of the same or a higher priority yield too, provided that their team is well above its
- * share. No team falls below its share by this. */
+/* Returns whether tasks of the job may be stopped for the blocked job. Tasks of a lower priority may be
+ * stopped if their team uses more than OVER_SHARE_FACTOR times its share and their class doesn't starve.
+ * Tasks of the same or a higher priority may be stopped if everything that the blocked job's team demands is
+ * within its guarantee, and their own team is well above its share (FK_STANDING_OVER). No team falls below
+ * its share by this. */
 static gboolean is_preemptible_for(FkController *c, const FkJob *job, const FkJob *blocked) {
   const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, job->spec->team);
   if (job->spec->shape != FK_SHAPE_ARRAY || job->cancelled ||
@@ -74,8 +76,8 @@
   return candidates;
 }
 
-/* Returns the CPUs that may be reclaimed from the job: what its team uses above its share, and its class
- * above the starvation floor, whichever is less. */
+/* Returns the CPUs that may be reclaimed from the job: what its team uses above its share or its class above
+ * the starvation floor, whichever is less. */
 static double reclaimable_cpus(FkController *c, const FkJob *job, double cluster_cpus) {
   const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, job->spec->team);
   const FkServiceLevelRow *row = fk_service_level_class(c->view->service_level, job->spec->class_name);
--- a/src/core/scheduling/preemption_cost.c
+++ b/src/core/scheduling/preemption_cost.c
@@ -3,7 +3,8 @@
 #include "core/scheduling/placement.h"
 
 #define IMMEDIATE_VICTIMS_MAX 3
-/* added for a job that still launches tasks: it writes its chunks all the time */
+/* added for a job that still launches tasks: it writes its chunks all the time, so that a stop may
+ * conflict */
 #define LAUNCHING_JOB_COST_CORE_S 20.0
 #define IMAGE_FETCH_COST_CORE_S 1000.0
 
@@ -58,7 +59,8 @@
          (fk_job_waiting_tasks(allocation->job) ? LAUNCHING_JOB_COST_CORE_S : 0);
 }
 
-/* Returns the machine's free capacity plus what its stopping tasks will free. */
+/* Returns the machine's capacity that is neither allocated nor reserved, plus what its stopping tasks will
+ * free. With `immediate_only`, only tasks that stop without delay count. */
 static Capacity available_capacity(FkController *c, const FkMachine *machine, gboolean immediate_only) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   Capacity available = {type->cpus - machine->allocated_cpus - machine->reserved_cpus,
--- a/src/core/scheduling/quota_partition.c
+++ b/src/core/scheduling/quota_partition.c
@@ -4,10 +4,10 @@
 
 /* minimum time for which a team stays serialized after its shares were found too small */
 #define SERIALIZED_MIN_S 4.0
-/* that time doubles, up to this, each time that the shares are found too small again */
+/* upper limit of that minimum time, which doubles each time that the shares are found too small again */
 #define SERIALIZED_MAX_S 120.0
 #define SHARE_TASKS_MIN 4 /* a share must allow at least this many of the team's largest launches */
-/* weight of the leader, which places the services of all controllers */
+/* the leader's weight when free quota is divided (other controllers: 1): it places the services of all */
 #define LEADER_WEIGHT 2.0
 #define PARTITIONED_MIN_S 1.0
 #define PAUSE_MAX_S 3.0
@@ -113,8 +113,8 @@
   return usage->partition && !g_hash_table_size(usage->partition);
 }
 
-/* Ends a pause. Shares change in two steps. The pause gives no controller a share and invalidates the guards
- * of launches based on earlier revisions of the record, so that a view of the pause shows exactly what every
+/* Ends a pause. Shares change in two steps. The pause gives no controller a share and invalidates launches
+ * that are guarded by earlier revisions of the record, so that a view of the pause shows exactly what every
  * controller has launched. Then the controller that wrote the pause divides the quota, or serializes it,
  * guarded by the pause's revision. */
 static void finish_pause(FkController *c, const FkTeam *team, FkTeamUsage *usage) {
--- a/src/core/scheduling/quota_partition.h
+++ b/src/core/scheduling/quota_partition.h
@@ -5,5 +5,6 @@
 #pragma once
 #include "core/controller_internal.h"
 
-/* Switches teams between the two modes, and recomputes the shares if a controller has exhausted its own. */
+/* Switches teams between the two modes, and has the shares recomputed if this controller has exhausted its
+ * own. */
 void fk_quota_partition_tick(FkController *c);
--- a/src/core/scheduling/scheduling_cycle.c
+++ b/src/core/scheduling/scheduling_cycle.c
@@ -11,10 +11,10 @@
 
 #define LAUNCH_WRITE_SHARE 0.3 /* share of the store's write budget for launches */
 #define LAUNCH_PAUSE_MAX_S 3.0
-#define RETRY_DELAY_MIN_S 0.15 /* the delay after a failed write is drawn at random between these two */
+#define RETRY_DELAY_MIN_S 0.15 /* the delay after a failed write is drawn at random between MIN and MAX */
 #define RETRY_DELAY_MAX_S 0.5
 #define CYCLE_PAUSE_PER_MACHINE_S 1e-4 /* the pause between cycles grows with the number of machines */
-#define CYCLE_PAUSE_MAX_S 0.1          /* upper limit of that pause */
+#define CYCLE_PAUSE_MAX_S 0.1          /* upper limit of the pause between cycles */
 #define URGENT_INTERVAL_S 0.2
 /* a shorter pause isn't bypassed: it isn't worth the writes of a separate launch */
 #define URGENT_PAUSE_MIN_S 0.7
@@ -69,7 +69,7 @@
   if (outcome != FK_OUTCOME_OK && outcome != FK_OUTCOME_CONFLICT)
     c->launches.failures++;
   if (outcome == FK_OUTCOME_UNKNOWN)
-    /* it may still commit: no other launch is sent until the fence rules that out */
+    /* this launch may still commit: no other launch is sent until the fence rules that out */
     c->launches.fence_needed = TRUE;
   if (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT)
     c->launches.wait_rev = epoch; /* the next cycle needs a view that includes this launch */
@@ -79,7 +79,7 @@
     fk_wait_times_add(&c->window.waits, &launch->waits);
 }
 
-/* Sets the pause until the next cycle: how long the launch's writes last at this controller's part of the
+/* Sets the pause until the next cycle: as long as the launch's writes take at this controller's part of the
  * write budget. What remains of a pause that an urgent launch bypassed is added. */
 static void pause_after_launch(FkController *c, guint writes, gboolean urgent_only) {
   /* the leader places all services, so it may write as much as all other controllers together */
@@ -99,10 +99,9 @@
 
 /* ------------------------------------------------------------------ the cycle */
 
-/* Returns whether urgent jobs may bypass the pause between launches. The pause saves writes, and urgent jobs
- * are what they are saved for. They bypass it a few times a second, and the time for their writes is added to
- * the pause of the other jobs. Without the bypass they would wait for up to 3 s after a launch of twenty
- * writes. */
+/* Returns whether urgent jobs may bypass the pause between launches. The pause leaves writes for urgent jobs.
+ * They bypass it a few times a second, and the time for their writes is added to the pause of the other jobs.
+ * Without the bypass, urgent jobs would wait for up to 3 s after a launch of twenty writes. */
 static gboolean can_bypass_pause(FkController *c) {
   return fk_time_between(c->now, c->launches.launch_after) > URGENT_PAUSE_MIN_S &&
          fk_time_reached(c->now, c->launches.urgent_after) && fk_scheduling_queue_has_urgent(c);
--- a/src/core/scheduling/scheduling_queue.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -20,22 +20,23 @@
 #define BLOCKED_JOBS_MAX 4 /* jobs to which others yield: the first of the queue */
 /* a job that has waited for less may still find capacity without others yielding to it */
 #define BLOCKED_AFTER_S 1.0
-/* share of a class that is served, at which no expensive machines are provisioned for the rest */
+/* once this share of a class is served, no expensive machines are provisioned for its other jobs */
 #define SERVICE_LEVEL_SUFFICIENT 0.5
 
 struct FkSchedulingQueue {
   FkWaitQueue *waiting;           /* FkJob (with a reference) that have waiting tasks */
-  guint cursor;                   /* index in the view's list of jobs of the next one to refresh */
+  guint cursor;                   /* index of the job to refresh next in the view's list of jobs */
   guint64 cycle;                  /* number of the latest cycle */
   guint team_count;               /* number of teams in the settings */
   double *team_demand_cpus;       /* demand of each team's waiting tasks, in the settings' order of teams */
   guint waiting_services;         /* waiting tasks of services */
-  guint64 refreshed_count;        /* number of refreshes in all cycles */
+  guint64 refreshed_count;        /* number of times that a job's queue position was updated, in all cycles */
   FkFairShareDemand *team_shares; /* in the settings' order of teams */
   double cluster_cpus, cluster_gpus; /* capacity of the machines that are up and not draining */
   FkTime cluster_counted_at;
-  GPtrArray *blocked; /* FkJob (with a reference): the first arrays that lack nothing but free capacity */
-  double blocked_cpus, blocked_wait_s; /* CPUs that all such arrays wait for; wait of the first of them */
+  GPtrArray *blocked;    /* FkJob (with a reference): the first arrays that lack nothing but free capacity */
+  double blocked_cpus;   /* CPUs that all blocked arrays wait for, also those that `blocked` leaves out */
+  double blocked_wait_s; /* how long the first blocked array has waited */
 };
 
 FkSchedulingQueue *fk_scheduling_queue_new(const FkSettings *settings) {
@@ -226,7 +227,7 @@
   return fk_job_waiting_tasks(job) && fk_settings_find_team(c->settings, job->spec->team);
 }
 
-/* Updates the job's contribution to its team's demand and to the number of waiting services. */
+/* Updates the job's contribution to its team's demand and to the number of waiting tasks of services. */
 static void update_demand(FkController *c, FkSchedulingQueue *queue, FkJob *job) {
   const FkSpec *spec = job->spec;
   if (!fk_settings_find_team(c->settings, spec->team))
--- a/src/core/scheduling/service_reserve.c
+++ b/src/core/scheduling/service_reserve.c
@@ -7,8 +7,8 @@
 
 /* the reserve covers the services that arrive in this time, about as long as freeing or booting capacity
  * takes */
-#define RESERVE_ARRIVALS_S 5.0
-#define RESERVE_SHARE_MAX 0.02 /* slots per machine */
+#define RESERVE_WINDOW_S 5.0
+#define RESERVE_SHARE_MAX 0.02 /* maximum reserve, in slots per machine */
 
 /* Returns how many tasks of the service fit the machine's free capacity. */
 static double service_slots(FkController *c, const FkMachine *machine, const FkSpec *service) {
@@ -31,7 +31,7 @@
   double free_slots = 0;
   for (guint i = 0; i < machines->len; i++)
     free_slots += service_slots(c, machines->pdata[i], service);
-  double expected = share * c->view->service_rate * RESERVE_ARRIVALS_S;
+  double expected = share * c->view->service_rate * RESERVE_WINDOW_S;
   return free_slots - floor(MIN(expected, RESERVE_SHARE_MAX * machine_count));
 }
 
--- a/src/core/scheduling/short_path.c
+++ b/src/core/scheduling/short_path.c
@@ -22,9 +22,11 @@
  * samples is left for the others. */
 #define OPEN_SAMPLES_MAX 4000
 #define FULL_SAMPLES_MAX 2000
-#define OTHERS_SAMPLE_DIVISOR 4 /* the other jobs get one in this many samples */
-#define SAMPLES_PER_PROBE 2     /* machines that may be drawn for each wanted probe */
-#define SAMPLES_MIN 8           /* machines that may be drawn in addition, for each job */
+/* one in this many samples is left for the jobs that the other samples don't reach */
+#define OTHERS_SAMPLE_DIVISOR 4
+#define SAMPLES_PER_PROBE 2 /* machines that may be drawn for each wanted probe */
+/* machines that may be drawn for each job in addition to SAMPLES_PER_PROBE for each wanted probe */
+#define SAMPLES_EXTRA 8
 
 /* ------------------------------------------------------------------ job ownership */
 
@@ -104,7 +106,7 @@
 /* Batch sampling: adds a probe of the job to machines drawn at random (a partial Fisher-Yates shuffle). */
 static void probe_machines(FkController *c, FkJob *job, GPtrArray *machines, guint *samples_left) {
   guint wanted = (guint)ceil(fk_job_waiting_tasks(job) * c->settings->tuning.probe_ratio);
-  guint samples = MIN(MIN(machines->len, SAMPLES_PER_PROBE * wanted + SAMPLES_MIN), *samples_left);
+  guint samples = MIN(MIN(machines->len, SAMPLES_PER_PROBE * wanted + SAMPLES_EXTRA), *samples_left);
   *samples_left -= samples;
   for (guint i = 0; i < samples && wanted; i++) {
     guint drawn = (guint)g_rand_int_range(c->rand, (gint)i, (gint)machines->len);
@@ -131,8 +133,9 @@
   }
 }
 
-/* Returns the usable machines among those that this controller owns or, if it owns more than
- * FULL_SAMPLES_MAX, among that many consecutive ones from a random start. */
+/* Returns the usable machines that this controller owns. If it owns more than FULL_SAMPLES_MAX, only that
+ * many are considered: a section of the list of owned machines that starts at a random index and wraps
+ * around. */
 static GPtrArray *sample_owned_machines(FkController *c) {
   const GPtrArray *owned = fk_capacity_index_owned_machines(c);
   GPtrArray *sample = g_ptr_array_new();
@@ -194,9 +197,9 @@
   return found;
 }
 
-/* Spot machines first: most services can't use them. Next, machines that are cheaper to keep, so that the
- * most expensive ones become empty first and are terminated; then the fuller ones. The order of equal
- * machines is stable, so that some become full and some empty instead of all half full. */
+/* Orders spot machines first: most services can't use them. Next come machines that are cheaper to keep, so
+ * that the most expensive ones become empty first and are terminated; then the fuller ones. Equal machines
+ * always have the same order, so that some become full and others empty instead of all half full. */
 static int compare_by_load(gconstpointer a, gconstpointer b, gpointer controller) {
   const FkMachine *x = *(FkMachine *const *)a, *y = *(FkMachine *const *)b;
   const FkInstanceType *x_type = fk_machine_type(controller, x), *y_type = fk_machine_type(controller, y);
--- a/src/core/scheduling/starvation.h
+++ b/src/core/scheduling/starvation.h
@@ -5,7 +5,8 @@
 
 /* Recomputes the service levels and which of them starve, at most once a second. */
 void fk_starvation_tick(FkController *c);
-/* Logs a line for each class and team, at level message if it starves, otherwise at level info. */
+/* Logs a line for each class, for the largest jobs of each class and for each team, unless it has no live
+ * jobs: at level message if it starves, otherwise at level info. */
 void fk_starvation_log(FkController *c);
 /* Returns whether the job is one of the largest of its class, and the largest jobs of the class starve. */
 gboolean fk_starvation_affects_largest(FkController *c, const FkJob *job);
--- a/src/core/scheduling/stop_transaction.c
+++ b/src/core/scheduling/stop_transaction.c
@@ -1,6 +1,6 @@
 #include "core/scheduling/stop_transaction.h"
 
-#define CHUNKS_MAX 8 /* written by one transaction */
+#define CHUNKS_MAX 8 /* maximum number of chunks written by one transaction */
 #define SEND_INTERVAL_S 0.3
 
 static void on_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch, GPtrArray *failed) {
--- a/src/fair_share/fair_share.c
+++ b/src/fair_share/fair_share.c
@@ -20,7 +20,7 @@
   return MIN(demand->guarantee, total_demand(demand));
 }
 
-/* Returns the sum of all shares when each team gets up to `level` above its guarantee, as far as it demands
+/* Returns the sum of all shares if each team gets its guarantee and up to `level` more, as far as it demands
  * that. */
 static double total_at_level(const FkFairShareDemand *demands, guint count, double level) {
   double sum = 0;
--- a/src/fair_share/fair_share.h
+++ b/src/fair_share/fair_share.h
@@ -27,8 +27,8 @@
 typedef enum {
   FK_STANDING_PROTECTED, /* its whole demand is within its guarantee: it doesn't wait for others */
   FK_STANDING_SHORT,     /* well below its share */
-  FK_STANDING_FAIR,      /* near it */
-  FK_STANDING_OVER       /* well above it */
+  FK_STANDING_FAIR,      /* near its share */
+  FK_STANDING_OVER       /* well above its share */
 } FkStanding;
-/* Requires that the share is set. */
+/* Returns the team's standing. Its share must be set. */
 FkStanding fk_fair_share_standing(const FkFairShareDemand *demand);
--- a/src/fair_share/quota.h
+++ b/src/fair_share/quota.h
@@ -20,7 +20,7 @@
 /* Kinds of teams, by whether they have a guarantee and a quota. */
 typedef enum {
   FK_TEAM_ORDINARY,             /* a guarantee and a quota */
-  FK_TEAM_BEST_EFFORT,          /* neither */
+  FK_TEAM_BEST_EFFORT,          /* neither a guarantee nor a quota */
   FK_TEAM_UNLIMITED,            /* a guarantee, no quota */
   FK_TEAM_WITHOUT_GUARANTEE,    /* a quota, no guarantee */
   FK_TEAM_QUOTA_BELOW_GUARANTEE /* a quota below the guarantee: the quota applies */
--- a/src/fair_share/service_level.c
+++ b/src/fair_share/service_level.c
@@ -10,12 +10,12 @@
 #define STARVATION_SHARE 0.5
 #define SIZE_STEPS_PER_DOUBLING 4 /* resolution of the size histogram */
 #define SIZE_STEPS 160            /* up to 2^40 CPU-seconds; larger jobs are in the last step */
-#define LARGEST_SHARE 0.1         /* share of the jobs seen */
+#define LARGEST_SHARE 0.1         /* share of the jobs in the histogram that count as the largest */
 #define NAMES_MAX 1000            /* names of classes, and of teams: users may invent any number of them */
 
 struct FkServiceLevel {
   GHashTable *classes, *largest, *teams; /* name -> FkServiceLevelRow, whose `name` is the key */
-  GHashTable *sizes; /* class -> guint32[SIZE_STEPS]: number of jobs added in each size step */
+  GHashTable *sizes;                     /* class -> guint32[SIZE_STEPS]: number of jobs of each size step */
 };
 
 FkServiceLevel *fk_service_level_new(void) {
--- a/src/fair_share/service_level.h
+++ b/src/fair_share/service_level.h
@@ -1,4 +1,4 @@
-/* Service levels of classes of jobs and of teams: the share of the jobs that have had time to start which is
+/* Service levels of classes of jobs and of teams: of the jobs that have had time to start, the share that is
  * done or runs. A class of which less than half is served starves, however well the other classes do; it is
  * logged, and the priority of its jobs is raised (core/scheduling/starvation.h). Pure: the caller reports the
  * jobs. */
@@ -7,7 +7,9 @@
 
 typedef struct FkServiceLevel FkServiceLevel;
 
-/* The counts for one class or team as of the latest count. Cancelled jobs aren't counted. */
+/* The state of one class, of the largest jobs of one class, or of one team. `ended` is updated when a job
+ * ends, all other counts by fk_service_level_begin() and the calls that follow it. The caller leaves out live
+ * jobs that are cancelled, failing or blocked. */
 typedef struct {
   const char *name; /* borrowed */
   enum {
@@ -20,7 +22,7 @@
   guint64 waiting, running; /* tasks of live jobs */
   double cpus;              /* allocated CPUs */
   double expected_jobs;     /* jobs that have had time to start, and jobs that are done */
-  /* how many of `expected_jobs` are served: each counts by the share of its tasks that run or are done */
+  /* how many of `expected_jobs` are served: each counts as the fraction of its tasks that run or are done */
   double served_jobs;
   double oldest_wait_s; /* the age of the oldest job with waiting tasks */
 } FkServiceLevelRow;
--- a/src/scheduling_queue/capacity_buckets.h
+++ b/src/scheduling_queue/capacity_buckets.h
@@ -1,6 +1,6 @@
 /* Items in buckets by free capacity, so that those with enough of it are found without examining the others.
- * A pure data structure: an item is any pointer, which it neither dereferences nor owns. Amounts are in CPUs.
- * */
+ * A pure data structure: an item is any pointer, which it neither dereferences nor owns. Amounts are in
+ * CPUs. */
 #pragma once
 #include <glib.h>
 
@@ -15,7 +15,7 @@
 void fk_capacity_buckets_remove(FkCapacityBuckets *buckets, gpointer item);
 /* Returns all items, in no particular order; borrowed until the next change. */
 const GPtrArray *fk_capacity_buckets_items(const FkCapacityBuckets *buckets);
-/* Appends up to `count_max` items that satisfy `wanted` and have at least `cpus` free to `items`, those with
+/* Appends to `items` up to `count_max` items that satisfy `wanted` and have at least `cpus` free, those with
  * the least free capacity first; some may have up to a quarter CPU less than `cpus`. Returns how many items
  * were examined. */
 guint fk_capacity_buckets_find(const FkCapacityBuckets *buckets, double cpus, guint count_max,
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -64,17 +64,19 @@
     {"xa1 xa2 xa3 xb1 xb2 xb3 xc1 xc2 xc3", "abc", ""},
     /* three jobs that succeed elsewhere: the machine is faulty */
     {"xa1 +a2 xb1 +b2 xc1 +c3", "", "1"},
-    /* jobs without any other result count half: with half of all jobs faulty, healthy machines were
-     * returned */
+    /* jobs without any other result count half: otherwise, with half of all jobs faulty, healthy machines
+     * were returned */
     {"xa1 xa1 xb1 xc1", "", ""},
     {"xa1 xa1 xb1 xb1 xc1 xc1", "", "1"},
     {"xa1 xb1 xc1 +a2 +b2 +c2", "", "1"},
     /* one job that succeeds elsewhere: the machine is faulty */
     {"xa1 xa1 +a2 xa1", "", "1"},
-    /* the same if another of its tasks runs for longer than those that failed */
+    /* another task of the job has run for longer than those that failed: the machine is faulty */
     {"xa1 xa1 xa1 >a1", "", "1"},
+    /* with one failure on each of two machines, neither the job nor a machine is found faulty */
     {"xa1 xa2 >a3", "", ""},
-    /* a job on two faulty machines isn't failing */
+    /* job a fails only on two machines on which other jobs fail too: it isn't considered failing, and the
+     * machines aren't considered faulty yet */
     {"xb1 xb1 xc1 xd2 xd2 xe2 xa1 xa2", "", ""},
     /* a success clears the machine, and clears the job permanently */
     {"xa1 xb1 +c1 xd1", "", ""},
--- a/test/test_scheduling_cycle.c
+++ b/test/test_scheduling_cycle.c
@@ -124,15 +124,15 @@
   watched(r, (const char *const *)lines->pdata);
   receive_heartbeats(r, machines);
   run_cycle(r); /* the first cycle processes the initial state */
-  guint64 jobs_before = fk_scheduling_queue_refreshed_count(c->leader.scheduling_queue),
-          machines_before = fk_capacity_index_examined_count(c->leader.capacity_index);
+  guint64 refreshed_before = fk_scheduling_queue_refreshed_count(c->leader.scheduling_queue),
+          examined_before = fk_capacity_index_examined_count(c->leader.capacity_index);
   CycleCost cost = {0};
   for (guint i = 0; i < CYCLES; i++)
     cost.allocated += run_cycle(r);
   cost.jobs =
-      (double)(fk_scheduling_queue_refreshed_count(c->leader.scheduling_queue) - jobs_before) / CYCLES;
+      (double)(fk_scheduling_queue_refreshed_count(c->leader.scheduling_queue) - refreshed_before) / CYCLES;
   cost.machines =
-      (double)(fk_capacity_index_examined_count(c->leader.capacity_index) - machines_before) / CYCLES;
+      (double)(fk_capacity_index_examined_count(c->leader.capacity_index) - examined_before) / CYCLES;
   cost.allocated /= CYCLES;
   g_test_message("%u machines, %u with free capacity, %u jobs: %.0f jobs refreshed and %.0f machines "
                  "examined per cycle, %.0f tasks allocated",
@@ -197,8 +197,9 @@
   "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
   "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16}"
 
-/* Jobs that each need a whole machine: the capacity plan leaves no machine idle for which one of them waits.
- * It covers at least 2,000 jobs, and as many as there are machines. */
+/* With jobs that each need a whole machine, the autoscaler's capacity plan must count a machine as idle only
+ * if no waiting job needs it. The plan covers as many jobs as there are machines, and 2,000 at least; if it
+ * covered fewer, it would count machines as idle that waiting jobs need. */
 static void test_plan_covers_all_machines(void) {
   static const struct {
     guint machines, jobs, idle;
--- a/test/test_units.c
+++ b/test/test_units.c
@@ -9,7 +9,7 @@
     guint64 count;
     double bound, span;
     guint machines;
-    double short_time, long_time, share_before;
+    double short_allocated_time, long_allocated_time, share_before;
     double wait_ratio;
     guint floor, blacklisted, total;
   } cases[] = {
@@ -25,7 +25,8 @@
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     FkElasticSizing s = {.short_share = cases[i].share_before};
     guint n = fk_elastic_sizing_update(&s, cases[i].sum, cases[i].count, cases[i].bound, cases[i].span,
-                                       cases[i].machines, cases[i].short_time, cases[i].long_time);
+                                       cases[i].machines, cases[i].short_allocated_time,
+                                       cases[i].long_allocated_time);
     g_assert_cmpfloat_with_epsilon(s.wait_ratio, cases[i].wait_ratio, 1e-9);
     g_assert_cmpuint(s.floor, ==, cases[i].floor);
     g_assert_cmpuint(s.blacklisted, ==, cases[i].blacklisted);
