--- a/src/core/scheduling/backfill_reservation.c
+++ b/src/core/scheduling/backfill_reservation.c
@@ -3,15 +3,15 @@
 #include "core/scheduling/placement.h"
 #include "core/scheduling/team_quota.h"
 
-#define START_DEADLINE_S 240.0 /* a job must have started within this time (the service check) */
-/* share of START_DEADLINE_S after which a job is aged: the rest is long enough for a machine to become
- * empty */
+#define START_DEADLINE_S 240.0 /* a job must start within this time, according to the service check */
+/* a job is aged after this share of START_DEADLINE_S: the remaining time is long enough for a machine to
+ * become empty */
 #define AGED_SHARE 0.55
 #define REFRESH_INTERVAL_S 2.0
-#define RESERVING_JOBS_MAX 3 /* jobs with reservations at the same time: the first ones in queue order */
+#define RESERVING_JOBS_MAX 3 /* maximum number of jobs with reservations: the first ones in queue order */
 #define MACHINES_PER_JOB_MAX 32
-#define RUN_TIME_MARGIN 1.5 /* factor on the expected run time, after which most tasks have ended */
-/* expected time until a stopping task has ended, and the minimum for a task that isn't stopping */
+#define RUN_TIME_MARGIN 1.5 /* most tasks end within this multiple of the expected run time */
+/* expected time until a stopping task has ended; for any other task, the minimum */
 #define STOPPING_S 1.0
 #define LOGGED_JOBS_MAX 5
 
@@ -19,7 +19,7 @@
   char *job; /* id of the job that holds the reservation */
   FkJobPriority priority;
   guint queue_position;
-  FkTime available_at; /* when that job can start on the machine */
+  FkTime available_at; /* expected time at which the holder can start on the machine */
 } Reservation;
 
 struct FkBackfillReservations {
@@ -69,7 +69,7 @@
   return x->in_s < y->in_s ? -1 : x->in_s > y->in_s;
 }
 
-/* Returns whether a task fits the machine once the released capacity is free. */
+/* Returns whether a task of `spec` fits the machine once the released capacity is free. */
 static gboolean fits(const FkInstanceType *type, const FkMachine *machine, const Release *released,
                      const FkSpec *spec) {
   return machine->allocated_cpus + machine->reserved_cpus - released->cpus + spec->cpus <=
@@ -101,8 +101,8 @@
   return releases;
 }
 
-/* Returns in how many seconds the machine has capacity for such a task if nothing more is placed there;
- * G_MAXDOUBLE if never. */
+/* Returns the expected seconds until the machine has capacity for a task of `spec` if nothing more is placed
+ * on the machine; G_MAXDOUBLE if its expected releases don't suffice. */
 static double available_in_s(FkController *c, const FkMachine *machine, const FkSpec *spec) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   Release total = {0};
@@ -138,7 +138,7 @@
          (!zone || g_str_equal(zone, machine->record->zone));
 }
 
-/* Returns the machines (Candidate) on which the job could start, the earliest available first, limited to
+/* Returns the machines (Candidate) that can be reserved for the job, the earliest available first, limited to
  * `zone` (NULL: any zone). */
 static GArray *find_candidates(FkController *c, const FkJob *job, const char *zone) {
   GArray *candidates = g_array_new(FALSE, FALSE, sizeof(Candidate));
@@ -157,14 +157,14 @@
   return candidates;
 }
 
-/* Returns how many machines the job needs at the same time to start: one for each task of a gang, one for any
- * other job. */
+/* Returns how many machines are reserved for the job: one for each task of a gang, at most
+ * MACHINES_PER_JOB_MAX; one for any other job. */
 static guint machines_needed(const FkJob *job) {
   return job->spec->shape == FK_SHAPE_GANG ? MIN(job->spec->tasks, MACHINES_PER_JOB_MAX) : 1;
 }
 
-/* Returns the candidates for the job. For a job that must run in one zone, they are those of the zone in
- * which the last machine that it needs is available earliest. */
+/* Returns the candidates for the job. If the job must run in one zone, all of them are in the zone where
+ * machines_needed() machines become available soonest; the array is empty if no zone has enough machines. */
 static GArray *best_candidates(FkController *c, const FkJob *job) {
   if (!job->spec->one_zone)
     return find_candidates(c, job, NULL);
@@ -211,7 +211,8 @@
   }
 }
 
-/* Returns whether the team's quota allows the tasks that must start together. */
+/* Returns whether the team's quota allows the job to start: all tasks of a gang, or one task of any other
+ * job. */
 static gboolean quota_allows_start(FkController *c, const FkSpec *spec) {
   return fk_team_quota_allows_tasks(c, spec, spec->shape == FK_SHAPE_GANG ? spec->tasks : 1);
 }
@@ -232,14 +233,14 @@
   }
 }
 
-/* Called for every job and machine of a cycle: returns early if no machine is reserved, which is the usual
- * case. */
+/* Returns the machine's reservation, or NULL. This function is called very often in a cycle, so it skips the
+ * lookup if no machine is reserved, which is the usual case. */
 static const Reservation *find_reservation(FkController *c, const FkMachine *machine) {
   GHashTable *by_machine = c->leader.backfill_reservations->by_machine;
   return g_hash_table_size(by_machine) ? g_hash_table_lookup(by_machine, machine->id) : NULL;
 }
 
-/* Returns the job that holds the reservation, or NULL if it no longer waits. */
+/* Returns the job that holds the reservation; NULL if no task of it waits or it is no longer urgent. */
 static FkJob *find_waiting_holder(FkController *c, const Reservation *reservation) {
   FkJob *job = fk_view_find_job(c->view, reservation->job);
   return job && fk_job_waiting_tasks(job) && job->urgent ? job : NULL;
--- a/src/core/scheduling/capacity_index.c
+++ b/src/core/scheduling/capacity_index.c
@@ -3,10 +3,10 @@
 #include "core/scheduling/placement.h"
 #include "scheduling_queue/capacity_buckets.h"
 
-#define FREE_CPUS_MIN 0.25 /* a machine with less counts as full */
+#define FREE_CPUS_MIN 0.25 /* spot machines with fewer free CPUs aren't counted */
 
 struct FkCapacityIndex {
-  FkCapacityBuckets *all, *owned; /* FkMachine by free CPUs; reservations aren't subtracted */
+  FkCapacityBuckets *all, *owned; /* FkMachine by CPUs that aren't allocated; reservations are ignored */
   guint64 examined_count;
 };
 
@@ -35,7 +35,8 @@
   fk_capacity_buckets_remove(index->owned, machine);
 }
 
-/* Returns FALSE if the machine's type isn't known yet, so that the machine must be updated again. */
+/* Updates the machine in the index. Returns FALSE if the machine's type isn't known yet, so that the machine
+ * must be updated again later. */
 static gboolean update_machine(FkController *c, FkMachine *machine) {
   FkCapacityIndex *index = c->leader.capacity_index;
   const FkInstanceType *type = fk_machine_type(c, machine);
@@ -80,7 +81,8 @@
          fk_machine_is_usable(required->controller, machine);
 }
 
-/* Appends the machines that have at least `cpus` free CPUs and satisfy `wanted`. */
+/* Appends the machines of `buckets` that satisfy `wanted` to `machines`. Skips the buckets of machines with
+ * fewer than `cpus` free CPUs. */
 static void find_machines(FkCapacityIndex *index, const FkCapacityBuckets *buckets, double cpus,
                           gboolean (*wanted)(gpointer machine, gpointer data), gpointer data,
                           GPtrArray *machines) {
--- a/src/core/scheduling/launch_batch.c
+++ b/src/core/scheduling/launch_batch.c
@@ -3,22 +3,22 @@
 #include "core/scheduling/reservation.h"
 
 #define TRANSACTION_BYTES_MAX 40000 /* below the store's limit of 64 KiB */
-#define GUARDS_PER_WRITE_MAX 4
-#define ALLOCATION_GUARDS 4     /* maximum guards that one task adds: job, chunk, team and shard */
-#define PREEMPTION_GUARDS 6     /* enough guards for a preempting task, including the launch fence */
-#define GUARDS_PER_VICTIM 2     /* maximum guards that one victim adds: job and chunk */
+#define GUARDS_PER_WRITE_MAX 4      /* maximum guards of a transaction for each write that it may contain */
+#define ALLOCATION_GUARDS 4         /* maximum guards that one task adds: job, chunk, team and shard */
+#define PREEMPTION_GUARDS 6 /* upper bound on the guards of a preempting task, including the launch fence */
+#define GUARDS_PER_VICTIM 2 /* maximum guards that one victim adds: job and chunk */
 #define WRITES_PER_ALLOCATION 2 /* maximum writes that one task adds: its chunk and its team's record */
 
-/* Estimated sizes in a transaction. */
+/* Estimated sizes of the parts of a transaction. */
 #define CHUNK_BYTES 300
 #define CHUNK_TASKS_PER_BYTE 4
 #define ALLOCATION_BYTES 40
 #define TEAM_BYTES 200
 #define SHARD_GUARD_BYTES 60
 
-/* Returns whether the batch may contain `more` further writes. A transaction is sent as soon as it is built:
- * one that waited for the write budget would be out of date by then. So it opens no more chunks than there
- * are writes available; further tasks of chunks that are already open add no write. */
+/* Returns whether `more` writes can be added to the batch. The batch is limited to the writes that are
+ * available now: a transaction that had to wait for the write budget would be out of date when it is sent.
+ * Further tasks of a chunk that the batch already writes need no additional write. */
 static gboolean has_writes_left(FkController *c, const FkLaunchBatch *batch, guint more) {
   return (batch->txn ? batch->txn->writes->len : 0) + more <=
          MIN(c->settings->transaction_ops_max, MAX(FK_LAUNCH_WRITES_ALLOWANCE, c->launches.write_room));
@@ -34,8 +34,8 @@
          (batch->txn->guards->len + ALLOCATION_GUARDS > guards_max || batch->bytes > TRANSACTION_BYTES_MAX);
 }
 
-/* Returns the job's chunk as the transaction will write it; adds it to the transaction if it isn't part of it
- * yet. */
+/* Returns the transaction's copy of chunk `index` of the job. Adds the chunk to the transaction first if
+ * necessary. */
 static FkChunk *open_chunk(FkController *c, FkLaunchBatch *batch, const FkJob *job, guint32 index) {
   char *path = fk_key_chunk_path(job->spec->id, index);
   FkChunk *copy = g_hash_table_lookup(batch->chunks, path);
@@ -62,10 +62,10 @@
   return copy;
 }
 
-/* Guards the team's record, which protects its quota. Serialized: every launch also writes the record, so
- * that launches commit one after another. Partitioned: launches only guard it, so that the shares can't
- * change before they commit. A team without a quota needs no guard, and its launches don't conflict with
- * others. */
+/* Adds a guard on the team's record, so that concurrent launches can't exceed the team's quota. Serialized:
+ * every launch also writes the record, so that one of two concurrent launches is rejected. Partitioned:
+ * launches don't write the record; a launch is rejected only if the record has changed since the launch was
+ * decided. A team without a quota needs no guard, and its launches don't conflict over the record. */
 static void guard_team_quota(FkController *c, FkLaunchBatch *batch, const char *name) {
   const FkTeam *team = fk_settings_find_team(c->settings, name);
   if (!fk_team_has_limit(team) || g_hash_table_contains(batch->teams, name))
@@ -78,18 +78,18 @@
   batch->bytes += TEAM_BYTES;
 }
 
-/* Returns since when the job's next task could have started if a machine had been free. Elastic Sizing counts
- * only waits for a free machine: not the time for which a task ran before its machine was lost, nor an outage
- * of the store, during which nothing can start even where there is capacity. Otherwise the mean wait would be
- * minutes after a mass failure, and machines would be blacklisted for long jobs to no effect. */
+/* Returns the start of the wait that Elastic Sizing counts for the job's next task. The time for which a task
+ * ran before its machine was lost isn't counted, nor are outages of the store, during which no task can
+ * start. If they were counted, a mass failure would raise the mean wait to minutes, and machines would be
+ * blacklisted for long jobs, which doesn't help. */
 static FkTime waiting_since(FkController *c, const FkJob *job) {
   FkTime since = {MAX(job->startable_us, job->attempt_lost_at.us)};
   return since.us > c->store_session.store_recovered_at.us ? since : c->store_session.store_recovered_at;
 }
 
-/* Maximum number of waits counted for one job in a window. Without it, one large array of one team would
- * dominate the mean and blacklist all machines for long jobs. Jobs of a few short tasks, for which Elastic
- * Sizing exists, are counted in full. */
+/* Maximum number of waits of one job that count towards the capped mean of a window. Without this limit, one
+ * large array of one team would dominate the mean, and all machines would be blacklisted for long jobs. Jobs
+ * of a few short tasks, for which Elastic Sizing exists, are counted in full. */
 #define WAITS_PER_JOB_MAX 20
 
 static void record_wait(FkController *c, FkWaitTimes *waits, FkJob *job) {
@@ -116,22 +116,23 @@
 
 static gboolean job_may_start_task(FkController *c, const FkLaunchBatch *batch, FkJob *job) {
   const FkSpec *spec = job->spec;
-  if (job->blocked || job->cancelled) /* dependencies must be committed as done first */
+  /* `blocked`: the store doesn't show all of the job's dependencies as done yet */
+  if (job->blocked || job->cancelled)
     return FALSE;
   if (job->failing && spec->shape != FK_SHAPE_GANG) {
-    /* one task at a time is enough to tell whether the job still fails everywhere */
+    /* one task at a time is enough to tell whether the job still fails on every machine */
     if (job->allocated || job->cycle_tried_at.us == c->now.us)
       return FALSE;
     job->cycle_tried_at = c->now;
   }
-  /* Zone constraints are checked against the view, so they hold only if a transaction starts at most one task
-   * of the job. */
+  /* Zone constraints are checked against the view, which doesn't show the tasks of this batch. So the batch
+   * may start at most one task of a job with zone constraints. Gangs are planned as a whole (long_path.c). */
   gboolean zone_bound = (spec->one_zone || spec->spread) && spec->shape != FK_SHAPE_GANG;
   return !zone_bound || !contains_job(batch, job);
 }
 
-/* Finds the first of the job's chunks that has a waiting task and can still be written. Returns FALSE if
- * there is none. */
+/* Finds the first of the job's chunks that has a waiting task and isn't too large for one more allocation.
+ * Sets `is_open` to whether the batch already writes the chunk. Returns FALSE if there is none. */
 static gboolean find_chunk(FkController *c, const FkLaunchBatch *batch, FkJob *job, const FkMachine *machine,
                            guint32 *index, gboolean *is_open) {
   for (guint32 i = job->unstarted_hint; i < job->chunk_count; i++) {
@@ -143,7 +144,7 @@
         job->unstarted_hint++;
       continue;
     }
-    /* a chunk written under larger limits may be too large for one more allocation */
+    /* a chunk that was written when the size limit was larger may be too large for one more allocation */
     if (chunk && !fk_chunk_fits(chunk, c->settings->value_kb, machine->id, c->settings->node))
       continue;
     *index = i;
@@ -178,8 +179,8 @@
   batch->allocated++;
   fk_reservation_add(c, machine, job->spec);
   if (job->spec->shape == FK_SHAPE_SERVICE)
-    g_info("service placed job=%s machine=%s type=%s wait_s=%.2f image=%s", job->spec->id, machine->id,
-           machine->record->type, fk_time_between((FkTime){job->startable_us}, c->now),
+    g_info("service placement planned job=%s machine=%s type=%s wait_s=%.2f image=%s", job->spec->id,
+           machine->id, machine->record->type, fk_time_between((FkTime){job->startable_us}, c->now),
            g_hash_table_contains(machine->images, job->spec->image) ? "present" : "missing");
   if (!fk_spec_is_long(c, job->spec))
     record_wait(c, &batch->waits, job);
--- a/src/core/scheduling/launch_batch.h
+++ b/src/core/scheduling/launch_batch.h
@@ -1,33 +1,37 @@
-/* A launch batch: one transaction that allocates tasks to machines and asks victims of preemption to stop. It
- * is guarded by every record that its decisions were based on, so that it commits only if none of them has
- * changed. */
+/* A launch batch: one transaction that allocates tasks to machines and asks victims of preemption to stop.
+ * The transaction commits only if the records that guard it haven't changed: this controller's launch fence,
+ * the jobs and chunks that it writes, the shards of the machines, and the records of teams with a quota. */
 #pragma once
 #include "core/controller_internal.h"
 
-#define FK_LAUNCH_WRITES_MIN 2 /* writes that must be available in the write budget for a launch to start */
-/* writes that a launch may always use: a small overdraft of the write budget is soon made up */
+#define FK_LAUNCH_WRITES_MIN 2 /* a launch starts only if at least this many writes are available */
+/* a launch may contain this many writes even if fewer are available: the write budget soon recovers from a
+ * small overdraft */
 #define FK_LAUNCH_WRITES_ALLOWANCE 4
 
 typedef struct {
   FkOutput *txn;      /* the transaction; NULL while it is empty */
   GHashTable *chunks; /* path -> FkChunk as it will be written, owned by the transaction */
-  GHashTable *teams;  /* set of interned names: teams whose quota the transaction guards */
+  GHashTable *teams;  /* set of interned names: the teams whose records guard the transaction */
   guint bytes;        /* estimated size of the transaction */
   FkWaitTimes waits;  /* waits of the short tasks that the batch starts */
   guint allocated;    /* number of tasks allocated by the batch */
-  /* the launch bypasses the pause between launches, so it may only contain urgent jobs */
+  /* TRUE if the launch bypasses the pause between launches; it may then start only tasks of jobs above the
+   * normal priority */
   gboolean urgent_only;
 } FkLaunchBatch;
 
 /* Returns whether the batch is full: no further task can be added. */
 gboolean fk_launch_batch_is_full(FkController *c, const FkLaunchBatch *batch);
-/* Returns whether the write budget is used up: only tasks of chunks that the batch already writes can be
- * added. */
+/* Returns whether the batch can't write another chunk, since too few writes are available. Tasks of chunks
+ * that the batch already writes can still be added. */
 gboolean fk_launch_batch_is_out_of_chunks(FkController *c, const FkLaunchBatch *batch);
-/* Allocates the job's first waiting task to the machine. Returns FALSE if the batch can't take the task. */
+/* Allocates the job's first waiting task to the machine. Returns FALSE if no task of the job can be added to
+ * the batch. */
 gboolean fk_launch_batch_allocate(FkController *c, FkLaunchBatch *batch, FkJob *job, FkMachine *machine);
 /* Allocates the job's first waiting task to the machine and asks the victims (FkAllocationRef) to stop, in
- * the same transaction: the controller that owns the machine sends the stops and the start in one message, in
- * this order. Returns FALSE if the batch can't take the task. */
+ * the same transaction. The controller that owns the machine then sends the stops and the start in one
+ * message, in this order. Returns FALSE if the batch has no room for the whole change or no task of the job
+ * can start. */
 gboolean fk_launch_batch_preempt(FkController *c, FkLaunchBatch *batch, FkJob *job, FkMachine *machine,
                                  const GArray *victims);
--- a/src/core/scheduling/launches.h
+++ b/src/core/scheduling/launches.h
@@ -1,5 +1,5 @@
-/* The launch state of a controller: the launches and quota changes that it has in flight, the reservations
- * that go with them, and the pacing of launches. */
+/* The launch state of a controller: its launches and quota changes in flight, the reservations for them, and
+ * the pacing of launches. */
 #pragma once
 #include "core/messages.h"
 
@@ -13,21 +13,21 @@
 
 typedef struct {
   GHashTable *hindrances; /* reason why a cycle launched nothing -> number of cycles in this window */
-  /* launches whose outcome was reported in this window; of these, those rejected by a guard, and those that
-   * failed or whose outcome is unknown */
-  guint launched, conflicts, failures;
+  guint launched;         /* launches in this window whose outcome was reported, whatever the outcome */
+  guint conflicts;        /* launches in this window that a guard rejected */
+  guint failures;         /* launches in this window that failed or whose outcome is unknown */
   guint services_waiting; /* waiting tasks of services as of the last cycle */
-  /* a launch with an unknown outcome may still commit: none is sent until a write of this controller's fence
-   * has made that impossible */
+  /* TRUE if an earlier launch may still commit, since its outcome is unknown. No launch is sent until a write
+   * of this controller's launch fence has ruled that out. */
   gboolean fence_needed;
   gboolean fencing;     /* the write of the fence is in flight */
-  FkRev fence_wait_rev; /* unused: `wait_rev` holds the fence's revision */
+  FkRev fence_wait_rev; /* unused: `wait_rev` also holds the revision of the fence */
   gboolean launching;   /* a launch is in flight */
   FkRev wait_rev;       /* no cycle runs until the view has applied this revision: the last launch or fence */
   FkTime launch_after;  /* end of the pause between launches */
-  FkTime urgent_after;  /* urgent jobs may bypass the pause from this time on */
+  FkTime urgent_after;  /* time from which urgent jobs may bypass the pause between launches */
   GArray *reservations; /* FkReservation */
-  double write_room;    /* writes that the daemon's rate limiter would send without delay */
+  double write_room;    /* writes to the store that this process's rate limiter would send without delay */
   gboolean quota_partitioning; /* a write that changes a team's quota partition is in flight */
-  FkRev quota_wait_rev;        /* no further such write until the view has applied this revision */
+  FkRev quota_wait_rev; /* no write of a quota partition is sent until the view has applied this revision */
 } FkLaunches;
--- a/src/core/scheduling/long_path.c
+++ b/src/core/scheduling/long_path.c
@@ -9,17 +9,19 @@
 #include "core/scheduling/service_reserve.h"
 #include "core/scheduling/team_quota.h"
 
-#define GANG_LAUNCH_S 8.0      /* time limit for all transactions of one gang's launch */
-#define IMAGE_FETCH_LONG_S 1.0 /* a service that must wait longer than this for its image is late */
-/* work that may be lost by preemption so that a service needn't wait for its image */
+#define GANG_LAUNCH_S 8.0 /* time limit for all transactions of one gang's launch */
+/* if fetching the image takes longer than this, preemption is tried on machines that have the image */
+#define IMAGE_FETCH_LONG_S 1.0
+/* maximum work lost by a preemption that only avoids the wait for an image */
 #define WORK_LOST_MAX_CORE_S 60.0
-/* maximum number in a cycle: each search examines all machines and the tasks that run there */
+/* maximum number of searches for victims in a cycle: each examines all machines and their tasks */
 #define PREEMPTION_SEARCHES_MAX 3
-#define RESERVED_TASKS_MAX 24      /* tasks of services and gangs for which a cycle reserves capacity */
-#define GANG_RESERVES_QUOTA_S 60.0 /* time for which an aged gang that waits for machines reserves quota */
+/* maximum number of tasks of services and gangs for which a cycle reserves capacity */
+#define RESERVED_TASKS_MAX 24
+#define GANG_RESERVES_QUOTA_S 60.0 /* an aged gang that waits for machines reserves quota for this long */
 #define FETCH_GB_PER_S_MIN 0.01
 
-/* Weights of the cost of a machine. */
+/* Terms of the cost of a machine. */
 #define FETCH_NOTICEABLE_S 0.3
 #define FETCH_COST 10.0
 #define FETCH_COST_PER_S 0.5
@@ -35,9 +37,10 @@
   return job->spec->image_gb / MAX(FETCH_GB_PER_S_MIN, fk_machine_type(c, machine)->fetch_gb_per_s);
 }
 
-/* Returns the cost of placing a task of the job on the machine; lower is better. Whether the image must be
- * fetched at all weighs most. Next comes the price of keeping the machine for as long as the task runs there:
- * a few replicas must not hold the largest machine. Last, the fuller machine is preferred. */
+/* Returns the cost of placing a task of the job on the machine; lower is better. The cost is much higher if
+ * the fetch of the image takes a noticeable time. It also grows with the machine's price, since a few
+ * replicas must not keep the largest machine in use, and with the machine's free share. Machines that already
+ * run long tasks are preferred. */
 static double machine_cost(FkController *c, const FkJob *job, const FkMachine *machine) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   double fetch_s = image_fetch_s(c, job, machine);
@@ -48,10 +51,10 @@
          free_share - (machine->allocated_long_cpus > 0 ? LONG_TASKS_BONUS : 0);
 }
 
-/* Returns whether the job may use blacklisted machines as a last resort. The blacklist protects short tasks
- * from newly arrived long ones of the same or a lower priority. Services of a higher priority would otherwise
- * wait for tasks that they may preempt, and a long job that has itself waited for longer than the bound on
- * short waits is no longer newly arrived. */
+/* Returns whether the job may use blacklisted machines as a last resort. The blacklist keeps newly arrived
+ * long jobs off machines that short tasks need. It doesn't apply to jobs above the normal priority: services
+ * would otherwise wait for tasks that they may preempt. Nor does it apply to a job that has waited for longer
+ * than tuning.max_wait_s, the bound on the mean wait of short tasks. */
 static gboolean ignores_blacklist(FkController *c, const FkJob *job) {
   return job->spec->priority < FK_JOB_PRIORITY_NORMAL ||
          fk_time_between((FkTime){job->startable_us}, c->now) > c->settings->tuning.max_wait_s;
@@ -87,7 +90,7 @@
   g_hash_table_insert(zones, (gpointer)zone, GUINT_TO_POINTER(zone_count(zones, zone) + 1));
 }
 
-/* Returns a table: zone -> number of tasks of the job allocated there. */
+/* Returns a table: zone -> number of the job's allocations on machines in that zone. */
 static GHashTable *tasks_by_zone(FkController *c, const FkJob *job) {
   GHashTable *zones = g_hash_table_new(g_str_hash, g_str_equal);
   for (guint32 i = 0; i < job->chunk_count; i++)
@@ -100,8 +103,8 @@
   return zones;
 }
 
-/* Returns a machine for each waiting task of the gang, limited to `zone` (NULL: any zone); NULL if there
- * isn't one for each task now. */
+/* Returns a machine for each waiting task of the gang, limited to `zone` (NULL: any zone); NULL if there is
+ * no capacity for all of these tasks now. */
 static GPtrArray *plan_gang_in_zone(FkController *c, FkJob *job, GPtrArray *machines, const char *zone) {
   g_autoptr(GPtrArray) plan = g_ptr_array_new();
   g_autoptr(GHashTable) zones = tasks_by_zone(c, job);
@@ -124,8 +127,8 @@
   return plan->len == waiting ? g_steal_pointer(&plan) : NULL;
 }
 
-/* Plans the gang in any zone or, if it must run in one zone, in the first one with capacity for all of its
- * tasks. */
+/* Returns a machine for each waiting task of the gang; NULL if there is no capacity for all of these tasks
+ * now. A gang that must run in one zone is planned in the first zone with enough capacity. */
 static GPtrArray *plan_gang(FkController *c, FkJob *job, GPtrArray *machines) {
   if (!job->spec->one_zone)
     return plan_gang_in_zone(c, job, machines, NULL);
@@ -146,12 +149,12 @@
       job->gang_attempt.n = MAX(job->gang_attempt.n, job->chunks[i]->next_attempt);
 }
 
-/* Places the waiting tasks of the gang, provided that there is a machine for each of them: a part of a gang
- * would only occupy its machines and wait. */
+/* Places the waiting tasks of the gang if there is capacity for all of them. A part of a gang would only
+ * occupy its machines and wait. */
 static void place_gang(FkController *c, FkLaunchBatch *batch, FkJob *job, GPtrArray *machines) {
-  /* A gang launch that takes several transactions continues only while all tasks that it has allocated are
-   * still allocated. If one of them has ended since, continuing would give it the same attempt number
-   * again. */
+  /* A gang launch that takes several transactions continues only until its time limit, and only while all
+   * tasks that it has allocated are still allocated. If one of these tasks has ended, continuing would start
+   * it again with the same attempt number. */
   if (job->allocated && (fk_time_reached(c->now, job->gang_until) || job->allocated != job->gang_allocated))
     return;
   if (!fk_team_quota_allows_tasks(c, job->spec, fk_job_waiting_tasks(job)))
@@ -180,9 +183,9 @@
   double spare_slots;     /* slots that arrays may still use (service_reserve.h) */
 } Cycle;
 
-/* Returns whether two jobs certainly need the same capacity, so that if there is none for one of them, there
- * is none for the other. Jobs that are limited to some types or constrained in their zones never count as the
- * same. */
+/* Returns whether two jobs have the same requirements: if there is no capacity for one of them, there is none
+ * for the other. Jobs that are limited to some types or have the constraint `one_zone` or `spread` never
+ * count as the same. */
 static gboolean has_same_demand(const FkSpec *a, const FkSpec *b) {
   return a->cpus == b->cpus && a->gpus == b->gpus && a->mem_gb == b->mem_gb && a->priority == b->priority &&
          a->spot == b->spot && g_strcmp0(a->zone, b->zone) == 0 && !a->types && !b->types &&
@@ -196,8 +199,8 @@
   return FALSE;
 }
 
-/* Places one task by preemption: a service needn't wait for capacity, or for its image to be fetched, if only
- * tasks of a lower priority that stop immediately stand in its way. Returns FALSE if nothing was placed. */
+/* Places one task by preemption, if it is enough to stop tasks of lower priority that stop immediately. A
+ * service then needn't wait for capacity or for the fetch of its image. Returns whether a task was placed. */
 static gboolean preempt(FkController *c, FkLaunchBatch *batch, Cycle *cycle, FkJob *job, double cost_max) {
   g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(FkAllocationRef));
   if (!cycle->usable)
@@ -258,7 +261,8 @@
 
 /* ------------------------------------------------------------------ capacity reserved for the long path */
 
-/* Reserves quota for one task, and capacity on the machine (NULL: quota only). */
+/* Reserves capacity for one task on the machine (NULL: no capacity). Also reserves quota, except for a
+ * service of a team whose quota is partitioned: its use counts against the leader's share. */
 static void reserve(FkController *c, GArray *reserved, FkMachine *machine, const FkSpec *spec) {
   FkReservation reservation = {machine ? machine->id : NULL,
                                g_intern_string(spec->team),
@@ -294,11 +298,11 @@
   }
 }
 
-/* Returns whether a waiting gang reserves its team's quota. A gang that waits for quota reserves what becomes
- * free, since tasks that start one by one could otherwise keep it waiting forever. A gang that waits for
- * machines must not: with a spread gang in a fleet that had lost all machines of a zone, no other job of its
- * team could start although machines were idle. A gang that has waited too long to start still reserves the
- * quota for a while, so that capacity can be made for it. */
+/* Returns whether a waiting gang reserves its team's quota. If there are machines for all waiting tasks of
+ * the gang, the gang reserves the quota that becomes free: tasks that start one by one could otherwise keep
+ * it waiting forever. A gang that waits for machines must not reserve quota: with a spread gang in a fleet
+ * that had lost all machines of a zone, no other job of its team could start although machines were idle. An
+ * aged gang still reserves quota for a while, so that capacity can be made available for it. */
 static gboolean gang_reserves_quota(FkController *c, const FkJob *job, gboolean has_machines) {
   double aged_s = fk_backfill_reservation_aged_s(c, job);
   return has_machines || (aged_s >= 0 && aged_s < GANG_RESERVES_QUOTA_S);
--- a/src/core/scheduling/long_path.h
+++ b/src/core/scheduling/long_path.h
@@ -1,6 +1,6 @@
-/* The long path: the leader places services, gangs and long arrays, each task on the best machine that isn't
- * blacklisted for long jobs. The other controllers reserve the capacity that the leader would take, and leave
- * it free. */
+/* The long path: the leader places services, gangs and long arrays, each task on the machine with the lowest
+ * cost. A machine that is blacklisted for long jobs is used only as a last resort. The other controllers
+ * leave free the capacity that they expect the leader to take for services and gangs. */
 #pragma once
 #include "core/scheduling/launch_batch.h"
 
@@ -8,10 +8,12 @@
  * zone); NULL if no machine is suitable now. */
 FkMachine *fk_long_path_best_machine(FkController *c, const FkJob *job, GPtrArray *machines,
                                      const char *zone);
-/* Adds as many tasks of the jobs to the batch as can be placed. Only the leader calls this. */
+/* Adds tasks of services, gangs and long arrays among `jobs` to the batch, as many as can be placed. Only the
+ * leader calls this function. */
 void fk_long_path_place(FkController *c, FkLaunchBatch *batch, GPtrArray *jobs, GPtrArray *machines);
-/* Reserves what the long path would take from the same view. Otherwise both paths would allocate the same
- * capacity, and the worker would reject one of the tasks as "full". The reservations are appended to
+/* Reserves the capacity and quota that the leader is expected to take for waiting services and gangs.
+ * Otherwise both paths would allocate the same capacity, and the worker would reject one of the tasks as
+ * "full". On the leader, this function reserves only the quota of gangs. The reservations are appended to
  * `reserved` (FkReservation). */
 void fk_long_path_reserve(FkController *c, GPtrArray *jobs, GPtrArray *machines, GArray *reserved);
 /* Ends the reservations made by fk_long_path_reserve(). */
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,6 +1,6 @@
 #include "core/scheduling/placement.h"
 
-/* The type is looked up once for each machine, and cached in it. */
+/* Once found, the type is cached in the machine. */
 const FkInstanceType *fk_machine_type(FkController *c, const FkMachine *machine) {
   if (!machine->type && machine->record)
     ((FkMachine *)machine)->type = g_hash_table_lookup(c->autoscaling.instance_types, machine->record->type);
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -4,18 +4,21 @@
 #include "core/scheduling/scheduling_queue.h"
 #include "core/scheduling/starvation.h"
 
-/* wait of the first blocked job before which nothing is reclaimed: tasks that end usually free enough */
+/* nothing is reclaimed until the first blocked job has waited for this long: tasks that end usually free
+ * enough capacity */
 #define BLOCKED_WAIT_MIN_S 15.0
-/* minimum demand of blocked jobs, as a share of the fleet's CPUs: for less, the work lost isn't worth it */
+/* nothing is reclaimed while the blocked jobs need less than this share of the fleet's CPUs: the gain isn't
+ * worth the lost work */
 #define BLOCKED_SHARE_MIN 0.02
-/* a team gives capacity back if it uses more than this multiple of its share */
+/* tasks of a lower priority are stopped only if their team uses more than this multiple of its share */
 #define OVER_SHARE_FACTOR 1.25
-#define RECLAIM_INTERVAL_S 4.0 /* time until the view shows that the last victims have stopped */
-#define RECLAIM_SHARE_MAX 0.05 /* maximum for one round, as a share of the fleet's CPUs */
-#define CHUNKS_PER_ROUND_MAX 6 /* each costs a write */
+/* minimum time between rounds: by then the view usually shows that the last victims have stopped */
+#define RECLAIM_INTERVAL_S 4.0
+#define RECLAIM_SHARE_MAX 0.05 /* maximum CPUs reclaimed in one round, as a share of the fleet's CPUs */
+#define CHUNKS_PER_ROUND_MAX 6 /* maximum number of chunks in one round: each costs a write */
 
-/* A chunk whose tasks may be stopped. The unit is the chunk because one write stops all of its tasks, and
- * tasks of a chunk were mostly placed together. */
+/* A chunk whose tasks may be stopped. Candidates are chunks, not tasks, because one write can stop all tasks
+ * of a chunk, and these were mostly placed together. */
 typedef struct {
   FkJob *job;
   guint32 index;
@@ -28,11 +31,11 @@
   return x_loss != y_loss ? (x_loss < y_loss ? -1 : 1) : g_strcmp0(x->job->spec->id, y->job->spec->id);
 }
 
-/* Returns whether tasks of the job may be stopped for the blocked job. Tasks of a lower priority may be
- * stopped if their team uses more than OVER_SHARE_FACTOR times its share and their class doesn't starve.
- * Tasks of the same or a higher priority may be stopped if everything that the blocked job's team demands is
- * within its guarantee, and their own team is well above its share (FK_STANDING_OVER). No team falls below
- * its share by this. */
+/* Returns whether tasks of the job may be stopped for the blocked job. The job must be an array of another
+ * team. If its priority is lower, its team must use more than OVER_SHARE_FACTOR times its share, and its
+ * class must not starve. If its priority is the same or higher, the blocked job must have the best standing
+ * (FK_STANDING_PROTECTED) at its own priority, and the team of the job must be well above its share and above
+ * its guarantee. reclaimable_cpus() ensures that no team falls below its share. */
 static gboolean is_preemptible_for(FkController *c, const FkJob *job, const FkJob *blocked) {
   const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, job->spec->team);
   if (job->spec->shape != FK_SHAPE_ARRAY || job->cancelled ||
@@ -76,15 +79,16 @@
   return candidates;
 }
 
-/* Returns the CPUs that may be reclaimed from the job: what its team uses above its share or its class above
- * the starvation floor, whichever is less. */
+/* Returns the CPUs that may be reclaimed from the job: what its team uses above its share, or what its class
+ * uses above the starvation floor (FK_SERVICE_FLOOR_SHARE), whichever is less. */
 static double reclaimable_cpus(FkController *c, const FkJob *job, double cluster_cpus) {
   const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, job->spec->team);
   const FkServiceLevelRow *row = fk_service_level_class(c->view->service_level, job->spec->class_name);
   return MIN(team->used - team->share, (row ? row->cpus : 0) - FK_SERVICE_FLOOR_SHARE * cluster_cpus);
 }
 
-/* Asks tasks of the chunk to stop, the latest first, up to `cpus_max` in total. Returns their CPUs. */
+/* Asks tasks of the chunk to stop, starting from the end of its allocations, up to `cpus_max` CPUs in total.
+ * Returns the CPUs of these tasks. */
 static double stop_tasks(FkController *c, FkStopTransaction *stops, const Candidate *candidate,
                          double cpus_max) {
   const FkSpec *spec = candidate->job->spec;
--- a/src/core/scheduling/preemption_cost.c
+++ b/src/core/scheduling/preemption_cost.c
@@ -2,9 +2,8 @@
 
 #include "core/scheduling/placement.h"
 
-#define IMMEDIATE_VICTIMS_MAX 3
-/* added for a job that still launches tasks: it writes its chunks all the time, so that a stop may
- * conflict */
+#define IMMEDIATE_VICTIMS_MAX 3 /* maximum number of victims with `immediate_only` */
+/* added if the victim's job has waiting tasks: its chunks are written often, so that a stop may conflict */
 #define LAUNCHING_JOB_COST_CORE_S 20.0
 #define IMAGE_FETCH_COST_CORE_S 1000.0
 
@@ -46,7 +45,7 @@
   return (spec->checkpoint_s > 0 ? MIN(ran_s, spec->checkpoint_s) : ran_s) * spec->cpus;
 }
 
-/* Returns whether the task's chunk can be written. One that is larger than the limits allow can't be, before
+/* Returns whether the task's chunk can be written. A chunk that exceeds the size limit can't be written until
  * some of its tasks have ended. */
 static gboolean can_be_stopped(FkController *c, const FkAllocationRef *allocation) {
   const FkJob *job = allocation->job;
@@ -82,7 +81,8 @@
   return !immediate_only || (stops_immediately(allocation) && running->shape == FK_SHAPE_ARRAY);
 }
 
-/* Returns the task with the lowest stop cost that isn't a victim yet, or NULL. */
+/* Returns the preemptible task with the lowest stop cost that isn't a victim yet, and sets `cost`; NULL if
+ * there is none. */
 static const FkAllocationRef *cheapest_victim(FkController *c, const FkSpec *spec, const FkMachine *machine,
                                               gboolean immediate_only, const GArray *victims, double *cost) {
   const FkAllocationRef *best = NULL;
@@ -100,8 +100,8 @@
   return best;
 }
 
-/* Finds the tasks to stop so that a task fits the machine, and the cost of that. Returns FALSE if it can't be
- * made to fit. */
+/* Finds the tasks to stop so that a task of `spec` fits the machine, and the sum of their stop costs. Returns
+ * FALSE if there aren't enough of them. */
 static gboolean find_victims(FkController *c, const FkSpec *spec, const FkMachine *machine,
                              gboolean immediate_only, GArray *victims, double *cost) {
   Capacity available = available_capacity(c, machine, immediate_only);
--- a/src/core/scheduling/quota_partition.c
+++ b/src/core/scheduling/quota_partition.c
@@ -2,16 +2,17 @@
 
 #include "fair_share/quota.h"
 
-/* minimum time for which a team stays serialized after its shares were found too small */
+/* minimum time for which a team stays serialized */
 #define SERIALIZED_MIN_S 4.0
-/* upper limit of that minimum time, which doubles each time that the shares are found too small again */
+/* the minimum time doubles whenever the shares are found too small again, up to this limit */
 #define SERIALIZED_MAX_S 120.0
 #define SHARE_TASKS_MIN 4 /* a share must allow at least this many of the team's largest launches */
-/* the leader's weight when free quota is divided (other controllers: 1): it places the services of all */
+/* the leader's weight when free quota is divided, compared to 1 for other controllers: the leader also places
+ * all services */
 #define LEADER_WEIGHT 2.0
-#define PARTITIONED_MIN_S 1.0
-#define PAUSE_MAX_S 3.0
-#define FREE_SHARE_MIN 0.2 /* a quota is partitioned only while more than this share of it is free */
+#define PARTITIONED_MIN_S 1.0 /* minimum time for which the shares of a partition stay the same */
+#define PAUSE_MAX_S 3.0       /* after this time, the leader ends the pause of another controller */
+#define FREE_SHARE_MIN 0.2    /* a quota is partitioned only while more than this share of it is free */
 
 /* Returns an empty partition: controller -> double* (its share in CPUs). A partition without shares means
  * that the team's launches are paused. */
@@ -19,17 +20,18 @@
   return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-static void on_record_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
-                                GPtrArray *failed) {
+static void on_record_result(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                             GPtrArray *failed) {
   c->launches.quota_partitioning = FALSE;
   if (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT)
     c->launches.quota_wait_rev = epoch;
 }
 
-static void send_record(FkController *c, const char *team, FkOutput *txn, FkRecord *record /* taken */) {
+static void send_record(FkController *c, const char *team, FkOutput *txn,
+                        FkRecord *record /* takes ownership */) {
   fk_transaction_put(txn, fk_key_path(FK_KEY_TEAM, team), record, (FkRev){0});
   c->launches.quota_partitioning = TRUE;
-  fk_transaction_send(c, txn, on_record_committed, NULL, NULL);
+  fk_transaction_send(c, txn, on_record_result, NULL, NULL);
 }
 
 /* Pauses the team's launches. The write needs no guard: no controller may launch during a pause, so a pause
@@ -42,10 +44,10 @@
   send_record(c, team, txn, record);
 }
 
-/* Ends the pause that the view shows, with a partition or, if `partition` is NULL, by serializing the
- * launches. */
+/* Ends the pause that the view shows. The new record holds the partition or, if `partition` is NULL,
+ * serializes the launches. */
 static void write_partition(FkController *c, const char *team, const FkTeamUsage *usage,
-                            GHashTable *partition /* taken */) {
+                            GHashTable *partition /* takes ownership */) {
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
   FkRecord *record = fk_record_new(FK_KEY_TEAM);
   record->partition = partition;
@@ -54,15 +56,16 @@
   send_record(c, team, txn, record);
 }
 
-/* Returns the weight of a controller when free quota is divided. The leader, which places the services, and
- * the controller that exhausted its share last have a higher weight. */
+/* Returns the weight of a controller when free quota is divided. The leader, which places the services, has a
+ * higher weight, and so does the controller that exhausted its share last. */
 static double share_weight(FkController *c, const FkTeamUsage *usage, const char *node) {
   guint node_count = g_hash_table_size(c->view->nodes);
   return (g_strcmp0(node, c->view->leader) == 0 ? LEADER_WEIGHT : 1) +
          (g_strcmp0(usage->last_exhausted_by, node) == 0 ? node_count : 0);
 }
 
-/* Returns the partition in which each controller keeps what it uses and gets its part of the free quota. */
+/* Returns the partition in which each controller's share is what the controller uses and a weighted part of
+ * the free quota. */
 static GHashTable *compute_shares(FkController *c, const FkTeam *team, const FkTeamUsage *usage) {
   GHashTable *partition = partition_new();
   double weights = 0, free_cpus = fk_quota_left(team->max_cpus, usage->cpus);
@@ -81,7 +84,7 @@
   return partition;
 }
 
-/* Returns the CPUs of the team's largest launch: a task, or a whole gang. */
+/* Returns the CPUs of the team's largest launch: one task or, for a gang, all of its tasks. */
 static double largest_launch_cpus(FkController *c, const FkTeam *team) {
   double largest = 0;
   GHashTableIter it;
@@ -95,7 +98,7 @@
   return largest;
 }
 
-/* Returns whether every controller's share would be large enough to be useful. */
+/* Returns whether enough of the quota is free to make every controller's share useful. */
 static gboolean is_worth_partitioning(FkController *c, const FkTeam *team, const FkTeamUsage *usage) {
   double free_cpus = fk_quota_left(team->max_cpus, usage->cpus);
   return free_cpus > FREE_SHARE_MIN * team->max_cpus &&
@@ -113,30 +116,33 @@
   return usage->partition && !g_hash_table_size(usage->partition);
 }
 
-/* Ends a pause. Shares change in two steps. The pause gives no controller a share and invalidates launches
- * that are guarded by earlier revisions of the record, so that a view of the pause shows exactly what every
- * controller has launched. Then the controller that wrote the pause divides the quota, or serializes it,
- * guarded by the pause's revision. */
+/* Ends a pause. Shares change in two steps. First, the pause gives no controller a share and invalidates
+ * launches that are guarded by earlier revisions of the record, so that a view of the pause shows exactly
+ * what every controller has launched. Then one controller (must_finish_pause()) divides the quota or
+ * serializes the launches; this write is guarded by the revision of the pause. */
 static void finish_pause(FkController *c, const FkTeam *team, FkTeamUsage *usage) {
   if (is_worth_partitioning(c, team, usage)) {
-    g_info("quota partitioned team=%s used_cpus=%.0f max_cpus=%.0f", team->name, usage->cpus, team->max_cpus);
+    g_info("quota partitioning requested team=%s used_cpus=%.0f max_cpus=%.0f", team->name, usage->cpus,
+           team->max_cpus);
     write_partition(c, team->name, usage, compute_shares(c, team, usage));
     return;
   }
-  g_info("quota serialized team=%s used_cpus=%.0f max_cpus=%.0f", team->name, usage->cpus, team->max_cpus);
+  g_info("quota serialization requested team=%s used_cpus=%.0f max_cpus=%.0f", team->name, usage->cpus,
+         team->max_cpus);
   usage->serialized_min_s = MIN(SERIALIZED_MAX_S, MAX(SERIALIZED_MIN_S, 2 * usage->serialized_min_s));
   write_partition(c, team->name, usage, NULL);
 }
 
-/* Returns whether this controller must end the pause: it wrote the pause, or it is the leader and the
- * controller that wrote it seems to have failed. */
+/* Returns whether this controller must end the pause: it wrote the pause, or it is the leader and the pause
+ * has lasted so long that the controller that wrote it seems to have failed. */
 static gboolean must_finish_pause(FkController *c, const FkTeamUsage *usage) {
   return g_strcmp0(usage->last_exhausted_by, c->settings->node) == 0 ||
          (c->leader.is_leader && fk_time_between(usage->changed_at, c->now) > PAUSE_MAX_S);
 }
 
-/* Returns whether this controller must pause the team: the team is partitioned and this controller's share is
- * exhausted, or this controller is the leader and the team is serialized but worth partitioning. */
+/* Returns whether this controller must pause the team to change its shares or mode: this controller's share
+ * of a partitioned quota is exhausted, or this controller is the leader and a serialized quota is worth
+ * partitioning. A mode is kept for a minimum time. */
 static gboolean must_pause(FkController *c, const FkTeam *team, const FkTeamUsage *usage) {
   if (usage->partition)
     return usage->share_exhausted && fk_time_between(usage->changed_at, c->now) > PARTITIONED_MIN_S;
--- a/src/core/scheduling/quota_partition.h
+++ b/src/core/scheduling/quota_partition.h
@@ -5,6 +5,6 @@
 #pragma once
 #include "core/controller_internal.h"
 
-/* Switches teams between the two modes, and has the shares recomputed if this controller has exhausted its
- * own. */
+/* Switches teams between the two modes. Starts a recomputation of a team's shares if this controller's share
+ * is exhausted. */
 void fk_quota_partition_tick(FkController *c);
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -1,5 +1,5 @@
-/* Reservations: capacity and quota that launches in flight will take, held from the decision until the view
- * shows the allocations or the launch has failed. */
+/* Reservations: capacity and quota that launches in flight will take. They are made with the decision to
+ * launch and end at the next scheduling cycle, when the view shows the result of the launch. */
 #pragma once
 #include "core/controller_internal.h"
 
--- a/src/core/scheduling/scheduling_cycle.c
+++ b/src/core/scheduling/scheduling_cycle.c
@@ -1,5 +1,5 @@
 /* A cycle runs the long path first, on the leader only, and then the short path, on every controller. All
- * tasks that they place are launched by one transaction. */
+ * tasks placed by the cycle are launched by one transaction. */
 #include "core/scheduling/scheduling_cycle.h"
 
 #include "core/scheduling/capacity_index.h"
@@ -11,12 +11,13 @@
 
 #define LAUNCH_WRITE_SHARE 0.3 /* share of the store's write budget for launches */
 #define LAUNCH_PAUSE_MAX_S 3.0
-#define RETRY_DELAY_MIN_S 0.15 /* the delay after a failed write is drawn at random between MIN and MAX */
+/* the delay after a failed write is drawn at random between these limits */
+#define RETRY_DELAY_MIN_S 0.15
 #define RETRY_DELAY_MAX_S 0.5
 #define CYCLE_PAUSE_PER_MACHINE_S 1e-4 /* the pause between cycles grows with the number of machines */
 #define CYCLE_PAUSE_MAX_S 0.1          /* upper limit of the pause between cycles */
-#define URGENT_INTERVAL_S 0.2
-/* a shorter pause isn't bypassed: it isn't worth the writes of a separate launch */
+#define URGENT_INTERVAL_S 0.2          /* minimum time between a cycle and an urgent launch */
+/* a pause that ends sooner isn't bypassed: that isn't worth the writes of a separate launch */
 #define URGENT_PAUSE_MIN_S 0.7
 
 /* ------------------------------------------------------------------ the launch fence */
@@ -25,8 +26,8 @@
   return g_rand_double_range(c->rand, RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S);
 }
 
-static void on_fence_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
-                               GPtrArray *failed) {
+static void on_fence_result(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                            GPtrArray *failed) {
   c->launches.fencing = FALSE;
   if (outcome == FK_OUTCOME_OK)
     c->launches.fence_needed = FALSE;
@@ -37,9 +38,9 @@
 }
 
 /* Writes this controller's launch fence. Launches of an earlier incarnation of this controller, or launches
- * without an answer, may still be in flight. Every launch is guarded by the controller's fence: once the
- * fence has changed and the view shows the change, none of them can commit any more, and those that did
- * commit are in the view, so that they count against the team's quota. */
+ * without an answer, may still be in flight. Every launch is guarded by the fence: once the fence has changed
+ * and the view shows the change, no earlier launch can commit any more. Those that have committed are in the
+ * view and count against the team's quota. */
 static void write_fence(FkController *c) {
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
   char *path = fk_key_path(FK_KEY_LAUNCH_FENCE, c->settings->node);
@@ -48,7 +49,7 @@
   record->supports_dependencies = TRUE;
   fk_transaction_put(txn, path, record, (FkRev){0});
   c->launches.fencing = TRUE;
-  fk_transaction_send(c, txn, on_fence_committed, NULL, NULL);
+  fk_transaction_send(c, txn, on_fence_result, NULL, NULL);
 }
 
 /* ------------------------------------------------------------------ the launch */
@@ -57,8 +58,8 @@
   FkWaitTimes waits; /* waits of the short tasks that the launch starts */
 } Launch;
 
-static void on_launch_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
-                                GPtrArray *failed) {
+static void on_launch_result(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                             GPtrArray *failed) {
   const Launch *launch = data;
   c->launches.launching = FALSE;
   c->launches.launched++;
@@ -79,10 +80,12 @@
     fk_wait_times_add(&c->window.waits, &launch->waits);
 }
 
-/* Sets the pause until the next cycle: as long as the launch's writes take at this controller's part of the
- * write budget. What remains of a pause that an urgent launch bypassed is added. */
+/* Sets the pause after a launch: the time that the launch's writes take at this controller's part of the
+ * write budget. After an urgent launch, what remains of the bypassed pause is added. The sum is limited to
+ * LAUNCH_PAUSE_MAX_S. */
 static void pause_after_launch(FkController *c, guint writes, gboolean urgent_only) {
-  /* the leader places all services, so it may write as much as all other controllers together */
+  /* the leader places all services, so its part is larger: with three controllers, it is as large as the
+   * parts of the two others together */
   guint parts = c->leader.is_leader ? 2 : 1 + g_hash_table_size(c->view->nodes);
   double pace_s = fk_write_pace_s(c, writes, LAUNCH_WRITE_SHARE * fk_controller_live_count(c) * 2 / parts);
   double left_s = urgent_only ? MAX(0, fk_time_between(c->now, c->launches.launch_after)) : 0;
@@ -94,14 +97,14 @@
   launch->waits = batch->waits;
   c->launches.launching = TRUE;
   pause_after_launch(c, batch->txn->writes->len - 1, batch->urgent_only);
-  fk_transaction_send(c, batch->txn, on_launch_committed, launch, g_free);
+  fk_transaction_send(c, batch->txn, on_launch_result, launch, g_free);
 }
 
 /* ------------------------------------------------------------------ the cycle */
 
 /* Returns whether urgent jobs may bypass the pause between launches. The pause leaves writes for urgent jobs.
- * They bypass it a few times a second, and the time for their writes is added to the pause of the other jobs.
- * Without the bypass, urgent jobs would wait for up to 3 s after a launch of twenty writes. */
+ * Urgent launches bypass it at most a few times a second, and the time for their writes is added to the
+ * pause. Without the bypass, urgent jobs would wait for up to 3 s after a launch of twenty writes. */
 static gboolean can_bypass_pause(FkController *c) {
   return fk_time_between(c->now, c->launches.launch_after) > URGENT_PAUSE_MIN_S &&
          fk_time_reached(c->now, c->launches.urgent_after) && fk_scheduling_queue_has_urgent(c);
@@ -128,7 +131,7 @@
   g_hash_table_insert(c->launches.hindrances, (gpointer)reason, GUINT_TO_POINTER(count + 1));
 }
 
-/* Keeps only the jobs above the normal priority; they are first in the queue. */
+/* Removes all jobs but those above the normal priority, which are first in the queue. */
 static void keep_urgent_jobs(GPtrArray *jobs) {
   guint urgent = 0;
   while (urgent < jobs->len && ((FkJob *)jobs->pdata[urgent])->effective_priority < FK_JOB_PRIORITY_NORMAL)
@@ -136,7 +139,8 @@
   g_ptr_array_set_size(jobs, (gint)urgent);
 }
 
-/* Returns the machines with capacity for the smallest task of the long path. */
+/* Returns the machines that have the smallest CPU and memory demand of the long path's jobs free; an empty
+ * array if there are no such jobs. */
 static GPtrArray *open_machines_for_long_path(FkController *c, GPtrArray *jobs) {
   double cpus = G_MAXDOUBLE, mem_gb = G_MAXDOUBLE;
   for (guint i = 0; i < jobs->len; i++) {
--- a/src/core/scheduling/scheduling_queue.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -10,21 +10,24 @@
 
 /* The cost of a cycle depends on what has changed since the last one, not on the number of waiting jobs. A
  * cycle refreshes the queue position of the jobs whose waiting tasks may have changed, and of
- * REFRESHED_PER_CYCLE others in rotation; then it selects the first jobs of the queue. If fewer jobs wait,
- * all of them take part in every cycle. */
+ * REFRESHED_PER_CYCLE others in rotation. Then it selects the first SELECTED_PER_CYCLE jobs of the queue that
+ * may start, and the refreshed jobs that come after these. If there are fewer jobs, every cycle refreshes
+ * all. */
 #define REFRESHED_PER_CYCLE 256
 #define SELECTED_PER_CYCLE 256
+/* maximum number of jobs examined to find the first SELECTED_PER_CYCLE ones that may start */
 #define EXAMINED_PER_CYCLE_MAX (4 * SELECTED_PER_CYCLE)
 
 #define CLUSTER_COUNT_INTERVAL_S 1.0
-#define BLOCKED_JOBS_MAX 4 /* jobs to which others yield: the first of the queue */
-/* a job that has waited for less may still find capacity without others yielding to it */
+/* at most this many blocked jobs, the first ones of the queue, make others yield */
+#define BLOCKED_JOBS_MAX 4
+/* a job that is known for a shorter time may still find capacity without others yielding */
 #define BLOCKED_AFTER_S 1.0
 /* once this share of a class is served, no expensive machines are provisioned for its other jobs */
 #define SERVICE_LEVEL_SUFFICIENT 0.5
 
 struct FkSchedulingQueue {
-  FkWaitQueue *waiting;           /* FkJob (with a reference) that have waiting tasks */
+  FkWaitQueue *waiting;           /* FkJob (with references): the jobs that have waiting tasks */
   guint cursor;                   /* index of the job to refresh next in the view's list of jobs */
   guint64 cycle;                  /* number of the latest cycle */
   guint team_count;               /* number of teams in the settings */
@@ -34,9 +37,9 @@
   FkFairShareDemand *team_shares; /* in the settings' order of teams */
   double cluster_cpus, cluster_gpus; /* capacity of the machines that are up and not draining */
   FkTime cluster_counted_at;
-  GPtrArray *blocked;    /* FkJob (with a reference): the first arrays that lack nothing but free capacity */
-  double blocked_cpus;   /* CPUs that all blocked arrays wait for, also those that `blocked` leaves out */
-  double blocked_wait_s; /* how long the first blocked array has waited */
+  GPtrArray *blocked;    /* FkJob (with references): the first blocked jobs, at most BLOCKED_JOBS_MAX */
+  double blocked_cpus;   /* CPUs that all blocked jobs of the cycle wait for, not only those in `blocked` */
+  double blocked_wait_s; /* time for which this controller has known the first blocked job */
 };
 
 FkSchedulingQueue *fk_scheduling_queue_new(const FkSettings *settings) {
@@ -78,7 +81,7 @@
 
 /* ------------------------------------------------------------------ priority */
 
-/* Returns in how many seconds a waiting task must start at the latest for the job to meet the tightest
+/* Returns the time (seconds from now) by which a waiting task must start so that the job meets the tightest
  * objective or deadline that it can still meet; G_MAXDOUBLE if it can meet none. */
 static double latest_start_s(FkController *c, const FkJob *job) {
   const FkSpec *spec = job->spec;
@@ -88,8 +91,8 @@
   double allowed_s = fk_job_allowed_s(job);
   if (allowed_s >= needed_s)
     best = allowed_s - needed_s;
-  /* A service's objective applies to its start. After an outage, the services that can still meet it precede
-   * those that can't. */
+  /* A service's objective applies to its start. After an outage, the services that can still meet their
+   * objective precede the others. */
   const char *kind = spec->shape == FK_SHAPE_SERVICE ? "wait" : "finished";
   for (guint i = 0; i < c->settings->objectives->len; i++) {
     const FkObjective *objective = c->settings->objectives->pdata[i];
@@ -100,10 +103,11 @@
   return best;
 }
 
-/* Sets the job's effective priority. Priorities order the jobs within a team, and the jobs of teams with a
- * guarantee. A job of a team without a guarantee can't precede the latter by its priority. A job whose class
- * or team starves, or that has waited too long to start, is raised to the normal priority. (Without this, one
- * team's six arrays waited for up to 352 s to start on a recorded day.) */
+/* Sets the job's effective priority, its standing and whether it is urgent. A job of a team without a
+ * guarantee gets at most the normal priority, so that its priority doesn't put it before jobs of teams with a
+ * guarantee. A job that is aged, or that fk_starvation_raises_priority() applies to, gets at least the normal
+ * priority; unless its priority is higher, it also gets the best standing. (Without this, one team's six
+ * arrays waited for up to 352 s to start on a recorded day.) */
 static void update_priority(FkController *c, FkJob *job) {
   gboolean aged = fk_backfill_reservation_is_aged(c, job);
   job->effective_priority = job->inherited_priority;
@@ -176,7 +180,8 @@
 
 /* ------------------------------------------------------------------ blocked jobs */
 
-/* Finds the blocked jobs: arrays of the normal priority or above that lack nothing but free capacity. */
+/* Finds the blocked jobs: arrays of the normal priority or above that lack nothing but free capacity and that
+ * this controller has known for BLOCKED_AFTER_S. */
 static void update_blocked_jobs(FkController *c, FkSchedulingQueue *queue, GPtrArray *jobs) {
   clear_blocked(queue);
   for (guint i = 0; i < jobs->len; i++) {
@@ -242,8 +247,8 @@
   job->waiting_services = services;
 }
 
-/* Moves the job to the position of its current key, or removes it from the queue if none of its tasks
- * waits. */
+/* Updates the job's key and its position in the queue. Removes the job if none of its tasks waits or its team
+ * isn't in the settings. */
 static void refresh_job(FkController *c, FkSchedulingQueue *queue, FkJob *job) {
   queue->refreshed_count++;
   if (!has_waiting_tasks(c, job)) {
@@ -263,7 +268,7 @@
 }
 
 /* Returns the jobs to refresh (FkJob, with references): those whose waiting tasks may have changed, and the
- * next ones of all jobs in rotation. */
+ * next REFRESHED_PER_CYCLE live jobs in rotation. */
 static GPtrArray *jobs_to_refresh(FkController *c, FkSchedulingQueue *queue) {
   GPtrArray *jobs = g_ptr_array_new_with_free_func(fk_job_unref);
   GHashTableIter it;
@@ -278,7 +283,7 @@
   return jobs;
 }
 
-/* Returns whether tasks of the job may start now. If more jobs wait than a cycle selects, those without quota
+/* Returns whether tasks of the job may start now. If more jobs wait than a cycle selects, jobs without quota
  * are left out, since they would only take the place of others. */
 static gboolean can_start(gpointer item, gpointer controller) {
   FkController *c = controller;
@@ -294,8 +299,8 @@
   return x->queue_position < y->queue_position ? -1 : x->queue_position > y->queue_position;
 }
 
-/* Returns the first jobs of the queue, and those of the jobs refreshed in this cycle that come after them, so
- * that each job is selected from time to time. */
+/* Returns the first jobs of the queue, and the jobs refreshed in this cycle that come after these and may
+ * start. Since the refresh rotates, each job is selected from time to time. */
 static GPtrArray *select_jobs(FkController *c, FkSchedulingQueue *queue, const GPtrArray *refreshed) {
   GPtrArray *jobs = g_ptr_array_new();
   queue->cycle++;
--- a/src/core/scheduling/service_reserve.c
+++ b/src/core/scheduling/service_reserve.c
@@ -5,12 +5,13 @@
 
 #include <math.h>
 
-/* the reserve covers the services that arrive in this time, about as long as freeing or booting capacity
- * takes */
+/* the reserve covers the services that are expected to arrive in this time, about as long as freeing or
+ * booting capacity takes */
 #define RESERVE_WINDOW_S 5.0
 #define RESERVE_SHARE_MAX 0.02 /* maximum reserve, in slots per machine */
 
-/* Returns how many tasks of the service fit the machine's free capacity. */
+/* Returns how many tasks of the service fit the machine's free CPUs and memory; 0 if the service may not run
+ * on the machine's type or on spot machines. */
 static double service_slots(FkController *c, const FkMachine *machine, const FkSpec *service) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   if (!type || (machine->record->spot && !service->spot) || !fk_placement_fits_type(service, type))
--- a/src/core/scheduling/short_path.c
+++ b/src/core/scheduling/short_path.c
@@ -13,16 +13,17 @@
 #define PROBES_PER_MACHINE_MAX 24
 /* free slots that the sampled machines must have for each wanted probe */
 #define SAMPLED_SLOTS_PER_PROBE 1.5
-#define SAMPLED_MACHINES_MIN 16
-#define STEAL_ROTATION_S 0.5
-#define PROBE_INTERVAL_S 1.0 /* a waiting job gets further probes at this interval, on full machines too */
+#define SAMPLED_MACHINES_MIN 16 /* minimum number of sampled machines */
+#define STEAL_ROTATION_S 0.5    /* length of a controller's turn to take tasks of other owners' jobs */
+#define PROBE_INTERVAL_S 1.0    /* a waiting job gets further probes at this interval, on full machines too */
 
-/* Machines sampled in one cycle, for all jobs together: with thousands of waiting jobs, sampling for each of
- * them costs a hundred times what it can gain. The first jobs of the queue are served first; a part of the
+/* Maximum number of machines sampled in one cycle for all jobs together, among those with free capacity
+ * (OPEN) and among all owned ones (FULL). With thousands of waiting jobs, sampling for each of them costs a
+ * hundred times what it can gain. The first jobs of the queue are sampled for first; a part of the OPEN
  * samples is left for the others. */
 #define OPEN_SAMPLES_MAX 4000
 #define FULL_SAMPLES_MAX 2000
-/* one in this many samples is left for the jobs that the other samples don't reach */
+/* one in this many of OPEN_SAMPLES_MAX is left for jobs that come later in the queue */
 #define OTHERS_SAMPLE_DIVISOR 4
 #define SAMPLES_PER_PROBE 2 /* machines that may be drawn for each wanted probe */
 /* machines that may be drawn for each job in addition to SAMPLES_PER_PROBE for each wanted probe */
@@ -30,9 +31,10 @@
 
 /* ------------------------------------------------------------------ job ownership */
 
-/* Returns whether this controller may take tasks of the job now. At first only the job's owner may, the
- * controller that accepted it. Tasks for which the owner has no capacity rotate: one other controller at a
- * time may take them, so that they don't all write the same chunk. */
+/* Returns whether this controller may take tasks of the job now. The job's owner, the controller that
+ * accepted the job, always may. The other controllers may only if the owner isn't alive or they have known
+ * the job for longer than tuning.steal_after_s. They take turns, so that they don't all write the same chunk.
+ * A job without an owner may be taken by every controller. */
 static gboolean is_own_job(FkController *c, const FkJob *job) {
   const char *owner = job->spec->owner, *node = c->settings->node;
   const GPtrArray *peers = c->settings->peers;
@@ -52,7 +54,7 @@
   return !fk_spec_is_long(c, job->spec) && is_own_job(c, job);
 }
 
-/* Returns whether every controller has had its turn to take tasks of the job. */
+/* Returns whether every controller has had its turn to take tasks of the job (is_own_job()). */
 static gboolean rotation_is_complete(FkController *c, const FkJob *job) {
   double all_s = c->settings->tuning.steal_after_s + STEAL_ROTATION_S * (c->settings->peers->len + 1);
   return fk_time_between(job->first_seen_at, c->now) > all_s;
@@ -60,8 +62,9 @@
 
 /* ------------------------------------------------------------------ probes */
 
-/* Returns whether the job has a probe. A machine's probes are a small array of jobs: a search takes a few
- * pointer comparisons, and probes of jobs that have ended are found without a lookup. */
+/* Returns whether `probes` contains a probe of the job. The array has at most PROBES_PER_MACHINE_MAX entries,
+ * so a linear search is cheap. A probe is a reference to its job, not an id, so that sort_probes() sees
+ * without a lookup whether the job still waits. */
 static gboolean has_probe(const GPtrArray *probes, const FkJob *job) {
   for (guint i = 0; i < probes->len; i++)
     if (probes->pdata[i] == job)
@@ -69,10 +72,11 @@
   return FALSE;
 }
 
-/* Evicts from a full queue the probe of the job that comes last in the scheduling queue. Otherwise many jobs
- * that arrived early would keep all later ones out of it, however short or urgent. Jobs whose team has no
- * quota left can't start and are evicted first: two dozen of them kept another team's job out of every
- * machine's queue while machines were idle. Returns FALSE if `job` itself comes last. */
+/* Makes room in a machine's full queue by evicting the probe of the job that comes last in the scheduling
+ * queue. Otherwise jobs that arrived early could keep all later ones out of the machine's queue, however
+ * short or urgent. Jobs that no longer wait or whose team has no quota left count as last: two dozen jobs
+ * without quota kept another team's job out of every machine's queue while machines were idle. Returns FALSE
+ * if no job comes after `job`. */
 static gboolean evict_probe(GPtrArray *probes, const FkJob *job) {
   guint last = probes->len, last_position = job->queue_position;
   for (guint i = 0; i < probes->len; i++) {
@@ -91,7 +95,7 @@
 }
 
 /* Ensures that the machine's queue contains a probe of the job. Returns FALSE if the queue is full and the
- * job would come last in it. */
+ * job would come last in the queue. */
 static gboolean ensure_probe(FkMachine *machine, FkJob *job) {
   if (!machine->probes)
     machine->probes = g_ptr_array_new_with_free_func(fk_job_unref);
@@ -133,9 +137,9 @@
   }
 }
 
-/* Returns the usable machines that this controller owns. If it owns more than FULL_SAMPLES_MAX, only that
- * many are considered: a section of the list of owned machines that starts at a random index and wraps
- * around. */
+/* Returns the usable machines that this controller owns. If it owns more than FULL_SAMPLES_MAX, only a
+ * section of that length is considered, which starts at a random index of the list of owned machines and
+ * wraps around. */
 static GPtrArray *sample_owned_machines(FkController *c) {
   const GPtrArray *owned = fk_capacity_index_owned_machines(c);
   GPtrArray *sample = g_ptr_array_new();
@@ -148,8 +152,8 @@
   return sample;
 }
 
-/* Adds probes to machines without free capacity too, so that the jobs are already queued there when capacity
- * becomes free. */
+/* Adds probes to usable machines that this controller owns, also to those without free capacity, so that the
+ * jobs are already queued there when capacity becomes free. */
 static void probe_full_machines(FkController *c, GPtrArray *jobs) {
   g_autoptr(GPtrArray) machines = NULL;
   guint samples_left = FULL_SAMPLES_MAX;
@@ -164,8 +168,8 @@
   }
 }
 
-/* Adds a probe of the job to each machine that is reserved for a short job, and makes sure that the machine
- * is in `open`. */
+/* Adds a probe to each machine of this controller that is reserved for a short job which this controller may
+ * place. Also makes sure that the machine is in `open`. */
 static void probe_reserved_machines(FkController *c, GPtrArray *open) {
   g_autoptr(GPtrArray) reserved = fk_backfill_reservation_machines(c);
   for (guint i = 0; i < reserved->len; i++) {
@@ -215,9 +219,9 @@
 
 /* The demand of this controller's waiting short jobs for sampled machines. */
 typedef struct {
-  double probes;
-  const FkSpec *largest;
-  gboolean constrained;   /* some jobs are restricted to one zone or to certain types */
+  double probes;          /* wanted probes of all jobs */
+  const FkSpec *largest;  /* spec with the most CPUs per task (borrowed); NULL if there are no jobs */
+  gboolean constrained;   /* some jobs restrict the types or zones of their machines */
   gboolean ordinary_only; /* some jobs may not use spot machines */
 } SamplingDemand;
 
@@ -245,10 +249,11 @@
                FK_AMOUNT_EPSILON);
 }
 
-/* If there is much more free capacity than demand, only the preferred machines are sampled, with slots for
- * every probe and half as many again: the other machines become empty and can be terminated. Machines that
- * some of the jobs may not use don't count: sixteen idle spot machines came first, and a job that may only
- * use ordinary machines waited for 90 s although twelve of them were idle. */
+/* Keeps only the first machines of `open`: as many as have SAMPLED_SLOTS_PER_PROBE free slots for each wanted
+ * probe, and at least SAMPLED_MACHINES_MIN. The other machines can then become empty and be terminated. If
+ * some job may not use spot machines, spot machines aren't counted. When spot machines were counted, 16 idle
+ * ones were enough, and a job that may only use ordinary machines waited for 90 s although 12 ordinary
+ * machines were idle. If some job is constrained, all machines are kept. */
 static void keep_preferred_machines(FkController *c, GPtrArray *open, GPtrArray *jobs) {
   const SamplingDemand demand = sampling_demand(c, jobs);
   if (!demand.largest || demand.constrained)
@@ -269,9 +274,9 @@
 
 /* ------------------------------------------------------------------ late binding */
 
-/* Returns whether spot machines, of any controller, have capacity for all waiting short jobs. While they do,
- * a job that may run on spot isn't placed on an ordinary machine, which costs several times as much, until
- * every controller has had its turn to place it. */
+/* Returns whether spot machines, of any controller, have free CPUs for all waiting short jobs. If so, a job
+ * that may run on spot machines isn't placed on an ordinary one, which costs several times as much, until
+ * every controller has had its turn to place the job. */
 static gboolean spot_capacity_suffices(FkController *c, GPtrArray *jobs) {
   double demand_cpus = 0;
   for (guint i = 0; i < jobs->len; i++) {
@@ -283,7 +288,7 @@
 }
 
 /* Fills `waiting` with the jobs in the machine's queue that may start now, in the order of the scheduling
- * queue, and removes the probes of jobs without waiting tasks. Returns how many jobs there are. */
+ * queue. Removes the probes of jobs without waiting tasks. Returns the number of jobs in `waiting`. */
 static guint sort_probes(FkController *c, FkMachine *machine, FkJob *waiting[PROBES_PER_MACHINE_MAX]) {
   guint count = 0;
   for (guint i = 0; machine->probes && i < machine->probes->len;) {
@@ -311,8 +316,8 @@
          fk_launch_batch_allocate(c, batch, job, machine);
 }
 
-/* Places tasks of the jobs in the machine's queue. They are taken in the order of the scheduling queue, not
- * of arrival: priorities and deadlines apply inside a machine's queue too. */
+/* Places tasks of the jobs in the machine's queue. The jobs are taken in the order of the scheduling queue,
+ * not of arrival: priorities and deadlines apply within a machine's queue too. */
 static void bind_queue(FkController *c, FkLaunchBatch *batch, FkMachine *machine, double *spare_slots,
                        gboolean prefer_spot) {
   FkJob *waiting[PROBES_PER_MACHINE_MAX];
--- a/src/core/scheduling/starvation.c
+++ b/src/core/scheduling/starvation.c
@@ -14,8 +14,8 @@
                              .size = fk_spec_cpu_seconds(job->spec)};
 }
 
-/* Returns whether the job counts towards the service level. Cancelled and blocked jobs don't, nor do jobs
- * that fail everywhere: no amount of capacity would help these before their users fix them. */
+/* Returns whether the job counts towards the service level. Cancelled, blocked and failing jobs don't count:
+ * more capacity wouldn't help a failing job before its user has fixed it. */
 static gboolean is_counted(const FkJob *job) { return !job->cancelled && !job->failing && !job->blocked; }
 
 void fk_starvation_tick(FkController *c) {
--- a/src/core/scheduling/stop_transaction.c
+++ b/src/core/scheduling/stop_transaction.c
@@ -3,15 +3,16 @@
 #define CHUNKS_MAX 8 /* maximum number of chunks written by one transaction */
 #define SEND_INTERVAL_S 0.3
 
-static void on_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch, GPtrArray *failed) {
+static void on_stop_result(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                           GPtrArray *failed) {
   c->leader.preempting = FALSE;
   c->leader.preempt_after = fk_time_add(c->now, SEND_INTERVAL_S);
   if (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT)
     c->leader.preempt_wait_rev = epoch;
 }
 
-/* Returns the job's chunk as the transaction will write it; adds it to the transaction if it isn't part of it
- * yet. Returns NULL if the transaction can't take another chunk. */
+/* Returns the transaction's copy of chunk `index` of the job. Adds the chunk to the transaction first if
+ * necessary. Returns NULL if the transaction can't take another chunk. */
 static FkChunk *open_chunk(FkController *c, FkStopTransaction *stops, const FkJob *job, guint32 index) {
   if (!stops->txn) {
     stops->txn = fk_transaction_new(c, FK_PRIORITY_LAUNCH);
@@ -34,7 +35,7 @@
 
 gboolean fk_stop_transaction_add(FkController *c, FkStopTransaction *stops, FkJob *job, guint32 task) {
   guint32 index = task / job->spec->chunk_tasks;
-  /* a chunk that is larger than the limits allow can't be written before some of its tasks have ended */
+  /* a chunk that exceeds the size limit can't be written until some of its tasks have ended */
   if (!job->chunks[index] || !fk_chunk_fits(job->chunks[index], c->settings->value_kb, NULL, NULL))
     return TRUE;
   FkChunk *chunk = open_chunk(c, stops, job, index);
@@ -62,5 +63,5 @@
     return;
   }
   c->leader.preempting = TRUE;
-  fk_transaction_send(c, g_steal_pointer(&stops->txn), on_committed, NULL, NULL);
+  fk_transaction_send(c, g_steal_pointer(&stops->txn), on_stop_result, NULL, NULL);
 }
--- a/src/core/scheduling/team_quota.c
+++ b/src/core/scheduling/team_quota.c
@@ -3,7 +3,7 @@
 #include "fair_share/quota.h"
 
 /* Returns the CPUs that this controller may allocate for the team: what is left of the quota or, while the
- * quota is partitioned, of its own share. */
+ * quota is partitioned, of this controller's share of it. */
 static double cpus_left(FkController *c, const FkTeam *team, const FkTeamUsage *usage) {
   if (!usage->partition)
     return fk_quota_left(team->max_cpus, usage->cpus + usage->reserved_cpus);
--- a/src/fair_share/fair_share.c
+++ b/src/fair_share/fair_share.c
@@ -1,7 +1,7 @@
 #include "fair_share/fair_share.h"
 
-/* Use within this relative distance from the share counts as fair. There, other criteria decide the order;
- * since tasks run for a minute or so, use can't follow the share more exactly. */
+/* Use that differs from the share by at most this fraction counts as fair. The queue then orders jobs by
+ * other criteria. Use can't follow the share more exactly, since tasks run for a minute or so. */
 #define SHARE_TOLERANCE 0.2
 #define AMOUNT_EPSILON 1e-6 /* tolerance for rounding errors: amounts are sums of fractions */
 #define BISECTION_STEPS 40  /* the error of the level is below a millionth of the largest demand */
@@ -10,18 +10,18 @@
   return all_gpus > 0 ? MAX(cpus, gpus / all_gpus * all_cpus) : cpus;
 }
 
-/* Returns what the team would use; never more than its quota. */
+/* Returns what the team uses and wants, but at most its quota. */
 static double total_demand(const FkFairShareDemand *demand) {
   return MIN(demand->used + demand->wanted, demand->quota);
 }
 
-/* Returns what the team would use of its guarantee. */
+/* Returns the part of its guarantee that the team demands. */
 static double guaranteed(const FkFairShareDemand *demand) {
   return MIN(demand->guarantee, total_demand(demand));
 }
 
-/* Returns the sum of all shares if each team gets its guarantee and up to `level` more, as far as it demands
- * that. */
+/* Returns the sum of all shares if each team gets the demanded part of its guarantee and up to `level` more,
+ * but never more than its demand. */
 static double total_at_level(const FkFairShareDemand *demands, guint count, double level) {
   double sum = 0;
   for (guint i = 0; i < count; i++)
--- a/src/fair_share/fair_share.h
+++ b/src/fair_share/fair_share.h
@@ -1,8 +1,8 @@
-/* Fair shares of the fleet's capacity. Guarantees are served first; the rest is divided by water-filling
- * among all teams that demand more, each up to the same level, best-effort teams like any other. The number
- * of tasks doesn't matter: 25,000 tasks of one team are one demand. Pure functions. All amounts are of
- * the dominant resource (the larger part of the fleet's CPUs or GPUs), expressed in CPUs. Alternatives
- * considered: docs/best-effort-teams.md, "Borrowed room". */
+/* Fair shares of the fleet's capacity. Guarantees are served first. The rest is divided by water-filling:
+ * every team that demands more, whether best-effort or not, gets up to the same amount of it. The number of
+ * tasks doesn't matter: 25,000 tasks of one team are one demand. Pure functions. All amounts are of the
+ * dominant resource (CPUs or GPUs, whichever is the larger fraction of the fleet's), expressed in CPUs.
+ * Alternatives considered: docs/best-effort-teams.md, "Borrowed room". */
 #pragma once
 #include <glib.h>
 
@@ -25,10 +25,10 @@
 
 /* How a team's use compares with its share; lower values come first in the scheduling queue. */
 typedef enum {
-  FK_STANDING_PROTECTED, /* its whole demand is within its guarantee: it doesn't wait for others */
-  FK_STANDING_SHORT,     /* well below its share */
-  FK_STANDING_FAIR,      /* near its share */
-  FK_STANDING_OVER       /* well above its share */
+  FK_STANDING_PROTECTED, /* the team's whole demand is within its guarantee */
+  FK_STANDING_SHORT,     /* the team uses well below its share */
+  FK_STANDING_FAIR,      /* the team uses about its share */
+  FK_STANDING_OVER       /* the team uses well above its share */
 } FkStanding;
 /* Returns the team's standing. Its share must be set. */
 FkStanding fk_fair_share_standing(const FkFairShareDemand *demand);
--- a/src/fair_share/quota.c
+++ b/src/fair_share/quota.c
@@ -23,9 +23,9 @@
 }
 
 const char *fk_team_kind_name(FkTeamKind kind) {
-  static const char *const names[] = {"guaranteed, and limited",
-                                      "no guarantee, no limit: room that nobody has a claim to",
-                                      "guaranteed, without a limit", "limited, without a guarantee",
-                                      "limited below its guarantee: the limit holds"};
+  static const char *const names[] = {
+      "guarantee and quota",
+      "neither guarantee nor quota: best-effort, uses capacity that no other team has a claim to",
+      "guarantee, no quota", "quota, no guarantee", "quota below the guarantee: the quota applies"};
   return names[kind];
 }
--- a/src/fair_share/quota.h
+++ b/src/fair_share/quota.h
@@ -1,5 +1,5 @@
-/* A team's quota (the limit of its use) and guarantee. Only this module knows that 0 in the platform's
- * settings means none. Amounts are CPUs or GPUs. */
+/* A team's quota (the limit of its use) and guarantee. A setting of 0 means that the team has none;
+ * fk_quota_from_setting() turns a quota of 0 into infinity. Amounts are CPUs or GPUs. */
 #pragma once
 #include <glib.h>
 
@@ -14,7 +14,7 @@
  * enough: 100,000 tasks of the largest possible setting (1e9) stay below 2^53. */
 gboolean fk_quota_allows(double quota, double used, double per_task, double tasks);
 
-/* Returns what is left of the quota; never negative. */
+/* Returns what is left of the quota after `used`; never negative. */
 double fk_quota_left(double quota, double used);
 
 /* Kinds of teams, by whether they have a guarantee and a quota. */
--- a/src/fair_share/service_level.h
+++ b/src/fair_share/service_level.h
@@ -1,15 +1,16 @@
-/* Service levels of classes of jobs and of teams: of the jobs that have had time to start, the share that is
- * done or runs. A class of which less than half is served starves, however well the other classes do; it is
- * logged, and the priority of its jobs is raised (core/scheduling/starvation.h). Pure: the caller reports the
- * jobs. */
+/* Service levels of classes of jobs and of teams. The service level is the served share of the jobs that have
+ * had time to start: the part of their tasks that is done or runs. A class or team starves if less than half
+ * is served and its oldest job with waiting tasks is more than a minute old, however well others are served.
+ * The service levels are logged, and jobs of starving classes and teams are preferred
+ * (core/scheduling/starvation.h). Pure: the caller reports the jobs. */
 #pragma once
 #include <glib.h>
 
 typedef struct FkServiceLevel FkServiceLevel;
 
 /* The state of one class, of the largest jobs of one class, or of one team. `ended` is updated when a job
- * ends, all other counts by fk_service_level_begin() and the calls that follow it. The caller leaves out live
- * jobs that are cancelled, failing or blocked. */
+ * ends, all other numbers by fk_service_level_begin() and fk_service_level_add_live_job(). The caller leaves
+ * out live jobs that are cancelled, failing or blocked. */
 typedef struct {
   const char *name; /* borrowed */
   enum {
@@ -21,8 +22,8 @@
   guint live;               /* live jobs */
   guint64 waiting, running; /* tasks of live jobs */
   double cpus;              /* allocated CPUs */
-  double expected_jobs;     /* jobs that have had time to start, and jobs that are done */
-  /* how many of `expected_jobs` are served: each counts as the fraction of its tasks that run or are done */
+  double expected_jobs;     /* live jobs that have had time to start, and jobs that are done */
+  /* served part of `expected_jobs`: a live job counts as the fraction of its tasks that run or are done */
   double served_jobs;
   double oldest_wait_s; /* the age of the oldest job with waiting tasks */
 } FkServiceLevelRow;
@@ -41,8 +42,8 @@
 void fk_service_level_clear(FkServiceLevel *level);
 /* Adds a job's size (CPU-seconds) to its class's histogram. Must be called once for each job. */
 void fk_service_level_add_size(FkServiceLevel *level, const char *class_name, double size);
-/* Returns whether a job of that size is one of the largest tenth of its class, according to the histogram,
- * whose steps are about a fifth. The largest job always is. */
+/* Returns whether a job of `size` is among the largest tenth of its class, according to the histogram, which
+ * has four steps per doubling of the size. The largest job of a class always counts as large. */
 gboolean fk_service_level_is_large(const FkServiceLevel *level, const char *class_name, double size);
 /* Counts a job that is done. */
 void fk_service_level_job_ended(FkServiceLevel *level, const char *class_name, const char *team, double size);
@@ -53,8 +54,8 @@
 
 /* Returns the served share of the expected jobs, from 0 to 1; 1 if no job is expected to be served yet. */
 double fk_service_level_share(const FkServiceLevelRow *row);
-/* Returns whether the class or team is starved: less than half is served, and a task has waited for more than
- * a minute. */
+/* Returns whether the class or team is starved: less than half of its expected jobs is served, and its oldest
+ * job with waiting tasks is more than a minute old. */
 gboolean fk_service_level_is_starved(const FkServiceLevelRow *row);
 /* Returns the class's row (borrowed), or NULL. */
 const FkServiceLevelRow *fk_service_level_class(const FkServiceLevel *level, const char *name);
--- a/src/scheduling_queue/capacity_buckets.c
+++ b/src/scheduling_queue/capacity_buckets.c
@@ -1,12 +1,12 @@
 #include "scheduling_queue/capacity_buckets.h"
 
 #define BUCKETS_PER_CPU 4
-#define BUCKET_MAX 1024 /* the last bucket, which also holds everything with more */
+#define BUCKET_MAX 1024 /* the last bucket: all items with 256 CPUs or more */
 #define ROUNDING 1e-6   /* tolerance for rounding errors: amounts are sums of fractions */
 
 typedef struct {
   gpointer item;
-  guint bucket, bucket_index; /* the bucket, and the index in it */
+  guint bucket, bucket_index; /* index of the bucket, and index in the bucket */
   guint item_index;           /* index in the list of all items */
 } Entry;
 
--- a/src/scheduling_queue/wait_queue.h
+++ b/src/scheduling_queue/wait_queue.h
@@ -1,6 +1,5 @@
-/* An ordered queue of waiting items: an item moves when its key changes, and the first items are read without
- * examining the others. A pure data structure: an item is any pointer, which it neither dereferences nor
- * owns. */
+/* An ordered queue of waiting items. An item moves when its key changes, and the first items are read without
+ * examining the others. Pure data structure; items are pointers that are neither dereferenced nor owned. */
 #pragma once
 #include <glib.h>
 
@@ -8,12 +7,12 @@
  * FALSE. */
 typedef struct {
   int priority, standing;
-  gboolean urgent, feasible; /* feasible: a deadline or objective can still be met */
+  gboolean urgent, feasible; /* feasible: the item can still meet a deadline or objective */
   double remaining_work;     /* compared among feasible items only */
   gint64 since_us;           /* start of the wait */
 } FkWaitKey;
 
-/* Returns a value < 0, 0 or > 0, as for sorting. */
+/* Returns a value < 0, 0 or > 0 if `a` comes before, is equal to or comes after `b`. */
 int fk_wait_key_compare(const FkWaitKey *a, const FkWaitKey *b);
 
 typedef struct FkWaitQueue FkWaitQueue;
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -75,8 +75,8 @@
     {"xa1 xa1 xa1 >a1", "", "1"},
     /* with one failure on each of two machines, neither the job nor a machine is found faulty */
     {"xa1 xa2 >a3", "", ""},
-    /* job a fails only on two machines on which other jobs fail too: it isn't considered failing, and the
-     * machines aren't considered faulty yet */
+    /* job a fails only on two machines on which other jobs fail too: the job isn't considered failing, and
+       the machines aren't considered faulty yet */
     {"xb1 xb1 xc1 xd2 xd2 xe2 xa1 xa2", "", ""},
     /* a success clears the machine, and clears the job permanently */
     {"xa1 xb1 +c1 xd1", "", ""},
@@ -197,8 +197,8 @@
 }
 
 /* For random demands: the sum of the shares is within the capacity; no share exceeds the team's demand or
- * quota; no team that gets less than it demands is below its guarantee while another is above its own; and no
- * capacity is left over while a team demands more. */
+ * quota; no team that gets less than it demands is below its guarantee while another is above its own
+ * guarantee; and no capacity is left over while a team demands more. */
 static void test_fair_share_properties(void) {
   GRand *rand = g_rand_new_with_seed(11);
   for (guint round = 0; round < 3000; round++) {
--- a/test/test_scheduling_cycle.c
+++ b/test/test_scheduling_cycle.c
@@ -20,7 +20,7 @@
 #define AMPLE_QUOTA_CPUS 1e7
 
 /* Appends a path and its value to `lines`, in the form that watched() expects; `lines` owns both. */
-static void add_line(GPtrArray *lines, char *path /* taken */, char *value /* taken */) {
+static void add_line(GPtrArray *lines, char *path /* takes ownership */, char *value /* takes ownership */) {
   g_ptr_array_add(lines, path);
   g_ptr_array_add(lines, value);
 }
@@ -235,15 +235,15 @@
   "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
   "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16}"
 
-/* After a large launch there is a pause before the next one. An urgent job bypasses it, and the time for its
- * writes is added to the pause. */
+/* After a large launch there is a pause before the next one. An urgent job bypasses the pause, and the time
+ * for the job's writes is added to the pause. */
 static void test_urgent_launch_before_pause(void) {
   Rig *r = rig_new(TRUE);
   FkController *c = r->c;
   report(r, 1, 1, 11, NULL, FK_EXIT_NONE);
   c->launches.fence_needed = c->launches.fencing = c->launches.launching = FALSE;
   c->launches.wait_rev.n = 0;
-  c->launches.write_room = FK_LAUNCH_WRITES_MIN; /* so few that only urgent jobs are launched */
+  c->launches.write_room = FK_LAUNCH_WRITES_MIN; /* the minimum for a launch */
   c->launches.launch_after = fk_time_add(r->now, 2);
   g_ptr_array_set_size(r->outs, 0);
   tick(r, 0.5);
