--- a/src/core/scheduling/launch_batch.c
+++ b/src/core/scheduling/launch_batch.c
@@ -17,8 +17,9 @@
 #define SHARD_GUARD_BYTES 60
 
 /* Returns whether `more` writes can be added to the batch. The batch is limited to the writes that are
- * available now: a transaction that had to wait for the write budget would be out of date when it is sent.
- * Further tasks of a chunk that the batch already writes need no additional write. */
+ * available now, or FK_LAUNCH_WRITES_ALLOWANCE: a transaction that had to wait for the write budget would be
+ * out of date when it is sent. Further tasks of a chunk that the batch already writes need no additional
+ * write. */
 static gboolean has_writes_left(FkController *c, const FkLaunchBatch *batch, guint more) {
   return (batch->txn ? batch->txn->writes->len : 0) + more <=
          MIN(c->settings->transaction_ops_max, MAX(FK_LAUNCH_WRITES_ALLOWANCE, c->launches.write_room));
--- a/src/core/scheduling/launches.h
+++ b/src/core/scheduling/launches.h
@@ -23,10 +23,10 @@
   gboolean fencing;     /* the write of the fence is in flight */
   FkRev fence_wait_rev; /* unused: `wait_rev` also holds the revision of the fence */
   gboolean launching;   /* a launch is in flight */
-  FkRev wait_rev;       /* no cycle runs until the view has applied this revision: the last launch or fence */
-  FkTime launch_after;  /* end of the pause between launches */
-  FkTime urgent_after;  /* time from which urgent jobs may bypass the pause between launches */
-  GArray *reservations; /* FkReservation */
+  FkRev wait_rev;      /* revision of the last launch or fence; no cycle runs until the view has applied it */
+  FkTime launch_after; /* end of the pause between launches */
+  FkTime urgent_after; /* time from which urgent jobs may bypass the pause between launches */
+  GArray *reservations; /* FkReservation of the launch in flight */
   double write_room;    /* writes to the store that this process's rate limiter would send without delay */
   gboolean quota_partitioning; /* a write that changes a team's quota partition is in flight */
   FkRev quota_wait_rev; /* no write of a quota partition is sent until the view has applied this revision */
