--- a/src/core/scheduling/backfill_reservation.c
+++ b/src/core/scheduling/backfill_reservation.c
@@ -3,20 +3,23 @@
 #include "core/scheduling/placement.h"
 #include "core/scheduling/team_quota.h"
 
-#define START_DEADLINE_S 240.0 /* by then a job must have started (the service check) */
-#define AGED_SHARE 0.55        /* of that time: the rest is enough for a machine to run empty */
+#define START_DEADLINE_S 240.0 /* a job must start within this time, according to the service check */
+/* a job is aged after this share of START_DEADLINE_S: the remaining time is long enough for a machine to
+ * become empty */
+#define AGED_SHARE 0.55
 #define REFRESH_INTERVAL_S 2.0
-#define RESERVING_JOBS_MAX 3 /* at a time, the first of the queue */
+#define RESERVING_JOBS_MAX 3 /* maximum number of jobs with reservations: the first ones in queue order */
 #define MACHINES_PER_JOB_MAX 32
-#define RUN_TIME_MARGIN 1.5 /* times the expected run time: by then a task has mostly ended */
-#define STOPPING_S 1.0      /* until a task that was asked to stop has, and the least for any other */
+#define RUN_TIME_MARGIN 1.5 /* most tasks end within this multiple of the expected run time */
+/* expected time until a stopping task has ended; for any other task, the minimum */
+#define STOPPING_S 1.0
 #define LOGGED_JOBS_MAX 5
 
 typedef struct {
-  char *job; /* id */
+  char *job; /* id of the job that holds the reservation */
   FkJobPriority priority;
   guint queue_position;
-  FkTime available_at; /* when the job could start there */
+  FkTime available_at; /* expected time at which the holder can start on the machine */
 } Reservation;
 
 struct FkBackfillReservations {
@@ -56,7 +59,7 @@
 
 /* ------------------------------------------------------------------ where capacity becomes free soonest */
 
-/* Capacity that becomes free, and in how many seconds. */
+/* Capacity that is expected to become free in `in_s` seconds. */
 typedef struct {
   double in_s, cpus, gpus, mem_gb;
 } Release;
@@ -66,7 +69,7 @@
   return x->in_s < y->in_s ? -1 : x->in_s > y->in_s;
 }
 
-/* Whether a task fits once so much has become free. */
+/* Returns whether a task of `spec` fits the machine once the released capacity is free. */
 static gboolean fits(const FkInstanceType *type, const FkMachine *machine, const Release *released,
                      const FkSpec *spec) {
   return machine->allocated_cpus + machine->reserved_cpus - released->cpus + spec->cpus <=
@@ -77,7 +80,8 @@
              type->mem_gb + FK_AMOUNT_EPSILON;
 }
 
-/* Release: what the machine's tasks will free, the soonest first. Services run until they are stopped. */
+/* Returns the expected releases (Release) of the machine's tasks, the earliest first. Services are left out
+ * unless they are stopping: they run until they are stopped. */
 static GArray *expected_releases(FkController *c, const FkMachine *machine) {
   GArray *releases = g_array_new(FALSE, FALSE, sizeof(Release));
   for (guint i = 0; i < machine->allocations->len; i++) {
@@ -97,7 +101,8 @@
   return releases;
 }
 
-/* Seconds until the machine has room for such a task if nothing more is placed there; G_MAXDOUBLE: never. */
+/* Returns the expected seconds until the machine has capacity for a task of `spec` if nothing more is placed
+ * on the machine; G_MAXDOUBLE if its expected releases don't suffice. */
 static double available_in_s(FkController *c, const FkMachine *machine, const FkSpec *spec) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   Release total = {0};
@@ -133,7 +138,8 @@
          (!zone || g_str_equal(zone, machine->record->zone));
 }
 
-/* Candidate: where the job could start, the soonest first; in the zone (NULL: any). */
+/* Returns the machines (Candidate) that can be reserved for the job, the earliest available first, limited to
+ * `zone` (NULL: any zone). */
 static GArray *find_candidates(FkController *c, const FkJob *job, const char *zone) {
   GArray *candidates = g_array_new(FALSE, FALSE, sizeof(Candidate));
   GHashTableIter it;
@@ -151,12 +157,14 @@
   return candidates;
 }
 
-/* Machines that the job needs at the same time to start: one for each of a gang's tasks, else one. */
+/* Returns how many machines are reserved for the job: one for each task of a gang, at most
+ * MACHINES_PER_JOB_MAX; one for any other job. */
 static guint machines_needed(const FkJob *job) {
   return job->spec->shape == FK_SHAPE_GANG ? MIN(job->spec->tasks, MACHINES_PER_JOB_MAX) : 1;
 }
 
-/* For a job that must run in one zone, the zone where the last machine that it needs is available soonest. */
+/* Returns the candidates for the job. If the job must run in one zone, all of them are in the zone where
+ * machines_needed() machines become available soonest; the array is empty if no zone has enough machines. */
 static GArray *best_candidates(FkController *c, const FkJob *job) {
   if (!job->spec->one_zone)
     return find_candidates(c, job, NULL);
@@ -203,7 +211,8 @@
   }
 }
 
-/* Whether the team's quota allows the tasks that must start together. */
+/* Returns whether the team's quota allows the job to start: all tasks of a gang, or one task of any other
+ * job. */
 static gboolean quota_allows_start(FkController *c, const FkSpec *spec) {
   return fk_team_quota_allows_tasks(c, spec, spec->shape == FK_SHAPE_GANG ? spec->tasks : 1);
 }
@@ -224,19 +233,20 @@
   }
 }
 
-/* Asked for every job and machine of a cycle, while mostly no machine is reserved. */
+/* Returns the machine's reservation, or NULL. This function is called very often in a cycle, so it skips the
+ * lookup if no machine is reserved, which is the usual case. */
 static const Reservation *find_reservation(FkController *c, const FkMachine *machine) {
   GHashTable *by_machine = c->leader.backfill_reservations->by_machine;
   return g_hash_table_size(by_machine) ? g_hash_table_lookup(by_machine, machine->id) : NULL;
 }
 
-/* The job that the reservation is for, while it still waits. */
-static FkJob *waiting_holder(FkController *c, const Reservation *reservation) {
+/* Returns the job that holds the reservation; NULL if no task of it waits or it is no longer urgent. */
+static FkJob *find_waiting_holder(FkController *c, const Reservation *reservation) {
   FkJob *job = fk_view_find_job(c->view, reservation->job);
   return job && fk_job_waiting_tasks(job) && job->urgent ? job : NULL;
 }
 
-static gboolean comes_before(const FkJob *job, const Reservation *reservation) {
+static gboolean precedes_holder(const FkJob *job, const Reservation *reservation) {
   return job->effective_priority < reservation->priority ||
          (job->effective_priority == reservation->priority &&
           job->queue_position < reservation->queue_position);
@@ -244,8 +254,8 @@
 
 gboolean fk_backfill_reservation_blocks(FkController *c, const FkJob *job, const FkMachine *machine) {
   const Reservation *reservation = find_reservation(c, machine);
-  if (!reservation || g_str_equal(reservation->job, job->spec->id) || comes_before(job, reservation) ||
-      !waiting_holder(c, reservation))
+  if (!reservation || g_str_equal(reservation->job, job->spec->id) || precedes_holder(job, reservation) ||
+      !find_waiting_holder(c, reservation))
     return FALSE;
   double run_s = RUN_TIME_MARGIN * fk_view_expected_run_s(c->view, job->spec);
   return job->spec->shape != FK_SHAPE_ARRAY ||
@@ -267,7 +277,7 @@
 
 FkJob *fk_backfill_reservation_holder(FkController *c, const FkMachine *machine) {
   const Reservation *reservation = find_reservation(c, machine);
-  return reservation ? waiting_holder(c, reservation) : NULL;
+  return reservation ? find_waiting_holder(c, reservation) : NULL;
 }
 
 /* ------------------------------------------------------------------ log */
--- a/src/core/scheduling/launches.h
+++ b/src/core/scheduling/launches.h
@@ -1,28 +1,33 @@
-/* Launches: what a controller has under way to start tasks, and how it paces that. */
+/* The launch state of a controller: its launches and quota changes in flight, the reservations for them, and
+ * the pacing of launches. */
 #pragma once
 #include "core/messages.h"
 
-/* Capacity of a machine reserved for a launch that the view doesn't show yet. */
+/* Capacity and quota reserved for a launch that the view doesn't show yet. */
 typedef struct {
   const char *machine; /* interned */
   const char *team;    /* interned */
   double cpus, gpus, mem_gb;
-  double quota_cpus; /* of those, what counts against the team's quota */
+  double quota_cpus; /* the part of `cpus` that counts against this controller's share of the team's quota */
 } FkReservation;
 
 typedef struct {
-  GHashTable *hindrances;              /* why nothing was launched -> cycles, in this window */
-  guint launched, conflicts, failures; /* in this window */
-  guint services_waiting;              /* tasks, at the last cycle */
-  gboolean fence_needed; /* a launch may yet be carried out: a write of our fence makes that impossible */
-  gboolean fencing;      /* that write is under way ... */
-  FkRev fence_wait_rev;  /* ... or the view must reach it */
-  gboolean launching;    /* a launch is under way ... */
-  FkRev wait_rev;        /* ... or the view must reach it */
-  FkTime launch_after;
-  FkTime urgent_after;         /* urgent work may be launched before `launch_after`, from here on */
-  GArray *reservations;        /* FkReservation */
-  double write_room;           /* writes that would go out at once, by the daemon's rate limiter */
-  gboolean quota_partitioning; /* a team's quota is being partitioned ... */
-  FkRev quota_wait_rev;        /* ... or the view must reach that */
+  GHashTable *hindrances; /* reason why a cycle launched nothing -> number of cycles in this window */
+  guint launched;         /* launches in this window whose outcome was reported, whatever the outcome */
+  guint conflicts;        /* launches in this window that a guard rejected */
+  guint failures;         /* launches in this window that failed or whose outcome is unknown */
+  guint services_waiting; /* waiting tasks of services as of the last cycle */
+  /* TRUE if an earlier launch may still commit, since its outcome is unknown. No launch is sent until a write
+   * of this controller's launch fence has ruled that out. */
+  gboolean fence_needed;
+  gboolean fencing;     /* the write of the fence is in flight */
+  FkRev fence_wait_rev; /* unused: `wait_rev` also holds the revision of the fence */
+  gboolean launching;   /* a launch is in flight */
+  FkRev wait_rev;      /* revision of the last launch or fence; no cycle runs until the view has applied it */
+  FkTime launch_after; /* end of the pause between launches */
+  FkTime urgent_after; /* time from which urgent jobs may bypass the pause between launches */
+  GArray *reservations; /* FkReservation of the launch in flight */
+  double write_room;    /* writes to the store that this process's rate limiter would send without delay */
+  gboolean quota_partitioning; /* a write that changes a team's quota partition is in flight */
+  FkRev quota_wait_rev; /* no write of a quota partition is sent until the view has applied this revision */
 } FkLaunches;
--- a/src/core/scheduling/long_path.c
+++ b/src/core/scheduling/long_path.c
@@ -9,15 +9,19 @@
 #include "core/scheduling/service_reserve.h"
 #include "core/scheduling/team_quota.h"
 
-#define GANG_LAUNCH_S 8.0         /* for all transactions of one gang's launch */
-#define IMAGE_FETCH_LONG_S 1.0    /* a service that must wait for so long is late */
-#define WORK_LOST_MAX_CORE_S 60.0 /* that a service may cost others rather than wait for its image */
-#define PREEMPTION_SEARCHES_MAX 3 /* in a cycle: each goes through all machines and what they run */
-#define RESERVED_TASKS_MAX 24     /* in a cycle, of services and gangs */
-#define GANG_RESERVES_QUOTA_S 60.0
+#define GANG_LAUNCH_S 8.0 /* time limit for all transactions of one gang's launch */
+/* if fetching the image takes longer than this, preemption is tried on machines that have the image */
+#define IMAGE_FETCH_LONG_S 1.0
+/* maximum work lost by a preemption that only avoids the wait for an image */
+#define WORK_LOST_MAX_CORE_S 60.0
+/* maximum number of searches for victims in a cycle: each examines all machines and their tasks */
+#define PREEMPTION_SEARCHES_MAX 3
+/* maximum number of tasks of services and gangs for which a cycle reserves capacity */
+#define RESERVED_TASKS_MAX 24
+#define GANG_RESERVES_QUOTA_S 60.0 /* an aged gang that waits for machines reserves quota for this long */
 #define FETCH_GB_PER_S_MIN 0.01
 
-/* Weights of the cost of a machine. */
+/* Terms of the cost of a machine. */
 #define FETCH_NOTICEABLE_S 0.3
 #define FETCH_COST 10.0
 #define FETCH_COST_PER_S 0.5
@@ -33,9 +37,10 @@
   return job->spec->image_gb / MAX(FETCH_GB_PER_S_MIN, fk_machine_type(c, machine)->fetch_gb_per_s);
 }
 
-/* Lower is better. Whether the image must be fetched at all counts most, then what it costs to keep the
- * machine for as long as the task runs there: a few replicas must not hold the largest machine. Last, the
- * fuller machine. */
+/* Returns the cost of placing a task of the job on the machine; lower is better. The cost is much higher if
+ * the fetch of the image takes a noticeable time. It also grows with the machine's price, since a few
+ * replicas must not keep the largest machine in use, and with the machine's free share. Machines that already
+ * run long tasks are preferred. */
 static double machine_cost(FkController *c, const FkJob *job, const FkMachine *machine) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   double fetch_s = image_fetch_s(c, job, machine);
@@ -46,10 +51,10 @@
          free_share - (machine->allocated_long_cpus > 0 ? LONG_TASKS_BONUS : 0);
 }
 
-/* The blacklist protects short tasks from newly arrived long ones of their own priority or below. Services of
- * a higher priority would wait behind work that they may preempt, and a long job that has itself waited for
- * longer than the bound on short waits is no longer newly arrived: for both a blacklisted machine is the last
- * choice. */
+/* Returns whether the job may use blacklisted machines as a last resort. The blacklist keeps newly arrived
+ * long jobs off machines that short tasks need. It doesn't apply to jobs above the normal priority: services
+ * would otherwise wait for tasks that they may preempt. Nor does it apply to a job that has waited for longer
+ * than tuning.max_wait_s, the bound on the mean wait of short tasks. */
 static gboolean ignores_blacklist(FkController *c, const FkJob *job) {
   return job->spec->priority < FK_JOB_PRIORITY_NORMAL ||
          fk_time_between((FkTime){job->startable_us}, c->now) > c->settings->tuning.max_wait_s;
@@ -85,7 +90,7 @@
   g_hash_table_insert(zones, (gpointer)zone, GUINT_TO_POINTER(zone_count(zones, zone) + 1));
 }
 
-/* zone -> how many tasks of the job are allocated there. */
+/* Returns a table: zone -> number of the job's allocations on machines in that zone. */
 static GHashTable *tasks_by_zone(FkController *c, const FkJob *job) {
   GHashTable *zones = g_hash_table_new(g_str_hash, g_str_equal);
   for (guint32 i = 0; i < job->chunk_count; i++)
@@ -98,8 +103,8 @@
   return zones;
 }
 
-/* A machine for each waiting task of the gang, in the zone (NULL: any); NULL: not all of them find one now.
- */
+/* Returns a machine for each waiting task of the gang, limited to `zone` (NULL: any zone); NULL if there is
+ * no capacity for all of these tasks now. */
 static GPtrArray *plan_gang_in_zone(FkController *c, FkJob *job, GPtrArray *machines, const char *zone) {
   g_autoptr(GPtrArray) plan = g_ptr_array_new();
   g_autoptr(GHashTable) zones = tasks_by_zone(c, job);
@@ -122,7 +127,8 @@
   return plan->len == waiting ? g_steal_pointer(&plan) : NULL;
 }
 
-/* The same in any zone, or in the first with room for all where one zone must hold them. */
+/* Returns a machine for each waiting task of the gang; NULL if there is no capacity for all of these tasks
+ * now. A gang that must run in one zone is planned in the first zone with enough capacity. */
 static GPtrArray *plan_gang(FkController *c, FkJob *job, GPtrArray *machines) {
   if (!job->spec->one_zone)
     return plan_gang_in_zone(c, job, machines, NULL);
@@ -132,7 +138,8 @@
   return plan;
 }
 
-/* All tasks of a launch get the same attempt number, above those of all earlier ones. */
+/* Starts a launch of the gang. All of its tasks get the same attempt number, which is higher than any number
+ * used before. */
 static void begin_gang_launch(FkController *c, FkJob *job) {
   job->gang_until = fk_time_add(c->now, GANG_LAUNCH_S);
   job->gang_attempt.n = 1;
@@ -142,10 +149,12 @@
       job->gang_attempt.n = MAX(job->gang_attempt.n, job->chunks[i]->next_attempt);
 }
 
-/* A gang is placed as a whole: some of its tasks alone would only wait on their machines. */
+/* Places the waiting tasks of the gang if there is capacity for all of them. A part of a gang would only
+ * occupy its machines and wait. */
 static void place_gang(FkController *c, FkLaunchBatch *batch, FkJob *job, GPtrArray *machines) {
-  /* A launch in several transactions goes on only while everything that it has allocated still is: a task
-   * that has left since must not get the same attempt number again. */
+  /* A gang launch that takes several transactions continues only until its time limit, and only while all
+   * tasks that it has allocated are still allocated. If one of these tasks has ended, continuing would start
+   * it again with the same attempt number. */
   if (job->allocated && (fk_time_reached(c->now, job->gang_until) || job->allocated != job->gang_allocated))
     return;
   if (!fk_team_quota_allows_tasks(c, job->spec, fk_job_waiting_tasks(job)))
@@ -164,16 +173,19 @@
 
 /* ------------------------------------------------------------------ services and long arrays */
 
-/* What one cycle of the long path keeps track of. */
+/* The state of one cycle of the long path. */
 typedef struct {
-  GPtrArray *machines; /* FkMachine with free capacity, borrowed */
-  GPtrArray *usable;   /* all usable machines but those that preemption has used; NULL: not looked up yet */
-  GPtrArray *unplaceable; /* FkSpec, borrowed: no capacity for them, and none to be made */
-  guint searches_left;    /* for victims */
-  double spare_slots;     /* see service_reserve.h */
+  GPtrArray *machines; /* FkMachine with free capacity; borrowed */
+  /* all usable machines except those that preemption has used in this cycle; NULL until needed */
+  GPtrArray *usable;
+  GPtrArray *unplaceable; /* FkSpec (borrowed) for which there is no capacity, even by preemption */
+  guint searches_left;    /* remaining searches for victims of preemption in this cycle */
+  double spare_slots;     /* slots that arrays may still use (service_reserve.h) */
 } Cycle;
 
-/* Where one of two jobs finds nothing, the other won't either. */
+/* Returns whether two jobs have the same requirements: if there is no capacity for one of them, there is none
+ * for the other. Jobs that are limited to some types or have the constraint `one_zone` or `spread` never
+ * count as the same. */
 static gboolean has_same_demand(const FkSpec *a, const FkSpec *b) {
   return a->cpus == b->cpus && a->gpus == b->gpus && a->mem_gb == b->mem_gb && a->priority == b->priority &&
          a->spot == b->spot && g_strcmp0(a->zone, b->zone) == 0 && !a->types && !b->types &&
@@ -187,8 +199,8 @@
   return FALSE;
 }
 
-/* Places one task by preemption: a service needn't wait for capacity, or for its image, where only tasks of a
- * lower priority that stop at once are in its way. FALSE: nothing was placed. */
+/* Places one task by preemption, if it is enough to stop tasks of lower priority that stop immediately. A
+ * service then needn't wait for capacity or for the fetch of its image. Returns whether a task was placed. */
 static gboolean preempt(FkController *c, FkLaunchBatch *batch, Cycle *cycle, FkJob *job, double cost_max) {
   g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(FkAllocationRef));
   if (!cycle->usable)
@@ -196,12 +208,12 @@
   FkMachine *machine = fk_preemption_best_machine(c, job, cycle->usable, TRUE, cost_max, victims);
   if (!machine || !fk_launch_batch_preempt(c, batch, job, machine, victims))
     return FALSE;
-  /* the same victims must not be counted on twice */
+  /* the same victims must not be chosen for two placements */
   g_ptr_array_remove_fast(cycle->usable, machine);
   return TRUE;
 }
 
-/* Places one waiting task. FALSE: no further task of the job can be placed. */
+/* Places one waiting task. Returns FALSE if no further task of the job can be placed. */
 static gboolean place_task(FkController *c, FkLaunchBatch *batch, Cycle *cycle, FkJob *job) {
   FkMachine *best = fk_long_path_best_machine(c, job, cycle->machines, NULL);
   if (cycle->searches_left && job->spec->priority < FK_JOB_PRIORITY_NORMAL &&
@@ -237,8 +249,8 @@
                  .searches_left = PREEMPTION_SEARCHES_MAX,
                  .spare_slots =
                      fk_service_reserve_spare_slots(c, machines, g_hash_table_size(c->view->machines), 1)};
-  /* Each job needs a chunk of its own: once the writes are used up, going through all machines for each of
-   * hundreds of waiting jobs would be for nothing. */
+  /* Each job needs a write of its own: once the writes are used up, examining all machines for each of
+   * hundreds of waiting jobs would be wasted work. */
   for (guint i = 0; i < jobs->len; i++) {
     if (fk_launch_batch_is_full(c, batch) || fk_launch_batch_is_out_of_chunks(c, batch))
       break;
@@ -249,7 +261,8 @@
 
 /* ------------------------------------------------------------------ capacity reserved for the long path */
 
-/* Reserves quota for one task, and capacity on the machine (NULL: quota only). */
+/* Reserves capacity for one task on the machine (NULL: no capacity). Also reserves quota, except for a
+ * service of a team whose quota is partitioned: its use counts against the leader's share. */
 static void reserve(FkController *c, GArray *reserved, FkMachine *machine, const FkSpec *spec) {
   FkReservation reservation = {machine ? machine->id : NULL,
                                g_intern_string(spec->team),
@@ -261,7 +274,7 @@
   if (machine)
     fk_reservation_apply(machine, spec, 1);
   if (usage->partition && spec->shape != FK_SHAPE_GANG) {
-    /* the leader's share of the quota pays for it, not this controller's */
+    /* this quota counts against the leader's share, not against this controller's */
     reservation.quota_cpus = 0;
   } else {
     usage->reserved_cpus += spec->cpus;
@@ -285,10 +298,11 @@
   }
 }
 
-/* A gang that waits for its team's quota reserves what becomes free of it: tasks that start one by one would
- * else keep it waiting for ever. One that waits for machines must not: with a spread gang in a fleet that had
- * lost all machines of a zone, nothing else of its team could start beside idle ones. A gang that has waited
- * too long to start reserves the quota for a while all the same, so that capacity can be made for it. */
+/* Returns whether a waiting gang reserves its team's quota. If there are machines for all waiting tasks of
+ * the gang, the gang reserves the quota that becomes free: tasks that start one by one could otherwise keep
+ * it waiting forever. A gang that waits for machines must not reserve quota: with a spread gang in a fleet
+ * that had lost all machines of a zone, no other job of its team could start although machines were idle. An
+ * aged gang still reserves quota for a while, so that capacity can be made available for it. */
 static gboolean gang_reserves_quota(FkController *c, const FkJob *job, gboolean has_machines) {
   double aged_s = fk_backfill_reservation_aged_s(c, job);
   return has_machines || (aged_s >= 0 && aged_s < GANG_RESERVES_QUOTA_S);
--- a/src/core/scheduling/scheduling_queue.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -8,31 +8,38 @@
 
 #include <string.h>
 
-/* The cost of a cycle depends on what has changed since the last one, not on how much waits: jobs whose
- * waiting tasks may have changed are sorted in again, and of all others so many a cycle, in rotation; then
- * the first of the queue are selected. Fewer jobs than this all take part in every cycle. */
+/* The cost of a cycle depends on what has changed since the last one, not on the number of waiting jobs. A
+ * cycle refreshes the queue position of the jobs whose waiting tasks may have changed, and of
+ * REFRESHED_PER_CYCLE others in rotation. Then it selects the first SELECTED_PER_CYCLE jobs of the queue that
+ * may start, and the refreshed jobs that come after these. If there are fewer jobs, every cycle refreshes
+ * all. */
 #define REFRESHED_PER_CYCLE 256
 #define SELECTED_PER_CYCLE 256
+/* maximum number of jobs examined to find the first SELECTED_PER_CYCLE ones that may start */
 #define EXAMINED_PER_CYCLE_MAX (4 * SELECTED_PER_CYCLE)
 
 #define CLUSTER_COUNT_INTERVAL_S 1.0
-#define BLOCKED_JOBS_MAX 4           /* that others back off for: the first of the queue */
-#define BACK_OFF_AFTER_S 1.0         /* a job that has waited for less may yet find room beside others */
-#define SERVICE_LEVEL_SUFFICIENT 0.5 /* of a class: no expensive machines are provisioned for the rest */
+/* at most this many blocked jobs, the first ones of the queue, make others yield */
+#define BLOCKED_JOBS_MAX 4
+/* a job that is known for a shorter time may still find capacity without others yielding */
+#define BLOCKED_AFTER_S 1.0
+/* once this share of a class is served, no expensive machines are provisioned for its other jobs */
+#define SERVICE_LEVEL_SUFFICIENT 0.5
 
 struct FkSchedulingQueue {
-  FkWaitQueue *waiting;           /* FkJob, with a reference: those with waiting tasks */
-  guint cursor;                   /* into the view's list of jobs: which is refreshed next */
+  FkWaitQueue *waiting;           /* FkJob (with references): the jobs that have waiting tasks */
+  guint cursor;                   /* index of the job to refresh next in the view's list of jobs */
   guint64 cycle;                  /* number of the latest cycle */
-  guint team_count;               /* of the settings */
-  double *team_demand_cpus;       /* what a team's waiting tasks ask for, in the settings' order of teams */
-  guint waiting_services;         /* tasks of services that wait */
-  guint64 refreshed_count;        /* jobs refreshed in all cycles */
+  guint team_count;               /* number of teams in the settings */
+  double *team_demand_cpus;       /* demand of each team's waiting tasks, in the settings' order of teams */
+  guint waiting_services;         /* waiting tasks of services */
+  guint64 refreshed_count;        /* number of times that a job's queue position was updated, in all cycles */
   FkFairShareDemand *team_shares; /* in the settings' order of teams */
-  double cluster_cpus, cluster_gpus; /* of the machines that are up */
+  double cluster_cpus, cluster_gpus; /* capacity of the machines that are up and not draining */
   FkTime cluster_counted_at;
-  GPtrArray *blocked; /* FkJob, with a reference: the first arrays that only lack free capacity */
-  double blocked_cpus, blocked_wait_s; /* of all such arrays; of the first */
+  GPtrArray *blocked;    /* FkJob (with references): the first blocked jobs, at most BLOCKED_JOBS_MAX */
+  double blocked_cpus;   /* CPUs that all blocked jobs of the cycle wait for, not only those in `blocked` */
+  double blocked_wait_s; /* time for which this controller has known the first blocked job */
 };
 
 FkSchedulingQueue *fk_scheduling_queue_new(const FkSettings *settings) {
@@ -74,8 +81,8 @@
 
 /* ------------------------------------------------------------------ priority */
 
-/* Seconds from now until a waiting task must start for the job's tightest objective or deadline that can
- * still be met; G_MAXDOUBLE: none can. */
+/* Returns the time (seconds from now) by which a waiting task must start so that the job meets the tightest
+ * objective or deadline that it can still meet; G_MAXDOUBLE if it can meet none. */
 static double latest_start_s(FkController *c, const FkJob *job) {
   const FkSpec *spec = job->spec;
   double needed_s =
@@ -84,8 +91,8 @@
   double allowed_s = fk_job_allowed_s(job);
   if (allowed_s >= needed_s)
     best = allowed_s - needed_s;
-  /* A service's objective is its start. After an outage the services that can still meet it come before
-   * those that can't. */
+  /* A service's objective applies to its start. After an outage, the services that can still meet their
+   * objective precede the others. */
   const char *kind = spec->shape == FK_SHAPE_SERVICE ? "wait" : "finished";
   for (guint i = 0; i < c->settings->objectives->len; i++) {
     const FkObjective *objective = c->settings->objectives->pdata[i];
@@ -96,10 +103,11 @@
   return best;
 }
 
-/* Priorities order a team's own jobs, and those of teams with a guarantee. A team without one can't get ahead
- * of them by priority; and a job of a class or team that starves, or one that has waited too long to start,
- * is raised to the normal priority. (Without this, one team's six arrays waited for up to 352 s to start on a
- * recorded day.) */
+/* Sets the job's effective priority, its standing and whether it is urgent. A job of a team without a
+ * guarantee gets at most the normal priority, so that its priority doesn't put it before jobs of teams with a
+ * guarantee. A job that is aged, or that fk_starvation_raises_priority() applies to, gets at least the normal
+ * priority; unless its priority is higher, it also gets the best standing. (Without this, one team's six
+ * arrays waited for up to 352 s to start on a recorded day.) */
 static void update_priority(FkController *c, FkJob *job) {
   gboolean aged = fk_backfill_reservation_is_aged(c, job);
   job->effective_priority = job->inherited_priority;
@@ -107,7 +115,7 @@
   job->fair_share_standing = fk_fair_share_standing(fk_scheduling_queue_team_share(c, job->spec->team));
   if (fk_settings_find_team(c->settings, job->spec->team)->guaranteed_cpus <= 0)
     job->effective_priority = MAX(job->effective_priority, FK_JOB_PRIORITY_NORMAL);
-  /* an aged job is raised until its first task has started */
+  /* an aged job stays raised until its first task has started */
   if (job->effective_priority < FK_JOB_PRIORITY_NORMAL ||
       !(aged || fk_starvation_raises_priority(c, job, c->leader.scheduling_queue->cluster_cpus)))
     return;
@@ -149,7 +157,7 @@
   }
 }
 
-/* Each team's share of the fleet, by what it uses and what it waits for. */
+/* Computes each team's fair share of the fleet from its usage and the demand of its waiting tasks. */
 static void divide_fair_shares(FkController *c, FkSchedulingQueue *queue) {
   for (guint i = 0; i < queue->team_count; i++) {
     const FkTeam *team = c->settings->teams->pdata[i];
@@ -172,7 +180,8 @@
 
 /* ------------------------------------------------------------------ blocked jobs */
 
-/* Finds the arrays of the normal priority or above that only lack free capacity. */
+/* Finds the blocked jobs: arrays of the normal priority or above that lack nothing but free capacity and that
+ * this controller has known for BLOCKED_AFTER_S. */
 static void update_blocked_jobs(FkController *c, FkSchedulingQueue *queue, GPtrArray *jobs) {
   clear_blocked(queue);
   for (guint i = 0; i < jobs->len; i++) {
@@ -180,7 +189,7 @@
     double wait_s = fk_time_between(job->first_seen_at, c->now);
     if (job->effective_priority > FK_JOB_PRIORITY_NORMAL)
       break;
-    if (job->spec->shape != FK_SHAPE_ARRAY || job->failing || wait_s < BACK_OFF_AFTER_S ||
+    if (job->spec->shape != FK_SHAPE_ARRAY || job->failing || wait_s < BLOCKED_AFTER_S ||
         !fk_team_quota_allows_task(c, job->spec))
       continue;
     queue->blocked_cpus += fk_job_waiting_tasks(job) * job->spec->cpus;
@@ -217,13 +226,13 @@
   return c->leader.scheduling_queue->blocked_cpus;
 }
 
-/* ------------------------------------------------------------------ the queue itself */
+/* ------------------------------------------------------------------ the queue */
 
 static gboolean has_waiting_tasks(FkController *c, const FkJob *job) {
   return fk_job_waiting_tasks(job) && fk_settings_find_team(c->settings, job->spec->team);
 }
 
-/* Updates what the job adds to its team's demand and to the count of waiting services. */
+/* Updates the job's contribution to its team's demand and to the number of waiting tasks of services. */
 static void update_demand(FkController *c, FkSchedulingQueue *queue, FkJob *job) {
   const FkSpec *spec = job->spec;
   if (!fk_settings_find_team(c->settings, spec->team))
@@ -238,7 +247,8 @@
   job->waiting_services = services;
 }
 
-/* Sorts the job in by its present key, or takes it out when no task of it waits. */
+/* Updates the job's key and its position in the queue. Removes the job if none of its tasks waits or its team
+ * isn't in the settings. */
 static void refresh_job(FkController *c, FkSchedulingQueue *queue, FkJob *job) {
   queue->refreshed_count++;
   if (!has_waiting_tasks(c, job)) {
@@ -257,7 +267,8 @@
   fk_wait_queue_put(queue->waiting, job, &key);
 }
 
-/* FkJob, with references: those whose waiting tasks may have changed, and the next of all in rotation. */
+/* Returns the jobs to refresh (FkJob, with references): those whose waiting tasks may have changed, and the
+ * next REFRESHED_PER_CYCLE live jobs in rotation. */
 static GPtrArray *jobs_to_refresh(FkController *c, FkSchedulingQueue *queue) {
   GPtrArray *jobs = g_ptr_array_new_with_free_func(fk_job_unref);
   GHashTableIter it;
@@ -272,14 +283,15 @@
   return jobs;
 }
 
-/* With more jobs than a cycle selects, those without quota would only take others' places. */
+/* Returns whether tasks of the job may start now. If more jobs wait than a cycle selects, jobs without quota
+ * are left out, since they would only take the place of others. */
 static gboolean can_start(gpointer item, gpointer controller) {
   FkController *c = controller;
   FkJob *job = item;
-  gboolean crowded = fk_wait_queue_size(c->leader.scheduling_queue->waiting) > SELECTED_PER_CYCLE;
+  gboolean exceeds_selection = fk_wait_queue_size(c->leader.scheduling_queue->waiting) > SELECTED_PER_CYCLE;
   job->quota_available = fk_team_quota_is_available(c, job->spec);
   return has_waiting_tasks(c, job) && fk_time_reached(c->now, job->retry_at) &&
-         (job->quota_available || !crowded);
+         (job->quota_available || !exceeds_selection);
 }
 
 static int compare_by_position(gconstpointer a, gconstpointer b) {
@@ -287,8 +299,8 @@
   return x->queue_position < y->queue_position ? -1 : x->queue_position > y->queue_position;
 }
 
-/* The first of the queue, and those refreshed in this cycle that come after them: so each is selected now and
- * then. */
+/* Returns the first jobs of the queue, and the jobs refreshed in this cycle that come after these and may
+ * start. Since the refresh rotates, each job is selected from time to time. */
 static GPtrArray *select_jobs(FkController *c, FkSchedulingQueue *queue, const GPtrArray *refreshed) {
   GPtrArray *jobs = g_ptr_array_new();
   queue->cycle++;
--- a/src/core/scheduling/service_reserve.c
+++ b/src/core/scheduling/service_reserve.c
@@ -5,10 +5,13 @@
 
 #include <math.h>
 
-#define RESERVE_ARRIVALS_S 5.0 /* of arrivals: freeing or booting capacity takes about as long */
-#define RESERVE_SHARE_MAX 0.02 /* slots a machine */
+/* the reserve covers the services that are expected to arrive in this time, about as long as freeing or
+ * booting capacity takes */
+#define RESERVE_WINDOW_S 5.0
+#define RESERVE_SHARE_MAX 0.02 /* maximum reserve, in slots per machine */
 
-/* Tasks of the service that fit the machine's free capacity. */
+/* Returns how many tasks of the service fit the machine's free CPUs and memory; 0 if the service may not run
+ * on the machine's type or on spot machines. */
 static double service_slots(FkController *c, const FkMachine *machine, const FkSpec *service) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   if (!type || (machine->record->spot && !service->spot) || !fk_placement_fits_type(service, type))
@@ -29,7 +32,7 @@
   double free_slots = 0;
   for (guint i = 0; i < machines->len; i++)
     free_slots += service_slots(c, machines->pdata[i], service);
-  double expected = share * c->view->service_rate * RESERVE_ARRIVALS_S;
+  double expected = share * c->view->service_rate * RESERVE_WINDOW_S;
   return free_slots - floor(MIN(expected, RESERVE_SHARE_MAX * machine_count));
 }
 
