--- a/src/core/state/failing_jobs.c
+++ b/src/core/state/failing_jobs.c
@@ -1,11 +1,13 @@
-/* Failed and successful attempts, as the view tells them to fault attribution. Every controller sees the same
- * completions and draws the same conclusions: a job that fails everywhere is slowed by all, and no owner
- * takes its machines for faulty. */
+/* Reports failed and successful attempts to fault attribution, which decides whether the job or the machine
+ * is at fault. Every controller sees the same completions and so reaches the same verdicts: all controllers
+ * delay the retries of a job that fails on every machine, and no shard owner treats the machines that the job
+ * ran on as faulty. */
 #include "core/state/view_internal.h"
 
 #define FAILING_REVIEW_INTERVAL_S 1.0
 
-/* The longest that an attempt of the job has been running, of those whose start was observed. */
+/* Returns the longest time in seconds that an attempt of the job has been running, among the attempts whose
+ * start this controller observed; 0 if there are none. */
 static double longest_run_s(const FkView *v, const FkJob *job) {
   double longest_s = 0;
   for (guint32 i = 0; i < job->chunk_count; i++)
--- a/src/core/state/job.c
+++ b/src/core/state/job.c
@@ -1,4 +1,5 @@
-/* Specifications and chunks: life cycle, sizes, and the legal changes of a task's state. */
+/* Job specifications and chunks: allocation and release, record sizes, and the allowed state changes of
+ * tasks. */
 #include "core/state/job.h"
 
 #include <string.h>
@@ -72,10 +73,13 @@
 #define BYTES_PER_KIB 1024
 #define CHUNK_TASKS_MIN 8
 #define CHUNK_TASKS_MAX 128
-#define RECORD_BYTES 160    /* of a chunk's record without its allocations, whatever the number of tasks */
-#define ALLOCATION_BYTES 28 /* of an allocation without its names */
-#define MACHINE_ID_BYTES                                                                                     \
-  12 /* as the cloud gives them; longer ones leave tasks waiting for others' completions */
+/* Size of a chunk's record without its allocations; an upper bound for any number of tasks. */
+#define RECORD_BYTES 160
+/* Size of an allocation without the names of its machine and controller. */
+#define ALLOCATION_BYTES 28
+/* Length of the cloud's machine ids. With longer ids the record may be full before all tasks are allocated:
+ * the remaining tasks wait until others complete. */
+#define MACHINE_ID_BYTES 12
 
 gboolean fk_chunk_fits(const FkChunk *chunk, double value_kb, const char *machine, const char *controller) {
   double bytes = RECORD_BYTES;
@@ -107,7 +111,7 @@
 
 gboolean fk_chunk_allocate_attempt(FkChunk *chunk, guint32 task, const char *machine, const char *controller,
                                    FkAttempt attempt) {
-  /* One allocation a task at a time: this is what keeps a task from running twice. */
+  /* At most one allocation per task at any time: this rule prevents a task from running twice at once. */
   if (!in_range(chunk, task) || chunk->done[task - chunk->first_task] ||
       fk_chunk_find_allocation(chunk, task))
     return FALSE;
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -1,10 +1,12 @@
-/* Specifications of jobs, and the chunks that hold the states of their tasks with the legal changes. */
+/* Job specifications, and the chunks that store the states of a job's tasks, with the state changes that are
+ * allowed. */
 #pragma once
 #include "common/types.h"
 
-/* An array's tasks run one by one, a service's until it is cancelled, a gang's only all together. */
+/* ARRAY: independent tasks, each run once to completion. SERVICE: tasks that run until the job is cancelled.
+ * GANG: tasks that run only all at the same time. */
 typedef enum { FK_SHAPE_ARRAY, FK_SHAPE_SERVICE, FK_SHAPE_GANG } FkShape;
-/* Lower value: goes first. */
+/* A lower value is a higher priority. */
 typedef enum {
   FK_JOB_PRIORITY_PRODUCTION,
   FK_JOB_PRIORITY_HIGH,
@@ -13,7 +15,7 @@
 } FkJobPriority;
 typedef enum { FK_PHASE_QUEUED, FK_PHASE_RUNNING, FK_PHASE_DONE, FK_PHASE_CANCELLED } FkPhase;
 
-/* What the user submitted. Never changes once accepted, and is shared by reference. */
+/* A job as the user submitted it. Immutable once the job is accepted; shared by reference counting. */
 typedef struct {
   gint ref_count;
   char *id, *class_name, *team;
@@ -23,44 +25,44 @@
   double cpus, gpus, mem_gb;
   char *image;
   double image_gb;
-  char **types; /* NULL: any */
-  char *zone;   /* NULL: any */
+  char **types; /* instance types that the job may run on; NULL if any */
+  char *zone;   /* zone that the job must run in; NULL if any */
   gboolean one_zone, spread, spot;
   double estimate_s, checkpoint_s, save_s;
-  double deadline_s;   /* < 0: none */
-  gint64 submitted_ms; /* time of day */
-  char *owner;         /* the controller that accepted it, whose short path places it */
-  guint32 chunk_tasks; /* tasks a chunk */
-  char **dependencies; /* jobs that must be done before any of its tasks starts; NULL: none */
+  double deadline_s;   /* seconds from submission; < 0 if none */
+  gint64 submitted_ms; /* time of submission, wall clock */
+  char *owner;         /* controller that accepted the job; its short path places the job's short tasks */
+  guint32 chunk_tasks; /* tasks per chunk */
+  char **dependencies; /* ids of jobs that must be done before any task of this one starts; NULL if none */
 } FkSpec;
 
 FkSpec *fk_spec_new(void);
 FkSpec *fk_spec_ref(FkSpec *spec);
 void fk_spec_unref(FkSpec *spec);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkSpec, fk_spec_unref)
-/* CPU-seconds of all tasks together, by the user's estimate. */
+/* Returns the CPU-seconds of all tasks together, by the user's estimate. */
 double fk_spec_cpu_seconds(const FkSpec *spec);
 guint32 fk_spec_chunk_count(const FkSpec *spec);
 guint32 fk_spec_chunk_tasks(const FkSpec *spec, guint32 chunk);
 
-/* An attempt to run a task on a machine. It ends only on proof that the task does not, and will not, run
- * there. */
+/* An attempt to run a task on a machine. It ends only on proof that the task is not running on that machine
+ * and never will be. */
 typedef struct {
   guint32 task;
   FkAttempt attempt;
   const char *machine;     /* interned */
-  const char *launched_by; /* interned: the controller whose share of the team's quota it uses */
-  gboolean stop_requested; /* the task is to be stopped */
-  FkTime first_seen_at;    /* when this controller first saw it; not in the store */
-  gboolean start_observed; /* that was when it was made, not when this controller came to know of it */
+  const char *launched_by; /* interned: controller that launched it, out of its share of the team's quota */
+  gboolean stop_requested; /* the worker is to stop the task */
+  FkTime first_seen_at;    /* when this controller first saw the allocation; not in the store */
+  gboolean start_observed; /* `first_seen_at` is when it was made: FALSE if it was found in a list */
 } FkAllocation;
 
-/* The state of up to `chunk_tasks` neighbouring tasks: one record of the store. */
+/* The states of up to `chunk_tasks` consecutive tasks of a job: one record in the store. */
 typedef struct {
   FkRev rev;
   guint32 first_task, task_count;
   guint64 next_attempt;
-  guint8 *done; /* a byte a task */
+  guint8 *done; /* one byte per task; 1 if the task is done */
   guint32 done_count;
   GArray *allocations; /* FkAllocation */
 } FkChunk;
@@ -69,23 +71,27 @@
 FkChunk *fk_chunk_copy(const FkChunk *chunk);
 void fk_chunk_free(FkChunk *chunk);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkChunk, fk_chunk_free)
-/* Whether its record stays within so many KiB, with one more allocation (`machine` NULL: as it is). */
+/* Returns whether the chunk's record stays within `value_kb` KiB with one more allocation, to `machine` by
+ * `controller`. `machine` NULL: without another allocation. */
 gboolean fk_chunk_fits(const FkChunk *chunk, double value_kb, const char *machine, const char *controller);
-/* The most tasks of a chunk that all fit its record when allocated by controllers with names of that length.
- */
+/* Returns how many tasks a chunk may have so that its record holds an allocation of each, if the names of the
+ * launching controllers are as long as `controller`. */
 guint32 fk_chunk_max_tasks(double value_kb, const char *controller);
-/* Borrowed, until the next change; NULL: the task has no allocation. */
+/* Returns the task's allocation, valid until the chunk next changes; NULL if it has none. */
 FkAllocation *fk_chunk_find_allocation(const FkChunk *chunk, guint32 task);
 
-/* The legal changes. Each returns FALSE, and changes nothing, when the change is not legal. */
-/* A task that is neither done nor allocated, under the next attempt number. */
+/* The state changes that are allowed. Each function returns FALSE, and changes nothing, if its change is not.
+ */
+
+/* Allocates a task that is neither done nor allocated, under the next attempt number. */
 gboolean fk_chunk_allocate(FkChunk *chunk, guint32 task, const char *machine, const char *controller);
-/* A gang's tasks start together under one attempt number; it must be above all earlier ones. */
+/* Allocates a task of a gang under a given attempt number. All tasks of one gang launch share the number,
+ * which must be above all earlier ones of the gang. */
 gboolean fk_chunk_allocate_attempt(FkChunk *chunk, guint32 task, const char *machine, const char *controller,
                                    FkAttempt attempt);
-/* The attempt has ended without a result. */
+/* Removes the allocation of an attempt that ended without a result: the task waits again. */
 gboolean fk_chunk_release(FkChunk *chunk, guint32 task, FkAttempt attempt);
-/* The attempt has ended, and the task is done. */
+/* Removes the allocation of an attempt that succeeded, and marks the task done. */
 gboolean fk_chunk_finish(FkChunk *chunk, guint32 task, FkAttempt attempt);
-/* Marks an allocated task to be stopped; the allocation stays until it has ended. */
+/* Marks an allocated task to be stopped. The allocation stays until the attempt is proven to have ended. */
 gboolean fk_chunk_request_stop(FkChunk *chunk, guint32 task);
--- a/src/core/state/job_dependencies.c
+++ b/src/core/state/job_dependencies.c
@@ -1,9 +1,11 @@
-/* Dependencies between jobs: whether all controllers support them, the terminal states that the view has not
- * seen, and the priorities and deadlines that a job inherits from its dependents. */
+/* Job dependencies: checks that all controllers support them, reads the terminal states that the view has not
+ * seen, and propagates priorities and deadlines from dependents to dependencies. */
 #include "core/controller_internal.h"
 
-#define READS_PER_TICK 2 /* a start with thousands of blocked jobs must leave requests to users */
-#define READS_MAX 8
+/* After a restart, thousands of blocked jobs may need reads: the rest of the store's request budget is left
+ * to users' requests. */
+#define READS_PER_TICK 2
+#define READS_MAX 8 /* in flight */
 #define INHERIT_INTERVAL_S 1.0
 
 static gboolean node_supports_dependencies(FkController *c, const char *node) {
@@ -36,7 +38,8 @@
   fk_read_send(c, fk_key_path(FK_KEY_TERMINAL_JOB, id), terminal_record_received, g_strdup(id), g_free);
 }
 
-/* The view is complete: a dependency that is not live is terminal. Each is read once. */
+/* Reads the records of dependencies that are not in the view. The view is complete, so that a job which is
+ * not live in it is terminal. */
 static void request_terminal_records(FkController *c) {
   fk_dependency_graph_for_each_unknown(c->view->dependencies, request_terminal_record, c, READS_PER_TICK);
 }
@@ -64,13 +67,13 @@
 }
 
 static void inherit_priorities(FkController *c) {
-  gboolean any = fk_dependency_graph_size(c->view->dependencies) > 0;
+  gboolean has_dependencies = fk_dependency_graph_size(c->view->dependencies) > 0;
   if (fk_time_between(c->requests.inherited_at, c->now) < INHERIT_INTERVAL_S ||
-      (!any && !c->requests.inheriting))
+      (!has_dependencies && !c->requests.inheriting))
     return;
   c->requests.inherited_at = c->now;
-  c->requests.inheriting = any;
-  /* the dependents of a job may be gone: inheritance starts from its own values */
+  c->requests.inheriting = has_dependencies;
+  /* Dependents may have been removed since: each job is reset to its own values before it inherits again. */
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init(&it, c->view->jobs);
--- a/src/core/state/job_dependencies.h
+++ b/src/core/state/job_dependencies.h
@@ -1,9 +1,11 @@
-/* Dependencies between jobs, as far as the store and the other controllers are needed. */
+/* The parts of job dependencies that need the store or the other controllers; the graph itself is in
+ * dependency_graph/. */
 #pragma once
 #include "core/messages.h"
 
-/* Every controller of the settings last started in a version that knows dependencies. What only such a
- * version can read is written from then on. */
+/* Returns whether every controller in the settings last started with a version that supports dependencies.
+ * Record formats that older versions cannot read are written only if this holds. */
 gboolean fk_job_dependencies_are_supported(FkController *c);
-/* Reads terminal states that the view lacks, and passes priorities and deadlines on to dependencies. */
+/* Requests the terminal states of dependencies that the view lacks, and lets dependencies inherit the
+ * priorities and deadlines of their dependents. */
 void fk_job_dependencies_tick(FkController *c);
--- a/src/core/state/live_job.c
+++ b/src/core/state/live_job.c
@@ -1,4 +1,4 @@
-/* A live job's own state. */
+/* Live jobs: reference counting, and values derived from a job's state. */
 #include "core/state/live_job.h"
 
 FkJob *fk_job_ref(FkJob *job) {
--- a/src/core/state/live_job.h
+++ b/src/core/state/live_job.h
@@ -1,55 +1,58 @@
-/* A live job as the view and the scheduler see it. */
+/* A live job: its records, and the view's and the scheduler's state of it. */
 #pragma once
 #include "core/state/job.h"
 #include "fair_share/fair_share.h"
 
-/* `rev` and `spec` are the record's; times are on the steady clock of this process, as first seen by it. */
+/* A live job. `spec`, `rev` and `cancelled` are as in its record. Fields of type FkTime, and those in `_us`,
+ * are on the steady clock of this process. */
 typedef struct {
-  gint ref_count;   /* the view's, and one for each probe */
-  gboolean removed; /* the view has dropped it: none of its tasks waits */
-  guint list_index; /* its place in the view's list of jobs */
+  gint ref_count;   /* one reference is the view's, and one is held by each probe */
+  gboolean removed; /* the view has removed the job: it has no waiting tasks */
+  guint list_index; /* index in the view's `live_jobs` */
   FkSpec *spec;
   FkRev rev;
   gboolean cancelled;
-  FkTime cancelled_at; /* when this controller first saw that */
+  FkTime cancelled_at; /* when this controller first saw the cancellation */
   guint32 chunk_count;
-  FkChunk **base_chunks; /* the records; NULL: no task of the chunk was ever started */
-  FkChunk **chunks;      /* ... with the completions that count already */
+  FkChunk **base_chunks; /* the chunks as stored; an element is NULL if no task of it was ever started */
+  FkChunk **chunks;      /* the effective chunks: the stored ones with the pending completions applied */
   guint32 done, allocated;
-  guint32 unstarted_hint;    /* no chunk before this one has a waiting task */
-  FkTime first_seen_at;      /* when this controller first saw it */
-  FkTime attempt_lost_at;    /* when an attempt ended last without a result */
-  FkTime retry_at;           /* backoff after failures */
-  gboolean has_failed;       /* an attempt has failed */
-  gboolean failing;          /* it seems to fail on every machine: one task at a time */
-  FkTime cycle_tried_at;     /* ... and the scheduling cycle that tried it last */
-  guint64 wait_times_window; /* the window in which so many of its waits were counted: */
+  guint32 unstarted_hint; /* no chunk before this index has a waiting task */
+  FkTime first_seen_at;   /* when this controller first saw the job, or saw it become unblocked */
+  FkTime attempt_lost_at; /* when an attempt last ended without a result */
+  FkTime retry_at;        /* end of the backoff after failures */
+  gboolean has_failed;    /* an attempt has failed */
+  gboolean failing;       /* seems to fail on every machine: its tasks are started one at a time */
+  FkTime cycle_tried_at;  /* last scheduling cycle that tried to start a task of it while it was failing */
+  /* Number of waits counted in the capped sum of the window `wait_times_window` (FkWaitTimes). */
+  guint64 wait_times_window;
   guint wait_times_counted;
-  FkAttempt gang_attempt;           /* of the launch under way */
-  guint32 gang_allocated;           /* tasks that the launch has allocated so far */
-  FkTime preempted_for_at;          /* when others were preempted for it last */
-  double waiting_cpu_s;             /* work of its waiting tasks; sorts the queue */
-  FkJobPriority effective_priority; /* in the queue: its own, or what its team's share gives it */
-  FkStanding fair_share_standing;   /* its team's, among those with demand */
-  guint queue_position;             /* in the queue, from 1; 0: never yet */
-  gboolean urgent;                  /* goes first within its priority and its team's standing */
-  gboolean quota_available; /* its team's quota had room for one more task, at its last scheduling cycle */
-  double demand_cpus;       /* as counted for its team in the scheduling queue */
-  guint waiting_services;   /* tasks of a service that wait, as counted there */
-  guint64 last_cycle;       /* its last scheduling cycle */
-  gboolean size_recorded;   /* its size is in the service level's statistics */
-  FkTime probed_at;
-  double latest_start_s; /* how far off its latest useful start is; sorts the queue */
-  FkTime gang_until;     /* a gang's launch may go on in further transactions until then */
-  gint64 submitted_us;   /* on the steady clock, by the time of day */
-  gint64 startable_us;   /* since when it could start: its submission, or the end of its last dependency */
-  gint64 deadline_us;    /* on the steady clock, its dependents' included; G_MAXINT64: none */
-  FkJobPriority inherited_priority; /* the highest of its own and its direct and indirect dependents' */
-  gboolean blocked;                 /* a dependency is not done: it takes no part in scheduling */
-  gboolean ancestor_cancelled;      /* cancelled with a dependency; its own record may not say so */
+  FkAttempt gang_attempt;  /* attempt number of the gang launch in progress */
+  guint32 gang_allocated;  /* tasks allocated so far by that launch */
+  FkTime preempted_for_at; /* when tasks of other jobs were last preempted for this one */
+  double waiting_cpu_s;    /* CPU-seconds of its waiting tasks; sort key of the scheduling queue */
+  FkJobPriority
+      effective_priority;         /* in the queue; depends on its team's guarantee and on how long it waits */
+  FkStanding fair_share_standing; /* fair-share standing of its team */
+  guint queue_position;           /* position in the queue, from 1; 0 if it has never been queued */
+  gboolean urgent;                /* sorts first among jobs of equal priority and standing */
+  gboolean quota_available; /* its team's quota had room for another task in its last scheduling cycle */
+  double demand_cpus;       /* CPUs counted for it in its team's demand in the scheduling queue */
+  guint waiting_services;   /* waiting service tasks counted for it in the scheduling queue */
+  guint64 last_cycle;       /* number of its last scheduling cycle */
+  gboolean size_recorded;   /* its size is in the service-level statistics */
+  FkTime probed_at;         /* when probes were last placed for it */
+  double latest_start_s;    /* seconds until its latest useful start; sort key of the scheduling queue */
+  FkTime gang_until;        /* a gang launch in several transactions may continue until then */
+  gint64 submitted_us;      /* time of submission, converted from the wall clock */
+  gint64 startable_us;      /* when it became startable: on submission, or when its last dependency ended */
+  gint64 deadline_us;       /* the earlier of its own and its dependents' deadline; G_MAXINT64 if none */
+  FkJobPriority inherited_priority; /* the highest among the job and its direct and indirect dependents */
+  gboolean blocked;                 /* a dependency is not done: the job is not scheduled */
+  gboolean ancestor_cancelled;      /* cancelled because an ancestor is; its own record may not show that */
 } FkJob;
 
-/* An allocation as the table of its machine has it. */
+/* An allocation in the list of its machine. */
 typedef struct {
   FkJob *job;
   guint32 task;
@@ -60,16 +63,17 @@
 
 FkJob *fk_job_ref(FkJob *job);
 void fk_job_unref(gpointer job);
-/* By its id and not by its address, so that tables of jobs have the same order in every run. */
+/* Hashes the job's id, not its address, so that tables of jobs have the same iteration order in every run. */
 guint fk_job_hash(gconstpointer job);
-/* When it must be done by its own deadline, on the steady clock; G_MAXINT64: at any time. */
+/* Returns the job's own deadline on the steady clock, in us; G_MAXINT64 if it has none. */
 gint64 fk_job_own_deadline_us(const FkJob *job);
-/* Seconds from when it could start until it must be done, its dependents' deadlines included; < 0: any. */
+/* Returns the seconds from when the job became startable until its deadline, its dependents' deadlines
+ * included; < 0 if there is none. */
 double fk_job_allowed_s(const FkJob *job);
-/* Cancelled, running (a task is allocated) or queued. */
+/* Returns CANCELLED, RUNNING (a task is allocated) or QUEUED. */
 FkPhase fk_job_phase(const FkJob *job);
-/* All tasks are done. */
+/* Returns whether all tasks are done. */
 gboolean fk_job_is_complete(const FkJob *job);
-/* Tasks that wait for an allocation. Of a failing job that is one at a time: nothing is provisioned,
- * preempted or reserved for the others. */
+/* Returns the number of tasks that wait for an allocation. For a failing job, unless it is a gang, it is at
+ * most one, so that nothing is provisioned, preempted or reserved for its other tasks. */
 guint32 fk_job_waiting_tasks(const FkJob *job);
--- a/src/core/state/records.c
+++ b/src/core/state/records.c
@@ -1,9 +1,9 @@
-/* Records of the store: made, copied and freed. */
+/* Records in the store: creating, copying and freeing them. */
 #include "core/state/records.h"
 
 #include <string.h>
 
-#define MACHINE_RECORD_OVERHEAD_BYTES 50 /* of a machine in a page, beside its names */
+#define MACHINE_RECORD_OVERHEAD_BYTES 50 /* size of a machine in a page, without its id, address and type */
 
 void fk_wait_times_add(FkWaitTimes *to, const FkWaitTimes *more) {
   to->capped_sum_s += more->capped_sum_s;
--- a/src/core/state/records.h
+++ b/src/core/state/records.h
@@ -1,47 +1,47 @@
-/* Records of the store: what goes under each kind of key. */
+/* Records in the store: the contents of each kind of key. */
 #pragma once
 #include "core/state/job.h"
 #include "core/state/store_keys.h"
 
-/* A machine as its shard's page describes it. Only the drain reason changes. */
+/* A machine as a page of its shard describes it. Only the drain reason and its notice ever change. */
 typedef struct {
   char *id, *addr;
   const char *type, *zone; /* interned */
   gboolean spot;
-  const char *drain_reason; /* interned: why the machine should go, or NULL */
-  double notice_s;          /* with a reason: how long it has left */
+  const char *drain_reason; /* interned: why the machine is to be drained, or NULL */
+  double notice_s; /* if drained: seconds until its termination when that was announced; < 0 if unknown */
 } FkMachineRecord;
 
 FkMachineRecord *fk_machine_record_copy(const FkMachineRecord *machine);
 void fk_machine_record_free(gpointer machine); /* NULL is fine */
-/* The most that the machine takes of a page, in bytes. */
+/* Returns the most bytes that the machine takes in a page. */
 guint fk_machine_record_bytes(const FkMachineRecord *machine);
 
-#define FK_MACHINE_PAGE_OVERHEAD_BYTES 100 /* of a page, whatever its machines */
+#define FK_MACHINE_PAGE_OVERHEAD_BYTES 100 /* size of a page without its machines */
 #define FK_MACHINE_PAGE_MAX_BYTES(value_kb) ((guint)((value_kb)*1000) - 100)
 
 /* An attempt that ended without a result. */
 typedef struct {
   guint32 task;
-  guint32 task_failed; /* boolean: the worker said so; it was not stopped, nor lost with its machine */
+  guint32 task_failed; /* boolean: the worker reported a failure; 0 if it was stopped, refused or lost */
   FkAttempt attempt;
 } FkReleasedAttempt;
 
-/* The completions of one chunk's allocations, as a controller has proven them. It counts until the chunk's
- * own record says so. */
+/* Completions of one chunk's allocations, as proven by a shard owner. The record is in effect until the
+ * chunk's own record includes these completions. */
 typedef struct {
   char *chunk;        /* "job/index" */
-  GByteArray *done;   /* a byte a task */
+  GByteArray *done;   /* one byte per task; not 0 if the task is done */
   GArray *released;   /* FkReleasedAttempt */
-  gconstpointer page; /* the FkCompletionPage that has it, in the view; NULL once replaced */
+  gconstpointer page; /* in the view: the FkCompletionPage that contains it; NULL once it has been replaced */
 } FkCompletionRecord;
 
 FkCompletionRecord *fk_completion_record_new(const char *chunk);
 FkCompletionRecord *fk_completion_record_copy(const FkCompletionRecord *completion);
 void fk_completion_record_free(gpointer completion); /* NULL is fine */
 
-/* How long a controller's short tasks waited in one window. A capped sum counts a few tasks of each job only,
- * so that no large job decides the mean. */
+/* How long the short tasks of a controller waited to be launched in one window. The capped sum counts only
+ * the first tasks of each job, so that no large job dominates the mean. */
 typedef struct {
   guint64 window;
   double capped_sum_s;
@@ -50,11 +50,11 @@
   guint64 count;
 } FkWaitTimes;
 
-/* Adds the sums and counts, not the window. */
+/* Adds the sums and counts of `more` to `to`; leaves `window` as it is. */
 void fk_wait_times_add(FkWaitTimes *to, const FkWaitTimes *more);
 
-/* What is under one key: a tagged union, which owns its members. Only those of its `kind` may be read or
- * written. */
+/* The value of one key: a tagged union that owns its members. Only the members of its `kind` may be accessed.
+ */
 typedef struct {
   FkKeyKind kind;
   union {
@@ -65,17 +65,17 @@
     FkChunk *chunk;         /* CHUNK */
     GPtrArray *machines;    /* MACHINE_PAGE: FkMachineRecord */
     GPtrArray *completions; /* COMPLETIONS: FkCompletionRecord */
-    struct {                /* SHARD and LEADER: the owner; NODE: only its incarnation */
+    struct {                /* SHARD, LEADER: the controller that holds it; NODE: `incarnation` only */
       char *node, *incarnation;
     };
     struct {                   /* TEAM */
-      char *last_exhausted_by; /* the controller that used up its share last, or NULL */
-      GHashTable *partition;   /* controller -> double* CPUs; NULL: launches are serialized */
+      char *last_exhausted_by; /* the last controller to use up its share, or NULL */
+      GHashTable *partition;   /* controller -> double* CPUs; NULL if launches are serialized */
     };
     struct { /* TERMINAL_JOB */
       FkPhase phase;
-      guint32 tasks;      /* done */
-      gint64 ended_at_ms; /* time of day; 0: not known */
+      guint32 tasks;      /* number of tasks done */
+      gint64 ended_at_ms; /* wall clock; 0 if unknown */
     };
     FkWaitTimes wait_times;         /* WAIT_TIMES */
     gboolean supports_dependencies; /* LAUNCH_FENCE */
@@ -86,10 +86,10 @@
 void fk_record_free(FkRecord *record); /* NULL is fine */
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkRecord, fk_record_free)
 
-/* A change of one key, or its state when it was listed or read. */
+/* A change of one key from a watch, or the state of a key from a list or read. */
 typedef struct {
   char *path;
-  FkRecord *record; /* NULL: deleted */
+  FkRecord *record; /* NULL if the key was deleted */
   FkRev rev;
 } FkStoreEvent;
 
--- a/src/core/state/run_estimates.c
+++ b/src/core/state/run_estimates.c
@@ -1,16 +1,19 @@
-/* What the view learns of run times and of the arrival of services. */
+/* Estimates of run times and of the arrival rate of services, learned from the jobs in the view. */
 #include "core/state/view_internal.h"
 
-#define ESTIMATE_MIN_S 0.1 /* shorter estimates teach nothing */
+#define ESTIMATE_MIN_S 0.1 /* shorter estimates are not learned from */
 #define CORRECTION_EWMA_WEIGHT 0.08
 #define CORRECTION_MIN 0.2
 #define CORRECTION_MAX 8.0
 #define SERVICE_RATE_INTERVAL_S 1
 #define SERVICE_RATE_WINDOW_S 20.0
-#define SERVICE_RATE_GROWTH_MAX 2.0 /* an interval counts for so many times the rate at most: bursts pass */
-#define SERVICE_RATE_FLOOR 0.5      /* ... and this, services a second */
+/* Limits how far a burst raises the rate: an interval counts as at most this multiple of the current rate,
+ * plus SERVICE_RATE_FLOOR services per second. */
+#define SERVICE_RATE_GROWTH_MAX 2.0
+#define SERVICE_RATE_FLOOR 0.5
 
-/* Estimates are biased by class: one ratio a class is learnt from finished tasks. */
+/* The bias of users' estimates depends on the class: one correction factor per class is learned from
+ * completed tasks, as an exponential moving average. */
 void fk_view_learn_run_time(FkView *v, const FkSpec *spec, double took_s) {
   if (spec->shape == FK_SHAPE_SERVICE || spec->estimate_s < ESTIMATE_MIN_S)
     return;
--- a/src/core/state/store_keys.c
+++ b/src/core/state/store_keys.c
@@ -1,4 +1,4 @@
-/* Paths of the store: one prefix a kind of record. */
+/* Paths of keys in the store: one prefix per kind. */
 #include "core/state/store_keys.h"
 
 #include <string.h>
--- a/src/core/state/store_keys.h
+++ b/src/core/state/store_keys.h
@@ -1,30 +1,32 @@
-/* Kinds of records in the store, and their paths. */
+/* Kinds of keys in the store, and their paths. */
 #pragma once
 #include <glib.h>
 
-#define FK_STORE_ROOT "fk/"        /* everything that the controllers keep */
-#define FK_STORE_LIVE_ROOT "fk/l/" /* what a start lists; the rest is read key by key */
+#define FK_STORE_ROOT "fk/"        /* prefix of all keys of the controllers */
+#define FK_STORE_LIVE_ROOT "fk/l/" /* prefix of the keys listed at startup; others are read one by one */
 
 typedef enum {
-  FK_KEY_OTHER,        /* not one of ours */
+  FK_KEY_OTHER,        /* not a key of the controllers */
   FK_KEY_JOB,          /* a live job */
-  FK_KEY_CHUNK,        /* the state of some neighbouring tasks of a job */
-  FK_KEY_SHARD,        /* who owns a shard */
-  FK_KEY_MACHINE_PAGE, /* the machines of a shard, or a part of them */
-  FK_KEY_COMPLETIONS,  /* completions that a controller has proven */
-  FK_KEY_LAUNCH_FENCE, /* the guard of a controller's launches */
-  FK_KEY_NODE,         /* a live controller; on its lease */
-  FK_KEY_TEAM,         /* how a team's quota is kept */
-  FK_KEY_LEADER,       /* who leads */
-  FK_KEY_WAIT_TIMES,   /* a controller's short tasks' waits; on its lease */
-  FK_KEY_TERMINAL_JOB  /* what became of a job; permanent */
+  FK_KEY_CHUNK,        /* the states of consecutive tasks of a job */
+  FK_KEY_SHARD,        /* the owner of a shard */
+  FK_KEY_MACHINE_PAGE, /* the machines of a shard, or some of them */
+  FK_KEY_COMPLETIONS,  /* completions proven by a controller */
+  FK_KEY_LAUNCH_FENCE, /* the fence of a controller's launches: every launch is guarded by its revision */
+  FK_KEY_NODE,         /* a live controller; attached to its lease */
+  FK_KEY_TEAM,         /* how a team's quota is divided among the controllers */
+  FK_KEY_LEADER,       /* the leader */
+  FK_KEY_WAIT_TIMES,   /* wait times of a controller's short tasks; attached to its lease */
+  FK_KEY_TERMINAL_JOB  /* the terminal state of a job; permanent */
 } FkKeyKind;
 
-/* The kind of a path. `id` is set, and owned by the caller, unless the kind is OTHER; `chunk` is set for
- * CHUNK. */
+/* Returns the kind of a path. Sets `id`, which the caller owns, unless the kind is OTHER; sets `chunk` if it
+ * is CHUNK. */
 FkKeyKind fk_key_parse(const char *path, char **id, guint32 *chunk);
-/* The path of a record that has one id; owned by the caller. Not for CHUNK. */
+/* Returns the path of a key with a single id; owned by the caller. Not for CHUNK. */
 char *fk_key_path(FkKeyKind kind, const char *id);
 char *fk_key_chunk_path(const char *job, guint32 chunk);
-/* Part 0 has the shard's id alone, the others a number behind it. */
+/* Returns the path of one page of a shard's machines. Page 0 is named by the shard's id alone, the others
+ * have
+ * "+" and their number appended. */
 char *fk_key_machine_page_path(const char *shard, guint part);
--- a/src/core/state/terminal_jobs.c
+++ b/src/core/state/terminal_jobs.c
@@ -1,5 +1,5 @@
-/* Terminal jobs that the view remembers. Their records are permanent in the store; memory keeps the latest.
- */
+/* The terminal jobs that the view keeps in memory: the most recent TERMINAL_JOBS_KEPT. Their records in the
+ * store are permanent. */
 #include "core/state/view.h"
 
 #define TERMINAL_JOBS_KEPT 20000
--- a/src/core/state/view.c
+++ b/src/core/state/view.c
@@ -1,10 +1,11 @@
-/* The view: its tables, and how what is in them is found. */
+/* The view: creating, clearing and freeing its tables, and looking up their entries. */
 #include "core/state/view_internal.h"
 
 #include <string.h>
 
-/* Probes may refer to the job for a while: they find that none of its tasks waits. */
-static void job_removed(gpointer data) {
+/* Marks the job as removed. Probes may hold references to it for a while: they find that it has no waiting
+ * tasks. */
+static void job_release(gpointer data) {
   FkJob *job = data;
   for (guint32 i = 0; i < job->chunk_count; i++) {
     fk_chunk_free(job->chunks[i]);
@@ -51,9 +52,9 @@
 }
 
 static void completion_page_free(gpointer data) {
-  FkCompletionPage *e = data;
-  g_ptr_array_unref(e->records);
-  g_free(e);
+  FkCompletionPage *page = data;
+  g_ptr_array_unref(page->records);
+  g_free(page);
 }
 
 static void node_free(gpointer data) {
@@ -70,8 +71,8 @@
   g_hash_table_add(v->capacity_changed, (gpointer)machine->id);
 }
 
-/* Every dependency of the job is done, or an ancestor of it is cancelled. */
-static void dependency_changed(gpointer data, const char *id, gboolean cancelled) {
+/* Called when all dependencies of a job are done, or (`cancelled`) when an ancestor is cancelled. */
+static void job_readiness_changed(gpointer data, const char *id, gboolean cancelled) {
   FkView *v = data;
   FkJob *job = fk_view_find_job(v, id);
   if (!job)
@@ -94,7 +95,7 @@
 FkView *fk_view_new(const FkSettings *settings) {
   FkView *v = g_new0(FkView, 1);
   v->settings = settings;
-  v->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_removed);
+  v->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_release);
   v->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, machine_free);
   v->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
   v->shards = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_free);
@@ -111,7 +112,7 @@
   v->fault_attribution = fk_fault_attribution_new();
   v->service_level = fk_service_level_new();
   v->orphan_chunks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  v->dependencies = fk_dependency_graph_new(dependency_changed, v);
+  v->dependencies = fk_dependency_graph_new(job_readiness_changed, v);
   v->changed_machines = g_hash_table_new(g_str_hash, g_str_equal);
   v->capacity_changed = g_hash_table_new(g_str_hash, g_str_equal);
   v->capacity_removed = g_ptr_array_new();
@@ -201,10 +202,10 @@
   g_hash_table_remove(v->machines, machine->id);
 }
 
-#define SHARDS_PER_ZONE 32 /* part of the store's layout: never to change */
+#define SHARDS_PER_ZONE 32 /* part of the layout of the store: must never change */
 
 char *fk_shard_id_for_machine(const char *zone, const char *machine) {
-  /* ids that differ in a digit must not fall together: g_str_hash alone is a weak mixer */
+  /* Ids that differ in one digit must spread over the shards: g_str_hash() alone mixes too weakly. */
   guint32 hash = g_str_hash(machine) * 2654435761u;
   return g_strdup_printf("%s.%u", zone, (hash >> 8) % SHARDS_PER_ZONE);
 }
@@ -224,7 +225,7 @@
   return shard;
 }
 
-void fk_view_join_shard(FkMachine *machine, FkShard *shard) {
+void fk_view_move_to_shard(FkMachine *machine, FkShard *shard) {
   if (machine->shard == shard)
     return;
   if (machine->shard)
@@ -237,7 +238,7 @@
   if (machine->shard)
     return;
   g_autofree char *id = fk_shard_id_for_machine(zone, machine->id);
-  fk_view_join_shard(machine, fk_view_ensure_shard(v, id));
+  fk_view_move_to_shard(machine, fk_view_ensure_shard(v, id));
 }
 
 FkRev fk_view_launch_fence_rev(FkView *v, const char *node) {
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -1,4 +1,5 @@
-/* The store as this controller sees it: a consistent prefix of its history, applied in order. */
+/* The view: an in-memory replica of the store's live records, which applies their changes in the order of the
+ * store's revisions and so shows a consistent, possibly stale, state. */
 #pragma once
 #include "core/settings.h"
 #include "core/state/live_job.h"
@@ -7,7 +8,7 @@
 #include "fair_share/service_level.h"
 #include "fault_attribution/fault_attribution.h"
 
-/* A page of completions. */
+/* A page of completions, written by one controller. */
 typedef struct {
   FkRev rev;
   GPtrArray *records; /* FkCompletionRecord */
@@ -16,73 +17,80 @@
 /* How an allocation ended. */
 typedef enum {
   FK_COMPLETION_DONE,
-  FK_COMPLETION_RELEASED, /* stopped, refused, or lost with its machine */
-  FK_COMPLETION_FAILED    /* the worker says that the task failed */
+  FK_COMPLETION_RELEASED, /* stopped, refused by the worker, or lost with its machine */
+  FK_COMPLETION_FAILED    /* the worker reported that the task failed */
 } FkCompletionKind;
 
 typedef struct FkWorkerState FkWorkerState;
 
-/* When a worker that was redirected to its shard's owner last came back from there, and the time before. */
+/* The two latest times at which a worker that this controller had redirected to its shard's owner reported to
+ * this controller again: a sign that the worker cannot reach the owner. */
 typedef struct {
   FkTime last_at, previous_at;
 } FkReturnedWorker;
 
-/* The most parts of a shard's machine page. It is one record while a value holds it, then several: "zone.k",
- * "zone.k+1", ... Only versions that support dependencies read those with a number. */
+/* The most pages that describe the machines of one shard. There is a single page, "zone.k", while a value of
+ * the store can hold it, and further ones, "zone.k+1", ... after that. Only versions that support job
+ * dependencies read the numbered ones. */
 #define FK_SHARD_PAGES_MAX 8
 
-/* Machines of one zone that have one owner together: the revision of the record that names the owner is the
- * fencing token of them all. */
+/* A subset of the machines of one zone that have a common owner. The revision of the record that names the
+ * owner is the fencing token of all of them. */
 typedef struct {
   const char *id, *zone;               /* interned */
-  char *owner, *owner_incarnation;     /* the controller; NULL: none yet */
-  FkRev rev;                           /* of the owner's record; 0: none */
+  char *owner, *owner_incarnation;     /* the controller that owns the shard; NULL if none does */
+  FkRev rev;                           /* of the owner's record; 0 if there is none */
   FkRev page_revs[FK_SHARD_PAGES_MAX]; /* of the pages that describe its machines */
-  gboolean oversized;                  /* a page was written under larger limits than those to come */
-  GPtrArray *machines;                 /* FkMachine: those in the pages, and others that were heard */
-  gboolean was_owned;                  /* by this controller, at the last tick */
-  gboolean acquire_wanted;             /* its workers can't reach their owner, or need a new fencing token */
-  FkTime acquire_after;
-  FkTime no_handback_until;      /* its workers couldn't reach this controller: it is left with its owner */
-  FkTime ignore_returns_until;   /* another has just taken it from us: workers that come back prove nothing */
-  GHashTable *returned_machines; /* id -> FkReturnedWorker*: those that came back from their owner lately */
-  FkRev later_token; /* the highest token that its workers have shown while our view was old: above `rev`,
-                        another controller owns it by now */
-  guint announcements_due; /* workers to be shown a new token at once */
-  gboolean page_dirty;     /* a page is to be written ... */
+  gboolean oversized;                  /* a page exceeds the size limit that is to apply in future */
+  GPtrArray *machines;     /* FkMachine: those in its pages, and others that have sent heartbeats */
+  gboolean was_owned;      /* whether this controller owned the shard at its last tick */
+  gboolean acquire_wanted; /* its workers cannot reach their owner, or need a new fencing token */
+  FkTime acquire_after;    /* earliest time of the next attempt to acquire the shard */
+  /* Time until which this controller leaves the shard to the owner that took it over, because the shard's
+   * workers could not reach this controller. */
+  FkTime no_handback_until;
+  /* Time until which returned workers are not taken as a sign that the owner is unreachable: it has only just
+   * acquired the shard from this controller, so the workers were able to reach it. */
+  FkTime ignore_returns_until;
+  GHashTable *returned_machines; /* id -> FkReturnedWorker* */
+  /* The highest fencing token that its workers have reported while this controller's view was stale. If it is
+   * above `rev`, another controller has acquired the shard since. */
+  FkRev later_token;
+  guint announcements_due; /* number of workers that are to be sent a new fencing token at once */
+  gboolean page_dirty;     /* a page has changes that are not written yet */
   FkTime page_dirty_since;
-  FkTime removal_due; /* ... by then at the latest, since a machine is to be removed; 0: none is */
+  FkTime removal_due; /* when a machine's removal must be written at the latest; 0 if none is pending */
 } FkShard;
 
-/* A machine, with what the view, its shard's owner and the scheduler know of it. */
+/* A machine, with the state that the view, its shard's owner and the scheduler keep of it. */
 typedef struct {
   const char *id;          /* interned */
-  FkMachineRecord *record; /* NULL: not registered */
-  FkShard *shard;          /* NULL: its zone isn't known */
-  FkRev page_rev;          /* the latest of its shard's pages that described it ... */
-  guint page_part;         /* ... and which that is */
-  /* What this controller asks the registry to write of it. */
-  FkMachineRecord *pending_record;  /* owned; NULL: it needn't be added */
-  const char *pending_drain_reason; /* interned; NULL: it stays as it is */
-  double pending_notice_s;
-  gboolean pending_clear;      /* it needn't go any more */
-  gboolean pending_removal;    /* it is gone */
-  struct FkInstanceType *type; /* cached */
-  GArray *allocations;         /* FkAllocationRef */
+  FkMachineRecord *record; /* NULL if the machine is not registered */
+  FkShard *shard;          /* NULL if its zone is unknown */
+  FkRev page_rev;          /* the latest revision of a page that describes the machine */
+  guint page_part;         /* number of that page */
+  /* Changes of the machine's record that this controller wants the registry to write. */
+  FkMachineRecord *pending_record;  /* the record to add, owned; NULL if none */
+  const char *pending_drain_reason; /* interned: the drain reason to set; NULL if none */
+  double pending_notice_s;          /* the notice to set with it */
+  gboolean pending_clear;           /* the drain reason is to be cleared */
+  gboolean pending_removal;         /* the record is to be removed: the machine is terminated */
+  struct FkInstanceType *type;      /* cached */
+  GArray *allocations;              /* FkAllocationRef */
   double allocated_cpus, allocated_gpus, allocated_mem_gb;
-  double reserved_cpus, reserved_gpus, reserved_mem_gb; /* by launches under way */
-  double allocated_long_cpus;                           /* of those allocated, to the long path's tasks */
-  const char *drain_reason;                             /* interned: why it should go, or NULL ... */
-  FkTime drain_reason_since;                            /* ... and since when this controller knows */
-  FkTime record_seen;                                   /* when this controller first saw its record */
-  double notice_s; /* seconds from then until its termination; < 0: none was given */
+  double reserved_cpus, reserved_gpus, reserved_mem_gb; /* reserved for launches in progress */
+  double allocated_long_cpus;                           /* CPUs allocated to tasks of the long path */
+  const char *drain_reason;  /* interned: why the machine is to be drained, or NULL */
+  FkTime drain_reason_since; /* when this controller first saw the drain reason */
+  double notice_s;           /* seconds from then until its termination; < 0 if unknown */
+  FkTime record_seen;        /* when this controller first saw its record */
   FkTime idle_since;
-  gboolean blacklisted;             /* in the short partition: closed to newly arrived long jobs */
-  FkTime full_until;                /* it refused a start: nothing new for a while */
-  FkWorkerState *worker;            /* what this controller keeps of it as its owner, or NULL */
-  GDestroyNotify worker_state_free; /* of `worker` */
-  GHashTable *images;               /* interned: images started there lately */
-  GPtrArray *probes; /* FkJob, with a reference: short jobs that may start here; NULL: none yet */
+  gboolean blacklisted;  /* in the short partition: closed to newly arrived long jobs */
+  FkTime full_until;     /* time until which nothing is launched on it: it refused a task as full */
+  FkWorkerState *worker; /* the owner's state of its worker; NULL if this controller has none */
+  GDestroyNotify worker_state_free; /* frees `worker` */
+  GHashTable *images;               /* interned: images of tasks that were allocated to the machine */
+  GPtrArray *probes; /* FkJob, with a reference: short jobs that may start on the machine; NULL if none yet */
 } FkMachine;
 
 /* A live controller. */
@@ -91,109 +99,115 @@
   FkRev rev;
 } FkControllerNode;
 
-/* What a team has allocated, and how its quota is kept (scheduling/quota_partition.c). */
+/* The resources allocated to a team, and how its quota is divided among the controllers
+ * (scheduling/quota_partition.c). */
 typedef struct {
   FkRev rev;
-  double cpus, gpus; /* allocated to the team's tasks */
-  double reserved_cpus, reserved_gpus;
-  gboolean share_exhausted; /* this controller's share is used up, the team's quota is not */
+  double cpus, gpus;                   /* allocated to the team's tasks */
+  double reserved_cpus, reserved_gpus; /* reserved for launches in progress */
+  gboolean share_exhausted; /* this controller's share of the quota is used up, while the quota is not */
   FkTime serialized_since, changed_at;
-  char *last_exhausted_by; /* the controller that used up its share last, or NULL */
-  double serialized_min_s;
-  GHashTable *cpus_by_controller; /* controller (interned) -> double*: allocated by its launches */
-  GHashTable *partition; /* controller -> double*: its share of the quota; NULL: launches are serialized */
+  char *last_exhausted_by; /* the last controller to use up its share, or NULL */
+  double serialized_min_s; /* the shortest time before launches that are serialized are partitioned again */
+  GHashTable *cpus_by_controller; /* controller (interned) -> double*: CPUs allocated by its launches */
+  GHashTable *partition; /* controller -> double*: its share of the quota; NULL if launches are serialized */
 } FkTeamUsage;
 
-/* The guard of a controller's launches. Each incarnation writes it before it launches anything, so that it
- * also says what the version that wrote it last supports. */
+/* A controller's launch fence: each of its launches is guarded by the revision of this record. Every
+ * incarnation writes the record before its first launch, so that it also shows what the version that the
+ * controller runs supports. */
 typedef struct {
   FkRev rev;
-  gboolean supports_dependencies; /* between jobs, and machine pages in parts */
+  gboolean supports_dependencies; /* job dependencies, and several pages per shard */
 } FkLaunchFence;
 
-/* Tables own their values unless it says otherwise. `now` and `wall_offset_us` are set by the owner before
- * changes are applied. */
+/* Hash tables own their values unless noted otherwise. The owner of the view sets `now` and `wall_offset_us`
+ * before it applies changes. */
 typedef struct FkView FkView;
 struct FkView {
   const FkSettings *settings;
-  FkRev applied;
+  FkRev applied;                    /* the view includes all changes up to this revision */
   GHashTable *jobs;                 /* id -> FkJob */
   GHashTable *machines;             /* id -> FkMachine */
   GHashTable *shards;               /* id -> FkShard */
   GHashTable *completion_pages;     /* "node/n" -> FkCompletionPage */
-  GHashTable *completions_by_chunk; /* "job/index" -> GPtrArray of FkCompletionRecord, the pages' */
-  GHashTable *launch_fences;        /* node -> FkLaunchFence* */
+  GHashTable *completions_by_chunk; /* "job/index" -> GPtrArray of FkCompletionRecord, owned by their pages */
+  GHashTable *launch_fences;        /* controller -> FkLaunchFence* */
   FkDependencyGraph *dependencies;  /* of the live jobs */
-  GHashTable *nodes;                /* name -> FkControllerNode */
+  GHashTable *nodes;                /* controller -> FkControllerNode */
   GHashTable *teams;                /* name -> FkTeamUsage */
-  GHashTable *wait_times;           /* node -> FkWaitTimes */
-  GHashTable *terminal_phases;      /* id -> FkPhase+1 */
-  GHashTable *terminal_task_counts;
-  GQueue *terminal_order;
-  GHashTable *estimate_corrections; /* class -> double*: how long tasks really take, by their estimate */
-  FkSpec *latest_service;           /* the latest service seen, or NULL */
-  double service_rate;              /* services that arrive a second, smoothed */
-  guint services_since_rate;        /* since the rate was updated last */
-  FkTime service_rate_at;
-  double finished_run_s; /* of arrays' tasks done in this window: from allocation to end, summed */
-  guint finished_count;
-  double lost_cpu_s; /* of arrays' tasks that ended without a result in this window */
+  GHashTable *wait_times;           /* controller -> FkWaitTimes */
+  GHashTable *terminal_phases;      /* id -> FkPhase + 1 */
+  GHashTable *terminal_task_counts; /* id -> number of tasks done */
+  GQueue *terminal_order;           /* ids, owned by `terminal_phases`: oldest first */
+  GHashTable *estimate_corrections; /* class -> double*: ratio of actual to estimated run time, smoothed */
+  FkSpec *latest_service;           /* the service that was added last, or NULL */
+  double service_rate;              /* arrival rate of services' tasks per second, smoothed */
+  guint services_since_rate;        /* services' tasks that arrived since the rate was last updated */
+  FkTime service_rate_at;           /* when the rate was last updated */
+  double finished_run_s;            /* in this window: run times of completed array and gang tasks, summed */
+  guint finished_count;             /* in this window: the number of those tasks */
+  double lost_cpu_s; /* in this window: CPU-seconds of array and gang tasks that ended without a result */
   FkServiceLevel *service_level;
   FkFaultAttribution *fault_attribution;
-  FkTime failing_reviewed_at;
-  GHashTable *orphan_chunks; /* paths of chunks without a job -> FkRev* */
+  FkTime failing_reviewed_at; /* when the failing jobs were last reviewed */
+  GHashTable *orphan_chunks;  /* paths of chunks without a job -> FkRev* */
   char *leader, *leader_incarnation;
   FkRev leader_rev;
   GHashTable *changed_machines; /* ids: allocations, record or owner changed since the last cycle */
-  GPtrArray *capacity_removed;  /* addresses of freed machines, for the capacity index: not to be followed */
-  GHashTable *capacity_changed; /* ids, as above, for the capacity index */
-  GPtrArray *live_jobs;         /* FkJob: those of `jobs`, in no order */
+  GHashTable *capacity_changed; /* ids: the same changes, since the capacity index was last updated */
+  GPtrArray *capacity_removed;  /* addresses of freed FkMachine, for the capacity index; not dereferenced */
+  GPtrArray *live_jobs;         /* FkJob: the values of `jobs`, in no particular order */
   GHashTable *changed_jobs; /* FkJob, with a reference: waiting tasks may have changed since the last cycle */
-  guint64 allocation_updates; /* allocations counted in or out: the cost of applying changes */
-  gboolean caught_up;         /* what comes now has just happened: the list and its catch-up are over */
-  FkTime now;                 /* set by the owner before applying */
-  gint64 wall_offset_us;      /* steady = time of day - offset */
+  guint64 allocation_updates; /* allocations added or subtracted so far: the cost of applying changes */
+  gboolean caught_up;    /* the list and its catch-up are complete: changes applied now have just happened */
+  FkTime now;            /* set by the owner before it applies changes */
+  gint64 wall_offset_us; /* wall clock minus steady clock */
 };
 
-FkView *fk_view_new(const FkSettings *settings); /* `settings` must outlive it */
+FkView *fk_view_new(const FkSettings *settings); /* `settings` must outlive the view */
 void fk_view_free(FkView *view);                 /* NULL is fine */
-/* Forgets everything but terminal jobs, which never change, before the store is listed again. */
+/* Removes everything that is listed from the store, before the store is listed again. Terminal jobs, which
+ * never change, and learned estimates stay. */
 void fk_view_clear(FkView *view);
-/* Applies one change. `record` is taken; NULL: the key was deleted. What is older than the view is ignored.
- */
+/* Applies one change. Takes `record`, which is NULL if the key was deleted. A change that is older than the
+ * view's state of the key is ignored. */
 void fk_view_apply(FkView *view, const char *path, FkRecord *record, FkRev rev);
 
-/* Borrowed; NULL: not in the view. */
+/* Returns the entry, owned by the view; NULL if it is not in the view. */
 FkJob *fk_view_find_job(FkView *view, const char *id);
 FkMachine *fk_view_find_machine(FkView *view, const char *id);
-/* Made if the view does not have it: other records may name it before its own comes. */
+/* Returns the entry, owned by the view, and creates it if necessary: other records may refer to it before its
+ * own record arrives. */
 FkMachine *fk_view_ensure_machine(FkView *view, const char *id);
 FkShard *fk_view_ensure_shard(FkView *view, const char *id);
 FkTeamUsage *fk_view_ensure_team(FkView *view, const char *name);
-/* Frees the machine. */
+/* Removes the machine from the view and frees it. */
 void fk_view_remove_machine(FkView *view, FkMachine *machine);
-/* The shard of a machine, for good, by its zone and id; owned by the caller. */
+/* Returns the id of a machine's shard, which depends only on its zone and id and never changes; owned by the
+ * caller. */
 char *fk_shard_id_for_machine(const char *zone, const char *machine);
-/* Puts a machine that has no shard into its own. */
+/* Assigns a machine that has no shard yet to its shard. */
 void fk_view_assign_shard(FkView *view, FkMachine *machine, const char *zone);
-/* The revision of a controller's launch fence; 0: it has none. */
+/* Returns the revision of a controller's launch fence; 0 if it has none. */
 FkRev fk_view_launch_fence_rev(FkView *view, const char *node);
 
 /* terminal_jobs.c */
 
-/* FALSE: the job is not known as terminal, which does not mean that it isn't. */
+/* Looks up a terminal job. FALSE if the view does not have it: it may be terminal all the same. */
 gboolean fk_view_find_terminal_job(FkView *view, const char *id, FkPhase *phase, guint32 *tasks);
-/* `ended_at_ms`: time of day; 0: not known. */
+/* Adds a terminal job, unless the view has it. `ended_at_ms`: wall clock; 0 if unknown. */
 void fk_view_add_terminal_job(FkView *view, const char *id, FkPhase phase, guint32 tasks, gint64 ended_at_ms);
 
 /* run_estimates.c */
 
-/* Seconds that a task is expected to run: the user's estimate, corrected by what tasks of its class took. */
+/* Returns the seconds that a task is expected to run: the user's estimate, corrected by the run times of
+ * completed tasks of its class. */
 double fk_view_expected_run_s(FkView *view, const FkSpec *spec);
-/* Updates the rate at which services arrive; at most once a second, calls between do nothing. */
+/* Updates the arrival rate of services, at most once a second: calls in between do nothing. */
 void fk_view_update_service_rate(FkView *view);
 
 /* failing_jobs.c */
 
-/* Reviews, at most once a second, which jobs still seem to fail on every machine. */
+/* Reevaluates, at most once a second, which of the failing jobs still seem to fail on every machine. */
 void fk_view_review_failing_jobs(FkView *view);
--- a/src/core/state/view_apply.c
+++ b/src/core/state/view_apply.c
@@ -1,4 +1,4 @@
-/* One change of the store, applied to the view. */
+/* Applies one change of the store to the view. */
 #include "core/state/view_internal.h"
 
 #include <string.h>
@@ -18,7 +18,7 @@
     fk_view_mark_machine_changed(v, shard->machines->pdata[i]);
 }
 
-/* Takes over how the page describes the machine. */
+/* Updates the machine from its record in a page. */
 static void set_machine_record(FkView *v, FkMachine *machine, const FkMachineRecord *record) {
   gboolean fresh = !machine->record, changed = machine->drain_reason != record->drain_reason;
   if (changed) {
@@ -34,8 +34,9 @@
     fk_view_mark_machine_changed(v, machine);
 }
 
-/* A machine that a part of its page no longer has, and no other part has now, is proven gone: its allocations
- * have ended before. One that moves is in its new part by the same transaction. */
+/* Clears the records of machines that are missing from the new revision of a page and are in no other page of
+ * the shard. Such a machine is proven to be terminated, and its allocations ended before it was removed. A
+ * machine that moves between pages is written to its new page by the same transaction. */
 static void forget_missing_machines(FkView *v, FkShard *shard, guint64 part, FkRev rev) {
   for (guint i = 0; i < shard->machines->len; i++) {
     FkMachine *machine = shard->machines->pdata[i];
@@ -62,7 +63,7 @@
   for (guint i = 0; record && i < record->machines->len; i++) {
     const FkMachineRecord *machine_record = record->machines->pdata[i];
     FkMachine *machine = fk_view_ensure_machine(v, machine_record->id);
-    fk_view_join_shard(machine, shard);
+    fk_view_move_to_shard(machine, shard);
     machine->page_rev = rev;
     machine->page_part = (guint)part;
     bytes += fk_machine_record_bytes(machine_record);
@@ -123,7 +124,8 @@
     g_hash_table_remove(v->wait_times, id);
 }
 
-/* A chunk may come before its job, or outlast it: then its path is kept, to be deleted. */
+/* A chunk may arrive before its job's record, or remain after it. The path of such an orphan is kept, so that
+ * it can be deleted. */
 static void set_chunk(FkView *v, const char *path, const char *id, guint32 index, FkRecord *record,
                       FkRev rev) {
   FkJob *job = fk_view_find_job(v, id);
@@ -132,7 +134,7 @@
   if (record && !job)
     g_hash_table_replace(v->orphan_chunks, g_strdup(path), g_memdup2(&rev, sizeof rev));
   else
-    g_hash_table_remove(v->orphan_chunks, path); /* the job has come since, or the chunk is gone */
+    g_hash_table_remove(v->orphan_chunks, path); /* the job has arrived, or the chunk was deleted */
 }
 
 void fk_view_apply(FkView *v, const char *path, FkRecord *taken, FkRev rev) {
--- a/src/core/state/view_chunks.c
+++ b/src/core/state/view_chunks.c
@@ -1,5 +1,5 @@
-/* The chunks of live jobs: a record with all that pages of completions have of it, and the sums of what is
- * allocated, kept by difference. */
+/* The chunks of live jobs: computes the effective chunk from the stored record and the completions, and
+ * updates the sums of allocated resources incrementally. */
 #include "core/state/view_internal.h"
 
 static gboolean is_long(const FkSpec *spec, const FkView *v) {
@@ -41,7 +41,7 @@
       }
     }
     if (!machine->allocations->len) {
-      /* no drift from adding and subtracting fractions */
+      /* Reset, so that rounding errors of adding and subtracting fractions do not accumulate. */
       machine->allocated_cpus = machine->allocated_gpus = machine->allocated_mem_gb =
           machine->allocated_long_cpus = 0;
       machine->idle_since = v->now;
@@ -65,8 +65,9 @@
          first->stop_requested == second->stop_requested;
 }
 
-/* Keeps when each allocation was first seen, and learns from those that are done now. */
-static void carry_first_seen(FkView *v, FkJob *job, const FkChunk *old, FkChunk *chunk) {
+/* Copies the first-seen times of unchanged allocations to the new chunk, and learns from the allocations
+ * whose tasks have become done. */
+static void carry_over_first_seen(FkView *v, FkJob *job, const FkChunk *old, FkChunk *chunk) {
   for (guint i = 0; i < chunk->allocations->len; i++) {
     FkAllocation *allocation = &g_array_index(chunk->allocations, FkAllocation, i);
     FkAllocation *previous = old ? fk_chunk_find_allocation(old, allocation->task) : NULL;
@@ -84,7 +85,7 @@
   }
 }
 
-/* A completion counts as long as the chunk has the allocation. */
+/* Marks the record's tasks done, as far as the chunk still has an allocation of them. */
 static void apply_completed(FkChunk *chunk, const FkCompletionRecord *completion) {
   for (guint i = 0; i < MIN(completion->done->len, chunk->task_count); i++) {
     const FkAllocation *allocation = completion->done->data[i] && !chunk->done[i]
@@ -102,9 +103,10 @@
   }
 }
 
-/* One owner may prove that a task is done while another, or the leader on the cloud's word, proves that the
- * same attempt ended: the result counts, whichever came first. If the order counted, a controller that read
- * both pages from a list would see another state than one that saw them written. */
+/* A shard's owner may prove that a task is done while another owner, or the leader from the cloud's machine
+ * list, proves that the same attempt was lost. The result takes precedence, whichever was written first: if
+ * the order decided, a controller that listed both pages would see a different state than one that watched
+ * them being written. So all done tasks are applied before all released attempts. */
 FkChunk *fk_view_effective_chunk(FkView *v, const FkJob *job, guint32 index) {
   FkChunk *chunk = fk_chunk_copy(job->base_chunks[index]);
   g_autofree char *key = g_strdup_printf("%s/%u", job->spec->id, index);
@@ -116,11 +118,11 @@
   return chunk;
 }
 
-/* Only the allocations in which the two differ are counted: most of a chunk stays as it was. */
+/* Only allocations in which the old and new chunk differ are counted, as most of a chunk stays unchanged. */
 void fk_view_set_effective_chunk(FkView *v, FkJob *job, guint32 index, FkChunk *chunk) {
   FkChunk *old = job->chunks[index];
   if (chunk)
-    carry_first_seen(v, job, old, chunk);
+    carry_over_first_seen(v, job, old, chunk);
   if (index < job->unstarted_hint)
     job->unstarted_hint = index;
   job->chunks[index] = chunk;
@@ -134,15 +136,15 @@
     fk_chunk_free(old);
     return;
   }
-  g_autofree const FkAllocation **kept =
-      g_new0(const FkAllocation *, chunk->task_count); /* by task: the old allocation, until it is matched */
+  g_autofree const FkAllocation **unmatched =
+      g_new0(const FkAllocation *, chunk->task_count); /* by task: its old allocation; NULL once matched */
   for (guint i = 0; i < old->allocations->len; i++) {
     const FkAllocation *allocation = &g_array_index(old->allocations, FkAllocation, i);
-    kept[allocation->task - old->first_task] = allocation;
+    unmatched[allocation->task - old->first_task] = allocation;
   }
   for (guint i = 0; i < chunk->allocations->len; i++) {
     const FkAllocation *allocation = &g_array_index(chunk->allocations, FkAllocation, i),
-                       **previous = &kept[allocation->task - chunk->first_task];
+                       **previous = &unmatched[allocation->task - chunk->first_task];
     if (*previous && is_same_allocation(*previous, allocation)) {
       *previous = NULL;
       continue;
@@ -153,8 +155,8 @@
     fk_view_count_allocation(v, job, allocation, +1);
   }
   for (guint32 i = 0; i < chunk->task_count; i++)
-    if (kept[i])
-      fk_view_count_allocation(v, job, kept[i], -1);
+    if (unmatched[i])
+      fk_view_count_allocation(v, job, unmatched[i], -1);
   job->done += chunk->done_count - old->done_count;
   fk_view_mark_job_changed(v, job);
   fk_chunk_free(old);
--- a/src/core/state/view_completions.c
+++ b/src/core/state/view_completions.c
@@ -1,12 +1,12 @@
-/* The pages of completions that shard owners write, applied to the chunks of the view. */
+/* Applies the pages of completions, which shard owners write, to the chunks in the view. */
 #include "core/state/view_internal.h"
 
 #include <string.h>
 
-/* An allocation has ended, as a page says. */
+/* Applies the end of an allocation, as recorded in a page. */
 static void end_allocation(FkView *v, FkJob *job, FkChunk *chunk, const FkAllocation *ended,
                            FkCompletionKind kind) {
-  FkAllocation allocation = *ended; /* a copy: the chunk drops it below */
+  FkAllocation allocation = *ended; /* a copy, as the chunk removes its own below */
   gboolean done = kind == FK_COMPLETION_DONE;
   if (done && allocation.start_observed)
     fk_view_learn_run_time(v, job->spec, fk_time_between(allocation.first_seen_at, v->now));
@@ -27,7 +27,7 @@
     fk_view_attempt_failed(v, job, &allocation);
 }
 
-/* What is new in the record counts at once, allocation by allocation. */
+/* Applies the new completions of a record, one allocation at a time. */
 static void apply_completion_record(FkView *v, const FkCompletionRecord *completion) {
   const char *slash = strrchr(completion->chunk, '/');
   g_autofree char *id = slash ? g_strndup(completion->chunk, slash - completion->chunk) : NULL;
@@ -36,7 +36,7 @@
   if (!job || index >= job->chunk_count || !job->chunks[index])
     return;
   FkChunk *chunk = job->chunks[index];
-  gboolean released_before = FALSE;
+  gboolean was_released = FALSE;
   for (guint i = 0; i < MIN(completion->done->len, chunk->task_count); i++) {
     if (!completion->done->data[i] || chunk->done[i])
       continue;
@@ -44,9 +44,9 @@
     if (allocation)
       end_allocation(v, job, chunk, allocation, FK_COMPLETION_DONE);
     else
-      released_before |= fk_chunk_find_allocation(job->base_chunks[index], chunk->first_task + i) != NULL;
+      was_released |= fk_chunk_find_allocation(job->base_chunks[index], chunk->first_task + i) != NULL;
   }
-  if (released_before) {
+  if (was_released) {
     fk_view_set_effective_chunk(v, job, (guint32)index, fk_view_effective_chunk(v, job, (guint32)index));
     chunk = job->chunks[index];
   }
@@ -68,53 +68,53 @@
                                            first->released->len * sizeof(FkReleasedAttempt)));
 }
 
-/* The position of the page's record among those of a chunk; -1: it has none. */
-static gint index_in_page(const GPtrArray *of_chunk, const FkCompletionPage *page) {
-  for (guint i = 0; page && of_chunk && i < of_chunk->len; i++)
-    if (((FkCompletionRecord *)of_chunk->pdata[i])->page == page)
+/* Returns the index of the page's record among the records of a chunk; -1 if the page has none. */
+static gint index_in_page(const GPtrArray *chunk_records, const FkCompletionPage *page) {
+  for (guint i = 0; page && chunk_records && i < chunk_records->len; i++)
+    if (((FkCompletionRecord *)chunk_records->pdata[i])->page == page)
       return (gint)i;
   return -1;
 }
 
 static void add_completion_record(FkView *v, FkCompletionRecord *completion) {
-  GPtrArray *of_chunk = g_hash_table_lookup(v->completions_by_chunk, completion->chunk);
-  if (!of_chunk) {
-    of_chunk = g_ptr_array_new();
-    g_hash_table_insert(v->completions_by_chunk, g_strdup(completion->chunk), of_chunk);
+  GPtrArray *chunk_records = g_hash_table_lookup(v->completions_by_chunk, completion->chunk);
+  if (!chunk_records) {
+    chunk_records = g_ptr_array_new();
+    g_hash_table_insert(v->completions_by_chunk, g_strdup(completion->chunk), chunk_records);
   }
-  g_ptr_array_add(of_chunk, completion);
+  g_ptr_array_add(chunk_records, completion);
   apply_completion_record(v, completion);
 }
 
-/* Puts the record in the place of the one that the old page (NULL: none) had for the same chunk. */
+/* Replaces the record that the old page (NULL if there is none) had for the same chunk. */
 static void set_completion_record(FkView *v, FkCompletionRecord *completion, const FkCompletionPage *old) {
-  GPtrArray *of_chunk = g_hash_table_lookup(v->completions_by_chunk, completion->chunk);
-  gint position = index_in_page(of_chunk, old);
+  GPtrArray *chunk_records = g_hash_table_lookup(v->completions_by_chunk, completion->chunk);
+  gint position = index_in_page(chunk_records, old);
   if (position < 0) {
     add_completion_record(v, completion);
     return;
   }
-  FkCompletionRecord *before = of_chunk->pdata[position];
+  FkCompletionRecord *before = chunk_records->pdata[position];
   gboolean unchanged = is_same_completion_record(before, completion);
   before->page = NULL; /* replaced */
-  of_chunk->pdata[position] = completion;
+  chunk_records->pdata[position] = completion;
   if (!unchanged)
     apply_completion_record(v, completion);
 }
 
-/* Drops the records of the old page that the new one has not replaced. */
+/* Removes the records of the old page that the new page has not replaced. */
 static void remove_completion_records(FkView *v, const FkCompletionPage *old) {
   for (guint i = 0; i < old->records->len; i++) {
     FkCompletionRecord *completion = old->records->pdata[i];
-    GPtrArray *of_chunk =
+    GPtrArray *chunk_records =
         completion->page ? g_hash_table_lookup(v->completions_by_chunk, completion->chunk) : NULL;
-    if (of_chunk && g_ptr_array_remove_fast(of_chunk, completion) && !of_chunk->len)
+    if (chunk_records && g_ptr_array_remove_fast(chunk_records, completion) && !chunk_records->len)
       g_hash_table_remove(v->completions_by_chunk, completion->chunk);
   }
 }
 
-/* A page of completions replaces the one before it. It is written twice a second and mostly repeats itself:
- * only records that differ are worked on. */
+/* A page of completions replaces its previous revision. It is written twice a second and mostly unchanged, so
+ * only the records that differ are applied. */
 void fk_view_set_completions(FkView *v, const char *id, FkRecord *record, FkRev rev) {
   FkCompletionPage *old = g_hash_table_lookup(v->completion_pages, id), *page = NULL;
   if (old && old->rev.n >= rev.n)
--- a/src/core/state/view_jobs.c
+++ b/src/core/state/view_jobs.c
@@ -1,14 +1,14 @@
-/* The records of live jobs, applied one by one. */
+/* Applies the records of live jobs to the view. */
 #include "core/state/view_internal.h"
 
-#define SERVICE_TASKS_COUNTED_MAX 8 /* of one service, in the rate at which services arrive */
+#define SERVICE_TASKS_COUNTED_MAX 8 /* tasks of one service counted in the arrival rate of services */
 
-static void list_job(FkView *v, FkJob *job) {
+static void add_to_live_jobs(FkView *v, FkJob *job) {
   job->list_index = v->live_jobs->len;
   g_ptr_array_add(v->live_jobs, job);
 }
 
-static void unlist_job(FkView *v, FkJob *job) {
+static void remove_from_live_jobs(FkView *v, FkJob *job) {
   g_ptr_array_remove_index_fast(v->live_jobs, job->list_index);
   if (job->list_index < v->live_jobs->len)
     ((FkJob *)v->live_jobs->pdata[job->list_index])->list_index = job->list_index;
@@ -17,7 +17,8 @@
 static void remove_job(FkView *v, const char *id, FkJob *job) {
   for (guint32 i = 0; i < job->chunk_count; i++)
     if (job->chunks[i]) {
-      /* the last results of a small job end it in the same transaction */
+      /* The last results of a small job and its end are written by one transaction, so that allocations still
+       * in the view have succeeded. */
       for (guint k = 0; !job->cancelled && k < job->chunks[i]->allocations->len; k++) {
         const FkAllocation *allocation = &g_array_index(job->chunks[i]->allocations, FkAllocation, k);
         fk_fault_attribution_task_succeeded(v->fault_attribution, id, allocation->machine);
@@ -32,15 +33,16 @@
     fk_service_level_job_ended(v->service_level, job->spec->class_name, job->spec->team,
                                fk_spec_cpu_seconds(job->spec));
   fk_fault_attribution_remove_job(v->fault_attribution, id);
-  fk_dependency_graph_set_state(v->dependencies, id, FK_DEPENDENCY_UNKNOWN,
-                                0); /* its terminal record comes with this, or is known already */
+  /* The terminal record is written by the same transaction: it is known already, or arrives with this change.
+   */
+  fk_dependency_graph_set_state(v->dependencies, id, FK_DEPENDENCY_UNKNOWN, 0);
   fk_dependency_graph_remove(v->dependencies, id);
   fk_view_mark_job_changed(v, job);
-  unlist_job(v, job);
+  remove_from_live_jobs(v, job);
   g_hash_table_remove(v->jobs, id);
 }
 
-/* The job is blocked by those of its dependencies that aren't known to be done. */
+/* Adds the job to the dependency graph, blocked until all of its dependencies are known to be done. */
 static void add_dependencies(FkView *v, FkJob *job) {
   char **dependencies = job->spec->dependencies;
   if (!dependencies)
@@ -73,8 +75,8 @@
   job->deadline_us = fk_job_own_deadline_us(job);
   job->inherited_priority = spec->priority;
   g_hash_table_insert(v->jobs, spec->id, job);
-  list_job(v, job);
-  /* a dependent may have come before it */
+  add_to_live_jobs(v, job);
+  /* A dependent may have arrived first. */
   fk_dependency_graph_set_state(v->dependencies, id, FK_DEPENDENCY_LIVE, 0);
   add_dependencies(v, job);
   return job;
@@ -86,7 +88,7 @@
   v->services_since_rate += MIN(spec->tasks, SERVICE_TASKS_COUNTED_MAX);
 }
 
-/* The job is cancelled now: its tasks are to be stopped. */
+/* Marks the machines of a newly cancelled job as changed: its tasks on them are to be stopped. */
 static void mark_machines_changed(FkView *v, const FkJob *job) {
   for (guint32 i = 0; i < job->chunk_count; i++)
     for (guint k = 0; job->chunks[i] && k < job->chunks[i]->allocations->len; k++) {
