--- a/src/core/store_session/calls.c
+++ b/src/core/store_session/calls.c
@@ -1,32 +1,37 @@
-/* Calls to the store, and what waits for their answers.
+/* Calls to the store, and the callbacks that await their replies.
  *
- * A transaction without an answer is retried unchanged, after a few times the usual latency: one that got
- * lost, or is carried out much later, must not keep a user, or all launches of a controller, waiting for the
- * deadline. That is as safe as the network's own repeats (docs/design.md, "Asked again"): its guards let it
- * be carried out once at the most. */
+ * A transaction without a reply is retried unchanged after a few times the usual latency. Otherwise a request
+ * or reply that is lost or very late would delay a user, or all launches of a controller, until the request
+ * times out. The retry is as safe as a duplicate made by the network (docs/design.md, "Asked again"): the
+ * guards let the transaction commit at most once. */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 
-#define RETRY_LATENCY_FACTOR 4.0 /* times the usual latency ... */
-#define RETRY_MIN_S 0.08         /* ... but not sooner than this, */
-#define RETRY_MAX_S 1.0          /* nor later; doubled at each retry */
-#define RETRY_LOSSLESS_MIN_S                                                                                 \
-  0.4 /* while hardly any is lost: some answers are slow, and each retry costs writes */
-#define LOSSY_RETRY_SHARE 0.1 /* of the transactions had to be retried */
+/* The first retry is sent after this multiple of the usual latency, limited to RETRY_MIN_S..RETRY_MAX_S; each
+ * further retry waits twice as long. */
+#define RETRY_LATENCY_FACTOR 4.0
+#define RETRY_MIN_S 0.08
+#define RETRY_MAX_S 1.0
+/* Replaces RETRY_MIN_S while few transactions are lost: then a missing reply is probably only slow, and each
+ * retry uses up write budget. */
+#define RETRY_LOSSLESS_MIN_S 0.4
+/* The network counts as lossy above this share of retried transactions. */
+#define LOSSY_RETRY_SHARE 0.1
 #define SENDS_MAX 4
-#define DEFAULT_LATENCY_S 0.02  /* until the first answer */
-#define LATENCY_EWMA_WEIGHT 0.1 /* of the newest answer */
-#define OUTAGE_S 3.0            /* the store is asked all the time: no answer for so long is an outage */
+#define DEFAULT_LATENCY_S 0.02  /* assumed until the first reply */
+#define LATENCY_EWMA_WEIGHT 0.1 /* weight of the latest reply */
+/* No reply for this long counts as an outage of the store, to which requests are sent all the time. */
+#define OUTAGE_S 3.0
 
 typedef struct {
-  FkTransactionCallback committed;
-  FkReadCallback got;
+  FkTransactionCallback transaction_done; /* NULL for a read */
+  FkReadCallback read_done;               /* NULL for a transaction */
   gpointer data;
   GDestroyNotify free_data;
-  FkOutput *out; /* the transaction */
-  FkTime sent;   /* when it went out last; 0: it is in the queue of the budget */
-  guint sends;   /* how often it was sent, or queued to be */
-  guint open;    /* of those, how many are not known to have been refused */
+  FkOutput *out;         /* the transaction; NULL for a read */
+  FkTime sent;           /* when the transaction was last sent; 0 while the rate limiter has it queued */
+  guint sends;           /* number of times that it was sent or queued */
+  guint unrefused_sends; /* number of those that are not known to have been refused */
 } Call;
 
 void fk_call_free(gpointer value) {
@@ -45,14 +50,14 @@
 
 static double retry_after_s(const FkController *c, const Call *call) {
   double latency_s = c->calls.usual_delay_s > 0 ? c->calls.usual_delay_s : DEFAULT_LATENCY_S;
-  double min_s = c->calls.lost_share > LOSSY_RETRY_SHARE ? RETRY_MIN_S : RETRY_LOSSLESS_MIN_S;
+  double min_s = c->calls.retried_share > LOSSY_RETRY_SHARE ? RETRY_MIN_S : RETRY_LOSSLESS_MIN_S;
   return CLAMP(RETRY_LATENCY_FACTOR * latency_s, min_s, RETRY_MAX_S) * (1 << (call->sends - 1));
 }
 
 void fk_calls_retry_overdue(FkController *c) {
   GHashTableIter it;
   gpointer value;
-  double write_room = c->launches.write_room;
+  double writes_available = c->launches.write_room;
   g_hash_table_iter_init(&it, c->calls.pending_transactions);
   while (g_hash_table_iter_next(&it, NULL, &value)) {
     Call *call = value;
@@ -60,12 +65,12 @@
         fk_time_between(call->sent, c->now) < retry_after_s(c, call))
       continue;
     guint writes = call->out->writes->len;
-    if (call->out->priority > FK_PRIORITY_USER && writes > write_room)
-      continue; /* over the budget it would only keep others waiting */
-    write_room -= writes;
+    if (call->out->priority > FK_PRIORITY_USER && writes > writes_available)
+      continue; /* above the write budget, a retry would only delay other writes */
+    writes_available -= writes;
     call->sent.us = 0;
     call->sends++;
-    call->open++;
+    call->unrefused_sends++;
     g_queue_push_tail(c->outputs, fk_output_ref(call->out));
   }
 }
@@ -102,11 +107,11 @@
 void fk_transaction_send(FkController *c, FkOutput *transaction, FkTransactionCallback done, gpointer data,
                          GDestroyNotify free_data) {
   Call *call = g_new0(Call, 1);
-  call->committed = done;
+  call->transaction_done = done;
   call->data = data;
   call->free_data = free_data;
   call->out = fk_output_ref(transaction);
-  call->sends = call->open = 1;
+  call->sends = call->unrefused_sends = 1;
   transaction->call = ++c->calls.last_id;
   c->calls.transactions[transaction->priority]++;
   c->calls.transaction_writes[transaction->priority] += transaction->writes->len;
@@ -117,7 +122,7 @@
 
 void fk_read_send(FkController *c, char *path, FkReadCallback done, gpointer data, GDestroyNotify free_data) {
   Call *call = g_new0(Call, 1);
-  call->got = done;
+  call->read_done = done;
   call->data = data;
   call->free_data = free_data;
   FkOutput *output = fk_output_new(c, FK_OUTPUT_GET);
@@ -151,16 +156,16 @@
   Call *call = g_hash_table_lookup(c->calls.pending_transactions, &id);
   if (!call)
     return;
-  if ((outcome == FK_OUTCOME_REFUSED || outcome == FK_OUTCOME_INVALID) && --call->open)
-    return; /* another of its sends may yet be carried out */
+  if ((outcome == FK_OUTCOME_REFUSED || outcome == FK_OUTCOME_INVALID) && --call->unrefused_sends)
+    return; /* another send of it may still be carried out */
   if ((outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT) && call->sent.us) {
     c->calls.usual_delay_s +=
         LATENCY_EWMA_WEIGHT * (fk_time_between(call->sent, now) - c->calls.usual_delay_s);
-    c->calls.lost_share += LATENCY_EWMA_WEIGHT * ((call->sends > 1) - c->calls.lost_share);
+    c->calls.retried_share += LATENCY_EWMA_WEIGHT * ((call->sends > 1) - c->calls.retried_share);
     c->calls.resent += call->sends > 1;
   }
   call = take_call(c->calls.pending_transactions, id);
-  call->committed(c, call->data, outcome, epoch, failed);
+  call->transaction_done(c, call->data, outcome, epoch, failed);
   fk_call_free(call);
 }
 
@@ -170,7 +175,7 @@
   fk_store_session_note_outcome(c, outcome);
   Call *call = take_call(c->calls.pending_reads, id);
   if (call) {
-    call->got(c, call->data, outcome, event);
+    call->read_done(c, call->data, outcome, event);
     fk_call_free(call);
   }
   fk_store_event_free(event);
@@ -190,7 +195,8 @@
   record->phase = job->cancelled ? FK_PHASE_CANCELLED : FK_PHASE_DONE;
   record->tasks = job->cancelled ? job->done : job->spec->tasks;
   if (fk_dependency_graph_has_dependents(c->view->dependencies, job->spec->id))
-    record->ended_at_ms = (c->now.us + c->view->wall_offset_us) / 1000; /* the dependents' waits begin here */
+    record->ended_at_ms =
+        (c->now.us + c->view->wall_offset_us) / 1000; /* start of the dependents' wait times */
   fk_transaction_guard(transaction, fk_key_path(FK_KEY_JOB, job->spec->id), job->rev);
   fk_transaction_put(transaction, fk_key_path(FK_KEY_TERMINAL_JOB, job->spec->id), record, (FkRev){0});
   fk_transaction_delete(transaction, fk_key_path(FK_KEY_JOB, job->spec->id));
--- a/src/core/store_session/calls.h
+++ b/src/core/store_session/calls.h
@@ -1,49 +1,51 @@
-/* Calls to the store that wait for an answer: transactions and reads. */
+/* Calls to the store that await a reply: transactions and reads. */
 #pragma once
 #include "core/messages.h"
 
-/* Calls to the store that are under way, and how quickly it has answered lately. */
+/* The store calls in flight, and recent statistics of them. */
 typedef struct {
-  guint64 last_id;      /* of all calls, to workers and the cloud as well */
-  double usual_delay_s; /* how late the store usually answers a transaction; 0: none was answered yet */
-  double lost_share;    /* share of the transactions that had to be sent again, lately */
-  guint resent;         /* answered after more than one send, in this window */
-  GHashTable *pending_transactions;                 /* call id -> the call, with its callback */
-  GHashTable *pending_reads;                        /* the same */
-  guint transactions[FK_PRIORITY_RESULT + 1];       /* in this window, by purpose */
-  guint transaction_writes[FK_PRIORITY_RESULT + 1]; /* ... and their writes */
+  guint64 last_id;      /* the id of the latest call, including calls to workers and to the cloud */
+  double usual_delay_s; /* moving average of the latency of transactions; 0 if none has been answered yet */
+  double retried_share; /* moving average of the share of transactions that were sent more than once */
+  guint resent;         /* transactions in this window that were answered after a retry */
+  GHashTable *pending_transactions;                 /* call id -> Call */
+  GHashTable *pending_reads;                        /* call id -> Call */
+  guint transactions[FK_PRIORITY_RESULT + 1];       /* number sent in this window, by priority */
+  guint transaction_writes[FK_PRIORITY_RESULT + 1]; /* number of writes in them */
 } FkCalls;
 
-/* The outcome of a transaction. `epoch`: the store's revision at the answer; `failed`: the paths (char*) of
- * the guards that did not hold, or NULL. */
+/* Receives the outcome of a transaction. `epoch`: the store's revision at the reply. `failed`: paths (char*)
+ * of the guards that did not hold, or NULL. */
 typedef void (*FkTransactionCallback)(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                                       GPtrArray *failed);
-/* The outcome of a read. `event`: what was read, valid during the call; NULL unless the outcome is OK. */
+/* Receives the outcome of a read. `event`: the key's state, valid during the call; NULL unless the outcome is
+ * OK. */
 typedef void (*FkReadCallback)(FkController *c, gpointer data, FkOutcome outcome, FkStoreEvent *event);
 
-/* GDestroyNotify of the tables of calls. */
+/* Frees a Call: the GDestroyNotify of the tables of calls. */
 void fk_call_free(gpointer call);
-/* Sends again each transaction that has waited for its answer for too long. */
+/* Retries the transactions whose replies are overdue. */
 void fk_calls_retry_overdue(FkController *c);
 
-/* An empty transaction, owned by the caller until it is sent. */
+/* Returns an empty transaction, owned by the caller until it is sent. */
 FkOutput *fk_transaction_new(FkController *c, FkTransactionPriority priority);
-/* The transaction is only carried out if the key at `path` still has that revision; 0: if there is none. The
- * first guard of a path counts. `path` is taken. */
+/* Adds a guard: the transaction commits only if the key at `path` is still at `rev`, or does not exist if
+ * `rev` is 0. Does nothing if the transaction already has a guard on the path. Takes `path`. */
 void fk_transaction_guard(FkOutput *transaction, char *path, FkRev rev);
-/* Writes the record, with the life of a lease (0: none). `path` and `record` are taken. */
+/* Adds a write of the record, attached to a lease (0 for none). Takes `path` and `record`. */
 void fk_transaction_put(FkOutput *transaction, char *path, FkRecord *record, FkRev lease);
-/* Deletes the key. `path` is taken. */
+/* Adds a deletion of the key. Takes `path`. */
 void fk_transaction_delete(FkOutput *transaction, char *path);
-/* Moves a job whose tasks are all done, or that is cancelled with no allocation left, to its terminal state.
- * Chunks beyond `writes_left` stay for later. FALSE: too few writes are left, nothing was added. */
+/* Adds the writes that move a job to its terminal state. All of its tasks must be done, or it must be
+ * cancelled and have no allocations. Adds at most `writes_left` writes; chunks that are left over are deleted
+ * later as orphans. Returns FALSE, and adds nothing, if `writes_left` is too low. */
 gboolean fk_transaction_finalize_job(FkController *c, FkOutput *transaction, FkJob *job, guint writes_left);
-/* Sends the transaction, which is taken; `done` is called once, unless the controller is freed before.
- * `data` is freed by `free_data` (NULL: not at all). */
+/* Sends the transaction and takes it. Calls `done` once, unless the controller is freed first, and then frees
+ * `data` by `free_data` if that is not NULL. */
 void fk_transaction_send(FkController *c, FkOutput *transaction, FkTransactionCallback done, gpointer data,
                          GDestroyNotify free_data);
-/* Reads one key. `path` is taken; the rest as for a transaction. */
+/* Reads one key. Takes `path`; the other arguments are as for fk_transaction_send(). */
 void fk_read_send(FkController *c, char *path, FkReadCallback done, gpointer data, GDestroyNotify free_data);
 
-/* The record of a live job, owned by the caller. */
+/* Returns a new record of a live job, owned by the caller. */
 FkRecord *fk_job_record_new(const FkJob *job, gboolean cancelled);
--- a/src/core/store_session/read_freshness.c
+++ b/src/core/store_session/read_freshness.c
@@ -1,13 +1,14 @@
-/* Freshness of the view. It is confirmed up to the moment at which the latest answered watch was sent. While
- * the store cannot be reached, it is also confirmed by the other controllers: if every one of them, in the
- * incarnation that the view shows, has seen no later revision than the view has, then nobody has decided
- * anything that the view lacks. A controller that has restarted confirms nothing: its last incarnation may
- * have acknowledged a cancellation. */
+/* Freshness of the view: the time for which the view is confirmed to include every decision of any
+ * controller. Normally that is the time at which the latest answered watch was sent. While the store is
+ * unreachable, the other controllers can confirm the view instead: if none of them has seen a later revision
+ * than the view's, no controller has made a decision that the view lacks. A reply counts only if it is from
+ * the incarnation that the view shows. A controller that has restarted confirms nothing, because its previous
+ * incarnation may have acknowledged a cancellation that the new one does not know. */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 
 #define PEER_QUERY_INTERVAL_S 1.0
-#define BARRIER_QUERY_INTERVAL_S 0.15 /* while a cancellation waits for the others */
+#define BARRIER_QUERY_INTERVAL_S 0.15 /* while a cancellation waits for other controllers */
 
 const char *fk_controller_store_progress(FkController *c, FkTime now, FkRev *seen, FkRev *applied,
                                          double *store_age_s) {
@@ -39,7 +40,8 @@
     if (peer_confirmed_at->us < confirmed_at.us)
       confirmed_at = *peer_confirmed_at;
   }
-  /* a commit of our own that the view lacks counts as well */
+  /* A revision that this controller has seen and the view lacks, such as its own commit, prevents
+   * confirmation by peers as well. */
   if (c->store_session.latest_rev_seen.n > c->view->applied.n ||
       confirmed_at.us < c->store_session.confirmed_at.us)
     return c->store_session.confirmed_at;
--- a/src/core/store_session/read_freshness.h
+++ b/src/core/store_session/read_freshness.h
@@ -1,15 +1,18 @@
-/* How fresh the view is for certain, and what the other controllers know. */
+/* Up to which time the view is known to be current, from the store's replies and from the other controllers'.
+ */
 #pragma once
 #include "core/messages.h"
 
-#define FK_PEER_QUERY_AFTER_S 2.5 /* without an answer of the store, the other controllers are asked */
+/* The other controllers are queried when no reply of the store has confirmed the view for this long. */
+#define FK_PEER_QUERY_AFTER_S 2.5
 
-/* Queries the other controllers while the view is not confirmed, or a cancellation waits for them. `needed`:
- * the revision that they must have applied for it; 0: none. */
+/* Queries the other controllers while the view is not confirmed, or while a cancellation must wait until they
+ * have applied it. `needed`: the revision of that cancellation; 0 if there is none. */
 void fk_read_freshness_tick(FkController *c, FkRev needed);
-/* Another controller's answer to a query that was sent at `sent`: its incarnation, the latest revision that
- * it has seen, and how long ago the store last answered it. */
+/* Handles another controller's reply to the query sent at `sent`: its incarnation, the latest revision that
+ * it has seen, and how long before the reply the store last replied to it. */
 void fk_read_freshness_peer_received(FkController *c, const char *peer, const char *incarnation, FkRev seen,
                                      double store_age_s, FkTime sent);
-/* The latest moment up to which every decision of any controller is in the view for certain. */
+/* Returns the latest time for which the view is known to include every decision that any controller had made.
+ */
 FkTime fk_read_freshness_confirmed_at(FkController *c);
--- a/src/core/store_session/session.c
+++ b/src/core/store_session/session.c
@@ -1,7 +1,7 @@
-/* The session with the store: the lease that keeps the controller's node key, the list that a start reads,
- * and the watch that moves the view from there on. The list's pages may be of different moments: the watch
- * replays everything after the first page's revision, and the view is ready once it has caught up with the
- * last. */
+/* The session with the store. It keeps a lease, to which the controller's node key is attached, and
+ * synchronises the view: a paginated list reads the initial state, and a watch applies all later changes. The
+ * pages of the list may show different revisions. So the watch replays every change after the revision of the
+ * first page, and the view is ready only when it has caught up with the highest revision of any page. */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 #include "core/scheduling/capacity_index.h"
@@ -12,13 +12,14 @@
 #define LEASE_RETRY_MIN_S 0.2
 #define LEASE_RETRY_MAX_S 0.6
 #define NODE_KEY_RETRY_S 0.3
-#define LIST_RETRY_STEP_S 0.2 /* longer by this after each failure in a row ... */
-#define LIST_RETRY_MAX_S 2.0  /* ... up to this */
+#define LIST_RETRY_STEP_S 0.2 /* added to the backoff by each consecutive failure */
+#define LIST_RETRY_MAX_S 2.0
 #define WATCH_S 2.0
 #define WATCH_RETRY_MIN_S 0.1
 #define WATCH_RETRY_MAX_S 0.4
 #define WATCH_PAUSE_MIN_S 0.02
-#define WATCH_REQUEST_SHARE 0.35 /* of the store's requests, all controllers together */
+#define WATCH_REQUEST_SHARE 0.35 /* share of the store's request rate that all controllers' watches may use  \
+                                  */
 
 static void send_list(FkController *c) {
   FkOutput *output = fk_output_new(c, FK_OUTPUT_LIST);
@@ -29,8 +30,8 @@
 
 static void start_sync(FkController *c) {
   if (fk_controller_is_ready(c)) {
-    /* What is known of starts in flight goes with the view. A new incarnation acquires every shard again, and
-     * the new fencing tokens make the old starts void. */
+    /* Launches in flight are forgotten with the view. As a new incarnation the controller acquires all of its
+     * shards again, and the new fencing tokens invalidate start commands that are still in flight. */
     char *incarnation = g_strdup_printf("%s+%u", c->incarnation, g_rand_int_range(c->rand, 0, 1 << 30));
     g_free(c->incarnation);
     c->incarnation = incarnation;
@@ -62,13 +63,13 @@
 }
 
 static void apply_events(FkController *c, GPtrArray *events) {
-  FkCpuPurpose before = fk_cpu_profile_enter(&c->cpu_profile, FK_CPU_APPLY);
+  FkCpuPurpose previous_purpose = fk_cpu_profile_enter(&c->cpu_profile, FK_CPU_APPLY);
   c->view->now = c->now;
   for (guint i = 0; i < events->len; i++) {
     FkStoreEvent *event = events->pdata[i];
     fk_view_apply(c->view, event->path, g_steal_pointer(&event->record), event->rev);
   }
-  fk_cpu_profile_leave(&c->cpu_profile, before);
+  fk_cpu_profile_leave(&c->cpu_profile, previous_purpose);
 }
 
 void fk_controller_list_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
@@ -102,7 +103,7 @@
   send_watch(c, 0);
 }
 
-static void became_ready(FkController *c) {
+static void mark_ready(FkController *c) {
   c->store_session.sync = FK_SYNC_READY;
   c->view->caught_up = TRUE;
   c->store_session.ready_since = c->now;
@@ -133,11 +134,12 @@
   if (sent.us > c->store_session.confirmed_at.us)
     c->store_session.confirmed_at = sent;
   if (c->store_session.sync == FK_SYNC_CATCHING_UP && c->view->applied.n >= c->store_session.catch_up_rev.n)
-    became_ready(c);
+    mark_ready(c);
   fk_requests_reply_cancelled(c);
   fk_requests_pass_read_barrier(c);
   fk_calls_retry_overdue(c);
-  /* a short pause lets several changes come in one answer, which keeps the watch's request share small */
+  /* A short pause batches several changes into one reply, which limits the watches' share of the store's
+   * requests. */
   send_watch(c, events->len ? MAX(WATCH_PAUSE_MIN_S, fk_controller_live_count(c) /
                                                          (WATCH_REQUEST_SHARE * c->settings->store_rps))
                             : 0);
@@ -182,7 +184,7 @@
   else
     c->store_session.node_retry_at = fk_time_add(c->now, NODE_KEY_RETRY_S);
   if (outcome == FK_OUTCOME_INVALID) {
-    /* the lease has expired */
+    /* The lease has expired. */
     c->store_session.lease.n = 0;
     c->store_session.next_keepalive = c->now;
   }
@@ -196,7 +198,7 @@
   c->store_session.lease_pending = TRUE;
 }
 
-/* Writes the node key if the view does not show it with this incarnation. */
+/* Writes the node key, unless the view shows it with this incarnation. */
 static void put_node_key(FkController *c) {
   FkControllerNode *node = g_hash_table_lookup(c->view->nodes, c->settings->node);
   if (node && g_str_equal(node->incarnation, c->incarnation))
@@ -204,7 +206,8 @@
   FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_LEASE);
   FkRecord *record = fk_record_new(FK_KEY_NODE);
   record->incarnation = g_strdup(c->incarnation);
-  /* A retry by an earlier incarnation, whose lease may last for seconds yet, must not undo this. */
+  /* The guard prevents a late retry by an earlier incarnation, whose lease may still be valid for seconds,
+   * from overwriting the key. */
   fk_transaction_guard(transaction, fk_key_path(FK_KEY_NODE, c->settings->node),
                        node ? node->rev : (FkRev){0});
   fk_transaction_put(transaction, fk_key_path(FK_KEY_NODE, c->settings->node), record,
--- a/src/core/store_session/session.h
+++ b/src/core/store_session/session.h
@@ -1,38 +1,40 @@
-/* The session with the store: its lease, the list that a start reads, and the watch that moves the view. */
+/* The session with the store: the controller's lease, the initial list of the store's live keys, and the
+ * watch that keeps the view up to date. */
 #pragma once
 #include "core/messages.h"
 
-/* The session with the key-value store: its lease, the view's synchronisation and how fresh the view is. */
+/* State of the session with the key-value store. */
 typedef struct {
   enum { FK_SYNC_IDLE, FK_SYNC_LISTING, FK_SYNC_CATCHING_UP, FK_SYNC_READY } sync;
-  char *list_after;
-  FkRev list_epoch, catch_up_rev;
-  gboolean listing, watching;
-  FkTime retry_at;
-  FkTime confirmed_at;           /* the view was current at this moment, for certain */
-  FkRev latest_rev_seen;         /* the latest revision that any answer has shown */
-  GHashTable *peer_confirmed_at; /* controller -> FkTime*: when it had seen nothing that our view lacks */
+  char *list_after;   /* path after which the list continues; NULL at its start */
+  FkRev list_epoch;   /* the store's revision at the list's first page; the watch starts from it */
+  FkRev catch_up_rev; /* the highest revision at any of the list's pages: the view is ready when it gets there
+                       */
+  gboolean listing, watching;    /* a request is in flight */
+  FkTime retry_at;               /* when a failed list request is sent again */
+  FkTime confirmed_at;           /* latest time at which the view is known to have been current */
+  FkRev latest_rev_seen;         /* the highest revision in any of the store's replies */
+  GHashTable *peer_confirmed_at; /* controller -> FkTime*: when it had seen no revision that the view lacks */
   FkTime next_peer_query;
-  FkTime peer_answered_at;       /* when another controller answered last */
-  FkTime peer_store_answered_at; /* the last moment at which a peer is known to have had an answer from the
-                                    store */
-  FkTime store_answered_at;      /* the last time that the store answered at all */
-  FkTime store_recovered_at;     /* when it did again after an outage */
-  FkTime ready_since;
-  guint failures;
-  FkRev lease; /* 0: none */
-  gboolean lease_pending;
+  FkTime peer_answered_at;       /* when another controller last replied to this one */
+  FkTime peer_store_answered_at; /* latest time at which the store is known to have replied to a peer */
+  FkTime store_answered_at;      /* when the store last replied to this controller */
+  FkTime store_recovered_at;     /* when the store replied for the first time after its latest outage */
+  FkTime ready_since;            /* when the view last became ready */
+  guint failures;                /* consecutive failures of list requests */
+  FkRev lease;                   /* 0 if there is none */
+  gboolean lease_pending;        /* a lease request is in flight */
   FkTime next_keepalive, lease_request_sent;
-  gboolean node_pending;
-  FkRev node_wait_rev;
+  gboolean node_pending; /* a write of the node key is in flight */
+  FkRev node_wait_rev;   /* the node key is not written again until the view has reached this revision */
   FkTime node_retry_at;
 } FkStoreSession;
 
-/* Sends what is due: the list, the lease's keepalive, the controller's node key. */
+/* Sends the requests that are due: the list, the lease's grant or keepalive, the write of the node key. */
 void fk_store_session_tick(FkController *c);
-/* A watch was answered, or failed: its events are applied to the view, and the next watch is sent. `sent`:
- * when it was. */
+/* Handles the reply to a watch, or its failure: applies the events to the view and sends the next watch.
+ * `sent`: when the watch was sent. */
 void fk_store_session_watch_received(FkController *c, FkOutcome outcome, GPtrArray *events, FkRev epoch,
                                      FkTime sent);
-/* A call has ended: whether the store has answered at all. */
+/* Records the time of the store's reply, if the outcome of a call shows that the store replied. */
 void fk_store_session_note_outcome(FkController *c, FkOutcome outcome);
