--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -1,5 +1,5 @@
-/* The controller: its life cycle, and the order in which its parts act on a tick and on a change of the view.
- */
+/* The controller: its life cycle, and the order in which its components run on a tick and after a change of
+ * the view. */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 #include "core/scheduling/backfill_reservation.h"
@@ -9,7 +9,7 @@
 #include "core/scheduling/scheduling_queue.h"
 #include "core/scheduling/starvation.h"
 
-#define TYPES_INTERVAL_S 60 /* between queries of the cloud's instance types */
+#define TYPES_INTERVAL_S 60 /* between queries for the cloud's instance types */
 #define TYPES_RETRY_MIN_S 0.6
 #define TYPES_RETRY_MAX_S 1.4
 
@@ -119,7 +119,8 @@
 }
 
 void fk_controller_request_closed(FkController *c, FkRequestId request_id) {
-  /* the daemon drops replies that nobody waits for; only held heartbeats are worth dropping here */
+  /* Only a held heartbeat is dropped, so that it is not handled in vain. Replies to other closed requests are
+   * discarded by the daemon. */
   for (GList *link = c->workers.held_heartbeats->head; link; link = link->next) {
     FkHeldHeartbeat *held = link->data;
     if (held->request.n == request_id.n) {
@@ -148,7 +149,7 @@
       g_hash_table_replace(c->autoscaling.instance_types, type->name, type);
       continue;
     }
-    /* in place: machines keep pointers to theirs */
+    /* Updated in place, as machines hold pointers to their types. */
     FkInstanceType old = *known;
     *known = *type;
     known->name = old.name; /* the table's key */
@@ -188,7 +189,7 @@
   fk_cpu_profile_run(c, FK_CPU_SCHEDULING, fk_scheduling_cycle_run);
 }
 
-/* The parts act on what has changed at once. */
+/* Components act on a change of the view at once rather than on the next tick. */
 void fk_controller_watch_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
                                   FkRev epoch, FkTime sent) {
   c->now = now;
--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -1,5 +1,5 @@
-/* The controller as a whole, shared between the core's own files: its parts, each in a header of its own that
- * says who owns it. */
+/* Internals of the controller, shared between the source files of the core. The state of each component is
+ * declared in the component's own header. */
 #pragma once
 #include "core/api/cancellation_barrier.h"
 #include "core/api/requests.h"
@@ -16,22 +16,25 @@
 #include "core/store_session/session.h"
 #include "core/workers/workers.h"
 
-#define FK_AMOUNT_EPSILON 1e-6 /* amounts are sums of fractions */
-/* Of all machines' CPUs: a class or team that starves is lifted up to this share, and left there. */
+/* Tolerance for comparing amounts of resources, which are sums of fractions. */
+#define FK_AMOUNT_EPSILON 1e-6
+/* A starving class or team is raised in priority only until it has this share of all machines' CPUs. */
 #define FK_SERVICE_FLOOR_SHARE 0.05
-#define FK_CLOCK_DRIFT 0.0012 /* relative: of two clocks, each off by 0.05%, and a little */
-#define FK_LEASE_MARGIN_S 2.0 /* beyond the length of a lease, before it counts as expired */
+/* Relative drift between two clocks, each of which may be off by 0.05%, plus a margin. */
+#define FK_CLOCK_DRIFT 0.0012
+/* Time after the end of a lease before it counts as expired. */
+#define FK_LEASE_MARGIN_S 2.0
 
-/* The state machine as a whole: it only holds its parts together. */
+/* The state machine: the states of its components. */
 struct FkController {
   const FkSettings *settings;
-  char *incarnation; /* differs from one start of the controller to the next */
+  char *incarnation; /* identifies this start of the controller */
   GRand *rand;
-  FkTime now; /* as of the input that is being handled */
+  FkTime now; /* time of the input that is being handled */
   FkTime started_at;
   FkView *view;
   FkCpuProfile cpu_profile;
-  GQueue *outputs; /* FkOutput, in the order in which they are to be carried out */
+  GQueue *outputs; /* FkOutput, in the order in which they must be carried out */
   FkCalls calls;
   FkStoreSession store_session;
   FkPendingRequests requests;
@@ -44,5 +47,5 @@
   FkAutoscaling autoscaling;
 };
 
-/* Runs a function with its processor time charged to a purpose. */
-void fk_cpu_profile_run(FkController *c, FkCpuPurpose what, void (*fn)(FkController *));
+/* Runs `fn` and charges its CPU time to a purpose. */
+void fk_cpu_profile_run(FkController *c, FkCpuPurpose purpose, void (*fn)(FkController *));
--- a/src/core/controller_status.h
+++ b/src/core/controller_status.h
@@ -1,23 +1,25 @@
-/* What every part of the core asks of the controller as a whole: whether it is ready, how many controllers
- * there are, and how the request budget of the store is shared. */
+/* State of the controller as a whole that several components use: whether it is ready, how many controllers
+ * are live, and this controller's share of the store's write budget. */
 #pragma once
 #include "core/messages.h"
 
-/* A new output at the end of the queue that the daemon drains; the queue owns it. */
+/* Appends a new output to the queue that the daemon drains, and returns it; the queue owns it. */
 FkOutput *fk_output_new(FkController *c, FkOutputKind kind);
-/* The view is complete and follows the store. */
+/* Returns whether the view is complete and follows the store's changes. */
 gboolean fk_controller_is_ready(FkController *c);
-/* Controllers that the view shows as alive, this one included; all of the settings' while there is no view.
- */
+/* Returns the number of live controllers in the view, this one included; while the view is not ready, the
+ * number of controllers in the settings. */
 guint fk_controller_live_count(FkController *c);
-/* This controller's share of the store's write budget, from 0 to 1: all controllers compute the shares from
- * the same view, so that they add up to 1. */
+/* Returns this controller's share of the store's write budget, from 0 to 1. The shares add up to 1, because
+ * all controllers compute them from the same view. */
 double fk_store_write_share(FkController *c);
-/* It can take users' requests: it is ready and not cut off from the store, or from all other controllers. */
+/* Returns whether the controller can serve users' requests: it is ready, knows the instance types, and is
+ * neither partitioned from the store nor from all other controllers. */
 gboolean fk_controller_can_serve(FkController *c, FkTime now);
-/* The controller of that name has its node key; NULL: FALSE. */
+/* Returns whether the controller named `node` has its node key in the view; FALSE if `node` is NULL. */
 gboolean fk_node_is_alive(FkController *c, const char *node);
-/* The job's tasks are placed by the long path: services, gangs, and estimates above the cutoff. */
-gboolean fk_spec_is_long(FkController *c, const FkSpec *s);
-/* So many services wait that the store's writes go to them first. */
+/* Returns whether the job's tasks are placed by the long path: services, gangs, and arrays whose estimate is
+ * not below the cutoff. */
+gboolean fk_spec_is_long(FkController *c, const FkSpec *spec);
+/* Returns whether so many services wait that launching them takes precedence in the store's write budget. */
 gboolean fk_services_have_priority(FkController *c);
--- a/src/core/cpu_profile.c
+++ b/src/core/cpu_profile.c
@@ -1,3 +1,4 @@
+/* Names of the purposes of CPU time. */
 #include "core/cpu_profile.h"
 
 const char *fk_cpu_purpose_name(FkCpuPurpose purpose) {
--- a/src/core/cpu_profile.h
+++ b/src/core/cpu_profile.h
@@ -1,34 +1,34 @@
-/* Processor time by purpose. The clock is an input: the daemon gives one, tests may give none. Purposes nest,
- * and callers keep the stack: fk_cpu_profile_enter() returns the outer purpose, which is handed to
+/* CPU time by purpose. The daemon provides the clock; without one, nothing is measured. Purposes nest, and
+ * the callers keep the stack: fk_cpu_profile_enter() returns the outer purpose, which the caller passes to
  * fk_cpu_profile_leave(). Time is charged to the innermost purpose only. */
 #pragma once
 #include <glib.h>
 
 typedef enum {
-  FK_CPU_LOOP,          /* HTTP, sockets and the main loop: all that has no purpose of its own */
-  FK_CPU_HEARTBEATS,    /* of workers, and the replies */
-  FK_CPU_DECODE,        /* answers of the store to records */
-  FK_CPU_APPLY,         /* records to the view */
-  FK_CPU_ENCODE,        /* transactions to request bodies */
-  FK_CPU_USER_REQUESTS, /* submissions, polls, cancellations */
+  FK_CPU_LOOP,          /* HTTP, sockets and the main loop: everything without a purpose of its own */
+  FK_CPU_HEARTBEATS,    /* workers' heartbeats, and the replies */
+  FK_CPU_DECODE,        /* decoding the store's replies to records */
+  FK_CPU_APPLY,         /* applying records to the view */
+  FK_CPU_ENCODE,        /* encoding transactions to request bodies */
+  FK_CPU_USER_REQUESTS, /* submissions, polls, cancellations; dependencies and starvation */
   FK_CPU_SCHEDULING,    /* the scheduling cycle */
-  FK_CPU_PREEMPTION,    /* the leader's stops */
+  FK_CPU_PREEMPTION,    /* the leader's work: preemption and finalization */
   FK_CPU_AUTOSCALER,    /* scale-out and scale-in */
-  FK_CPU_WORKERS,       /* owned machines, and completions */
-  FK_CPU_SHARDS,        /* ownership, machine pages, quota partitions */
-  FK_CPU_IDLE,          /* waiting; nothing where the clock is of processor time alone */
+  FK_CPU_WORKERS,       /* workers of owned shards, and completions */
+  FK_CPU_SHARDS,        /* ownership of shards, machine pages, quota partitions, windows */
+  FK_CPU_IDLE,          /* waiting for events; 0 if the clock counts CPU time only */
   FK_CPU_PURPOSES
 } FkCpuPurpose;
 
 typedef struct {
-  gint64 (*clock_ns)(void); /* processor time of this thread; NULL: nothing is measured */
+  gint64 (*clock_ns)(void); /* clock, such as the CPU time of this thread; NULL if nothing is measured */
   FkCpuPurpose current;
-  gint64 last_ns;
-  gint64 spent_ns[FK_CPU_PURPOSES]; /* in this window */
-  guint entries[FK_CPU_PURPOSES];
+  gint64 last_ns;                   /* time up to which `spent_ns` is complete */
+  gint64 spent_ns[FK_CPU_PURPOSES]; /* time charged in this window */
+  guint entries[FK_CPU_PURPOSES];   /* number of calls of fk_cpu_profile_enter() */
 } FkCpuProfile;
 
-/* Charges to `purpose` from now on; returns the outer one. */
+/* Charges time to `purpose` from now on. Returns the outer purpose, for fk_cpu_profile_leave(). */
 static inline FkCpuPurpose fk_cpu_profile_enter(FkCpuProfile *profile, FkCpuPurpose purpose) {
   FkCpuPurpose outer = profile->current;
   if (profile->clock_ns && purpose != outer) {
@@ -41,7 +41,7 @@
   return outer;
 }
 
-/* Charges to the outer purpose again. */
+/* Charges time to the outer purpose again. */
 static inline void fk_cpu_profile_leave(FkCpuProfile *profile, FkCpuPurpose outer) {
   if (profile->clock_ns && profile->current != outer) {
     gint64 now_ns = profile->clock_ns();
@@ -51,11 +51,11 @@
   }
 }
 
-/* Measures from now on. */
+/* Starts measuring, by `clock_ns`. */
 static inline void fk_cpu_profile_start(FkCpuProfile *profile, gint64 (*clock_ns)(void)) {
   profile->clock_ns = clock_ns;
   profile->last_ns = clock_ns();
 }
 
-/* As the log has it; static. */
+/* Returns the name of the purpose in the log; a static string. */
 const char *fk_cpu_purpose_name(FkCpuPurpose purpose);
--- a/src/core/messages.c
+++ b/src/core/messages.c
@@ -1,4 +1,4 @@
-/* How messages are made and freed. */
+/* Messages of the core: creating and freeing them. */
 #include "core/messages.h"
 
 static void task_status_free(gpointer data) {
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -1,23 +1,23 @@
-/* Messages of the core: what it receives, and the outputs that it wants carried out. Plain data; a struct
- * owns what it points to unless it says otherwise. */
+/* Messages of the core: its inputs from workers and the cloud, and the outputs that the daemon or the
+ * simulation carries out for it. Plain data; a struct owns what it points to unless noted otherwise. */
 #pragma once
 #include "core/state/view.h"
 
 /* ---- received from workers and the cloud ---- */
 
-/* OTHER: a state that this version does not know. */
+/* OTHER: a state that is unknown to this version. */
 typedef enum { FK_TASK_FETCHING, FK_TASK_RUNNING, FK_TASK_SAVING, FK_TASK_EXITED, FK_TASK_OTHER } FkTaskState;
 typedef enum {
-  FK_EXIT_NONE, /* it has not exited */
+  FK_EXIT_NONE, /* the task has not exited */
   FK_EXIT_DONE,
-  FK_EXIT_STOPPED, /* by a command */
+  FK_EXIT_STOPPED, /* stopped by a command */
   FK_EXIT_ERROR,   /* the task failed */
-  FK_EXIT_FULL,    /* refused: the machine has no capacity for it */
+  FK_EXIT_FULL,    /* refused: the machine lacks the capacity for the task */
   FK_EXIT_BUSY,    /* refused: the worker is busy */
   FK_EXIT_UNKNOWN
 } FkExitReason;
 
-/* One attempt on a worker. */
+/* State of one attempt on a worker. */
 typedef struct {
   char *job;
   guint32 task;
@@ -32,7 +32,7 @@
   gboolean spot;
   guint64 incarnation, sequence;
   FkFencingToken fencing_token;
-  double termination_notice_s; /* < 0: none */
+  double termination_notice_s; /* seconds until the machine is terminated; < 0 if not announced */
   GPtrArray *tasks;            /* FkTaskStatus */
 } FkHeartbeat;
 
@@ -40,19 +40,19 @@
 void fk_heartbeat_free(FkHeartbeat *heartbeat); /* NULL is fine */
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkHeartbeat, fk_heartbeat_free)
 
-/* A type of machines that the cloud offers. Prices are an hour's. */
+/* A machine type that the cloud offers. Prices are per hour. */
 typedef struct FkInstanceType {
   char *name;
   double cpus, gpus, mem_gb, fetch_gb_per_s, price, spot_price, boot_s;
   char **zones;
 } FkInstanceType;
 
-/* The present price of such a machine, an hour. */
+/* Returns the current hourly price of a machine of this type. */
 static inline double fk_instance_type_price(const FkInstanceType *type, gboolean spot) {
   return spot ? type->spot_price : type->price;
 }
 
-/* A machine in the cloud's list. */
+/* A machine in the cloud's list of machines. */
 typedef struct {
   char *id, *addr, *type, *zone;
   gboolean spot;
@@ -65,7 +65,7 @@
 
 /* ---- outputs ---- */
 
-/* START launches an attempt, STOP ends it, FORGET drops an attempt that has ended from the worker's
+/* START launches an attempt, STOP ends it, FORGET removes an attempt that has ended from the worker's
  * heartbeats. */
 typedef enum { FK_COMMAND_START, FK_COMMAND_STOP, FK_COMMAND_FORGET } FkCommandKind;
 typedef struct {
@@ -73,10 +73,10 @@
   char *job;
   guint32 task;
   FkAttempt attempt;
-  double grace_s; /* STOP: until the task is killed */
+  double grace_s; /* STOP: seconds until the task is killed */
 } FkCommand;
 
-/* The key must still have that revision; 0: it must not exist. */
+/* Condition of a transaction: the key at `path` is at revision `rev`, or does not exist if `rev` is 0. */
 typedef struct {
   char *path;
   FkRev rev;
@@ -84,11 +84,11 @@
 
 typedef struct {
   char *path;
-  FkRecord *record; /* NULL: delete */
-  FkRev lease;      /* the key ends with it; 0: none */
+  FkRecord *record; /* NULL to delete the key */
+  FkRev lease;      /* the key is deleted when this lease expires; 0 if none */
 } FkWrite;
 
-/* What goes first when the write budget is short, in this order. */
+/* Priorities in the write budget, highest first. */
 typedef enum {
   FK_PRIORITY_LEASE,
   FK_PRIORITY_USER,
@@ -97,25 +97,25 @@
   FK_PRIORITY_RESULT
 } FkTransactionPriority;
 
-/* What is to be done, and the members of FkOutput that it has. */
+/* Kinds of outputs; each lists the members of FkOutput that it uses. */
 typedef enum {
-  FK_OUTPUT_USER_REPLY,      /* to a user: status, job, phase, done, running, retry_s */
-  FK_OUTPUT_HEARTBEAT_REPLY, /* to a worker: status, fencing_token, commands, redirect_to */
+  FK_OUTPUT_USER_REPLY,      /* request, status, job, phase, done, running, retry_s */
+  FK_OUTPUT_HEARTBEAT_REPLY, /* request, status, fencing_token, commands, redirect_to */
   FK_OUTPUT_COMMIT,          /* call, guards, writes, priority */
   FK_OUTPUT_GET,             /* call, path */
   FK_OUTPUT_LIST,            /* path (prefix), after */
   FK_OUTPUT_WATCH,           /* rev, seconds, delay_s */
   FK_OUTPUT_LEASE_GRANT,     /* seconds */
-  FK_OUTPUT_LEASE_KEEPALIVE, /* rev (the lease) */
+  FK_OUTPUT_LEASE_KEEPALIVE, /* rev (of the lease) */
   FK_OUTPUT_COMMANDS,        /* call, machine, addr, fencing_token, incarnation, commands */
-  FK_OUTPUT_PEER_QUERY,      /* name, addr: asks another controller for its progress */
+  FK_OUTPUT_PEER_QUERY,      /* name, addr: queries another controller's progress */
   FK_OUTPUT_LIST_INSTANCE_TYPES,
   FK_OUTPUT_PROVISION,    /* call, name, type, zone, spot, count */
   FK_OUTPUT_TERMINATE,    /* call, names */
   FK_OUTPUT_LIST_MACHINES /* after */
 } FkOutputKind;
 
-/* Its layout is shared with the version in production (test versions_layout). */
+/* An action to carry out. Its layout is shared with the version in production (test versions_layout). */
 typedef struct {
   FkOutputKind kind;
   FkRequestId request;
@@ -138,21 +138,21 @@
   GPtrArray *names;
   FkRev rev;
   double seconds, delay_s;
-  guint budget_refusals; /* the daemon's: how often the budget has refused it */
-  guint extra_refs;      /* references beside the first */
+  guint budget_refusals; /* used by the daemon: how often the rate limiter has refused the output */
+  guint extra_refs;      /* number of references in addition to the first */
 } FkOutput;
 
 FkOutput *fk_output_ref(FkOutput *output);
-/* Drops one reference; the last one frees. NULL is fine. */
+/* Releases a reference; the last one frees the output. NULL is fine. */
 void fk_output_free(FkOutput *output);
 
-/* The outcome of a call to the store, the cloud, a worker or another controller; HTTP statuses for instance.
- */
+/* Outcome of a call to the store, the cloud, a worker or another controller. The comments give examples of
+ * HTTP statuses. */
 typedef enum {
   FK_OUTCOME_OK,       /* 200 */
   FK_OUTCOME_CONFLICT, /* 409 */
   FK_OUTCOME_GONE,     /* 404, 410 */
-  FK_OUTCOME_REFUSED,  /* certainly not carried out: 503, 429, never sent */
+  FK_OUTCOME_REFUSED,  /* certainly not carried out: 503, 429, or never sent */
   FK_OUTCOME_INVALID,  /* 400 */
-  FK_OUTCOME_UNKNOWN   /* no answer: it was carried out, or was not, or will be */
+  FK_OUTCOME_UNKNOWN   /* no reply: the call may have been, or may still be, carried out */
 } FkOutcome;
--- a/src/core/settings.c
+++ b/src/core/settings.c
@@ -1,4 +1,4 @@
-/* Settings: defaults, look-ups and release. */
+/* Settings: defaults, lookups and freeing. */
 #include "core/settings.h"
 
 #include "fair_share/quota.h"
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -1,4 +1,4 @@
-/* Settings of the platform and of the operators. Plain data, read by wire/settings.c. */
+/* The platform's settings and the operators' tuning. Plain data, parsed by wire/settings.c. */
 #pragma once
 #include "admission/limits.h"
 #include "common/types.h"
@@ -8,34 +8,36 @@
   char *name, *zone, *addr;
 } FkPeer;
 
-/* A guarantee of 0 is none; a quota is infinite where the platform sets none (fair_share/quota.h). */
+/* A team's guarantees and quotas. A guarantee of 0 means none; a quota is infinite if the platform sets none
+ * (fair_share/quota.h). */
 typedef struct {
   char *name;
   double guaranteed_cpus, max_cpus, guaranteed_gpus, max_gpus;
 } FkTeam;
 
-/* A service-level objective: a share of a class's jobs within so long; `kind` says what is measured. */
+/* A service-level objective: the given share of the class's jobs is to meet the limit of `within_s`; `kind`
+ * names the time that is measured. */
 typedef struct {
   char *kind, *class_name;
   double within_s, share;
 } FkObjective;
 
-/* The operators' file; every field has a default (schema/operator.schema.json). */
+/* The operators' settings file; every field has a default (schema/operator.schema.json). */
 typedef struct {
-  double window_s;             /* of Elastic Sizing and of the statistics */
-  double max_wait_s;           /* MaxTaskWaitingTime */
-  double short_partition_span; /* MaxShortPartitionSize - MinShortPartitionSize, share of machines */
-  double short_cutoff_s;       /* estimates below it are short */
-  double probe_ratio;          /* probes a waiting short task */
-  double steal_after_s;        /* a short task that waited so long may go to any controller's machines */
-  double idle_s;               /* an idle machine is terminated after this */
-  double headroom_s;           /* capacity is kept for the services that arrive in so long */
-  double deadline_slack;       /* times a task's run time that must be left before the deadline */
-  double spot_patience;  /* share of its patience that a task waits before a spot machine is provisioned */
-  double silent_after_s; /* a machine silent for so long is replaced; 0: from the heartbeat interval */
-  double
-      cancellation_barrier_s; /* the longest that a cancellation's reply waits (api/cancellation_barrier.c) */
-  FkAdmissionOptions admission; /* 0: derived from the controller's resources */
+  double window_s;             /* length of a window of Elastic Sizing and of the statistics */
+  double max_wait_s;           /* Elastic Sizing: MaxTaskWaitingTime */
+  double short_partition_span; /* MaxShortPartitionSize - MinShortPartitionSize, as a share of all machines */
+  double short_cutoff_s;       /* jobs with a lower estimate are short */
+  double probe_ratio;          /* number of probes per waiting short task */
+  double steal_after_s;        /* after this wait, a short task may go to machines of any controller */
+  double idle_s;               /* idle time after which a machine is terminated */
+  double headroom_s;           /* capacity is reserved for the services expected to arrive in this time */
+  double deadline_slack;       /* multiple of a task's run time that must be left before its deadline */
+  double spot_patience;        /* share of a job's tolerable wait after which spot machines are provisioned */
+  double silent_after_s; /* silence after which a machine is replaced; 0 derives it from the heartbeats */
+  /* Longest wait of a cancellation's reply for the other controllers (api/cancellation_barrier.c). */
+  double cancellation_barrier_s;
+  FkAdmissionOptions admission; /* limits that are 0 are derived from the controller's resources */
 } FkTuning;
 
 typedef struct {
@@ -46,24 +48,26 @@
   GPtrArray *teams;      /* FkTeam */
   GPtrArray *objectives; /* FkObjective */
   double heartbeat_interval_s, worker_lease_s, cancellation_deadline_s;
-  double store_rps, store_write_rps; /* at present */
-  double next_store_rps,
-      next_store_write_rps;          /* from some moment on, without notice; never above the present ones */
-  double value_kb, current_value_kb; /* the lower of present and next; the present one */
-  guint transaction_ops_max;         /* the lower of present and next */
+  /* Rate limits of the store: the current ones, and the ones that apply from some later time on, which is not
+   * announced. The latter are never above the current ones. */
+  double store_rps, store_write_rps;
+  double next_store_rps, next_store_write_rps;
+  double value_kb;           /* size limit of a value in the store: the lower of current and next */
+  double current_value_kb;   /* the current size limit */
+  guint transaction_ops_max; /* limit of operations per transaction: the lower of current and next */
   double cloud_rps, cloud_list_lag_s;
   double cpus, ram_mb, sockets;
   double clock_offset_ms;
   FkTuning tuning;
 } FkSettings;
 
-/* With the defaults of all tuning, and no peers, teams or zones. */
+/* Returns settings with the default tuning, and without peers, teams or zones. */
 FkSettings *fk_settings_new(void);
 void fk_settings_free(FkSettings *settings);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkSettings, fk_settings_free)
-/* Whether the team has a quota: without one no launch of it needs the team's record. */
+/* Returns whether the team has a quota. If not, its launches do not need the team's record. */
 gboolean fk_team_has_limit(const FkTeam *team);
-/* Borrowed; NULL: there is no such team. */
+/* Returns the team, owned by `settings`; NULL if there is none of that name. */
 FkTeam *fk_settings_find_team(const FkSettings *settings, const char *name);
-/* Its position among the teams; their number if it is none of them. */
+/* Returns the index of the team; the number of teams if there is none of that name. */
 guint fk_settings_team_index(const FkSettings *settings, const char *name);
--- a/src/core/state/live_job.h
+++ b/src/core/state/live_job.h
@@ -27,15 +27,14 @@
   /* Number of waits counted in the capped sum of the window `wait_times_window` (FkWaitTimes). */
   guint64 wait_times_window;
   guint wait_times_counted;
-  FkAttempt gang_attempt;  /* attempt number of the gang launch in progress */
-  guint32 gang_allocated;  /* tasks allocated so far by that launch */
-  FkTime preempted_for_at; /* when tasks of other jobs were last preempted for this one */
-  double waiting_cpu_s;    /* CPU-seconds of its waiting tasks; sort key of the scheduling queue */
-  FkJobPriority
-      effective_priority;         /* in the queue; depends on its team's guarantee and on how long it waits */
-  FkStanding fair_share_standing; /* fair-share standing of its team */
-  guint queue_position;           /* position in the queue, from 1; 0 if it has never been queued */
-  gboolean urgent;                /* sorts first among jobs of equal priority and standing */
+  FkAttempt gang_attempt;           /* attempt number of the gang launch in progress */
+  guint32 gang_allocated;           /* tasks allocated so far by that launch */
+  FkTime preempted_for_at;          /* when tasks of other jobs were last preempted for this one */
+  double waiting_cpu_s;             /* CPU-seconds of its waiting tasks; sort key of the scheduling queue */
+  FkJobPriority effective_priority; /* in the queue, after the rules of fair share and aging */
+  FkStanding fair_share_standing;   /* fair-share standing of its team */
+  guint queue_position;             /* position in the queue, from 1; 0 if it has never been queued */
+  gboolean urgent;                  /* sorts first among jobs of equal priority and standing */
   gboolean quota_available; /* its team's quota had room for another task in its last scheduling cycle */
   double demand_cpus;       /* CPUs counted for it in its team's demand in the scheduling queue */
   guint waiting_services;   /* waiting service tasks counted for it in the scheduling queue */
--- a/src/core/state/store_keys.c
+++ b/src/core/state/store_keys.c
@@ -26,8 +26,8 @@
   return g_strdup_printf(FK_STORE_LIVE_ROOT "t/%s/%05u", job, chunk);
 }
 
-char *fk_key_machine_page_path(const char *shard, guint part) {
-  g_autofree char *id = part ? g_strdup_printf("%s+%u", shard, part) : g_strdup(shard);
+char *fk_key_machine_page_path(const char *shard, guint page_index) {
+  g_autofree char *id = page_index ? g_strdup_printf("%s+%u", shard, page_index) : g_strdup(shard);
   return fk_key_path(FK_KEY_MACHINE_PAGE, id);
 }
 
--- a/src/core/state/store_keys.h
+++ b/src/core/state/store_keys.h
@@ -29,4 +29,4 @@
 /* Returns the path of one page of a shard's machines. Page 0 is named by the shard's id alone, the others
  * have
  * "+" and their number appended. */
-char *fk_key_machine_page_path(const char *shard, guint part);
+char *fk_key_machine_page_path(const char *shard, guint page_index);
--- a/src/core/state/view_apply.c
+++ b/src/core/state/view_apply.c
@@ -37,10 +37,10 @@
 /* Clears the records of machines that are missing from the new revision of a page and are in no other page of
  * the shard. Such a machine is proven to be terminated, and its allocations ended before it was removed. A
  * machine that moves between pages is written to its new page by the same transaction. */
-static void forget_missing_machines(FkView *v, FkShard *shard, guint64 part, FkRev rev) {
+static void forget_missing_machines(FkView *v, FkShard *shard, guint64 page_index, FkRev rev) {
   for (guint i = 0; i < shard->machines->len; i++) {
     FkMachine *machine = shard->machines->pdata[i];
-    if (machine->page_part != part || machine->page_rev.n == rev.n || !machine->record)
+    if (machine->page_part != page_index || machine->page_rev.n == rev.n || !machine->record)
       continue;
     g_clear_pointer(&machine->record, fk_machine_record_free);
     machine->drain_reason = NULL;
@@ -52,25 +52,25 @@
 static void set_machine_page(FkView *v, const char *id, FkRecord *record, FkRev rev) {
   const char *plus = strrchr(id, '+');
   g_autofree char *shard_id = plus ? g_strndup(id, plus - id) : g_strdup(id);
-  guint64 part = plus ? g_ascii_strtoull(plus + 1, NULL, 10) : 0;
-  if (part >= FK_SHARD_PAGES_MAX)
+  guint64 page_index = plus ? g_ascii_strtoull(plus + 1, NULL, 10) : 0;
+  if (page_index >= FK_SHARD_PAGES_MAX)
     return;
   FkShard *shard = fk_view_ensure_shard(v, shard_id);
-  if (shard->page_revs[part].n >= rev.n)
+  if (shard->page_revs[page_index].n >= rev.n)
     return;
-  shard->page_revs[part] = rev;
+  shard->page_revs[page_index] = rev;
   guint bytes = FK_MACHINE_PAGE_OVERHEAD_BYTES;
   for (guint i = 0; record && i < record->machines->len; i++) {
     const FkMachineRecord *machine_record = record->machines->pdata[i];
     FkMachine *machine = fk_view_ensure_machine(v, machine_record->id);
     fk_view_move_to_shard(machine, shard);
     machine->page_rev = rev;
-    machine->page_part = (guint)part;
+    machine->page_part = (guint)page_index;
     bytes += fk_machine_record_bytes(machine_record);
     set_machine_record(v, machine, machine_record);
   }
   shard->oversized |= bytes > FK_MACHINE_PAGE_MAX_BYTES(v->settings->value_kb);
-  forget_missing_machines(v, shard, part, rev);
+  forget_missing_machines(v, shard, page_index, rev);
 }
 
 static void set_team(FkView *v, const char *id, FkRecord *record, FkRev rev) {
--- a/src/core/store_session/session.c
+++ b/src/core/store_session/session.c
@@ -18,8 +18,8 @@
 #define WATCH_RETRY_MIN_S 0.1
 #define WATCH_RETRY_MAX_S 0.4
 #define WATCH_PAUSE_MIN_S 0.02
-#define WATCH_REQUEST_SHARE 0.35 /* share of the store's request rate that all controllers' watches may use  \
-                                  */
+/* Share of the store's request rate that the watches of all controllers together may use. */
+#define WATCH_REQUEST_SHARE 0.35
 
 static void send_list(FkController *c) {
   FkOutput *output = fk_output_new(c, FK_OUTPUT_LIST);
