--- a/src/dependency_graph/dependency_graph.c
+++ b/src/dependency_graph/dependency_graph.c
@@ -1,27 +1,29 @@
+/* The dependency graph of jobs: changes, queries, and the inheritance of priorities. */
 #include "dependency_graph/dependency_graph.h"
 
 typedef struct {
   char *id;
   FkDependencyState state;
-  gboolean live;           /* added, and not removed */
+  gboolean live;           /* added by fk_dependency_graph_add() and not removed since */
   GPtrArray *dependencies; /* Node; empty unless the job is live */
-  GHashTable *dependents;  /* Node set: live jobs that name it */
-  guint open;              /* dependencies that aren't known to be done */
-  gint64 ended_ms;
-  guint64 visited_by; /* the number of the latest walk that has seen it */
-  guint dependents_left;
-  FkInheritedPriority inherited; /* both while priorities are passed on */
+  GHashTable *dependents;  /* set of Node: live jobs that depend on it */
+  guint unfinished;        /* number of dependencies that are not known to be done */
+  gint64 ended_ms;         /* when the job ended, wall clock; 0 if unknown */
+  guint64 visited_by;      /* number of the latest traversal that visited the node */
+  /* Used only by fk_dependency_graph_inherit_priorities(). */
+  guint dependents_left;         /* dependents that the traversal has not visited yet */
+  FkInheritedPriority inherited; /* inherited from those it has visited */
 } Node;
 
 struct FkDependencyGraph {
   GHashTable *nodes;   /* id -> Node */
-  GHashTable *unknown; /* Node set: those in state UNKNOWN that a live job names */
+  GHashTable *unknown; /* set of Node: those in state UNKNOWN that a live job depends on */
   FkDependencyChangedFunc changed;
   gpointer data;
-  guint64 walk; /* number of the latest walk */
+  guint64 traversal; /* number of the latest traversal */
 };
 
-/* By id, not by address, so that tables of nodes have the same order in every run. */
+/* Hashes the id, not the address, so that sets of nodes have the same iteration order in every run. */
 static guint node_hash(gconstpointer node) { return g_str_hash(((const Node *)node)->id); }
 
 static void node_free(gpointer value) {
@@ -70,8 +72,8 @@
   return node;
 }
 
-/* Drops a node without edges. */
-static void drop_if_unused(FkDependencyGraph *graph, Node *node) {
+/* Removes the node if its job is not live and no live job depends on it. */
+static void remove_if_unused(FkDependencyGraph *graph, Node *node) {
   if (node->live || g_hash_table_size(node->dependents))
     return;
   g_hash_table_remove(graph->unknown, node);
@@ -83,10 +85,10 @@
 static gboolean is_terminal(const Node *node) { return node->state >= FK_DEPENDENCY_CANCELLED; }
 
 static void cancel_descendants(FkDependencyGraph *graph, Node *first) {
-  g_autoptr(GPtrArray) todo = g_ptr_array_new();
-  g_ptr_array_add(todo, first);
-  while (todo->len) {
-    Node *node = g_ptr_array_steal_index_fast(todo, todo->len - 1);
+  g_autoptr(GPtrArray) pending = g_ptr_array_new();
+  g_ptr_array_add(pending, first);
+  while (pending->len) {
+    Node *node = g_ptr_array_steal_index_fast(pending, pending->len - 1);
     GHashTableIter it;
     gpointer value;
     g_hash_table_iter_init(&it, node->dependents);
@@ -95,20 +97,20 @@
       if (is_terminal(dependent))
         continue;
       dependent->state = FK_DEPENDENCY_CANCELLED;
-      g_ptr_array_add(todo, dependent);
+      g_ptr_array_add(pending, dependent);
       graph->changed(graph->data, dependent->id, TRUE);
     }
   }
 }
 
-/* The node is done: its dependents have one open dependency less. */
+/* Called when a node is done: each of its dependents has one unfinished dependency less. */
 static void release_dependents(FkDependencyGraph *graph, Node *node) {
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init(&it, node->dependents);
   while (g_hash_table_iter_next(&it, &value, NULL)) {
     Node *dependent = value;
-    if (!--dependent->open && !is_terminal(dependent))
+    if (!--dependent->unfinished && !is_terminal(dependent))
       graph->changed(graph->data, dependent->id, FALSE);
   }
 }
@@ -130,13 +132,13 @@
     release_dependents(graph, node);
 }
 
-/* Adds the edge, unless it is there or leads to the node itself. */
+/* Adds the edge, unless it exists or would lead to the node itself. */
 static void add_dependency(FkDependencyGraph *graph, Node *node, const char *id) {
   Node *dependency = ensure_node(graph, id);
   if (dependency == node || !g_hash_table_add(dependency->dependents, node))
     return;
   g_ptr_array_add(node->dependencies, dependency);
-  node->open += dependency->state != FK_DEPENDENCY_DONE;
+  node->unfinished += dependency->state != FK_DEPENDENCY_DONE;
   if (dependency->state == FK_DEPENDENCY_UNKNOWN)
     g_hash_table_add(graph->unknown, dependency);
 }
@@ -154,7 +156,7 @@
     return;
   Node *node = ensure_node(graph, id);
   node->live = TRUE;
-  node->open = 0;
+  node->unfinished = 0;
   if (node->state == FK_DEPENDENCY_UNKNOWN)
     fk_dependency_graph_set_state(graph, id, FK_DEPENDENCY_LIVE, 0);
   for (; *dependencies; dependencies++)
@@ -165,7 +167,7 @@
     node->state = FK_DEPENDENCY_CANCELLED;
     graph->changed(graph->data, node->id, TRUE);
     cancel_descendants(graph, node);
-  } else if (!node->open) {
+  } else if (!node->unfinished) {
     graph->changed(graph->data, node->id, FALSE);
   }
 }
@@ -178,17 +180,17 @@
   for (guint i = 0; i < node->dependencies->len; i++) {
     Node *dependency = node->dependencies->pdata[i];
     g_hash_table_remove(dependency->dependents, node);
-    drop_if_unused(graph, dependency);
+    remove_if_unused(graph, dependency);
   }
   g_ptr_array_set_size(node->dependencies, 0);
-  drop_if_unused(graph, node);
+  remove_if_unused(graph, node);
 }
 
 /* ------------------------------------------------------------------ queries */
 
 guint fk_dependency_graph_open_count(const FkDependencyGraph *graph, const char *id) {
   const Node *node = find_node(graph, id);
-  return node && node->live ? node->open : 0;
+  return node && node->live ? node->unfinished : 0;
 }
 
 gint64 fk_dependency_graph_ready_ms(const FkDependencyGraph *graph, const char *id) {
@@ -208,19 +210,19 @@
   Node *first = find_node(graph, id);
   if (!first || !g_hash_table_size(graph->unknown))
     return TRUE;
-  g_autoptr(GPtrArray) todo = g_ptr_array_new();
-  g_ptr_array_add(todo, first);
-  first->visited_by = ++graph->walk;
-  while (todo->len) {
-    const Node *node = g_ptr_array_steal_index_fast(todo, todo->len - 1);
+  g_autoptr(GPtrArray) pending = g_ptr_array_new();
+  g_ptr_array_add(pending, first);
+  first->visited_by = ++graph->traversal;
+  while (pending->len) {
+    const Node *node = g_ptr_array_steal_index_fast(pending, pending->len - 1);
     for (guint i = 0; i < node->dependencies->len; i++) {
       Node *dependency = node->dependencies->pdata[i];
       if (dependency->state == FK_DEPENDENCY_UNKNOWN)
         return FALSE;
-      if (dependency->visited_by == graph->walk || dependency->state == FK_DEPENDENCY_DONE)
+      if (dependency->visited_by == graph->traversal || dependency->state == FK_DEPENDENCY_DONE)
         continue;
-      dependency->visited_by = graph->walk;
-      g_ptr_array_add(todo, dependency);
+      dependency->visited_by = graph->traversal;
+      g_ptr_array_add(pending, dependency);
     }
   }
   return TRUE;
@@ -244,8 +246,9 @@
 
 /* ------------------------------------------------------------------ inherited priorities */
 
-/* Passes on what the node has itself and inherits: its dependency must end before the node has to start. */
-static void pass_on_priority(const Node *node, FkInheritedPriority own, gint64 run_us, Node *dependency) {
+/* Lets the dependency inherit the node's own and inherited priorities and deadlines. A deadline is inherited
+ * minus the node's run time: the dependency must end before the node has to start. */
+static void propagate_priority(const Node *node, FkInheritedPriority own, gint64 run_us, Node *dependency) {
   FkInheritedPriority *to = &dependency->inherited;
   gint64 due_us = MIN(own.due_us, node->inherited.due_us);
   to->rank = MIN(to->rank, MIN(own.rank, node->inherited.rank));
@@ -253,9 +256,9 @@
     to->due_us = MIN(to->due_us, due_us - run_us);
 }
 
-/* Resets what all nodes inherit. Returns those without dependents (Node), which a topological walk begins
- * with. */
-static GPtrArray *begin_inheritance(FkDependencyGraph *graph) {
+/* Resets the inherited values of all nodes. Returns the nodes without dependents (Node), from which the
+ * topological traversal starts. */
+static GPtrArray *reset_inheritance(FkDependencyGraph *graph) {
   GPtrArray *ready = g_ptr_array_new();
   GHashTableIter it;
   gpointer value;
@@ -274,18 +277,18 @@
                                             void (*fn)(gpointer data, const char *id,
                                                        FkInheritedPriority inherited),
                                             gpointer data) {
-  g_autoptr(GPtrArray) ready = begin_inheritance(graph);
+  g_autoptr(GPtrArray) ready = reset_inheritance(graph);
   while (ready->len) {
     const Node *node = g_ptr_array_steal_index_fast(ready, ready->len - 1);
     FkInheritedPriority own = {G_MAXINT, G_MAXINT64};
     gint64 run_us = 0;
-    gboolean counts = !is_terminal(node) && own_priority(data, node->id, &own.rank, &own.due_us, &run_us);
+    gboolean has_own = !is_terminal(node) && own_priority(data, node->id, &own.rank, &own.due_us, &run_us);
     if (node->inherited.rank != G_MAXINT && !is_terminal(node))
       fn(data, node->id, node->inherited);
     for (guint i = 0; i < node->dependencies->len; i++) {
       Node *dependency = node->dependencies->pdata[i];
-      if (counts)
-        pass_on_priority(node, own, run_us, dependency);
+      if (has_own)
+        propagate_priority(node, own, run_us, dependency);
       if (!--dependency->dependents_left)
         g_ptr_array_add(ready, dependency);
     }
