--- a/test/test_forms.c
+++ b/test/test_forms.c
@@ -1,8 +1,8 @@
-/* The forms on the wire, in the settings and in the store, byte for byte: data/forms.txt has a line for each
- * form, KIND, ARGUMENT and TEXT with a tab between them. Each text is read and written again by the codec,
- * and must come out as it was. What is only read (settings, operators' settings, routes) is listed field by
- * field, and the list must be the one on record. `--write`: prints the lines as the present code writes them,
- * which is how the file is made and renewed. */
+/* Golden test of the formats on the wire, in the settings and in the store: guards against changing a format
+ * by accident. Each line of data/forms.txt has KIND, ARGUMENT and TEXT, separated by tabs. TEXT is parsed and
+ * printed again by the codec, and must come out byte for byte. Formats that are only parsed (settings,
+ * operators' settings, routes) are listed field by field, and the list must equal TEXT. `--write` prints the
+ * lines as the current code writes them; use it to create and update the file. */
 #include <stdio.h>
 #include <string.h>
 
@@ -16,15 +16,15 @@
 
 /* ------------------------------------------------------------------ the store */
 
-/* A record under the path `argument`. */
+/* A record; the argument is its path. */
 static char *record(const char *argument, const char *text) {
   g_autoptr(cJSON) j = fk_json_parse(text, strlen(text));
   g_autoptr(FkRecord) r = fk_store_record_from_json(argument, j);
-  g_autoptr(cJSON) again = r ? fk_store_record_to_json(r) : NULL;
-  return again ? fk_json_print(again) : NULL;
+  g_autoptr(cJSON) printed = r ? fk_store_record_to_json(r) : NULL;
+  return printed ? fk_json_print(printed) : NULL;
 }
 
-/* A transaction, as the store reads it and a controller writes it. */
+/* A transaction, as the store parses it and a controller prints it. */
 static char *transaction(const char *argument, const char *text) {
   g_autoptr(FkStoreTransaction) t = fk_store_parse_transaction(text, strlen(text));
   if (!t)
@@ -43,16 +43,16 @@
     FkWrite w = {c->path, j ? fk_store_record_from_json(c->path, j) : NULL, {c->lease}};
     g_array_append_val(o.writes, w);
   }
-  char *again = fk_store_print_commit(&o);
+  char *printed = fk_store_print_commit(&o);
   for (guint i = 0; i < o.writes->len; i++)
     fk_record_free(g_array_index(o.writes, FkWrite, i).record);
   g_array_unref(o.guards);
   g_array_unref(o.writes);
-  return again;
+  return printed;
 }
 
-/* One page of a list; with the argument "events" what a watch answers. */
-static char *items(const char *argument, const char *text) {
+/* One page of a list or, if the argument is "events", the reply to a watch. */
+static char *list_or_watch(const char *argument, const char *text) {
   gboolean watch = g_str_equal(argument, "events"), more = FALSE;
   FkRev epoch = {0};
   g_autoptr(GPtrArray) events = watch ? fk_store_parse_watch(text, strlen(text), &epoch)
@@ -70,8 +70,8 @@
   return watch ? fk_store_print_events(list, epoch.n) : fk_store_print_items(list, more, epoch.n);
 }
 
-/* What the store answers to a transaction: carried out ("epoch") or not ("conflict"). */
-static char *outcome(const char *argument, const char *text) {
+/* The store's reply to a transaction: committed (argument "epoch") or not ("conflict"). */
+static char *transaction_reply(const char *argument, const char *text) {
   g_autoptr(cJSON) j = fk_json_parse(text, strlen(text));
   g_autoptr(GPtrArray) failed = fk_store_parse_failed(j);
   FkRev epoch = fk_store_parse_epoch(j);
@@ -79,8 +79,8 @@
                                            : fk_store_print_epoch(epoch.n);
 }
 
-/* What the store answers to a new lease. */
-static char *hold(const char *argument, const char *text) {
+/* The store's reply to a lease grant. */
+static char *lease(const char *argument, const char *text) {
   g_autoptr(cJSON) j = fk_json_parse(text, strlen(text));
   guint64 n;
   return fk_json_u64(j, "tether", &n) ? fk_store_print_lease(n) : NULL;
@@ -89,13 +89,13 @@
 /* ------------------------------------------------------------------ workers */
 
 /* A worker's heartbeat. */
-static char *report(const char *argument, const char *text) {
+static char *heartbeat(const char *argument, const char *text) {
   g_autoptr(FkHeartbeat) r = fk_worker_parse_heartbeat(text, strlen(text));
   return r ? fk_worker_print_heartbeat(r) : NULL;
 }
 
-/* The argument is the status of an answer to a heartbeat, or "commands": direct ones. */
-static char *orders(const char *argument, const char *text) {
+/* The reply to a heartbeat, with the status in the argument, or direct commands (argument "commands"). */
+static char *worker_commands(const char *argument, const char *text) {
   gboolean direct = g_str_equal(argument, "commands");
   int status = direct ? 200 : (int)g_ascii_strtoull(argument, NULL, 10);
   g_autoptr(FkWorkerCommands) x = direct ? fk_worker_parse_commands(text, strlen(text))
@@ -112,15 +112,15 @@
 
 /* ------------------------------------------------------------------ users */
 
-/* A job that a user submits. */
+/* A user's submission of a job. */
 static char *submission(const char *argument, const char *text) {
   const char *why = NULL;
   g_autoptr(FkSpec) s = fk_user_parse_submission(text, strlen(text), &why);
   return s ? fk_user_print_submission(s) : NULL;
 }
 
-/* What a user is answered about the job `argument`. */
-static char *state(const char *argument, const char *text) {
+/* The reply to a user about a job; the argument is its id. */
+static char *job_state(const char *argument, const char *text) {
   FkJobState s;
   if (!fk_user_parse_state(text, strlen(text), &s))
     return NULL;
@@ -129,19 +129,19 @@
   return fk_user_print_reply(&o);
 }
 
-/* What a user is refused with: the argument is the status. */
-static char *refusal(const char *argument, const char *text) {
+/* An error reply to a user; the argument is the status. */
+static char *error_reply(const char *argument, const char *text) {
   const FkOutput o = {.status = (int)g_ascii_strtoull(argument, NULL, 10)};
   return fk_user_print_reply(&o);
 }
 
-/* What is wrong with a user's request: the reason read from the text, and written again. */
-static char *fault(const char *argument, const char *text) {
+/* The reply to an invalid request of a user; its reason is parsed from the text and printed again. */
+static char *error_reason(const char *argument, const char *text) {
   g_autoptr(cJSON) j = fk_json_parse(text, strlen(text));
   return fk_json_str(j, "error") ? fk_user_print_error(fk_json_str(j, "error")) : NULL;
 }
 
-/* A submission that must be refused, in the argument; the reason is on record. */
+/* The reason for which the submission in the argument is rejected. */
 static char *malformed(const char *argument, const char *text) {
   const char *why = "taken";
   g_autoptr(FkSpec) s = fk_user_parse_submission(argument, strlen(argument), &why);
@@ -150,8 +150,8 @@
 
 /* ------------------------------------------------------------------ the cloud */
 
-/* Types of machines. */
-static char *types(const char *argument, const char *text) {
+/* The cloud's instance types. */
+static char *instance_types(const char *argument, const char *text) {
   g_autoptr(GPtrArray) list = fk_cloud_parse_types(text, strlen(text));
   return list ? fk_cloud_print_types(list) : NULL;
 }
@@ -163,8 +163,8 @@
   return list ? fk_cloud_print_machines(list, more) : NULL;
 }
 
-/* Machines are rented. */
-static char *rent(const char *argument, const char *text) {
+/* A request to provision machines. */
+static char *provision(const char *argument, const char *text) {
   g_autoptr(FkInstanceRequest) r = fk_cloud_parse_instance_request(text, strlen(text));
   if (!r)
     return NULL;
@@ -172,8 +172,8 @@
   return fk_cloud_print_provision(&o);
 }
 
-/* Names of machines: rented ones, or with the argument "return" those that are returned. */
-static char *names(const char *argument, const char *text) {
+/* Names of machines: provisioned ones or, if the argument is "return", ones to terminate. */
+static char *machine_names(const char *argument, const char *text) {
   g_autoptr(GPtrArray) list = fk_cloud_parse_names(text, strlen(text));
   const FkOutput o = {.names = list};
   return !list                             ? NULL
@@ -181,14 +181,14 @@
                                            : fk_cloud_print_names(list);
 }
 
-/* The cloud has no such machine now. */
+/* The cloud's reply that it has no capacity for a machine type. */
 static char *no_capacity(const char *argument, const char *text) {
   return fk_cloud_is_no_capacity(text, strlen(text)) ? fk_cloud_print_no_capacity() : NULL;
 }
 
 /* ------------------------------------------------------------------ settings and routes */
 
-/* The platform's settings in the argument; the list of what they are read as. */
+/* The platform's settings in the argument, as a list of the parsed fields; or the error. */
 static char *settings(const char *argument, const char *text) {
   g_autoptr(GError) error = NULL;
   g_autoptr(FkSettings) s = fk_settings_parse(argument, strlen(argument), &error);
@@ -220,7 +220,8 @@
   return g_string_free(l, FALSE);
 }
 
-/* The operators' settings in the argument: what each field is then, with its range; or what is wrong. */
+/* The operators' settings in the argument, as a list of all fields with their values and ranges; or the
+ * error. */
 static char *tuning(const char *argument, const char *text) {
   g_autoptr(FkSettings) s = fk_settings_new();
   g_autoptr(GError) error = NULL;
@@ -235,7 +236,7 @@
   return g_string_free(l, FALSE);
 }
 
-/* Method and path in the argument: what they ask for, and for which job. */
+/* The method and path in the argument, as the name of the route and the job's id, if any. */
 static char *route(const char *argument, const char *text) {
   const char *job = NULL, *path = strchr(argument, ' ') + 1, *word = "?";
   g_autofree char *method = g_strndup(argument, (gsize)(path - 1 - argument));
@@ -270,63 +271,65 @@
 
 static const struct {
   const char *kind;
-  char *(*again)(const char *argument, const char *text); /* NULL: not read */
-  guint least;                                            /* lines of this kind that must be on record */
+  /* Parses and prints again. Returns NULL if the text cannot be parsed. */
+  char *(*round_trip)(const char *argument, const char *text);
+  guint lines_min; /* lines of this kind that the file must have at least */
 } kinds[] = {{"record", record, 11},
              {"transaction", transaction, 2},
-             {"items", items, 2},
-             {"outcome", outcome, 2},
-             {"hold", hold, 1},
-             {"report", report, 2},
-             {"orders", orders, 3},
+             {"items", list_or_watch, 2},
+             {"outcome", transaction_reply, 2},
+             {"hold", lease, 1},
+             {"report", heartbeat, 2},
+             {"orders", worker_commands, 3},
              {"submission", submission, 4},
-             {"state", state, 4},
-             {"refusal", refusal, 4},
-             {"fault", fault, 1},
+             {"state", job_state, 4},
+             {"refusal", error_reply, 4},
+             {"fault", error_reason, 1},
              {"malformed", malformed, 3},
-             {"types", types, 1},
+             {"types", instance_types, 1},
              {"machines", machines, 1},
-             {"rent", rent, 2},
-             {"names", names, 2},
+             {"rent", provision, 2},
+             {"names", machine_names, 2},
              {"no_capacity", no_capacity, 1},
              {"settings", settings, 3},
              {"tuning", tuning, 3},
              {"route", route, 10}};
 
-/* Each line of the file comes out as it went in, and each kind is there. */
+/* Checks that each line of the file comes out as it went in, and that there are enough lines of each kind. */
 int main(int argc, char **argv) {
   gboolean write = argc == 2 && g_str_equal(argv[1], "--write");
   g_autofree char *file = NULL;
   if (!g_file_get_contents(FK_SOURCE_DIR "/test/data/forms.txt", &file, NULL, NULL)) {
-    fprintf(stderr, "test/data/forms.txt can't be read\n");
+    fprintf(stderr, "test/data/forms.txt: cannot be read\n");
     return 1;
   }
   g_auto(GStrv) lines = g_strsplit(g_strchomp(file), "\n", -1);
-  guint seen[G_N_ELEMENTS(kinds)] = {0}, wrong = 0;
+  guint lines_of_kind[G_N_ELEMENTS(kinds)] = {0}, failures = 0;
   for (guint n = 0; lines[n]; n++) {
     g_auto(GStrv) parts = g_strsplit(lines[n], "\t", 3);
     guint k = 0;
     while (k < G_N_ELEMENTS(kinds) && !g_str_equal(kinds[k].kind, parts[0] ? parts[0] : ""))
       k++;
     if (k == G_N_ELEMENTS(kinds) || g_strv_length(parts) != 3) {
-      fprintf(stderr, "line %u isn't a form\n", n + 1);
-      wrong++;
+      fprintf(stderr, "line %u: expected a known kind, an argument and a text, separated by tabs\n", n + 1);
+      failures++;
       continue;
     }
-    seen[k]++;
-    g_autofree char *again = kinds[k].again(parts[1], parts[2]);
+    lines_of_kind[k]++;
+    g_autofree char *printed = kinds[k].round_trip(parts[1], parts[2]);
     if (write) {
-      printf("%s\t%s\t%s\n", parts[0], parts[1], again ? again : "NOT READ");
-    } else if (g_strcmp0(again, parts[2]) != 0) {
-      fprintf(stderr, "line %u, %s %s:\n  on record %s\n  written   %s\n", n + 1, parts[0], parts[1],
-              parts[2], again ? again : "not read");
-      wrong++;
+      printf("%s\t%s\t%s\n", parts[0], parts[1], printed ? printed : "NOT READ");
+    } else if (g_strcmp0(printed, parts[2]) != 0) {
+      fprintf(stderr, "line %u, %s %s:\n  expected %s\n  printed  %s\n", n + 1, parts[0], parts[1], parts[2],
+              printed ? printed : "cannot be parsed");
+      failures++;
     }
   }
   for (guint k = 0; k < G_N_ELEMENTS(kinds); k++)
-    if (seen[k] < kinds[k].least) {
-      fprintf(stderr, "%s: %u lines, and %u are needed\n", kinds[k].kind, seen[k], kinds[k].least);
-      wrong++;
+    if (lines_of_kind[k] < kinds[k].lines_min) {
+      fprintf(stderr, "%s: %u lines, expected at least %u\n", kinds[k].kind, lines_of_kind[k],
+              kinds[k].lines_min);
+      failures++;
     }
-  return wrong ? 1 : 0;
+  return failures ? 1 : 0;
 }
--- a/test/test_job_dependencies.c
+++ b/test/test_job_dependencies.c
@@ -1,23 +1,24 @@
-/* Jobs that need others, at one controller core fed by hand: what is answered before the view has what
- * anybody can have been told, what is accepted and when, and that only a committed final releases a job. Each
- * case fails with its guard taken out (docs/job-dependencies.md). */
+/* Job dependencies in the core of one controller, whose inputs the tests make up. Guards against replies from
+ * a view that lacks what another controller may have told a user, against accepting invalid dependencies, and
+ * against starting a job before the terminal records of its dependencies are committed. Each case fails if
+ * the check that it tests is removed (docs/job-dependencies.md). */
 #include <string.h>
 
 #include "rig.h"
 #include "wire/store.h"
 
-#define NEEDS(id)                                                                                            \
+#define JOB_DEPENDING_ON(id)                                                                                 \
   "{\"class\":\"c\",\"team\":\"red\",\"shape\":0,\"rank\":3,\"tasks\":1,\"cpus\":2,\"gpus\":0,\"mem\":2,"    \
   "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
   "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16,\"needs\":[\"" id "\"]}"
-#define CANCELLED                                                                                            \
+#define CANCELLED_JOB                                                                                        \
   "{\"class\":\"c\",\"team\":\"red\",\"shape\":0,\"rank\":2,\"tasks\":4,\"cpus\":2,\"gpus\":0,\"mem\":2,"    \
   "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
   "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16,\"cancelled\":true}"
 
-static void forget_outs(Rig *r) { g_ptr_array_set_size(r->outs, 0); }
+static void clear_outputs(Rig *r) { g_ptr_array_set_size(r->outs, 0); }
 
-static FkOutput *answer_to(Rig *r, guint64 request) {
+static FkOutput *reply_to(Rig *r, guint64 request) {
   for (guint i = 0; i < r->outs->len; i++) {
     FkOutput *o = r->outs->pdata[i];
     if (o->kind == FK_OUTPUT_USER_REPLY && o->request.n == request)
@@ -26,19 +27,20 @@
   return NULL;
 }
 
-/* The store has carried out, or refused, the latest transaction, at this revision. */
-static void committed(Rig *r, FkOutcome o, guint64 epoch, const char *failed) {
+/* Feeds the store's reply to the latest transaction: its outcome, the store's revision, and the path of the
+ * guard that failed (NULL if none). */
+static void transaction_replied(Rig *r, FkOutcome o, guint64 epoch, const char *failed) {
   guint64 call = find(r, FK_OUTPUT_COMMIT, NULL)->call;
   g_autoptr(GPtrArray) list = g_ptr_array_new();
   if (failed)
     g_ptr_array_add(list, (gpointer)failed);
-  forget_outs(r);
+  clear_outputs(r);
   fk_controller_commit_received(r->c, r->now, call, o, (FkRev){epoch}, list);
   pump(r);
 }
 
-/* The watch says that a record is gone. */
-static void gone(Rig *r, const char *path) {
+/* Feeds the deletion of a key as a watch event. */
+static void key_deleted(Rig *r, const char *path) {
   g_autoptr(GPtrArray) events = g_ptr_array_new_with_free_func((GDestroyNotify)fk_store_event_free);
   FkStoreEvent *e = g_new0(FkStoreEvent, 1);
   e->path = g_strdup(path);
@@ -48,14 +50,14 @@
   pump(r);
 }
 
-static Rig *with_fences(void) {
+static Rig *rig_with_dependency_support(void) {
   Rig *r = rig_new(TRUE);
   watched(r, (const char *const[]){"fk/l/f/c-0", "{\"chains\":true}", "fk/l/f/c-1", "{\"chains\":true}",
                                    "fk/l/f/c-2", "{\"chains\":true}", NULL});
   return r;
 }
 
-static FkSpec *spec(const char *id, const char *const *needs) {
+static FkSpec *spec_new(const char *id, const char *const *dependencies) {
   FkSpec *s = fk_spec_new();
   s->id = g_strdup(id);
   s->class_name = g_strdup("c");
@@ -65,65 +67,69 @@
   s->tasks = 1;
   s->cpus = 1;
   s->mem_gb = 1;
-  s->dependencies = needs ? g_strdupv((char **)needs) : NULL;
+  s->dependencies = dependencies ? g_strdupv((char **)dependencies) : NULL;
   return s;
 }
 
-/* Another controller cancelled what the job needs, and told so; our view lacks it. The comparison of the
- * job's own record finds nothing: `queued` would be older than `withdrawn`, which its user may have been told
- * elsewhere. */
+/* Another controller has cancelled a dependency of the job and acknowledged it, and this controller's view
+ * lacks the cancellation. The read check of the job's own record does not notice that. To reply `queued`
+ * would be wrong: another controller may have replied `withdrawn` to the user before. */
 static void test_waits_for_view(void) {
-  Rig *r = with_fences();
-  watched(r, (const char *const[]){"fk/l/j/run-2", NEEDS("run-1"), NULL});
-  forget_outs(r);
+  Rig *r = rig_with_dependency_support();
+  watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-1"), NULL});
+  clear_outputs(r);
   fk_controller_poll_received(r->c, r->now, (FkRequestId){300}, "run-2");
   pump(r);
-  committed(r, FK_OUTCOME_OK, r->epoch + 1, NULL);
-  g_assert_null(answer_to(r, 300));
-  watched(r, (const char *const[]){"fk/l/j/run-1", CANCELLED, NULL});
-  g_assert_nonnull(answer_to(r, 300));
-  g_assert_cmpint(answer_to(r, 300)->phase, ==, FK_PHASE_CANCELLED);
+  transaction_replied(r, FK_OUTCOME_OK, r->epoch + 1, NULL);
+  g_assert_null(reply_to(r, 300));
+  watched(r, (const char *const[]){"fk/l/j/run-1", CANCELLED_JOB, NULL});
+  g_assert_nonnull(reply_to(r, 300));
+  g_assert_cmpint(reply_to(r, 300)->phase, ==, FK_PHASE_CANCELLED);
   rig_free(r);
 }
 
-/* ... and a view that doesn't get there says nothing. */
+/* As in test_waits_for_view(), but the view does not reach the store's revision in time: the poll is answered
+ * 503. */
 static void test_unavailable_without_view(void) {
-  Rig *r = with_fences();
-  watched(r, (const char *const[]){"fk/l/j/run-2", NEEDS("run-1"), NULL});
-  forget_outs(r);
+  Rig *r = rig_with_dependency_support();
+  watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-1"), NULL});
+  clear_outputs(r);
   fk_controller_poll_received(r->c, r->now, (FkRequestId){300}, "run-2");
   pump(r);
-  committed(r, FK_OUTCOME_OK, r->epoch + 1, NULL);
+  transaction_replied(r, FK_OUTCOME_OK, r->epoch + 1, NULL);
   tick(r, 1.0);
-  g_assert_cmpint(answer_to(r, 300)->status, ==, 503);
+  g_assert_cmpint(reply_to(r, 300)->status, ==, 503);
   rig_free(r);
 }
 
-/* Results, chunks and pages of ends release nobody: the final does. */
+/* A dependent is not released by a chunk that shows all tasks done, nor by the deletion of the live record,
+ * but only by the terminal record. */
 static void test_terminal_state_releases(void) {
-  Rig *r = with_fences();
-  watched(r, (const char *const[]){"fk/l/j/run-2", NEEDS("run-1"), NULL});
+  Rig *r = rig_with_dependency_support();
+  watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-1"), NULL});
   FkJob *j = fk_view_find_job(fk_controller_view(r->c), "run-2");
   watched(
       r, (const char *const[]){"fk/l/t/run-1/00000", "{\"f\":0,\"n\":4,\"a\":5,\"d\":\"f\",\"b\":[]}", NULL});
   g_assert_cmpuint(fk_job_waiting_tasks(j), ==, 0);
-  gone(r, "fk/l/j/run-1");
+  key_deleted(r, "fk/l/j/run-1");
   g_assert_cmpuint(fk_job_waiting_tasks(j), ==, 0);
   watched(r, (const char *const[]){"fk/d/run-1", "{\"phase\":2,\"tasks\":4}", NULL});
   g_assert_cmpuint(fk_job_waiting_tasks(j), ==, 1);
   rig_free(r);
 }
 
-/* What ended before the view began is read, once; until then nothing is said of who needs it. */
+/* The terminal record of a dependency that ended before the view's list is read from the store, and only once
+ * for all dependents. Polls of dependents are answered 503 until it is known. */
 static void test_reads_terminal_states(void) {
-  Rig *r = with_fences();
-  watched(r, (const char *const[]){"fk/l/j/run-2", NEEDS("run-9"), "fk/l/j/run-3", NEEDS("run-9"), NULL});
-  forget_outs(r);
+  Rig *r = rig_with_dependency_support();
+  watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-9"), "fk/l/j/run-3",
+                                   JOB_DEPENDING_ON("run-9"), NULL});
+  clear_outputs(r);
   fk_controller_poll_received(r->c, r->now, (FkRequestId){300}, "run-2");
   pump(r);
-  committed(r, FK_OUTCOME_OK, r->epoch, NULL);
+  transaction_replied(r, FK_OUTCOME_OK, r->epoch, NULL);
   tick(r, 0.3);
-  g_assert_cmpint(answer_to(r, 300)->status, ==, 503);
+  g_assert_cmpint(reply_to(r, 300)->status, ==, 503);
   guint reads = 0;
   guint64 call = 0;
   for (guint i = 0; i < r->outs->len; i++) {
@@ -140,15 +146,15 @@
   *e = (FkStoreEvent){g_strdup("fk/d/run-9"), fk_store_record_from_json("fk/d/run-9", value), {5}};
   fk_controller_get_received(r->c, r->now, call, FK_OUTCOME_OK, e);
   pump(r);
-  forget_outs(r);
+  clear_outputs(r);
   fk_controller_poll_received(r->c, r->now, (FkRequestId){301}, "run-3");
   pump(r);
-  g_assert_cmpint(answer_to(r, 301)->phase, ==, FK_PHASE_CANCELLED);
+  g_assert_cmpint(reply_to(r, 301)->phase, ==, FK_PHASE_CANCELLED);
   rig_free(r);
 }
 
-/* One fence without the word, of a controller that lives or not, and nothing with dependencies is accepted.
- */
+/* A job with dependencies is rejected as long as the launch fence of any controller, live or not, does not
+ * show that its version supports dependencies. Jobs without dependencies are accepted all the same. */
 static void test_version_fences(void) {
   for (guint missing = 0; missing < 4; missing++) {
     Rig *r = rig_new(TRUE);
@@ -156,69 +162,71 @@
       g_autofree char *path = g_strdup_printf("fk/l/f/c-%u", i);
       watched(r, (const char *const[]){path, i == missing ? "{}" : "{\"chains\":true}", NULL});
     }
-    forget_outs(r);
+    clear_outputs(r);
     fk_controller_submission_received(r->c, r->now, (FkRequestId){300},
-                                      spec("run-5", (const char *const[]){"run-1", NULL}));
-    fk_controller_submission_received(r->c, r->now, (FkRequestId){301}, spec("run-6", NULL));
+                                      spec_new("run-5", (const char *const[]){"run-1", NULL}));
+    fk_controller_submission_received(r->c, r->now, (FkRequestId){301}, spec_new("run-6", NULL));
     pump(r);
     g_assert_nonnull(find(r, FK_OUTPUT_COMMIT, "fk/l/j/run-6"));
     g_assert_cmpint(find(r, FK_OUTPUT_COMMIT, "fk/l/j/run-5") != NULL, ==, missing == 3);
     if (missing < 3)
-      g_assert_cmpint(answer_to(r, 300)->status, ==, 503);
+      g_assert_cmpint(reply_to(r, 300)->status, ==, 503);
     rig_free(r);
   }
 }
 
-/* Accepting: what the store is asked, and what is said of it. */
+/* Acceptance of a job with dependencies: whether the store is queried first, and which reply follows. */
 static void test_acceptance(void) {
   static const struct {
-    const char *name, *needs, *failed; /* what the store has of what it was asked about; NULL: nothing */
-    int status;                        /* 0: it goes on */
-    gboolean asks;                     /* the store is compared with first */
+    const char *name, *dependency, *failed; /* `failed`: the queried key that exists in the store, or NULL */
+    int status;                             /* of the reply; 0 if the submission proceeds */
+    gboolean queries_store;                 /* the store is queried before the job is accepted */
   } cases[] = {
-      {"a live one", "run-1", NULL, 0, FALSE},
-      {"one that is done needs nothing", "run-7", NULL, 0, FALSE},
-      {"itself", "run-5", NULL, 422, FALSE},
-      {"a service", "run-8", NULL, 422, FALSE},
-      {"nobody's", "run-9", NULL, 422, TRUE},
-      {"one that our view lacks yet", "run-9", "fk/l/j/run-9", 0, TRUE},
-      {"one that has ended", "run-9", "fk/d/run-9", 0, TRUE},
-      {"it was accepted itself", "run-9", "fk/l/j/run-5", 0, TRUE},
+      {"live job", "run-1", NULL, 0, FALSE},
+      {"done job is left out of the record", "run-7", NULL, 0, FALSE},
+      {"the job itself", "run-5", NULL, 422, FALSE},
+      {"service", "run-8", NULL, 422, FALSE},
+      {"unknown job", "run-9", NULL, 422, TRUE},
+      {"live job that the view lacks", "run-9", "fk/l/j/run-9", 0, TRUE},
+      {"terminal job that the view lacks", "run-9", "fk/d/run-9", 0, TRUE},
+      {"the submitted job exists already", "run-9", "fk/l/j/run-5", 0, TRUE},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    Rig *r = with_fences();
+    Rig *r = rig_with_dependency_support();
     watched(r,
             (const char *const[]){"fk/d/run-7", "{\"phase\":2,\"tasks\":4}", "fk/l/j/run-8", SERVICE, NULL});
-    forget_outs(r);
+    clear_outputs(r);
     fk_controller_submission_received(r->c, r->now, (FkRequestId){300},
-                                      spec("run-5", (const char *const[]){cases[i].needs, NULL}));
+                                      spec_new("run-5", (const char *const[]){cases[i].dependency, NULL}));
     pump(r);
     FkOutput *t = find(r, FK_OUTPUT_COMMIT, NULL);
     g_test_message("%s", cases[i].name);
-    g_assert_cmpint(t && !t->writes->len, ==, cases[i].asks);
-    if (cases[i].asks)
-      committed(r, cases[i].failed ? FK_OUTCOME_CONFLICT : FK_OUTCOME_OK, r->epoch + 1, cases[i].failed);
-    const FkOutput *a = answer_to(r, 300);
+    g_assert_cmpint(t && !t->writes->len, ==, cases[i].queries_store);
+    if (cases[i].queries_store)
+      transaction_replied(r, cases[i].failed ? FK_OUTCOME_CONFLICT : FK_OUTCOME_OK, r->epoch + 1,
+                          cases[i].failed);
+    const FkOutput *a = reply_to(r, 300);
     g_assert_cmpint(a ? a->status : 0, ==, cases[i].status);
-    if (!cases[i].asks && !cases[i].status) {
+    if (!cases[i].queries_store && !cases[i].status) {
       const FkRecord *rec =
           g_array_index(find(r, FK_OUTPUT_COMMIT, "fk/l/j/run-5")->writes, FkWrite, 0).record;
-      g_assert_cmpint(rec->spec->dependencies != NULL, ==, g_str_equal(cases[i].needs, "run-1"));
+      g_assert_cmpint(rec->spec->dependencies != NULL, ==, g_str_equal(cases[i].dependency, "run-1"));
     }
     rig_free(r);
   }
 }
 
-/* In a busy store finals wait for what users wait for; not those that others need. */
+/* Without write capacity, terminal records are delayed in favour of writes that users wait for, except the
+ * records of jobs that others depend on. */
 static void test_needed_terminal_states_first(void) {
   for (int needed = 0; needed < 2; needed++) {
-    Rig *r = with_fences();
+    Rig *r = rig_with_dependency_support();
     watched(r, (const char *const[]){"fk/l/leader", "{\"node\":\"c-0\",\"life\":\"now\"}", "fk/l/j/run-2",
-                                     NEEDS("run-9"), "fk/l/t/run-1/00000",
+                                     JOB_DEPENDING_ON("run-9"), "fk/l/t/run-1/00000",
                                      "{\"f\":0,\"n\":4,\"a\":5,\"d\":\"f\",\"b\":[]}", NULL});
     if (needed)
-      watched(r, (const char *const[]){"fk/l/j/run-3", NEEDS("run-1"), NULL});
-    forget_outs(r);
+      watched(r, (const char *const[]){"fk/l/j/run-3", JOB_DEPENDING_ON("run-1"), NULL});
+    clear_outputs(r);
     fk_controller_set_write_capacity(r->c, 0);
     tick(r, 0.5);
     const FkOutput *t = find(r, FK_OUTPUT_COMMIT, "fk/d/run-1");
@@ -228,51 +236,52 @@
   }
 }
 
-/* Low-ranked work that a high-ranked job with a deadline needs takes both over, along the way. */
+/* Jobs of low priority inherit the priority and the deadline of a job that depends on them, through all
+ * levels, and lose both when it is removed. */
 static void test_inherited_priority(void) {
-  Rig *r = with_fences();
+  Rig *r = rig_with_dependency_support();
   g_autofree char *last = g_strconcat(
       "{\"deadline\":500,\"class\":\"c\",\"team\":\"red\",\"shape\":0,\"rank\":1,\"tasks\":1,\"cpus\":2,"
       "\"gpus\":0,\"mem\":2,"
       "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"
       "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16,\"needs\":[\"run-2\"]}",
       NULL);
-  watched(r, (const char *const[]){"fk/l/j/run-2", NEEDS("run-1"), NULL});
+  watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-1"), NULL});
   tick(r, 1.2);
   FkJob *first = fk_view_find_job(fk_controller_view(r->c), "run-1"),
         *middle = fk_view_find_job(fk_controller_view(r->c), "run-2");
   g_assert_cmpint(middle->inherited_priority, ==, FK_JOB_PRIORITY_LOW);
   g_assert_cmpfloat(fk_job_allowed_s(first), <, 0);
-  watched(r, (const char *const[]){"fk/l/j/run-3", last, NULL}); /* submitted later */
+  watched(r, (const char *const[]){"fk/l/j/run-3", last, NULL}); /* arrives after its dependencies */
   tick(r, 1.2);
   g_assert_cmpint(first->inherited_priority, ==, FK_JOB_PRIORITY_HIGH);
   g_assert_cmpint(middle->inherited_priority, ==, FK_JOB_PRIORITY_HIGH);
   g_assert_cmpfloat(fk_job_allowed_s(middle), >, 0);
   g_assert_cmpint(first->deadline_us, <, middle->deadline_us);
-  gone(r, "fk/l/j/run-3"); /* whoever asked for it has gone */
-  gone(r, "fk/l/j/run-2");
+  key_deleted(r, "fk/l/j/run-3"); /* the dependent with the deadline is removed */
+  key_deleted(r, "fk/l/j/run-2");
   tick(r, 1.2);
   g_assert_cmpint(first->inherited_priority, ==, FK_JOB_PRIORITY_NORMAL);
   g_assert_cmpfloat(fk_job_allowed_s(first), <, 0);
   rig_free(r);
 }
 
-/* A page that the version before wrote under larger limits: whole while one controller can't read it in
- * parts, then divided by one transaction, each part within the limits to come, nobody lost, and left alone
- * after that. */
+/* A page of machines that an earlier version wrote under a larger size limit. It stays whole while one
+ * controller does not support several pages per shard. Then one transaction divides it: each page is within
+ * the limit that is to apply, no machine is lost, and no page of the old size is written again. */
 static void test_registry_page_divided(void) {
-  for (int known = 0; known < 2; known++) {
+  for (int all_support_pages = 0; all_support_pages < 2; all_support_pages++) {
     Rig *r = rig_new(TRUE);
     r->s->value_kb = 2;
     r->s->current_value_kb = 32;
     r->s->transaction_ops_max = 8;
-    g_autofree char *page = group_key("m"), *group = fk_shard_id_for_machine("north", "i-1");
+    g_autofree char *page = group_key("m"), *shard = fk_shard_id_for_machine("north", "i-1");
     g_autoptr(GString) members =
         g_string_new("{\"zone\":\"north\",\"m\":[[\"i-1\",\"box8\",\"127.0.0.1:9\",0]");
     guint n = 1;
     for (guint i = 100; n < 60; i++) {
-      g_autofree char *id = g_strdup_printf("i-%06u", i), *of = fk_shard_id_for_machine("north", id);
-      if (!g_str_equal(of, group))
+      g_autofree char *id = g_strdup_printf("i-%06u", i), *shard_of_id = fk_shard_id_for_machine("north", id);
+      if (!g_str_equal(shard_of_id, shard))
         continue;
       g_string_append_printf(members, ",[\"%s\",\"box8\",\"10.1.0.%u:9000\",0,\"silent\",-1]", id, n++);
     }
@@ -280,13 +289,14 @@
     watched(r, (const char *const[]){page, members->str, NULL});
     for (guint i = 0; i < 3; i++) {
       g_autofree char *path = g_strdup_printf("fk/l/f/c-%u", i);
-      watched(r, (const char *const[]){path, i == 2 && !known ? "{}" : "{\"chains\":true}", NULL});
+      watched(r,
+              (const char *const[]){path, i == 2 && !all_support_pages ? "{}" : "{\"chains\":true}", NULL});
     }
-    forget_outs(r);
+    clear_outputs(r);
     tick(r, 0.5);
     FkOutput *t = find(r, FK_OUTPUT_COMMIT, "fk/l/m/");
-    g_assert_cmpint(t != NULL, ==, known);
-    if (!known) {
+    g_assert_cmpint(t != NULL, ==, all_support_pages);
+    if (!all_support_pages) {
       rig_free(r);
       continue;
     }
@@ -307,15 +317,15 @@
       g_ptr_array_add(events, e);
     }
     g_assert_cmpuint(written, ==, n);
-    committed(r, FK_OUTCOME_OK, r->epoch, NULL);
+    transaction_replied(r, FK_OUTCOME_OK, r->epoch, NULL);
     fk_controller_watch_received(r->c, r->now, FK_OUTCOME_OK, events, (FkRev){r->epoch}, r->now);
     pump(r);
-    guint described = 0;
-    const FkShard *g = fk_view_ensure_shard(fk_controller_view(r->c), group);
+    guint registered = 0;
+    const FkShard *g = fk_view_ensure_shard(fk_controller_view(r->c), shard);
     for (guint i = 0; i < g->machines->len; i++)
-      described += ((FkMachine *)g->machines->pdata[i])->record != NULL;
-    g_assert_cmpuint(described, ==, n);
-    forget_outs(r);
+      registered += ((FkMachine *)g->machines->pdata[i])->record != NULL;
+    g_assert_cmpuint(registered, ==, n);
+    clear_outputs(r);
     tick(r, 3);
     for (guint i = 0; i < r->outs->len; i++) {
       const FkOutput *o = r->outs->pdata[i];
@@ -328,13 +338,13 @@
   }
 }
 
-#define ZONE 4500      /* machines */
-#define TXN_MOST 65536 /* bytes that the store takes in one transaction */
+#define ZONE_MACHINES 4500
+#define TRANSACTION_BYTES_MAX 65536 /* the store's limit */
 #define LONG_ADDR "[2001:db8:1234:5678::1234]:9000"
 
-/* The store has carried out all transactions that came out, and the watch tells of them. The bytes of the
- * largest. */
-static gsize carried_out(Rig *r, guint value_most) {
+/* Feeds a successful reply and the watch events for each transaction among the outputs. Returns the size of
+ * the largest in bytes. */
+static gsize commit_all(Rig *r, guint value_bytes_max) {
   g_autoptr(GPtrArray) outs = g_steal_pointer(&r->outs), none = g_ptr_array_new();
   gsize largest = 0;
   r->outs = g_ptr_array_new_with_free_func((GDestroyNotify)fk_output_free);
@@ -350,7 +360,7 @@
       const FkWrite *w = &g_array_index(t->writes, FkWrite, k);
       g_autoptr(cJSON) j = w->record ? fk_store_record_to_json(w->record) : NULL;
       g_autofree char *text = j ? fk_json_print(j) : g_strdup("");
-      g_assert_cmpuint(strlen(text), <=, value_most);
+      g_assert_cmpuint(strlen(text), <=, value_bytes_max);
       FkStoreEvent *e = g_new0(FkStoreEvent, 1);
       *e = (FkStoreEvent){g_strdup(w->path), j ? fk_store_record_from_json(w->path, j) : NULL, {r->epoch}};
       g_ptr_array_add(events, e);
@@ -362,7 +372,8 @@
   return largest;
 }
 
-static guint described(Rig *r) {
+/* Returns the number of registered machines in the view. */
+static guint count_registered(Rig *r) {
   GHashTableIter it;
   gpointer p;
   guint n = 0;
@@ -372,8 +383,9 @@
   return n;
 }
 
-/* 4,500 machines in one zone, with long names, all come at once: each is described, under the smallest limit
- * of a value as well, and no transaction is over what the store takes. */
+/* 4,500 machines of one zone, with long ids and addresses, send their first heartbeats at once. All of them
+ * are registered, also under the smallest size limit of a value, and no transaction exceeds the store's
+ * limit. */
 static void test_large_zone(void) {
   static const guint value_kb[] = {8, 64};
   for (guint i = 0; i < G_N_ELEMENTS(value_kb); i++) {
@@ -391,7 +403,7 @@
     }
     g_ptr_array_add(lines, NULL);
     watched(r, (const char *const *)lines->pdata);
-    for (guint k = 0; k < ZONE - 1; k++) { /* the rig has one */
+    for (guint k = 0; k < ZONE_MACHINES - 1; k++) { /* the rig adds one machine itself */
       g_autofree char *id = g_strdup_printf("i-%017u", k);
       FkHeartbeat *report = says(r, id, "north", 1, ++r->tally);
       g_free(report->addr);
@@ -400,22 +412,23 @@
     }
     pump(r);
     gsize largest = 0;
-    for (guint k = 0; k < 60 && described(r) < ZONE; k++) {
+    for (guint k = 0; k < 60 && count_registered(r) < ZONE_MACHINES; k++) {
       fk_controller_set_write_capacity(r->c, 1000);
       tick(r, 0.1);
-      gsize bytes = carried_out(r, value_kb[i] * 1024);
+      gsize bytes = commit_all(r, value_kb[i] * 1024);
       largest = MAX(largest, bytes);
     }
-    g_test_message("values of %u KiB: %u machines described, %" G_GSIZE_FORMAT
-                   " bytes the largest transaction",
-                   value_kb[i], described(r), largest);
-    g_assert_cmpuint(described(r), ==, ZONE);
-    g_assert_cmpuint(largest, <=, TXN_MOST);
+    g_test_message("values of %u KiB: %u machines registered, %" G_GSIZE_FORMAT
+                   " bytes in the largest transaction",
+                   value_kb[i], count_registered(r), largest);
+    g_assert_cmpuint(count_registered(r), ==, ZONE_MACHINES);
+    g_assert_cmpuint(largest, <=, TRANSACTION_BYTES_MAX);
     rig_free(r);
   }
 }
 
-/* A job whose tasks all end at once is ended by the same transaction, however many they are. */
+/* If all tasks of a job complete at once, the transaction that records their completions also ends the job,
+ * however many tasks there are. */
 static void test_all_tasks_complete_at_once(void) {
   static const guint tasks[] = {1, 4000, 4095, 4096, 4500};
   for (guint i = 0; i < G_N_ELEMENTS(tasks); i++) {
@@ -448,7 +461,7 @@
     }
     g_ptr_array_add(lines, NULL);
     watched(r, (const char *const *)lines->pdata);
-    forget_outs(r);
+    clear_outputs(r);
     fk_controller_set_write_capacity(r->c, 1000);
     fk_controller_heartbeat_received(r->c, r->now, (FkRequestId){1}, ended);
     tick(r, 0.3);
