--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -82,8 +82,8 @@
   double allocated_long_cpus;                           /* CPUs allocated to tasks of the long path */
   const char *drain_reason;  /* interned: why the machine is to be drained, or NULL */
   FkTime drain_reason_since; /* when this controller first saw the drain reason */
-  double notice_s;           /* seconds from then until its termination; < 0 if unknown */
   FkTime record_seen;        /* when this controller first saw its record */
+  double notice_s;           /* seconds from `drain_reason_since` until its termination; < 0 if unknown */
   FkTime idle_since;
   gboolean blacklisted;  /* in the short partition: closed to newly arrived long jobs */
   FkTime full_until;     /* time until which nothing is launched on it: it refused a task as full */
@@ -155,9 +155,10 @@
   char *leader, *leader_incarnation;
   FkRev leader_rev;
   GHashTable *changed_machines; /* ids: allocations, record or owner changed since the last cycle */
-  GHashTable *capacity_changed; /* ids: the same changes, since the capacity index was last updated */
   GPtrArray *capacity_removed;  /* addresses of freed FkMachine, for the capacity index; not dereferenced */
-  GPtrArray *live_jobs;         /* FkJob: the values of `jobs`, in no particular order */
+  GHashTable
+      *capacity_changed;    /* ids: as in `changed_machines`, but since the capacity index was last updated */
+  GPtrArray *live_jobs;     /* FkJob: the values of `jobs`, in no particular order */
   GHashTable *changed_jobs; /* FkJob, with a reference: waiting tasks may have changed since the last cycle */
   guint64 allocation_updates; /* allocations added or subtracted so far: the cost of applying changes */
   gboolean caught_up;    /* the list and its catch-up are complete: changes applied now have just happened */
