--- a/src/common/types.h
+++ b/src/common/types.h
@@ -13,7 +13,7 @@
 } FkRev;
 
 /* The fencing token of a shard's owner: the revision of the record that names the owner. Workers reject
- * commands with an older token than the highest that they have seen. */
+ * commands whose token is older than the latest token that they have received. */
 typedef struct {
   guint64 n;
 } FkFencingToken;
--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -119,8 +119,8 @@
 }
 
 void fk_controller_request_closed(FkController *c, FkRequestId request_id) {
-  /* Only a held heartbeat is dropped, so that it is not handled in vain. Replies to other closed requests are
-   * discarded by the daemon. */
+  /* Drops the heartbeat if it is held, because its reply could not be delivered. The daemon discards the
+   * replies to other requests that are closed. */
   for (GList *link = c->workers.held_heartbeats->head; link; link = link->next) {
     FkHeldHeartbeat *held = link->data;
     if (held->request.n == request_id.n) {
@@ -191,9 +191,9 @@
 
 /* Components act on a change of the view at once rather than on the next tick. */
 void fk_controller_watch_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
-                                  FkRev epoch, FkTime sent) {
+                                  FkRev store_rev, FkTime sent) {
   c->now = now;
-  fk_store_session_watch_received(c, outcome, events, epoch, sent);
+  fk_store_session_watch_received(c, outcome, events, store_rev, sent);
   if (outcome != FK_OUTCOME_OK || !fk_controller_is_ready(c))
     return;
   fk_cpu_profile_run(c, FK_CPU_SHARDS, fk_shard_ownership_tick);
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -8,8 +8,8 @@
 
 /* ---- life cycle ---- */
 
-/* `settings` must outlive the controller. `incarnation` identifies this start of it and must be unique.
- * `seed` seeds all of its random numbers. */
+/* Creates a controller. `settings` must outlive it. `incarnation` identifies this start of the controller and
+ * must be unique. `seed` seeds the controller's random numbers. */
 FkController *fk_controller_new(const FkSettings *settings, const char *incarnation, guint32 seed,
                                 FkTime now);
 void fk_controller_free(FkController *c); /* NULL is fine */
@@ -54,31 +54,31 @@
 
 /* ---- inputs: the store ---- */
 
-/* One page of a list. `events`: FkStoreEvent, whose records are taken; `more`: further pages follow; `epoch`:
- * the store's revision at the reply. */
+/* One page of a list. `events`: FkStoreEvent, whose records are taken; `more`: further pages follow;
+ * `store_rev`: the store's revision at the reply. */
 void fk_controller_list_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
-                                 gboolean more, FkRev epoch);
+                                 gboolean more, FkRev store_rev);
 /* The reply to a watch, or its failure. `events`: FkStoreEvent, whose records are taken; `sent`: when the
  * watch was sent. */
 void fk_controller_watch_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
-                                  FkRev epoch, FkTime sent);
+                                  FkRev store_rev, FkTime sent);
 void fk_controller_lease_grant_received(FkController *c, FkTime now, FkOutcome outcome, FkRev lease,
                                         FkTime sent);
 void fk_controller_lease_keepalive_received(FkController *c, FkTime now, FkOutcome outcome, FkTime sent);
-/* The rate limiter has sent a transaction: the time to its retry is counted from now on. */
+/* The rate limiter has sent a transaction: the delay before its retry starts now. */
 void fk_controller_transaction_sent(FkController *c, FkTime now, guint64 call);
 /* The reply to a transaction. `failed`: paths (char*) of the guards that did not hold, or NULL. */
-void fk_controller_commit_received(FkController *c, FkTime now, guint64 call, FkOutcome outcome, FkRev epoch,
-                                   GPtrArray *failed);
+void fk_controller_commit_received(FkController *c, FkTime now, guint64 call, FkOutcome outcome,
+                                   FkRev store_rev, GPtrArray *failed);
 /* The reply to a read. `event`: taken; NULL if nothing was read. */
 void fk_controller_get_received(FkController *c, FkTime now, guint64 call, FkOutcome outcome,
                                 FkStoreEvent *event);
 
 /* ---- inputs: other controllers ---- */
 
-/* Returns what this controller replies to the others' queries: its incarnation (owned by the controller), the
- * latest revision that it has seen, the revision that its view has reached (0 if the view is not ready), and
- * the seconds since the store last replied. */
+/* Returns this controller's reply to the queries of other controllers: its incarnation, owned by the
+ * controller. `seen`: the latest revision that the controller has seen; `applied`: the revision that its view
+ * has reached, 0 if the view is not ready; `store_age_s`: seconds since the store last replied. */
 const char *fk_controller_store_progress(FkController *c, FkTime now, FkRev *seen, FkRev *applied,
                                          double *store_age_s);
 /* Another controller's reply, with the same values, to the query sent at `sent`. */
--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -18,14 +18,15 @@
 
 /* Tolerance for comparing amounts of resources, which are sums of fractions. */
 #define FK_AMOUNT_EPSILON 1e-6
-/* A starving class or team is raised in priority only until it has this share of all machines' CPUs. */
+/* The priority of a starving class or team is raised only while the class or team has less than this share of
+ * all machines' CPUs. */
 #define FK_SERVICE_FLOOR_SHARE 0.05
 /* Relative drift between two clocks, each of which may be off by 0.05%, plus a margin. */
 #define FK_CLOCK_DRIFT 0.0012
 /* Time after the end of a lease before it counts as expired. */
 #define FK_LEASE_MARGIN_S 2.0
 
-/* The state machine: the states of its components. */
+/* The controller's state machine, composed of the states of its components. */
 struct FkController {
   const FkSettings *settings;
   char *incarnation; /* identifies this start of the controller */
--- a/src/core/controller_status.c
+++ b/src/core/controller_status.c
@@ -1,14 +1,15 @@
 /* Readiness, number of live controllers, and shares of the store's write budget. */
 #include "core/controller_internal.h"
 
-/* The controller is partitioned from the store if it has had no reply for ISOLATED_FROM_STORE_S while the
- * store has replied to another controller within PEER_STORE_RECENT_S, and at least PEER_STORE_LEAD_S after
- * its last reply to this one. */
+/* The controller counts as partitioned from the store if all of these hold: the store has not replied to it
+ * for more than ISOLATED_FROM_STORE_S; the store replied to another controller less than PEER_STORE_RECENT_S
+ * ago; and that reply came more than PEER_STORE_LEAD_S after the store's last reply to this controller. */
 #define ISOLATED_FROM_STORE_S 2.5
 #define PEER_STORE_LEAD_S 1
 #define PEER_STORE_RECENT_S 5
-/* The controller is partitioned from everything if it has had no reply of the store for this long, and none
- * of another controller since it began to query them, once a second, after FK_PEER_QUERY_AFTER_S. */
+/* The controller counts as partitioned from the store and all other controllers if the store has not replied
+ * for more than this time, and no controller has replied to the queries that are sent once a second from
+ * FK_PEER_QUERY_AFTER_S on. */
 #define ISOLATED_FROM_ALL_S 6.0
 
 FkOutput *fk_output_new(FkController *c, FkOutputKind kind) {
@@ -45,8 +46,8 @@
   return c->launches.services_waiting >= SERVICES_WAITING_MIN;
 }
 
-/* The leader launches the services of all controllers. So its weight is 2, and while services have priority
- * it is as high as that of all other controllers together. */
+/* Other controllers have weight 1. The leader, which launches the services of all controllers, has weight 2
+ * and, while services have priority, at least the weight of all other controllers together. */
 double fk_store_write_share(FkController *c) {
   guint live = fk_controller_live_count(c);
   double leader_weight = fk_services_have_priority(c) ? MAX(2, live - 1) : 2;
@@ -62,8 +63,8 @@
       fk_time_between(c->store_session.store_answered_at, c->store_session.peer_store_answered_at) >
           PEER_STORE_LEAD_S &&
       fk_time_between(c->store_session.peer_store_answered_at, now) < PEER_STORE_RECENT_S;
-  /* Without replies of the store and of all other controllers, this one is on the small side of a partition,
-   * even if clients still reach it: it would answer each of their requests with 503. */
+  /* If neither the store nor any other controller replies, this controller is the one that is partitioned
+   * off, even if clients still reach it: it would answer each of their requests with 503. */
   gboolean isolated_from_all =
       c->settings->peers->len && without_store_s > ISOLATED_FROM_ALL_S &&
       fk_time_between(c->store_session.peer_answered_at, now) > ISOLATED_FROM_ALL_S - FK_PEER_QUERY_AFTER_S;
--- a/src/core/controller_status.h
+++ b/src/core/controller_status.h
@@ -13,8 +13,8 @@
 /* Returns this controller's share of the store's write budget, from 0 to 1. The shares add up to 1, because
  * all controllers compute them from the same view. */
 double fk_store_write_share(FkController *c);
-/* Returns whether the controller can serve users' requests: it is ready, knows the instance types, and is
- * neither partitioned from the store nor from all other controllers. */
+/* Returns whether the controller can serve users' requests: its view is ready, the instance types are known,
+ * and it is neither partitioned from the store nor from all other controllers. */
 gboolean fk_controller_can_serve(FkController *c, FkTime now);
 /* Returns whether the controller named `node` has its node key in the view; FALSE if `node` is NULL. */
 gboolean fk_node_is_alive(FkController *c, const char *node);
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -150,7 +150,7 @@
  * HTTP statuses. */
 typedef enum {
   FK_OUTCOME_OK,       /* 200 */
-  FK_OUTCOME_CONFLICT, /* 409 */
+  FK_OUTCOME_CONFLICT, /* 409: a guard did not hold, or the cloud has no capacity */
   FK_OUTCOME_GONE,     /* 404, 410 */
   FK_OUTCOME_REFUSED,  /* certainly not carried out: 503, 429, or never sent */
   FK_OUTCOME_INVALID,  /* 400 */
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -15,8 +15,8 @@
   double guaranteed_cpus, max_cpus, guaranteed_gpus, max_gpus;
 } FkTeam;
 
-/* A service-level objective: the given share of the class's jobs is to meet the limit of `within_s`; `kind`
- * names the time that is measured. */
+/* A service-level objective: at least `share` of the jobs of a class must stay within `within_s` seconds.
+ * `kind` names the time that is measured, such as "wait" or "finished". */
 typedef struct {
   char *kind, *class_name;
   double within_s, share;
@@ -32,10 +32,13 @@
   double steal_after_s;        /* after this wait, a short task may go to machines of any controller */
   double idle_s;               /* idle time after which a machine is terminated */
   double headroom_s;           /* capacity is reserved for the services expected to arrive in this time */
-  double deadline_slack;       /* multiple of a task's run time that must be left before its deadline */
-  double spot_patience;        /* share of a job's tolerable wait after which spot machines are provisioned */
-  double silent_after_s; /* silence after which a machine is replaced; 0 derives it from the heartbeats */
-  /* Longest wait of a cancellation's reply for the other controllers (api/cancellation_barrier.c). */
+  double deadline_slack;       /* safety factor on the expected run time of jobs with a deadline */
+  /* Spot machines are provisioned for a job after this share of the longest wait that it can afford. */
+  double spot_patience;
+  /* Time without heartbeats after which a machine is replaced; 0 to derive it from the heartbeat interval. */
+  double silent_after_s;
+  /* Longest time for which the reply to a cancellation waits until all controllers have applied the
+   * cancellation (api/cancellation_barrier.c). */
   double cancellation_barrier_s;
   FkAdmissionOptions admission; /* limits that are 0 are derived from the controller's resources */
 } FkTuning;
@@ -44,20 +47,23 @@
   char *node, *zone, *listen_addr, *peer_listen_addr;
   GPtrArray *peers; /* FkPeer */
   char *cloud_addr, *store_addr;
-  GPtrArray *zones;      /* char* */
-  GPtrArray *teams;      /* FkTeam */
-  GPtrArray *objectives; /* FkObjective */
-  double heartbeat_interval_s, worker_lease_s, cancellation_deadline_s;
-  /* Rate limits of the store: the current ones, and the ones that apply from some later time on, which is not
-   * announced. The latter are never above the current ones. */
+  GPtrArray *zones;               /* char* */
+  GPtrArray *teams;               /* FkTeam */
+  GPtrArray *objectives;          /* FkObjective */
+  double heartbeat_interval_s;    /* interval of workers' heartbeats */
+  double worker_lease_s;          /* duration of a worker's lease */
+  double cancellation_deadline_s; /* time within which a cancellation must take effect */
+  /* Rate limits of the store, per second: the current limits, and the lower or equal limits that will replace
+   * them at a time that is not known in advance. */
   double store_rps, store_write_rps;
   double next_store_rps, next_store_write_rps;
-  double value_kb;           /* size limit of a value in the store: the lower of current and next */
-  double current_value_kb;   /* the current size limit */
-  guint transaction_ops_max; /* limit of operations per transaction: the lower of current and next */
-  double cloud_rps, cloud_list_lag_s;
+  double value_kb;           /* size limit of a value in KiB: the lower of the current and the future limit */
+  double current_value_kb;   /* the current limit */
+  guint transaction_ops_max; /* operations per transaction: the lower of the current and the future limit */
+  double cloud_rps;          /* rate limit of the cloud */
+  double cloud_list_lag_s;   /* longest delay until a change shows in the cloud's list of machines */
   double cpus, ram_mb, sockets;
-  double clock_offset_ms;
+  double clock_offset_ms; /* clock offset that the platform states */
   FkTuning tuning;
 } FkSettings;
 
--- a/src/core/state/failing_jobs.c
+++ b/src/core/state/failing_jobs.c
@@ -1,7 +1,7 @@
 /* Reports failed and successful attempts to fault attribution, which decides whether the job or the machine
- * is at fault. Every controller sees the same completions and so reaches the same verdicts: all controllers
- * delay the retries of a job that fails on every machine, and no shard owner treats the machines that the job
- * ran on as faulty. */
+ * is at fault. All controllers see the same completions and reach the same verdicts: each of them delays the
+ * retries of a job that fails on every machine, and no shard owner treats the machines of such a job as
+ * faulty. */
 #include "core/state/view_internal.h"
 
 #define FAILING_REVIEW_INTERVAL_S 1.0
--- a/src/core/state/job.c
+++ b/src/core/state/job.c
@@ -74,15 +74,15 @@
 #define CHUNK_TASKS_MIN 8
 #define CHUNK_TASKS_MAX 128
 /* Size of a chunk's record without its allocations; an upper bound for any number of tasks. */
-#define RECORD_BYTES 160
+#define CHUNK_RECORD_OVERHEAD_BYTES 160
 /* Size of an allocation without the names of its machine and controller. */
 #define ALLOCATION_BYTES 28
-/* Length of the cloud's machine ids. With longer ids the record may be full before all tasks are allocated:
- * the remaining tasks wait until others complete. */
+/* Length of the cloud's machine ids. With longer ids a record may be full before all tasks of its chunk are
+ * allocated; the remaining tasks then wait until others complete. */
 #define MACHINE_ID_BYTES 12
 
 gboolean fk_chunk_fits(const FkChunk *chunk, double value_kb, const char *machine, const char *controller) {
-  double bytes = RECORD_BYTES;
+  double bytes = CHUNK_RECORD_OVERHEAD_BYTES;
   for (guint i = 0; i < chunk->allocations->len; i++) {
     const FkAllocation *allocation = &g_array_index(chunk->allocations, FkAllocation, i);
     bytes += ALLOCATION_BYTES + (double)strlen(allocation->machine) + (double)strlen(allocation->launched_by);
@@ -93,7 +93,8 @@
 
 guint32 fk_chunk_max_tasks(double value_kb, const char *controller) {
   double each = ALLOCATION_BYTES + MACHINE_ID_BYTES + (double)strlen(controller);
-  return (guint32)CLAMP((value_kb * BYTES_PER_KIB - RECORD_BYTES) / each, CHUNK_TASKS_MIN, CHUNK_TASKS_MAX);
+  return (guint32)CLAMP((value_kb * BYTES_PER_KIB - CHUNK_RECORD_OVERHEAD_BYTES) / each, CHUNK_TASKS_MIN,
+                        CHUNK_TASKS_MAX);
 }
 
 FkAllocation *fk_chunk_find_allocation(const FkChunk *chunk, guint32 task) {
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -1,10 +1,9 @@
-/* Job specifications, and the chunks that store the states of a job's tasks, with the state changes that are
- * allowed. */
+/* Job specifications, the chunks that hold the states of a job's tasks, and the allowed state changes. */
 #pragma once
 #include "common/types.h"
 
 /* ARRAY: independent tasks, each run once to completion. SERVICE: tasks that run until the job is cancelled.
- * GANG: tasks that run only all at the same time. */
+ * GANG: tasks that run only if all of them run at the same time. */
 typedef enum { FK_SHAPE_ARRAY, FK_SHAPE_SERVICE, FK_SHAPE_GANG } FkShape;
 /* A lower value is a higher priority. */
 typedef enum {
@@ -45,16 +44,16 @@
 guint32 fk_spec_chunk_count(const FkSpec *spec);
 guint32 fk_spec_chunk_tasks(const FkSpec *spec, guint32 chunk);
 
-/* An attempt to run a task on a machine. It ends only on proof that the task is not running on that machine
- * and never will be. */
+/* An attempt to run a task on a machine. An allocation ends only on proof that the attempt is not running on
+ * that machine and never will be. */
 typedef struct {
   guint32 task;
   FkAttempt attempt;
   const char *machine;     /* interned */
-  const char *launched_by; /* interned: controller that launched it, out of its share of the team's quota */
+  const char *launched_by; /* interned: controller that launched it, using its share of the team's quota */
   gboolean stop_requested; /* the worker is to stop the task */
   FkTime first_seen_at;    /* when this controller first saw the allocation; not in the store */
-  gboolean start_observed; /* `first_seen_at` is when it was made: FALSE if it was found in a list */
+  gboolean start_observed; /* TRUE if seen when it was made, FALSE if found in a list of the store */
 } FkAllocation;
 
 /* The states of up to `chunk_tasks` consecutive tasks of a job: one record in the store. */
@@ -74,13 +73,13 @@
 /* Returns whether the chunk's record stays within `value_kb` KiB with one more allocation, to `machine` by
  * `controller`. `machine` NULL: without another allocation. */
 gboolean fk_chunk_fits(const FkChunk *chunk, double value_kb, const char *machine, const char *controller);
-/* Returns how many tasks a chunk may have so that its record holds an allocation of each, if the names of the
- * launching controllers are as long as `controller`. */
+/* Returns the largest number of tasks per chunk for which a record can hold an allocation of every task, if
+ * the names of the launching controllers are as long as `controller`. */
 guint32 fk_chunk_max_tasks(double value_kb, const char *controller);
 /* Returns the task's allocation, valid until the chunk next changes; NULL if it has none. */
 FkAllocation *fk_chunk_find_allocation(const FkChunk *chunk, guint32 task);
 
-/* The state changes that are allowed. Each function returns FALSE, and changes nothing, if its change is not.
+/* The allowed state changes. Each function returns FALSE, and changes nothing, if the change is not allowed.
  */
 
 /* Allocates a task that is neither done nor allocated, under the next attempt number. */
--- a/src/core/state/job_dependencies.c
+++ b/src/core/state/job_dependencies.c
@@ -2,8 +2,8 @@
  * seen, and propagates priorities and deadlines from dependents to dependencies. */
 #include "core/controller_internal.h"
 
-/* After a restart, thousands of blocked jobs may need reads: the rest of the store's request budget is left
- * to users' requests. */
+/* Limits of the reads of terminal records. After a restart, thousands of blocked jobs may need one, and the
+ * store's request budget must be left to users' requests. */
 #define READS_PER_TICK 2
 #define READS_MAX 8 /* in flight */
 #define INHERIT_INTERVAL_S 1.0
@@ -38,8 +38,8 @@
   fk_read_send(c, fk_key_path(FK_KEY_TERMINAL_JOB, id), terminal_record_received, g_strdup(id), g_free);
 }
 
-/* Reads the records of dependencies that are not in the view. The view is complete, so that a job which is
- * not live in it is terminal. */
+/* Requests the terminal records of dependencies whose state is unknown. Because the view contains every live
+ * job, a dependency that is missing from the view is terminal. */
 static void request_terminal_records(FkController *c) {
   fk_dependency_graph_for_each_unknown(c->view->dependencies, request_terminal_record, c, READS_PER_TICK);
 }
@@ -73,7 +73,8 @@
     return;
   c->requests.inherited_at = c->now;
   c->requests.inheriting = has_dependencies;
-  /* Dependents may have been removed since: each job is reset to its own values before it inherits again. */
+  /* Each job is reset to its own values first, because dependents may have been removed since the previous
+   * pass. */
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init(&it, c->view->jobs);
--- a/src/core/state/records.h
+++ b/src/core/state/records.h
@@ -9,7 +9,7 @@
   const char *type, *zone; /* interned */
   gboolean spot;
   const char *drain_reason; /* interned: why the machine is to be drained, or NULL */
-  double notice_s; /* if drained: seconds until its termination when that was announced; < 0 if unknown */
+  double notice_s; /* if drained: seconds from the drain until the announced termination; < 0 if unknown */
 } FkMachineRecord;
 
 FkMachineRecord *fk_machine_record_copy(const FkMachineRecord *machine);
@@ -17,7 +17,7 @@
 /* Returns the most bytes that the machine takes in a page. */
 guint fk_machine_record_bytes(const FkMachineRecord *machine);
 
-#define FK_MACHINE_PAGE_OVERHEAD_BYTES 100 /* size of a page without its machines */
+#define FK_MACHINE_PAGE_OVERHEAD_BYTES 100 /* size of a page without machines */
 #define FK_MACHINE_PAGE_MAX_BYTES(value_kb) ((guint)((value_kb)*1000) - 100)
 
 /* An attempt that ended without a result. */
@@ -27,8 +27,9 @@
   FkAttempt attempt;
 } FkReleasedAttempt;
 
-/* Completions of one chunk's allocations, as proven by a shard owner. The record is in effect until the
- * chunk's own record includes these completions. */
+/* Completions of allocations of one chunk, written by the controller that has proof of them: the shard's
+ * owner or, for a terminated machine, the leader. They are applied on top of the chunk's stored record until
+ * that record includes them. */
 typedef struct {
   char *chunk;        /* "job/index" */
   GByteArray *done;   /* one byte per task; not 0 if the task is done */
--- a/src/core/state/run_estimates.c
+++ b/src/core/state/run_estimates.c
@@ -1,16 +1,16 @@
 /* Estimates of run times and of the arrival rate of services, learned from the jobs in the view. */
 #include "core/state/view_internal.h"
 
-#define ESTIMATE_MIN_S 0.1 /* shorter estimates are not learned from */
+#define ESTIMATE_MIN_S 0.1 /* jobs with a shorter estimate are ignored */
 #define CORRECTION_EWMA_WEIGHT 0.08
 #define CORRECTION_MIN 0.2
 #define CORRECTION_MAX 8.0
-#define SERVICE_RATE_INTERVAL_S 1
-#define SERVICE_RATE_WINDOW_S 20.0
+#define ARRIVAL_RATE_INTERVAL_S 1
+#define ARRIVAL_RATE_WINDOW_S 20.0
 /* Limits how far a burst raises the rate: an interval counts as at most this multiple of the current rate,
- * plus SERVICE_RATE_FLOOR services per second. */
-#define SERVICE_RATE_GROWTH_MAX 2.0
-#define SERVICE_RATE_FLOOR 0.5
+ * plus ARRIVAL_RATE_FLOOR services per second. */
+#define ARRIVAL_RATE_GROWTH_MAX 2.0
+#define ARRIVAL_RATE_FLOOR 0.5
 
 /* The bias of users' estimates depends on the class: one correction factor per class is learned from
  * completed tasks, as an exponential moving average. */
@@ -31,11 +31,11 @@
 
 void fk_view_update_service_rate(FkView *v) {
   double elapsed_s = fk_time_between(v->service_rate_at, v->now);
-  if (elapsed_s < SERVICE_RATE_INTERVAL_S)
+  if (elapsed_s < ARRIVAL_RATE_INTERVAL_S)
     return;
   double rate =
-      MIN(v->services_since_rate / elapsed_s, SERVICE_RATE_GROWTH_MAX * v->service_rate + SERVICE_RATE_FLOOR);
-  v->service_rate += (rate - v->service_rate) * MIN(1, elapsed_s / SERVICE_RATE_WINDOW_S);
+      MIN(v->services_since_rate / elapsed_s, ARRIVAL_RATE_GROWTH_MAX * v->service_rate + ARRIVAL_RATE_FLOOR);
+  v->service_rate += (rate - v->service_rate) * MIN(1, elapsed_s / ARRIVAL_RATE_WINDOW_S);
   v->services_since_rate = 0;
   v->service_rate_at = v->now;
 }
--- a/src/core/state/store_keys.h
+++ b/src/core/state/store_keys.h
@@ -12,7 +12,7 @@
   FK_KEY_SHARD,        /* the owner of a shard */
   FK_KEY_MACHINE_PAGE, /* the machines of a shard, or some of them */
   FK_KEY_COMPLETIONS,  /* completions proven by a controller */
-  FK_KEY_LAUNCH_FENCE, /* the fence of a controller's launches: every launch is guarded by its revision */
+  FK_KEY_LAUNCH_FENCE, /* a controller's launch fence: the guard of each of its launches */
   FK_KEY_NODE,         /* a live controller; attached to its lease */
   FK_KEY_TEAM,         /* how a team's quota is divided among the controllers */
   FK_KEY_LEADER,       /* the leader */
@@ -26,7 +26,6 @@
 /* Returns the path of a key with a single id; owned by the caller. Not for CHUNK. */
 char *fk_key_path(FkKeyKind kind, const char *id);
 char *fk_key_chunk_path(const char *job, guint32 chunk);
-/* Returns the path of one page of a shard's machines. Page 0 is named by the shard's id alone, the others
- * have
- * "+" and their number appended. */
+/* Returns the path of a page of a shard's machines. Page 0 is named by the shard's id; "+" and the index are
+ * appended for further pages. */
 char *fk_key_machine_page_path(const char *shard, guint page_index);
--- a/src/core/state/view_apply.c
+++ b/src/core/state/view_apply.c
@@ -35,8 +35,8 @@
 }
 
 /* Clears the records of machines that are missing from the new revision of a page and are in no other page of
- * the shard. Such a machine is proven to be terminated, and its allocations ended before it was removed. A
- * machine that moves between pages is written to its new page by the same transaction. */
+ * the shard. Such a machine is proven to be terminated, and all of its allocations ended before its record
+ * was removed. The transaction that moves a machine between pages writes both pages. */
 static void forget_missing_machines(FkView *v, FkShard *shard, guint64 page_index, FkRev rev) {
   for (guint i = 0; i < shard->machines->len; i++) {
     FkMachine *machine = shard->machines->pdata[i];
@@ -124,8 +124,8 @@
     g_hash_table_remove(v->wait_times, id);
 }
 
-/* A chunk may arrive before its job's record, or remain after it. The path of such an orphan is kept, so that
- * it can be deleted. */
+/* A chunk may arrive before its job's record, or remain after the job's record is deleted. The path of such
+ * an orphan is kept for its deletion. */
 static void set_chunk(FkView *v, const char *path, const char *id, guint32 index, FkRecord *record,
                       FkRev rev) {
   FkJob *job = fk_view_find_job(v, id);
--- a/src/core/state/view_chunks.c
+++ b/src/core/state/view_chunks.c
@@ -41,7 +41,7 @@
       }
     }
     if (!machine->allocations->len) {
-      /* Reset, so that rounding errors of adding and subtracting fractions do not accumulate. */
+      /* Reset to 0, so that rounding errors of adding and subtracting fractions do not accumulate. */
       machine->allocated_cpus = machine->allocated_gpus = machine->allocated_mem_gb =
           machine->allocated_long_cpus = 0;
       machine->idle_since = v->now;
@@ -85,7 +85,7 @@
   }
 }
 
-/* Marks the record's tasks done, as far as the chunk still has an allocation of them. */
+/* Marks completed tasks done, except those without an allocation in the chunk. */
 static void apply_completed(FkChunk *chunk, const FkCompletionRecord *completion) {
   for (guint i = 0; i < MIN(completion->done->len, chunk->task_count); i++) {
     const FkAllocation *allocation = completion->done->data[i] && !chunk->done[i]
@@ -103,10 +103,11 @@
   }
 }
 
-/* A shard's owner may prove that a task is done while another owner, or the leader from the cloud's machine
- * list, proves that the same attempt was lost. The result takes precedence, whichever was written first: if
- * the order decided, a controller that listed both pages would see a different state than one that watched
- * them being written. So all done tasks are applied before all released attempts. */
+/* A result takes precedence over a release of the same attempt: all done tasks are applied before all
+ * released attempts. Two controllers may prove different ends of an attempt: one that the task is done,
+ * another, such as the leader after the cloud's confirmation of a termination, that the attempt was lost. If
+ * the order of writing decided, a controller that lists both pages would see a different state than one that
+ * watched the pages being written. */
 FkChunk *fk_view_effective_chunk(FkView *v, const FkJob *job, guint32 index) {
   FkChunk *chunk = fk_chunk_copy(job->base_chunks[index]);
   g_autofree char *key = g_strdup_printf("%s/%u", job->spec->id, index);
--- a/src/core/state/view_completions.c
+++ b/src/core/state/view_completions.c
@@ -1,4 +1,4 @@
-/* Applies the pages of completions, which shard owners write, to the chunks in the view. */
+/* Applies the pages of completions, which each controller writes for itself, to the chunks in the view. */
 #include "core/state/view_internal.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 /* Applies the end of an allocation, as recorded in a page. */
 static void end_allocation(FkView *v, FkJob *job, FkChunk *chunk, const FkAllocation *ended,
                            FkCompletionKind kind) {
-  FkAllocation allocation = *ended; /* a copy, as the chunk removes its own below */
+  FkAllocation allocation = *ended; /* a copy, because the original is removed from the chunk below */
   gboolean done = kind == FK_COMPLETION_DONE;
   if (done && allocation.start_observed)
     fk_view_learn_run_time(v, job->spec, fk_time_between(allocation.first_seen_at, v->now));
@@ -113,8 +113,8 @@
   }
 }
 
-/* A page of completions replaces its previous revision. It is written twice a second and mostly unchanged, so
- * only the records that differ are applied. */
+/* Replaces the previous revision of a page of completions. Pages are written twice a second and are mostly
+ * unchanged, so only the records that differ are applied. */
 void fk_view_set_completions(FkView *v, const char *id, FkRecord *record, FkRev rev) {
   FkCompletionPage *old = g_hash_table_lookup(v->completion_pages, id), *page = NULL;
   if (old && old->rev.n >= rev.n)
--- a/src/core/state/view_internal.h
+++ b/src/core/state/view_internal.h
@@ -11,8 +11,8 @@
 /* Records that the job's waiting tasks may have changed. */
 void fk_view_mark_job_changed(FkView *v, FkJob *job);
 
-/* view_jobs.c, view_chunks.c, view_completions.c: each function applies one record; NULL if the key was
- * deleted. A revision that is not later than the one in the view is ignored. */
+/* view_jobs.c, view_chunks.c, view_completions.c: each function applies one record, which is NULL if the key
+ * was deleted. A revision that is not later than the record's revision in the view is ignored. */
 
 void fk_view_set_job(FkView *v, const char *id, FkRecord *record, FkRev rev);
 void fk_view_set_chunk(FkView *v, FkJob *job, guint32 index, FkChunk *chunk /* taken */, FkRev rev);
@@ -26,7 +26,8 @@
 void fk_view_set_effective_chunk(FkView *v, FkJob *job, guint32 index, FkChunk *chunk);
 /* Subtracts all allocations and done tasks of the chunk from the sums. */
 void fk_view_remove_chunk(FkView *v, FkJob *job, const FkChunk *chunk);
-/* Adds an allocation to the sums of its machine, team and job (`sign` +1), or subtracts it (-1). */
+/* Adds an allocation to the sums of its machine, team and job (`sign` is 1), or subtracts the allocation
+ * (-1). */
 void fk_view_count_allocation(FkView *v, FkJob *job, const FkAllocation *allocation, int sign);
 
 /* failing_jobs.c */
--- a/src/core/state/view_jobs.c
+++ b/src/core/state/view_jobs.c
@@ -17,7 +17,7 @@
 static void remove_job(FkView *v, const char *id, FkJob *job) {
   for (guint32 i = 0; i < job->chunk_count; i++)
     if (job->chunks[i]) {
-      /* The last results of a small job and its end are written by one transaction, so that allocations still
+      /* One transaction writes the last results of a small job and its end, so the allocations that are still
        * in the view have succeeded. */
       for (guint k = 0; !job->cancelled && k < job->chunks[i]->allocations->len; k++) {
         const FkAllocation *allocation = &g_array_index(job->chunks[i]->allocations, FkAllocation, k);
@@ -33,8 +33,8 @@
     fk_service_level_job_ended(v->service_level, job->spec->class_name, job->spec->team,
                                fk_spec_cpu_seconds(job->spec));
   fk_fault_attribution_remove_job(v->fault_attribution, id);
-  /* The terminal record is written by the same transaction: it is known already, or arrives with this change.
-   */
+  /* The transaction that deletes the job's record also writes its terminal record, which is known already or
+   * arrives next. */
   fk_dependency_graph_set_state(v->dependencies, id, FK_DEPENDENCY_UNKNOWN, 0);
   fk_dependency_graph_remove(v->dependencies, id);
   fk_view_mark_job_changed(v, job);
@@ -76,7 +76,7 @@
   job->inherited_priority = spec->priority;
   g_hash_table_insert(v->jobs, spec->id, job);
   add_to_live_jobs(v, job);
-  /* A dependent may have arrived first. */
+  /* A job that depends on this one may be in the graph already. */
   fk_dependency_graph_set_state(v->dependencies, id, FK_DEPENDENCY_LIVE, 0);
   add_dependencies(v, job);
   return job;
--- a/src/core/store_session/calls.c
+++ b/src/core/store_session/calls.c
@@ -7,8 +7,8 @@
 #include "core/controller.h"
 #include "core/controller_internal.h"
 
-/* The first retry is sent after this multiple of the usual latency, limited to RETRY_MIN_S..RETRY_MAX_S; each
- * further retry waits twice as long. */
+/* The first retry is sent after this multiple of the usual latency, but not before RETRY_MIN_S and not after
+ * RETRY_MAX_S; each further retry waits twice as long as the previous one. */
 #define RETRY_LATENCY_FACTOR 4.0
 #define RETRY_MIN_S 0.08
 #define RETRY_MAX_S 1.0
@@ -20,7 +20,8 @@
 #define SENDS_MAX 4
 #define DEFAULT_LATENCY_S 0.02  /* assumed until the first reply */
 #define LATENCY_EWMA_WEIGHT 0.1 /* weight of the latest reply */
-/* No reply for this long counts as an outage of the store, to which requests are sent all the time. */
+/* A gap of this length between replies counts as an outage of the store: otherwise requests are sent, and
+ * answered, continuously. */
 #define OUTAGE_S 3.0
 
 typedef struct {
@@ -30,8 +31,8 @@
   GDestroyNotify free_data;
   FkOutput *out;         /* the transaction; NULL for a read */
   FkTime sent;           /* when the transaction was last sent; 0 while the rate limiter has it queued */
-  guint sends;           /* number of times that it was sent or queued */
-  guint unrefused_sends; /* number of those that are not known to have been refused */
+  guint sends;           /* how often the transaction was sent or queued */
+  guint unrefused_sends; /* sends that are not known to be refused: each may still commit */
 } Call;
 
 void fk_call_free(gpointer value) {
@@ -147,17 +148,17 @@
   c->store_session.store_answered_at = c->now;
 }
 
-void fk_controller_commit_received(FkController *c, FkTime now, guint64 id, FkOutcome outcome, FkRev epoch,
-                                   GPtrArray *failed) {
+void fk_controller_commit_received(FkController *c, FkTime now, guint64 id, FkOutcome outcome,
+                                   FkRev store_rev, GPtrArray *failed) {
   c->now = now;
   fk_store_session_note_outcome(c, outcome);
-  if (outcome == FK_OUTCOME_OK && epoch.n > c->store_session.latest_rev_seen.n)
-    c->store_session.latest_rev_seen = epoch;
+  if (outcome == FK_OUTCOME_OK && store_rev.n > c->store_session.latest_rev_seen.n)
+    c->store_session.latest_rev_seen = store_rev;
   Call *call = g_hash_table_lookup(c->calls.pending_transactions, &id);
   if (!call)
     return;
   if ((outcome == FK_OUTCOME_REFUSED || outcome == FK_OUTCOME_INVALID) && --call->unrefused_sends)
-    return; /* another send of it may still be carried out */
+    return; /* another send of the transaction may still be carried out */
   if ((outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT) && call->sent.us) {
     c->calls.usual_delay_s +=
         LATENCY_EWMA_WEIGHT * (fk_time_between(call->sent, now) - c->calls.usual_delay_s);
@@ -165,7 +166,7 @@
     c->calls.resent += call->sends > 1;
   }
   call = take_call(c->calls.pending_transactions, id);
-  call->transaction_done(c, call->data, outcome, epoch, failed);
+  call->transaction_done(c, call->data, outcome, store_rev, failed);
   fk_call_free(call);
 }
 
--- a/src/core/store_session/calls.h
+++ b/src/core/store_session/calls.h
@@ -1,4 +1,4 @@
-/* Calls to the store that await a reply: transactions and reads. */
+/* Calls to the store: transactions and reads. */
 #pragma once
 #include "core/messages.h"
 
@@ -11,12 +11,12 @@
   GHashTable *pending_transactions;                 /* call id -> Call */
   GHashTable *pending_reads;                        /* call id -> Call */
   guint transactions[FK_PRIORITY_RESULT + 1];       /* number sent in this window, by priority */
-  guint transaction_writes[FK_PRIORITY_RESULT + 1]; /* number of writes in them */
+  guint transaction_writes[FK_PRIORITY_RESULT + 1]; /* number of writes in these transactions */
 } FkCalls;
 
-/* Receives the outcome of a transaction. `epoch`: the store's revision at the reply. `failed`: paths (char*)
- * of the guards that did not hold, or NULL. */
-typedef void (*FkTransactionCallback)(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+/* Receives the outcome of a transaction. `store_rev`: the store's revision at the reply. `failed`: paths
+ * (char*) of the guards that did not hold, or NULL. */
+typedef void (*FkTransactionCallback)(FkController *c, gpointer data, FkOutcome outcome, FkRev store_rev,
                                       GPtrArray *failed);
 /* Receives the outcome of a read. `event`: the key's state, valid during the call; NULL unless the outcome is
  * OK. */
@@ -36,12 +36,12 @@
 void fk_transaction_put(FkOutput *transaction, char *path, FkRecord *record, FkRev lease);
 /* Adds a deletion of the key. Takes `path`. */
 void fk_transaction_delete(FkOutput *transaction, char *path);
-/* Adds the writes that move a job to its terminal state. All of its tasks must be done, or it must be
- * cancelled and have no allocations. Adds at most `writes_left` writes; chunks that are left over are deleted
- * later as orphans. Returns FALSE, and adds nothing, if `writes_left` is too low. */
+/* Adds the writes that move a job to its terminal state. The job must be complete, or cancelled without
+ * allocations. Adds at most `writes_left` writes; chunks that are left over are deleted later as orphans.
+ * Returns FALSE, and adds nothing, if `writes_left` is too low. */
 gboolean fk_transaction_finalize_job(FkController *c, FkOutput *transaction, FkJob *job, guint writes_left);
-/* Sends the transaction and takes it. Calls `done` once, unless the controller is freed first, and then frees
- * `data` by `free_data` if that is not NULL. */
+/* Sends the transaction, which is taken. Calls `done` once, unless the controller is freed first. Then frees
+ * `data` by `free_data`, unless `free_data` is NULL. */
 void fk_transaction_send(FkController *c, FkOutput *transaction, FkTransactionCallback done, gpointer data,
                          GDestroyNotify free_data);
 /* Reads one key. Takes `path`; the other arguments are as for fk_transaction_send(). */
--- a/src/core/store_session/session.c
+++ b/src/core/store_session/session.c
@@ -30,8 +30,9 @@
 
 static void start_sync(FkController *c) {
   if (fk_controller_is_ready(c)) {
-    /* Launches in flight are forgotten with the view. As a new incarnation the controller acquires all of its
-     * shards again, and the new fencing tokens invalidate start commands that are still in flight. */
+    /* Clearing the view also drops the state of launches in flight. Under a new incarnation the controller
+     * acquires all of its shards again, and the new fencing tokens invalidate start commands that are still
+     * in flight. */
     char *incarnation = g_strdup_printf("%s+%u", c->incarnation, g_rand_int_range(c->rand, 0, 1 << 30));
     g_free(c->incarnation);
     c->incarnation = incarnation;
@@ -73,7 +74,7 @@
 }
 
 void fk_controller_list_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
-                                 gboolean more, FkRev epoch) {
+                                 gboolean more, FkRev store_rev) {
   c->now = now;
   c->store_session.listing = FALSE;
   fk_store_session_note_outcome(c, outcome);
@@ -88,9 +89,9 @@
   }
   c->store_session.failures = 0;
   if (!c->store_session.list_epoch.n)
-    c->store_session.list_epoch = epoch;
-  if (epoch.n > c->store_session.catch_up_rev.n)
-    c->store_session.catch_up_rev = epoch;
+    c->store_session.list_epoch = store_rev;
+  if (store_rev.n > c->store_session.catch_up_rev.n)
+    c->store_session.catch_up_rev = store_rev;
   apply_events(c, events);
   if (more && events->len) {
     g_free(c->store_session.list_after);
@@ -111,7 +112,7 @@
          g_hash_table_size(c->view->jobs), g_hash_table_size(c->view->machines));
 }
 
-void fk_store_session_watch_received(FkController *c, FkOutcome outcome, GPtrArray *events, FkRev epoch,
+void fk_store_session_watch_received(FkController *c, FkOutcome outcome, GPtrArray *events, FkRev store_rev,
                                      FkTime sent) {
   c->store_session.watching = FALSE;
   fk_store_session_note_outcome(c, outcome);
@@ -127,8 +128,8 @@
     return;
   }
   apply_events(c, events);
-  if (epoch.n > c->view->applied.n)
-    c->view->applied = epoch;
+  if (store_rev.n > c->view->applied.n)
+    c->view->applied = store_rev;
   if (c->view->applied.n > c->store_session.latest_rev_seen.n)
     c->store_session.latest_rev_seen = c->view->applied;
   if (sent.us > c->store_session.confirmed_at.us)
@@ -176,11 +177,11 @@
   }
 }
 
-static void node_key_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+static void node_key_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev store_rev,
                                GPtrArray *failed) {
   c->store_session.node_pending = FALSE;
   if (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT)
-    c->store_session.node_wait_rev = epoch;
+    c->store_session.node_wait_rev = store_rev;
   else
     c->store_session.node_retry_at = fk_time_add(c->now, NODE_KEY_RETRY_S);
   if (outcome == FK_OUTCOME_INVALID) {
@@ -198,7 +199,7 @@
   c->store_session.lease_pending = TRUE;
 }
 
-/* Writes the node key, unless the view shows it with this incarnation. */
+/* Writes the node key, unless the key in the view already has the controller's current incarnation. */
 static void put_node_key(FkController *c) {
   FkControllerNode *node = g_hash_table_lookup(c->view->nodes, c->settings->node);
   if (node && g_str_equal(node->incarnation, c->incarnation))
--- a/src/core/store_session/session.h
+++ b/src/core/store_session/session.h
@@ -6,20 +6,19 @@
 /* State of the session with the key-value store. */
 typedef struct {
   enum { FK_SYNC_IDLE, FK_SYNC_LISTING, FK_SYNC_CATCHING_UP, FK_SYNC_READY } sync;
-  char *list_after;   /* path after which the list continues; NULL at its start */
+  char *list_after;   /* path after which the next page of the list begins; NULL for the first page */
   FkRev list_epoch;   /* the store's revision at the list's first page; the watch starts from it */
-  FkRev catch_up_rev; /* the highest revision at any of the list's pages: the view is ready when it gets there
-                       */
-  gboolean listing, watching;    /* a request is in flight */
-  FkTime retry_at;               /* when a failed list request is sent again */
-  FkTime confirmed_at;           /* latest time at which the view is known to have been current */
-  FkRev latest_rev_seen;         /* the highest revision in any of the store's replies */
-  GHashTable *peer_confirmed_at; /* controller -> FkTime*: when it had seen no revision that the view lacks */
+  FkRev catch_up_rev; /* highest revision of the list's pages; the view is ready once it has reached this */
+  gboolean listing, watching; /* a request is in flight */
+  FkTime retry_at;            /* when a failed list request is sent again */
+  FkTime confirmed_at;        /* latest time at which the store's replies prove that the view was current */
+  FkRev latest_rev_seen;      /* highest revision shown by the replies to transactions and watches */
+  GHashTable *peer_confirmed_at; /* controller -> FkTime*: when it last confirmed the view */
   FkTime next_peer_query;
   FkTime peer_answered_at;       /* when another controller last replied to this one */
   FkTime peer_store_answered_at; /* latest time at which the store is known to have replied to a peer */
   FkTime store_answered_at;      /* when the store last replied to this controller */
-  FkTime store_recovered_at;     /* when the store replied for the first time after its latest outage */
+  FkTime store_recovered_at;     /* when the store first replied after its latest outage */
   FkTime ready_since;            /* when the view last became ready */
   guint failures;                /* consecutive failures of list requests */
   FkRev lease;                   /* 0 if there is none */
@@ -34,7 +33,7 @@
 void fk_store_session_tick(FkController *c);
 /* Handles the reply to a watch, or its failure: applies the events to the view and sends the next watch.
  * `sent`: when the watch was sent. */
-void fk_store_session_watch_received(FkController *c, FkOutcome outcome, GPtrArray *events, FkRev epoch,
+void fk_store_session_watch_received(FkController *c, FkOutcome outcome, GPtrArray *events, FkRev store_rev,
                                      FkTime sent);
 /* Records the time of the store's reply, if the outcome of a call shows that the store replied. */
 void fk_store_session_note_outcome(FkController *c, FkOutcome outcome);
--- a/src/dependency_graph/dependency_graph.c
+++ b/src/dependency_graph/dependency_graph.c
@@ -11,13 +11,13 @@
   gint64 ended_ms;         /* when the job ended, wall clock; 0 if unknown */
   guint64 visited_by;      /* number of the latest traversal that visited the node */
   /* Used only by fk_dependency_graph_inherit_priorities(). */
-  guint dependents_left;         /* dependents that the traversal has not visited yet */
-  FkInheritedPriority inherited; /* inherited from those it has visited */
+  guint dependents_left;         /* number of dependents not visited yet */
+  FkInheritedPriority inherited; /* inherited from the dependents visited so far */
 } Node;
 
 struct FkDependencyGraph {
   GHashTable *nodes;   /* id -> Node */
-  GHashTable *unknown; /* set of Node: those in state UNKNOWN that a live job depends on */
+  GHashTable *unknown; /* set of Node: nodes in state UNKNOWN that a live job depends on */
   FkDependencyChangedFunc changed;
   gpointer data;
   guint64 traversal; /* number of the latest traversal */
@@ -103,7 +103,7 @@
   }
 }
 
-/* Called when a node is done: each of its dependents has one unfinished dependency less. */
+/* Decrements the number of unfinished dependencies of each dependent of a node that is done. */
 static void release_dependents(FkDependencyGraph *graph, Node *node) {
   GHashTableIter it;
   gpointer value;
--- a/src/dependency_graph/dependency_graph.h
+++ b/src/dependency_graph/dependency_graph.h
@@ -17,8 +17,9 @@
 
 typedef struct FkDependencyGraph FkDependencyGraph;
 
-/* Called when a live job with dependencies becomes ready, or (`cancelled`) is cancelled because an ancestor
- * is; each at most once per job. The callback must not change the graph. */
+/* Called when a live job with dependencies becomes ready, or (`cancelled`) is cancelled because one of its
+ * ancestors is cancelled. Called at most once per job for either change. The callback must not change the
+ * graph. */
 typedef void (*FkDependencyChangedFunc)(gpointer data, const char *id, gboolean cancelled);
 
 FkDependencyGraph *fk_dependency_graph_new(FkDependencyChangedFunc changed, gpointer data);
@@ -27,9 +28,9 @@
 /* Adds a live job and its dependencies. Does nothing if the job has no dependencies (NULL or empty) or was
  * added before. */
 void fk_dependency_graph_add(FkDependencyGraph *graph, const char *id, char *const *dependencies);
-/* Sets the state of a job; does nothing if the job is not in the graph or its state is terminal. UNKNOWN: the
- * job's live record was deleted, and its terminal state is not known yet. `at_ms`: when it ended, wall clock;
- * 0 if unknown. */
+/* Sets the state of a job. Does nothing if the job is not in the graph or its state is terminal. UNKNOWN: the
+ * job's live record was deleted, and its terminal state is not known yet. `at_ms`: when the job ended, wall
+ * clock; 0 if unknown. */
 void fk_dependency_graph_set_state(FkDependencyGraph *graph, const char *id, FkDependencyState state,
                                    gint64 at_ms);
 /* Removes a job that is no longer live, and its dependencies. Does not change its state. */
@@ -51,18 +52,17 @@
 /* Returns the number of jobs in the graph. */
 guint fk_dependency_graph_size(const FkDependencyGraph *graph);
 
-/* What a job inherits from its descendants. */
+/* The priority and deadline that a job inherits from its descendants. */
 typedef struct {
-  int rank; /* highest priority, which is the lowest value; G_MAXINT if there are no descendants */
-  gint64
-      due_us; /* when the job must end so that they can meet their deadlines; G_MAXINT64 if they have none */
+  int rank;      /* highest priority (lowest value) that descendants pass on; G_MAXINT if none does */
+  gint64 due_us; /* latest end that lets the descendants meet their deadlines; G_MAXINT64 if none */
 } FkInheritedPriority;
-/* Sets a job's own priority, deadline (G_MAXINT64 if none) and expected run time. Returns FALSE if they are
- * unknown: nothing is inherited from such a job. */
+/* Stores a job's own priority, deadline (G_MAXINT64 if none) and expected run time in the output parameters.
+ * Returns FALSE if they are unknown: nothing is inherited from such a job. */
 typedef gboolean (*FkOwnPriorityFunc)(gpointer data, const char *id, int *rank, gint64 *due_us,
                                       gint64 *run_us);
-/* Computes what each job inherits from its descendants, and calls `fn` for every job that inherits something.
- * Descendants come before their ancestors. */
+/* Computes the priorities and deadlines that jobs inherit from their descendants, and calls `fn` for every
+ * job that inherits a priority. Descendants come before their ancestors. */
 void fk_dependency_graph_inherit_priorities(FkDependencyGraph *graph, FkOwnPriorityFunc own_priority,
                                             void (*fn)(gpointer data, const char *id,
                                                        FkInheritedPriority inherited),
--- a/test/test_dependency_graph.c
+++ b/test/test_dependency_graph.c
@@ -12,8 +12,9 @@
   g_string_append_printf(((ChangeLog *)data)->log, "%c%s ", cancelled ? '-' : '+', id);
 }
 
-/* Applies one step. "a: b c": job a is submitted and depends on b and c. "a gone": its live record is
- * deleted. "a live", "a done [MS]", "a cancelled", "a unknown": its state, with the time of its end. */
+/* Applies one step. "a: b c": job a is submitted and depends on b and c. "a gone": the live record of a is
+ * deleted. "a live", "a done [MS]", "a cancelled", "a unknown": sets the state of a, with the time of its end
+ * in ms. */
 static void apply_step(FkDependencyGraph *graph, const char *line) {
   g_auto(GStrv) words = g_strsplit(line, " ", 0);
   const char *colon = strchr(words[0], ':');
@@ -86,8 +87,8 @@
 
 static void log_id(gpointer data, const char *id) { g_string_append_printf(data, "%s ", id); }
 
-/* A job whose terminal state is unknown must be looked up as long as a live job depends on it. Until it is
- * known, the states of its descendants are not certain. */
+/* A job whose terminal state is unknown must be looked up as long as a live job depends on it. Until the
+ * state is known, the states of the job's descendants are uncertain. */
 static void test_unknown_dependency(void) {
   ChangeLog changes = {g_string_new(NULL)};
   FkDependencyGraph *graph = fk_dependency_graph_new(log_change, &changes);
@@ -114,8 +115,8 @@
   g_string_free(changes.log, TRUE);
 }
 
-/* Every job runs for 10 us. Only d has a deadline, at 100 us, and rank 0; the others have rank 3. Nothing is
- * known of x itself. */
+/* Every job runs for 10 us. Only d has a deadline, at 100 us, and rank 0; the others have rank 3. The
+ * priority and deadline of x are unknown. */
 static gboolean own_priority(gpointer data, const char *id, int *rank, gint64 *due_us, gint64 *run_us) {
   *rank = g_str_equal(id, "d") ? 0 : 3;
   *due_us = g_str_equal(id, "d") ? 100 : G_MAXINT64;
--- a/test/test_forms.c
+++ b/test/test_forms.c
@@ -96,10 +96,11 @@
 
 /* The reply to a heartbeat, with the status in the argument, or direct commands (argument "commands"). */
 static char *worker_commands(const char *argument, const char *text) {
-  gboolean direct = g_str_equal(argument, "commands");
-  int status = direct ? 200 : (int)g_ascii_strtoull(argument, NULL, 10);
-  g_autoptr(FkWorkerCommands) x = direct ? fk_worker_parse_commands(text, strlen(text))
-                                         : fk_worker_parse_reply((guint)status, text, strlen(text));
+  gboolean is_commands_request = g_str_equal(argument, "commands");
+  int status = is_commands_request ? 200 : (int)g_ascii_strtoull(argument, NULL, 10);
+  g_autoptr(FkWorkerCommands) x = is_commands_request
+                                      ? fk_worker_parse_commands(text, strlen(text))
+                                      : fk_worker_parse_reply((guint)status, text, strlen(text));
   if (!x)
     return NULL;
   const FkOutput o = {.status = status,
@@ -107,7 +108,7 @@
                       .incarnation = x->incarnation,
                       .commands = x->commands,
                       .redirect_to = x->redirect};
-  return direct ? fk_worker_print_commands(&o) : fk_worker_print_reply(&o);
+  return is_commands_request ? fk_worker_print_commands(&o) : fk_worker_print_reply(&o);
 }
 
 /* ------------------------------------------------------------------ users */
--- a/test/test_job_dependencies.c
+++ b/test/test_job_dependencies.c
@@ -1,7 +1,7 @@
-/* Job dependencies in the core of one controller, whose inputs the tests make up. Guards against replies from
- * a view that lacks what another controller may have told a user, against accepting invalid dependencies, and
- * against starting a job before the terminal records of its dependencies are committed. Each case fails if
- * the check that it tests is removed (docs/job-dependencies.md). */
+/* Job dependencies in the core of one controller, with inputs simulated by the tests. Guards against replies
+ * from a view that lacks what another controller may have told a user, against accepting invalid
+ * dependencies, and against starting a job before the terminal records of its dependencies are committed.
+ * Each case fails if the check that it tests is removed (docs/job-dependencies.md). */
 #include <string.h>
 
 #include "rig.h"
@@ -29,13 +29,13 @@
 
 /* Feeds the store's reply to the latest transaction: its outcome, the store's revision, and the path of the
  * guard that failed (NULL if none). */
-static void transaction_replied(Rig *r, FkOutcome o, guint64 epoch, const char *failed) {
+static void transaction_replied(Rig *r, FkOutcome o, guint64 store_rev, const char *failed) {
   guint64 call = find(r, FK_OUTPUT_COMMIT, NULL)->call;
   g_autoptr(GPtrArray) list = g_ptr_array_new();
   if (failed)
     g_ptr_array_add(list, (gpointer)failed);
   clear_outputs(r);
-  fk_controller_commit_received(r->c, r->now, call, o, (FkRev){epoch}, list);
+  fk_controller_commit_received(r->c, r->now, call, o, (FkRev){store_rev}, list);
   pump(r);
 }
 
@@ -71,9 +71,9 @@
   return s;
 }
 
-/* Another controller has cancelled a dependency of the job and acknowledged it, and this controller's view
- * lacks the cancellation. The read check of the job's own record does not notice that. To reply `queued`
- * would be wrong: another controller may have replied `withdrawn` to the user before. */
+/* Another controller has acknowledged the cancellation of a dependency, and this controller's view lacks the
+ * cancellation. The read check of the job's own record does not notice the difference, so the reply must wait
+ * for the view: a reply of `queued` could follow another controller's reply of `withdrawn`. */
 static void test_waits_for_view(void) {
   Rig *r = rig_with_dependency_support();
   watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-1"), NULL});
@@ -88,8 +88,7 @@
   rig_free(r);
 }
 
-/* As in test_waits_for_view(), but the view does not reach the store's revision in time: the poll is answered
- * 503. */
+/* A poll is answered 503 if the view does not reach the revision of the read check in time. */
 static void test_unavailable_without_view(void) {
   Rig *r = rig_with_dependency_support();
   watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-1"), NULL});
@@ -118,8 +117,8 @@
   rig_free(r);
 }
 
-/* The terminal record of a dependency that ended before the view's list is read from the store, and only once
- * for all dependents. Polls of dependents are answered 503 until it is known. */
+/* The terminal record of a dependency that ended before the view was listed is read from the store, once for
+ * all dependents. Polls of the dependents are answered 503 until the terminal state is known. */
 static void test_reads_terminal_states(void) {
   Rig *r = rig_with_dependency_support();
   watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-9"), "fk/l/j/run-3",
@@ -236,8 +235,8 @@
   }
 }
 
-/* Jobs of low priority inherit the priority and the deadline of a job that depends on them, through all
- * levels, and lose both when it is removed. */
+/* Jobs of low priority inherit the priority and the deadline of a direct or indirect dependent, and lose both
+ * when that dependent is removed. */
 static void test_inherited_priority(void) {
   Rig *r = rig_with_dependency_support();
   g_autofree char *last = g_strconcat(
@@ -266,9 +265,9 @@
   rig_free(r);
 }
 
-/* A page of machines that an earlier version wrote under a larger size limit. It stays whole while one
- * controller does not support several pages per shard. Then one transaction divides it: each page is within
- * the limit that is to apply, no machine is lost, and no page of the old size is written again. */
+/* A page of machines that an earlier version wrote under a larger size limit. The page stays whole while a
+ * controller does not support several pages per shard. After that, one transaction divides the page: each new
+ * page is within the future limit, no machine is lost, and no page of the old size is written again. */
 static void test_registry_page_divided(void) {
   for (int all_support_pages = 0; all_support_pages < 2; all_support_pages++) {
     Rig *r = rig_new(TRUE);
@@ -280,8 +279,9 @@
         g_string_new("{\"zone\":\"north\",\"m\":[[\"i-1\",\"box8\",\"127.0.0.1:9\",0]");
     guint n = 1;
     for (guint i = 100; n < 60; i++) {
-      g_autofree char *id = g_strdup_printf("i-%06u", i), *shard_of_id = fk_shard_id_for_machine("north", id);
-      if (!g_str_equal(shard_of_id, shard))
+      g_autofree char *id = g_strdup_printf("i-%06u", i),
+                      *machine_shard = fk_shard_id_for_machine("north", id);
+      if (!g_str_equal(machine_shard, shard))
         continue;
       g_string_append_printf(members, ",[\"%s\",\"box8\",\"10.1.0.%u:9000\",0,\"silent\",-1]", id, n++);
     }
