--- a/src/common/types.h
+++ b/src/common/types.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <glib.h>
 
-/* A time on the steady clock of this process. */
+/* A time on the monotonic clock of this process, in microseconds. */
 typedef struct {
   gint64 us;
 } FkTime;
@@ -18,7 +18,7 @@
   guint64 n;
 } FkFencingToken;
 
-/* The number of an attempt to run a task. A task's later attempts have higher numbers. */
+/* The number of an attempt to run a task. Later attempts of the same task have higher numbers. */
 typedef struct {
   guint64 n;
 } FkAttempt;
--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -119,8 +119,8 @@
 }
 
 void fk_controller_request_closed(FkController *c, FkRequestId request_id) {
-  /* Drops the heartbeat if it is held, because its reply could not be delivered. The daemon discards the
-   * replies to other requests that are closed. */
+  /* Drops a held heartbeat of the request, because its reply could not be delivered. For other requests, the
+   * daemon discards the reply. */
   for (GList *link = c->workers.held_heartbeats->head; link; link = link->next) {
     FkHeldHeartbeat *held = link->data;
     if (held->request.n == request_id.n) {
@@ -149,7 +149,7 @@
       g_hash_table_replace(c->autoscaling.instance_types, type->name, type);
       continue;
     }
-    /* Updated in place, as machines hold pointers to their types. */
+    /* The type is updated in place, because machines hold pointers to their types. */
     FkInstanceType old = *known;
     *known = *type;
     known->name = old.name; /* the table's key */
@@ -189,7 +189,7 @@
   fk_cpu_profile_run(c, FK_CPU_SCHEDULING, fk_scheduling_cycle_run);
 }
 
-/* Components act on a change of the view at once rather than on the next tick. */
+/* Runs the components that react to changes of the view, without waiting for the next tick. */
 void fk_controller_watch_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
                                   FkRev store_rev, FkTime sent) {
   c->now = now;
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -1,7 +1,7 @@
 /* The controller as a deterministic state machine without I/O. Its inputs are events, the time and the seed
  * of its random numbers, all passed as arguments. Its actions go to a queue of outputs, which the daemon or
- * the simulation drains after each input. All functions must be called from one thread. `now` is on the
- * steady clock and never decreases. */
+ * the simulation drains after each input. All functions must be called from one thread. `now` is a time on
+ * the monotonic clock and never decreases. */
 #pragma once
 #include "core/cpu_profile.h"
 #include "core/messages.h"
@@ -17,35 +17,39 @@
 FkOutput *fk_controller_next_output(FkController *c);
 /* Returns whether the controller can serve users' requests; used for health checks. */
 gboolean fk_controller_is_serving(FkController *c, FkTime now);
-/* Return the controller's own view and profile, for logs and checks. */
+/* Returns the controller's view, for logs and checks; owned by the controller. */
 FkView *fk_controller_view(FkController *c);
+/* Returns the controller's CPU profile; owned by the controller. */
 FkCpuProfile *fk_controller_cpu_profile(FkController *c);
-/* Return this controller's share of the store's request and write budgets, from 0 to 1. */
+/* Returns this controller's share of the store's request budget, from 0 to 1. */
 double fk_controller_request_share(FkController *c);
+/* Returns this controller's share of the store's write budget, from 0 to 1. */
 double fk_controller_write_share(FkController *c);
-/* Sets how many writes the rate limiter would send at once. Called before each tick and each reply of the
- * store. */
+/* Sets the number of writes that the rate limiter could send immediately. Must be called before each tick and
+ * each reply of the store. */
 void fk_controller_set_write_capacity(FkController *c, double writes);
 
 /* ---- inputs: time ---- */
 
-/* Must be called several times a second. `wall_us`: the wall clock. */
+/* Runs the periodic work. Must be called several times a second. `wall_us`: the wall clock in us. */
 void fk_controller_tick(FkController *c, FkTime now, gint64 wall_us);
 
 /* ---- inputs: users ---- */
 
-/* Each of these requests is answered by one FK_OUTPUT_USER_REPLY with the same request id. */
+/* A user's submission, poll and cancellation. Each is answered by one FK_OUTPUT_USER_REPLY with the same
+ * request id. */
 void fk_controller_submission_received(FkController *c, FkTime now, FkRequestId request_id,
                                        FkSpec *spec /* taken */);
 void fk_controller_poll_received(FkController *c, FkTime now, FkRequestId request_id, const char *job_id);
 void fk_controller_cancellation_received(FkController *c, FkTime now, FkRequestId request_id,
                                          const char *job_id);
-/* The client has closed its connection: the reply is no longer needed. */
+/* The client has closed the connection of a user's request or a worker's heartbeat, so no reply is needed. */
 void fk_controller_request_closed(FkController *c, FkRequestId request_id);
 
 /* ---- inputs: workers ---- */
 
-/* Answered by one FK_OUTPUT_HEARTBEAT_REPLY with the same request id. */
+/* A worker's heartbeat. It is answered, possibly after a delay, by one FK_OUTPUT_HEARTBEAT_REPLY with the
+ * same request id. A heartbeat whose request is closed first is not answered. */
 void fk_controller_heartbeat_received(FkController *c, FkTime now, FkRequestId request_id,
                                       FkHeartbeat *heartbeat /* taken */);
 /* A worker's reply to FK_OUTPUT_COMMANDS. `heartbeat`: taken; NULL if the reply contains none. */
@@ -54,8 +58,8 @@
 
 /* ---- inputs: the store ---- */
 
-/* One page of a list. `events`: FkStoreEvent, whose records are taken; `more`: further pages follow;
- * `store_rev`: the store's revision at the reply. */
+/* One page of a list, or its failure. `events`: FkStoreEvent, whose records are taken; `more`: further pages
+ * follow; `store_rev`: the store's revision at the reply. */
 void fk_controller_list_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
                                  gboolean more, FkRev store_rev);
 /* The reply to a watch, or its failure. `events`: FkStoreEvent, whose records are taken; `sent`: when the
@@ -65,12 +69,13 @@
 void fk_controller_lease_grant_received(FkController *c, FkTime now, FkOutcome outcome, FkRev lease,
                                         FkTime sent);
 void fk_controller_lease_keepalive_received(FkController *c, FkTime now, FkOutcome outcome, FkTime sent);
-/* The rate limiter has sent a transaction: the delay before its retry starts now. */
+/* The rate limiter has sent a transaction. The delay before a retry of the transaction starts now. */
 void fk_controller_transaction_sent(FkController *c, FkTime now, guint64 call);
-/* The reply to a transaction. `failed`: paths (char*) of the guards that did not hold, or NULL. */
+/* The reply to a transaction, or its failure. `store_rev`: the store's revision at the reply; `failed`: paths
+ * (char*) of the guards that did not hold, or NULL. */
 void fk_controller_commit_received(FkController *c, FkTime now, guint64 call, FkOutcome outcome,
                                    FkRev store_rev, GPtrArray *failed);
-/* The reply to a read. `event`: taken; NULL if nothing was read. */
+/* The reply to a read, or its failure. `event`: taken; NULL if nothing was read. */
 void fk_controller_get_received(FkController *c, FkTime now, guint64 call, FkOutcome outcome,
                                 FkStoreEvent *event);
 
@@ -81,14 +86,16 @@
  * has reached, 0 if the view is not ready; `store_age_s`: seconds since the store last replied. */
 const char *fk_controller_store_progress(FkController *c, FkTime now, FkRev *seen, FkRev *applied,
                                          double *store_age_s);
-/* Another controller's reply, with the same values, to the query sent at `sent`. */
+/* Another controller's reply to the query sent at `sent`. The values are those of
+ * fk_controller_store_progress() on the other controller. */
 void fk_controller_peer_progress_received(FkController *c, FkTime now, const char *peer,
                                           const char *incarnation, FkRev seen, FkRev applied,
                                           double store_age_s, FkTime sent);
 
 /* ---- inputs: the cloud ---- */
 
-/* The cloud's instance types. `types`: FkInstanceType; those that are taken are replaced by NULL. */
+/* The cloud's instance types. `types`: FkInstanceType; elements that the controller takes are replaced by
+ * NULL. */
 void fk_controller_instance_types_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *types);
 /* One page of the cloud's list of machines. `machines`: FkCloudMachine; `more`: further pages follow. */
 void fk_controller_machines_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *machines,
--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -18,8 +18,8 @@
 
 /* Tolerance for comparing amounts of resources, which are sums of fractions. */
 #define FK_AMOUNT_EPSILON 1e-6
-/* The priority of a starving class or team is raised only while the class or team has less than this share of
- * all machines' CPUs. */
+/* The priority of a starving class or team is raised only while the class or team uses less than this share
+ * of all machines' CPUs. */
 #define FK_SERVICE_FLOOR_SHARE 0.05
 /* Relative drift between two clocks, each of which may be off by 0.05%, plus a margin. */
 #define FK_CLOCK_DRIFT 0.0012
--- a/src/core/controller_status.c
+++ b/src/core/controller_status.c
@@ -55,16 +55,17 @@
 }
 
 gboolean fk_controller_can_serve(FkController *c, FkTime now) {
-  /* If the store answers other controllers but not this one, users are better served by the others. If the
-   * store answers no controller, to stop serving would only slow down the recovery. */
+  /* A controller that is partitioned from the store stops serving only if the store replies to other
+   * controllers, which can serve the users. If the store replies to no controller, stopping would only slow
+   * down the recovery. */
   double without_store_s = fk_time_between(c->store_session.store_answered_at, now);
   gboolean isolated_from_store =
       without_store_s > ISOLATED_FROM_STORE_S &&
       fk_time_between(c->store_session.store_answered_at, c->store_session.peer_store_answered_at) >
           PEER_STORE_LEAD_S &&
       fk_time_between(c->store_session.peer_store_answered_at, now) < PEER_STORE_RECENT_S;
-  /* If neither the store nor any other controller replies, this controller is the one that is partitioned
-   * off, even if clients still reach it: it would answer each of their requests with 503. */
+  /* If neither the store nor any other controller replies, this controller counts as partitioned from both.
+   * Clients may still reach this controller, which could only answer their requests with 503. */
   gboolean isolated_from_all =
       c->settings->peers->len && without_store_s > ISOLATED_FROM_ALL_S &&
       fk_time_between(c->store_session.peer_answered_at, now) > ISOLATED_FROM_ALL_S - FK_PEER_QUERY_AFTER_S;
--- a/src/core/cpu_profile.h
+++ b/src/core/cpu_profile.h
@@ -1,19 +1,19 @@
-/* CPU time by purpose. The daemon provides the clock; without one, nothing is measured. Purposes nest, and
- * the callers keep the stack: fk_cpu_profile_enter() returns the outer purpose, which the caller passes to
- * fk_cpu_profile_leave(). Time is charged to the innermost purpose only. */
+/* CPU time by purpose. The daemon provides the clock; without a clock, no time is measured. Purposes nest,
+ * and the callers keep the stack: fk_cpu_profile_enter() returns the outer purpose, which the caller passes
+ * to fk_cpu_profile_leave(). Time is charged to the innermost purpose only. */
 #pragma once
 #include <glib.h>
 
 typedef enum {
   FK_CPU_LOOP,          /* HTTP, sockets and the main loop: everything without a purpose of its own */
-  FK_CPU_HEARTBEATS,    /* workers' heartbeats, and the replies */
+  FK_CPU_HEARTBEATS,    /* workers' heartbeats and their replies to commands */
   FK_CPU_DECODE,        /* decoding the store's replies to records */
   FK_CPU_APPLY,         /* applying records to the view */
   FK_CPU_ENCODE,        /* encoding transactions to request bodies */
   FK_CPU_USER_REQUESTS, /* submissions, polls, cancellations; dependencies and starvation */
   FK_CPU_SCHEDULING,    /* the scheduling cycle */
-  FK_CPU_PREEMPTION,    /* the leader's work: preemption and finalization */
-  FK_CPU_AUTOSCALER,    /* scale-out and scale-in */
+  FK_CPU_PREEMPTION,    /* leader election, preemption and finalization of jobs */
+  FK_CPU_AUTOSCALER,    /* scale-out, scale-in and cost accounting */
   FK_CPU_WORKERS,       /* workers of owned shards, and completions */
   FK_CPU_SHARDS,        /* ownership of shards, machine pages, quota partitions, windows */
   FK_CPU_IDLE,          /* waiting for events; 0 if the clock counts CPU time only */
@@ -21,11 +21,11 @@
 } FkCpuPurpose;
 
 typedef struct {
-  gint64 (*clock_ns)(void); /* clock, such as the CPU time of this thread; NULL if nothing is measured */
+  gint64 (*clock_ns)(void); /* clock, such as the CPU time of this thread; NULL if no time is measured */
   FkCpuPurpose current;
   gint64 last_ns;                   /* time up to which `spent_ns` is complete */
   gint64 spent_ns[FK_CPU_PURPOSES]; /* time charged in this window */
-  guint entries[FK_CPU_PURPOSES];   /* number of calls of fk_cpu_profile_enter() */
+  guint entries[FK_CPU_PURPOSES];   /* number of calls of fk_cpu_profile_enter() in this window */
 } FkCpuProfile;
 
 /* Charges time to `purpose` from now on. Returns the outer purpose, for fk_cpu_profile_leave(). */
@@ -51,11 +51,11 @@
   }
 }
 
-/* Starts measuring, by `clock_ns`. */
+/* Starts measuring time with `clock_ns`. */
 static inline void fk_cpu_profile_start(FkCpuProfile *profile, gint64 (*clock_ns)(void)) {
   profile->clock_ns = clock_ns;
   profile->last_ns = clock_ns();
 }
 
-/* Returns the name of the purpose in the log; a static string. */
+/* Returns the purpose's name for the log; a static string. */
 const char *fk_cpu_purpose_name(FkCpuPurpose purpose);
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -5,7 +5,7 @@
 
 /* ---- received from workers and the cloud ---- */
 
-/* OTHER: a state that is unknown to this version. */
+/* State of an attempt on a worker. OTHER: a state that is unknown to this version. */
 typedef enum { FK_TASK_FETCHING, FK_TASK_RUNNING, FK_TASK_SAVING, FK_TASK_EXITED, FK_TASK_OTHER } FkTaskState;
 typedef enum {
   FK_EXIT_NONE, /* the task has not exited */
@@ -65,7 +65,7 @@
 
 /* ---- outputs ---- */
 
-/* START launches an attempt, STOP ends it, FORGET removes an attempt that has ended from the worker's
+/* START launches an attempt. STOP ends an attempt. FORGET removes an ended attempt from the worker's
  * heartbeats. */
 typedef enum { FK_COMMAND_START, FK_COMMAND_STOP, FK_COMMAND_FORGET } FkCommandKind;
 typedef struct {
@@ -73,7 +73,7 @@
   char *job;
   guint32 task;
   FkAttempt attempt;
-  double grace_s; /* STOP: seconds until the task is killed */
+  double grace_s; /* for STOP: seconds until the worker kills the task */
 } FkCommand;
 
 /* Condition of a transaction: the key at `path` is at revision `rev`, or does not exist if `rev` is 0. */
@@ -104,7 +104,7 @@
   FK_OUTPUT_COMMIT,          /* call, guards, writes, priority */
   FK_OUTPUT_GET,             /* call, path */
   FK_OUTPUT_LIST,            /* path (prefix), after */
-  FK_OUTPUT_WATCH,           /* rev, seconds, delay_s */
+  FK_OUTPUT_WATCH,           /* path (prefix), rev, seconds, delay_s */
   FK_OUTPUT_LEASE_GRANT,     /* seconds */
   FK_OUTPUT_LEASE_KEEPALIVE, /* rev (of the lease) */
   FK_OUTPUT_COMMANDS,        /* call, machine, addr, fencing_token, incarnation, commands */
@@ -138,7 +138,7 @@
   GPtrArray *names;
   FkRev rev;
   double seconds, delay_s;
-  guint budget_refusals; /* used by the daemon: how often the rate limiter has refused the output */
+  guint budget_refusals; /* used by the daemon: how often the store rejected the request with status 429 */
   guint extra_refs;      /* number of references in addition to the first */
 } FkOutput;
 
@@ -146,13 +146,13 @@
 /* Releases a reference; the last one frees the output. NULL is fine. */
 void fk_output_free(FkOutput *output);
 
-/* Outcome of a call to the store, the cloud, a worker or another controller. The comments give examples of
- * HTTP statuses. */
+/* Outcome of a call to the store, the cloud, a worker or another controller. Each comment names the HTTP
+ * statuses that map to the value. */
 typedef enum {
   FK_OUTCOME_OK,       /* 200 */
-  FK_OUTCOME_CONFLICT, /* 409: a guard did not hold, or the cloud has no capacity */
+  FK_OUTCOME_CONFLICT, /* 409: a guard did not hold; or 503 from the cloud: no capacity */
   FK_OUTCOME_GONE,     /* 404, 410 */
-  FK_OUTCOME_REFUSED,  /* certainly not carried out: 503, 429, or never sent */
+  FK_OUTCOME_REFUSED,  /* 429, other 503, or never sent: the call was certainly not carried out */
   FK_OUTCOME_INVALID,  /* 400 */
-  FK_OUTCOME_UNKNOWN   /* no reply: the call may have been, or may still be, carried out */
+  FK_OUTCOME_UNKNOWN   /* no reply, or another status: the call may have been, or may still be, carried out */
 } FkOutcome;
--- a/src/core/state/failing_jobs.c
+++ b/src/core/state/failing_jobs.c
@@ -1,13 +1,12 @@
 /* Reports failed and successful attempts to fault attribution, which decides whether the job or the machine
- * is at fault. All controllers see the same completions and reach the same verdicts: each of them delays the
- * retries of a job that fails on every machine, and no shard owner treats the machines of such a job as
- * faulty. */
+ * is at fault. All controllers evaluate the same completions. A job that fails on every machine is retried
+ * with a delay, and its failures do not mark machines as faulty. */
 #include "core/state/view_internal.h"
 
 #define FAILING_REVIEW_INTERVAL_S 1.0
 
-/* Returns the longest time in seconds that an attempt of the job has been running, among the attempts whose
- * start this controller observed; 0 if there are none. */
+/* Returns the age in seconds of the job's oldest current allocation; 0 if there is none. Ignores allocations
+ * that are to be stopped, and those whose start this controller did not observe. */
 static double longest_run_s(const FkView *v, const FkJob *job) {
   double longest_s = 0;
   for (guint32 i = 0; i < job->chunk_count; i++)
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -30,9 +30,9 @@
   double estimate_s, checkpoint_s, save_s;
   double deadline_s;   /* seconds from submission; < 0 if none */
   gint64 submitted_ms; /* time of submission, wall clock */
-  char *owner;         /* controller that accepted the job; its short path places the job's short tasks */
+  char *owner;         /* name of the controller that accepted the job and places the job's short tasks */
   guint32 chunk_tasks; /* tasks per chunk */
-  char **dependencies; /* ids of jobs that must be done before any task of this one starts; NULL if none */
+  char **dependencies; /* ids of the jobs that must be done before this job starts; NULL if none */
 } FkSpec;
 
 FkSpec *fk_spec_new(void);
@@ -53,7 +53,7 @@
   const char *launched_by; /* interned: controller that launched it, using its share of the team's quota */
   gboolean stop_requested; /* the worker is to stop the task */
   FkTime first_seen_at;    /* when this controller first saw the allocation; not in the store */
-  gboolean start_observed; /* TRUE if seen when it was made, FALSE if found in a list of the store */
+  gboolean start_observed; /* FALSE if the allocation may be older than `first_seen_at` */
 } FkAllocation;
 
 /* The states of up to `chunk_tasks` consecutive tasks of a job: one record in the store. */
@@ -70,11 +70,12 @@
 FkChunk *fk_chunk_copy(const FkChunk *chunk);
 void fk_chunk_free(FkChunk *chunk);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkChunk, fk_chunk_free)
-/* Returns whether the chunk's record stays within `value_kb` KiB with one more allocation, to `machine` by
- * `controller`. `machine` NULL: without another allocation. */
+/* Returns whether the chunk's record stays within `value_kb` KiB after `controller` adds an allocation to
+ * `machine`. If `machine` is NULL, checks the chunk without a new allocation. */
 gboolean fk_chunk_fits(const FkChunk *chunk, double value_kb, const char *machine, const char *controller);
-/* Returns the largest number of tasks per chunk for which a record can hold an allocation of every task, if
- * the names of the launching controllers are as long as `controller`. */
+/* Returns the number of tasks per chunk for a size limit of `value_kb` KiB: as many as one record can hold
+ * allocations for, between a fixed minimum and maximum. Assumes that the names of the launching controllers
+ * are as long as `controller`. */
 guint32 fk_chunk_max_tasks(double value_kb, const char *controller);
 /* Returns the task's allocation, valid until the chunk next changes; NULL if it has none. */
 FkAllocation *fk_chunk_find_allocation(const FkChunk *chunk, guint32 task);
@@ -82,13 +83,14 @@
 /* The allowed state changes. Each function returns FALSE, and changes nothing, if the change is not allowed.
  */
 
-/* Allocates a task that is neither done nor allocated, under the next attempt number. */
+/* Allocates a task with the chunk's next attempt number. Not allowed if the task is done or allocated. */
 gboolean fk_chunk_allocate(FkChunk *chunk, guint32 task, const char *machine, const char *controller);
-/* Allocates a task of a gang under a given attempt number. All tasks of one gang launch share the number,
- * which must be above all earlier ones of the gang. */
+/* Allocates a task of a gang with the given attempt number. All tasks of one gang launch share one number,
+ * which must be higher than the numbers of all earlier launches of the gang. */
 gboolean fk_chunk_allocate_attempt(FkChunk *chunk, guint32 task, const char *machine, const char *controller,
                                    FkAttempt attempt);
-/* Removes the allocation of an attempt that ended without a result: the task waits again. */
+/* Removes the allocation of an attempt that ended without a result. The task then waits for a new allocation.
+ */
 gboolean fk_chunk_release(FkChunk *chunk, guint32 task, FkAttempt attempt);
 /* Removes the allocation of an attempt that succeeded, and marks the task done. */
 gboolean fk_chunk_finish(FkChunk *chunk, guint32 task, FkAttempt attempt);
--- a/src/core/state/job_dependencies.c
+++ b/src/core/state/job_dependencies.c
@@ -1,9 +1,9 @@
-/* Job dependencies: checks that all controllers support them, reads the terminal states that the view has not
- * seen, and propagates priorities and deadlines from dependents to dependencies. */
+/* Job dependencies: checks that all controllers support them, reads the terminal states that the view lacks,
+ * and propagates priorities and deadlines from dependents to dependencies. */
 #include "core/controller_internal.h"
 
-/* Limits of the reads of terminal records. After a restart, thousands of blocked jobs may need one, and the
- * store's request budget must be left to users' requests. */
+/* Limits on reads of terminal records. After a restart, thousands of blocked jobs may need the terminal
+ * records of their dependencies. The limits leave the store's request budget to users' requests. */
 #define READS_PER_TICK 2
 #define READS_MAX 8 /* in flight */
 #define INHERIT_INTERVAL_S 1.0
--- a/src/core/state/records.h
+++ b/src/core/state/records.h
@@ -8,41 +8,42 @@
   char *id, *addr;
   const char *type, *zone; /* interned */
   gboolean spot;
-  const char *drain_reason; /* interned: why the machine is to be drained, or NULL */
+  const char *drain_reason; /* interned: why the machine is to be drained; NULL if it is not */
   double notice_s; /* if drained: seconds from the drain until the announced termination; < 0 if unknown */
 } FkMachineRecord;
 
 FkMachineRecord *fk_machine_record_copy(const FkMachineRecord *machine);
 void fk_machine_record_free(gpointer machine); /* NULL is fine */
-/* Returns the most bytes that the machine takes in a page. */
+/* Returns an upper bound on the size of the machine's entry in a page, in bytes. */
 guint fk_machine_record_bytes(const FkMachineRecord *machine);
 
 #define FK_MACHINE_PAGE_OVERHEAD_BYTES 100 /* size of a page without machines */
+/* Largest computed size of a page. The limit is below `value_kb` KiB, which leaves a safety margin. */
 #define FK_MACHINE_PAGE_MAX_BYTES(value_kb) ((guint)((value_kb)*1000) - 100)
 
 /* An attempt that ended without a result. */
 typedef struct {
   guint32 task;
-  guint32 task_failed; /* boolean: the worker reported a failure; 0 if it was stopped, refused or lost */
+  guint32 task_failed; /* boolean: the worker reported that the task failed */
   FkAttempt attempt;
 } FkReleasedAttempt;
 
 /* Completions of allocations of one chunk, written by the controller that has proof of them: the shard's
- * owner or, for a terminated machine, the leader. They are applied on top of the chunk's stored record until
- * that record includes them. */
+ * owner or, for a terminated machine, the leader. The view applies the completions to its copy of the chunk
+ * until the chunk's stored record includes them. */
 typedef struct {
   char *chunk;        /* "job/index" */
   GByteArray *done;   /* one byte per task; not 0 if the task is done */
   GArray *released;   /* FkReleasedAttempt */
-  gconstpointer page; /* in the view: the FkCompletionPage that contains it; NULL once it has been replaced */
+  gconstpointer page; /* in the view: the FkCompletionPage that contains this record; NULL if replaced */
 } FkCompletionRecord;
 
 FkCompletionRecord *fk_completion_record_new(const char *chunk);
 FkCompletionRecord *fk_completion_record_copy(const FkCompletionRecord *completion);
 void fk_completion_record_free(gpointer completion); /* NULL is fine */
 
-/* How long the short tasks of a controller waited to be launched in one window. The capped sum counts only
- * the first tasks of each job, so that no large job dominates the mean. */
+/* Wait times of the short tasks that a controller launched in one window. The capped sum includes only the
+ * first tasks of each job, so that no large job dominates the mean. */
 typedef struct {
   guint64 window;
   double capped_sum_s;
@@ -66,12 +67,13 @@
     FkChunk *chunk;         /* CHUNK */
     GPtrArray *machines;    /* MACHINE_PAGE: FkMachineRecord */
     GPtrArray *completions; /* COMPLETIONS: FkCompletionRecord */
-    struct {                /* SHARD, LEADER: the controller that holds it; NODE: `incarnation` only */
+    struct { /* SHARD: the shard's owner; LEADER: the leader; NODE: only `incarnation` is set */
       char *node, *incarnation;
     };
     struct {                   /* TEAM */
       char *last_exhausted_by; /* the last controller to use up its share, or NULL */
-      GHashTable *partition;   /* controller -> double* CPUs; NULL if launches are serialized */
+      GHashTable
+          *partition; /* controller -> double*: CPUs; empty in a pause; NULL if launches are serialized */
     };
     struct { /* TERMINAL_JOB */
       FkPhase phase;
--- a/src/core/state/run_estimates.c
+++ b/src/core/state/run_estimates.c
@@ -8,12 +8,12 @@
 #define ARRIVAL_RATE_INTERVAL_S 1
 #define ARRIVAL_RATE_WINDOW_S 20.0
 /* Limits how far a burst raises the rate: an interval counts as at most this multiple of the current rate,
- * plus ARRIVAL_RATE_FLOOR services per second. */
+ * plus ARRIVAL_RATE_FLOOR tasks per second. */
 #define ARRIVAL_RATE_GROWTH_MAX 2.0
 #define ARRIVAL_RATE_FLOOR 0.5
 
-/* The bias of users' estimates depends on the class: one correction factor per class is learned from
- * completed tasks, as an exponential moving average. */
+/* Users' estimates are biased, and the bias depends on the class. The correction factor of a class is an
+ * exponential moving average over completed tasks. */
 void fk_view_learn_run_time(FkView *v, const FkSpec *spec, double took_s) {
   if (spec->shape == FK_SHAPE_SERVICE || spec->estimate_s < ESTIMATE_MIN_S)
     return;
--- a/src/core/state/store_keys.h
+++ b/src/core/state/store_keys.h
@@ -3,14 +3,14 @@
 #include <glib.h>
 
 #define FK_STORE_ROOT "fk/"        /* prefix of all keys of the controllers */
-#define FK_STORE_LIVE_ROOT "fk/l/" /* prefix of the keys listed at startup; others are read one by one */
+#define FK_STORE_LIVE_ROOT "fk/l/" /* prefix of the keys that are listed to build the view */
 
 typedef enum {
   FK_KEY_OTHER,        /* not a key of the controllers */
   FK_KEY_JOB,          /* a live job */
   FK_KEY_CHUNK,        /* the states of consecutive tasks of a job */
   FK_KEY_SHARD,        /* the owner of a shard */
-  FK_KEY_MACHINE_PAGE, /* the machines of a shard, or some of them */
+  FK_KEY_MACHINE_PAGE, /* one page of the machines of a shard */
   FK_KEY_COMPLETIONS,  /* completions proven by a controller */
   FK_KEY_LAUNCH_FENCE, /* a controller's launch fence: the guard of each of its launches */
   FK_KEY_NODE,         /* a live controller; attached to its lease */
@@ -20,10 +20,10 @@
   FK_KEY_TERMINAL_JOB  /* the terminal state of a job; permanent */
 } FkKeyKind;
 
-/* Returns the kind of a path. Sets `id`, which the caller owns, unless the kind is OTHER; sets `chunk` if it
- * is CHUNK. */
+/* Returns the kind of a path. Sets `id`, which the caller owns, unless the kind is OTHER. Sets `chunk` to the
+ * chunk's index if the kind is CHUNK. */
 FkKeyKind fk_key_parse(const char *path, char **id, guint32 *chunk);
-/* Returns the path of a key with a single id; owned by the caller. Not for CHUNK. */
+/* Returns the path of a key that is identified by `id`; owned by the caller. Not for CHUNK and OTHER. */
 char *fk_key_path(FkKeyKind kind, const char *id);
 char *fk_key_chunk_path(const char *job, guint32 chunk);
 /* Returns the path of a page of a shard's machines. Page 0 is named by the shard's id; "+" and the index are
--- a/src/core/state/view.c
+++ b/src/core/state/view.c
@@ -3,8 +3,8 @@
 
 #include <string.h>
 
-/* Marks the job as removed. Probes may hold references to it for a while: they find that it has no waiting
- * tasks. */
+/* Frees the job's chunks, marks the job as removed and releases the view's reference. Other references may
+ * keep the job for a while; a removed job has no waiting tasks. */
 static void job_release(gpointer data) {
   FkJob *job = data;
   for (guint32 i = 0; i < job->chunk_count; i++) {
@@ -71,7 +71,8 @@
   g_hash_table_add(v->capacity_changed, (gpointer)machine->id);
 }
 
-/* Called when all dependencies of a job are done, or (`cancelled`) when an ancestor is cancelled. */
+/* FkDependencyChangedFunc: unblocks a job whose dependencies are all done or, if `cancelled`, marks the job
+ * as cancelled because an ancestor is cancelled. */
 static void job_readiness_changed(gpointer data, const char *id, gboolean cancelled) {
   FkView *v = data;
   FkJob *job = fk_view_find_job(v, id);
@@ -202,10 +203,11 @@
   g_hash_table_remove(v->machines, machine->id);
 }
 
-#define SHARDS_PER_ZONE 32 /* part of the layout of the store: must never change */
+#define SHARDS_PER_ZONE 32 /* must never change, because the ids of shards in the store depend on it */
 
 char *fk_shard_id_for_machine(const char *zone, const char *machine) {
-  /* Ids that differ in one digit must spread over the shards: g_str_hash() alone mixes too weakly. */
+  /* The multiplication spreads ids that differ in one digit over the shards. The low bits of g_str_hash()
+   * alone are not mixed enough. */
   guint32 hash = g_str_hash(machine) * 2654435761u;
   return g_strdup_printf("%s.%u", zone, (hash >> 8) % SHARDS_PER_ZONE);
 }
--- a/src/core/state/view_apply.c
+++ b/src/core/state/view_apply.c
@@ -34,10 +34,11 @@
     fk_view_mark_machine_changed(v, machine);
 }
 
-/* Clears the records of machines that are missing from the new revision of a page and are in no other page of
- * the shard. Such a machine is proven to be terminated, and all of its allocations ended before its record
- * was removed. The transaction that moves a machine between pages writes both pages. */
-static void forget_missing_machines(FkView *v, FkShard *shard, guint64 page_index, FkRev rev) {
+/* Clears the records of machines that the previous revision of a page contained and the new revision `rev`
+ * does not. A machine that moved to another page keeps its record if that page was applied first. A machine's
+ * record is removed from the store only after the machine is terminated and all its allocations have ended.
+ */
+static void clear_missing_machine_records(FkView *v, FkShard *shard, guint64 page_index, FkRev rev) {
   for (guint i = 0; i < shard->machines->len; i++) {
     FkMachine *machine = shard->machines->pdata[i];
     if (machine->page_part != page_index || machine->page_rev.n == rev.n || !machine->record)
@@ -70,7 +71,7 @@
     set_machine_record(v, machine, machine_record);
   }
   shard->oversized |= bytes > FK_MACHINE_PAGE_MAX_BYTES(v->settings->value_kb);
-  forget_missing_machines(v, shard, page_index, rev);
+  clear_missing_machine_records(v, shard, page_index, rev);
 }
 
 static void set_team(FkView *v, const char *id, FkRecord *record, FkRev rev) {
@@ -124,8 +125,8 @@
     g_hash_table_remove(v->wait_times, id);
 }
 
-/* A chunk may arrive before its job's record, or remain after the job's record is deleted. The path of such
- * an orphan is kept for its deletion. */
+/* A chunk may arrive before its job's record, or remain after its job's record is deleted. The view records
+ * the path of an orphaned chunk, so that the leader can delete the chunk. */
 static void set_chunk(FkView *v, const char *path, const char *id, guint32 index, FkRecord *record,
                       FkRev rev) {
   FkJob *job = fk_view_find_job(v, id);
@@ -134,7 +135,7 @@
   if (record && !job)
     g_hash_table_replace(v->orphan_chunks, g_strdup(path), g_memdup2(&rev, sizeof rev));
   else
-    g_hash_table_remove(v->orphan_chunks, path); /* the job has arrived, or the chunk was deleted */
+    g_hash_table_remove(v->orphan_chunks, path); /* the chunk has a job or was deleted */
 }
 
 void fk_view_apply(FkView *v, const char *path, FkRecord *taken, FkRev rev) {
--- a/src/core/state/view_chunks.c
+++ b/src/core/state/view_chunks.c
@@ -1,5 +1,5 @@
 /* The chunks of live jobs: computes the effective chunk from the stored record and the completions, and
- * updates the sums of allocated resources incrementally. */
+ * incrementally updates the amounts allocated on each machine, to each team and to each job. */
 #include "core/state/view_internal.h"
 
 static gboolean is_long(const FkSpec *spec, const FkView *v) {
@@ -41,7 +41,7 @@
       }
     }
     if (!machine->allocations->len) {
-      /* Reset to 0, so that rounding errors of adding and subtracting fractions do not accumulate. */
+      /* Resets the amounts to 0, so that rounding errors do not accumulate. */
       machine->allocated_cpus = machine->allocated_gpus = machine->allocated_mem_gb =
           machine->allocated_long_cpus = 0;
       machine->idle_since = v->now;
@@ -65,8 +65,8 @@
          first->stop_requested == second->stop_requested;
 }
 
-/* Copies the first-seen times of unchanged allocations to the new chunk, and learns from the allocations
- * whose tasks have become done. */
+/* Copies `first_seen_at` and `start_observed` of attempts that are in both chunks to the new chunk. Records
+ * the success of allocations whose tasks are done in the new chunk only. `old`: NULL if there is none. */
 static void carry_over_first_seen(FkView *v, FkJob *job, const FkChunk *old, FkChunk *chunk) {
   for (guint i = 0; i < chunk->allocations->len; i++) {
     FkAllocation *allocation = &g_array_index(chunk->allocations, FkAllocation, i);
@@ -85,7 +85,7 @@
   }
 }
 
-/* Marks completed tasks done, except those without an allocation in the chunk. */
+/* Marks the completed tasks as done, except tasks that have no allocation in the chunk. */
 static void apply_completed(FkChunk *chunk, const FkCompletionRecord *completion) {
   for (guint i = 0; i < MIN(completion->done->len, chunk->task_count); i++) {
     const FkAllocation *allocation = completion->done->data[i] && !chunk->done[i]
@@ -103,11 +103,11 @@
   }
 }
 
-/* A result takes precedence over a release of the same attempt: all done tasks are applied before all
- * released attempts. Two controllers may prove different ends of an attempt: one that the task is done,
- * another, such as the leader after the cloud's confirmation of a termination, that the attempt was lost. If
- * the order of writing decided, a controller that lists both pages would see a different state than one that
- * watched the pages being written. */
+/* All done tasks are applied before all released attempts, so a result takes precedence over a release of the
+ * same attempt. Two controllers may record different ends of an attempt: one records the task as done, and
+ * another, such as the leader after the cloud has confirmed a termination, records the attempt as lost. If
+ * the order of the writes decided, a controller that lists both pages could compute another state than a
+ * controller that watched the writes. */
 FkChunk *fk_view_effective_chunk(FkView *v, const FkJob *job, guint32 index) {
   FkChunk *chunk = fk_chunk_copy(job->base_chunks[index]);
   g_autofree char *key = g_strdup_printf("%s/%u", job->spec->id, index);
@@ -119,7 +119,8 @@
   return chunk;
 }
 
-/* Only allocations in which the old and new chunk differ are counted, as most of a chunk stays unchanged. */
+/* Updates the allocated amounts only for allocations that differ between the old and the new chunk, because
+ * most of a chunk stays unchanged. */
 void fk_view_set_effective_chunk(FkView *v, FkJob *job, guint32 index, FkChunk *chunk) {
   FkChunk *old = job->chunks[index];
   if (chunk)
@@ -137,8 +138,8 @@
     fk_chunk_free(old);
     return;
   }
-  g_autofree const FkAllocation **unmatched =
-      g_new0(const FkAllocation *, chunk->task_count); /* by task: its old allocation; NULL once matched */
+  /* By task: the old allocation; NULL if there is none or it is already handled. */
+  g_autofree const FkAllocation **unmatched = g_new0(const FkAllocation *, chunk->task_count);
   for (guint i = 0; i < old->allocations->len; i++) {
     const FkAllocation *allocation = &g_array_index(old->allocations, FkAllocation, i);
     unmatched[allocation->task - old->first_task] = allocation;
--- a/src/core/state/view_completions.c
+++ b/src/core/state/view_completions.c
@@ -1,12 +1,12 @@
-/* Applies the pages of completions, which each controller writes for itself, to the chunks in the view. */
+/* Applies pages of completions to the chunks in the view. Each controller writes its own pages. */
 #include "core/state/view_internal.h"
 
 #include <string.h>
 
-/* Applies the end of an allocation, as recorded in a page. */
+/* Ends an allocation of the chunk with the result `kind`. */
 static void end_allocation(FkView *v, FkJob *job, FkChunk *chunk, const FkAllocation *ended,
                            FkCompletionKind kind) {
-  FkAllocation allocation = *ended; /* a copy, because the original is removed from the chunk below */
+  FkAllocation allocation = *ended; /* a copy, because `ended` points into the chunk and is removed below */
   gboolean done = kind == FK_COMPLETION_DONE;
   if (done && allocation.start_observed)
     fk_view_learn_run_time(v, job->spec, fk_time_between(allocation.first_seen_at, v->now));
@@ -86,7 +86,8 @@
   apply_completion_record(v, completion);
 }
 
-/* Replaces the record that the old page (NULL if there is none) had for the same chunk. */
+/* Adds a record, in place of the old page's record for the same chunk if there is one. `old`: NULL if there
+ * is no old page. */
 static void set_completion_record(FkView *v, FkCompletionRecord *completion, const FkCompletionPage *old) {
   GPtrArray *chunk_records = g_hash_table_lookup(v->completions_by_chunk, completion->chunk);
   gint position = index_in_page(chunk_records, old);
@@ -96,13 +97,13 @@
   }
   FkCompletionRecord *before = chunk_records->pdata[position];
   gboolean unchanged = is_same_completion_record(before, completion);
-  before->page = NULL; /* replaced */
+  before->page = NULL; /* marks the record as replaced, so that remove_completion_records() skips it */
   chunk_records->pdata[position] = completion;
   if (!unchanged)
     apply_completion_record(v, completion);
 }
 
-/* Removes the records of the old page that the new page has not replaced. */
+/* Removes the old page's records that the new page has not replaced. Replaced records have no `page`. */
 static void remove_completion_records(FkView *v, const FkCompletionPage *old) {
   for (guint i = 0; i < old->records->len; i++) {
     FkCompletionRecord *completion = old->records->pdata[i];
@@ -114,7 +115,7 @@
 }
 
 /* Replaces the previous revision of a page of completions. Pages are written twice a second and are mostly
- * unchanged, so only the records that differ are applied. */
+ * unchanged, so only records that differ from the previous revision are applied. */
 void fk_view_set_completions(FkView *v, const char *id, FkRecord *record, FkRev rev) {
   FkCompletionPage *old = g_hash_table_lookup(v->completion_pages, id), *page = NULL;
   if (old && old->rev.n >= rev.n)
--- a/src/core/state/view_jobs.c
+++ b/src/core/state/view_jobs.c
@@ -17,8 +17,8 @@
 static void remove_job(FkView *v, const char *id, FkJob *job) {
   for (guint32 i = 0; i < job->chunk_count; i++)
     if (job->chunks[i]) {
-      /* One transaction writes the last results of a small job and its end, so the allocations that are still
-       * in the view have succeeded. */
+      /* The job is done, so its remaining allocations have succeeded: one transaction may both record the
+       * last results of a job and delete its record. */
       for (guint k = 0; !job->cancelled && k < job->chunks[i]->allocations->len; k++) {
         const FkAllocation *allocation = &g_array_index(job->chunks[i]->allocations, FkAllocation, k);
         fk_fault_attribution_task_succeeded(v->fault_attribution, id, allocation->machine);
@@ -33,8 +33,8 @@
     fk_service_level_job_ended(v->service_level, job->spec->class_name, job->spec->team,
                                fk_spec_cpu_seconds(job->spec));
   fk_fault_attribution_remove_job(v->fault_attribution, id);
-  /* The transaction that deletes the job's record also writes its terminal record, which is known already or
-   * arrives next. */
+  /* The state is UNKNOWN until the terminal record arrives. The transaction that deletes the job's record
+   * also writes the terminal record, which may have arrived already. */
   fk_dependency_graph_set_state(v->dependencies, id, FK_DEPENDENCY_UNKNOWN, 0);
   fk_dependency_graph_remove(v->dependencies, id);
   fk_view_mark_job_changed(v, job);
@@ -88,7 +88,7 @@
   v->services_since_rate += MIN(spec->tasks, SERVICE_TASKS_COUNTED_MAX);
 }
 
-/* Marks the machines of a newly cancelled job as changed: its tasks on them are to be stopped. */
+/* Marks the machines of a newly cancelled job as changed, because the job's tasks there are to be stopped. */
 static void mark_machines_changed(FkView *v, const FkJob *job) {
   for (guint32 i = 0; i < job->chunk_count; i++)
     for (guint k = 0; job->chunks[i] && k < job->chunks[i]->allocations->len; k++) {
--- a/src/core/store_session/calls.c
+++ b/src/core/store_session/calls.c
@@ -12,16 +12,16 @@
 #define RETRY_LATENCY_FACTOR 4.0
 #define RETRY_MIN_S 0.08
 #define RETRY_MAX_S 1.0
-/* Replaces RETRY_MIN_S while few transactions are lost: then a missing reply is probably only slow, and each
- * retry uses up write budget. */
+/* Replaces RETRY_MIN_S while few transactions are retried. A missing reply is then probably only slow, and
+ * each retry uses write budget. */
 #define RETRY_LOSSLESS_MIN_S 0.4
-/* The network counts as lossy above this share of retried transactions. */
+/* The network counts as lossy while the share of retried transactions is above this value. */
 #define LOSSY_RETRY_SHARE 0.1
-#define SENDS_MAX 4
-#define DEFAULT_LATENCY_S 0.02  /* assumed until the first reply */
-#define LATENCY_EWMA_WEIGHT 0.1 /* weight of the latest reply */
-/* A gap of this length between replies counts as an outage of the store: otherwise requests are sent, and
- * answered, continuously. */
+#define SENDS_MAX 4             /* per transaction, including the first */
+#define DEFAULT_LATENCY_S 0.02  /* assumed until the first reply to a transaction */
+#define LATENCY_EWMA_WEIGHT 0.1 /* weight of the latest reply in the moving averages */
+/* A longer gap between replies of the store counts as an outage, because the controller sends requests
+ * continuously. */
 #define OUTAGE_S 3.0
 
 typedef struct {
@@ -30,9 +30,9 @@
   gpointer data;
   GDestroyNotify free_data;
   FkOutput *out;         /* the transaction; NULL for a read */
-  FkTime sent;           /* when the transaction was last sent; 0 while the rate limiter has it queued */
-  guint sends;           /* how often the transaction was sent or queued */
-  guint unrefused_sends; /* sends that are not known to be refused: each may still commit */
+  FkTime sent;           /* when the transaction was last sent; 0 while a send is queued */
+  guint sends;           /* number of sends of the transaction, including sends that wait in the queue */
+  guint unrefused_sends; /* number of sends that were not refused; each of them may still commit */
 } Call;
 
 void fk_call_free(gpointer value) {
@@ -67,7 +67,7 @@
       continue;
     guint writes = call->out->writes->len;
     if (call->out->priority > FK_PRIORITY_USER && writes > writes_available)
-      continue; /* above the write budget, a retry would only delay other writes */
+      continue; /* the retry exceeds the available writes and would only delay other writes */
     writes_available -= writes;
     call->sent.us = 0;
     call->sends++;
@@ -197,7 +197,7 @@
   record->tasks = job->cancelled ? job->done : job->spec->tasks;
   if (fk_dependency_graph_has_dependents(c->view->dependencies, job->spec->id))
     record->ended_at_ms =
-        (c->now.us + c->view->wall_offset_us) / 1000; /* start of the dependents' wait times */
+        (c->now.us + c->view->wall_offset_us) / 1000; /* time from which dependents can start */
   fk_transaction_guard(transaction, fk_key_path(FK_KEY_JOB, job->spec->id), job->rev);
   fk_transaction_put(transaction, fk_key_path(FK_KEY_TERMINAL_JOB, job->spec->id), record, (FkRev){0});
   fk_transaction_delete(transaction, fk_key_path(FK_KEY_JOB, job->spec->id));
--- a/src/core/store_session/calls.h
+++ b/src/core/store_session/calls.h
@@ -2,16 +2,16 @@
 #pragma once
 #include "core/messages.h"
 
-/* The store calls in flight, and recent statistics of them. */
+/* The calls to the store that await replies, and statistics of recent transactions. */
 typedef struct {
-  guint64 last_id;      /* the id of the latest call, including calls to workers and to the cloud */
-  double usual_delay_s; /* moving average of the latency of transactions; 0 if none has been answered yet */
+  guint64 last_id; /* id of the latest call; calls to the store, workers and the cloud share the numbering */
+  double usual_delay_s; /* moving average of transaction latency in seconds; 0 before the first reply */
   double retried_share; /* moving average of the share of transactions that were sent more than once */
-  guint resent;         /* transactions in this window that were answered after a retry */
+  guint resent;         /* number of transactions in this window that were answered after a retry */
   GHashTable *pending_transactions;                 /* call id -> Call */
   GHashTable *pending_reads;                        /* call id -> Call */
-  guint transactions[FK_PRIORITY_RESULT + 1];       /* number sent in this window, by priority */
-  guint transaction_writes[FK_PRIORITY_RESULT + 1]; /* number of writes in these transactions */
+  guint transactions[FK_PRIORITY_RESULT + 1];       /* number in this window, by priority; without retries */
+  guint transaction_writes[FK_PRIORITY_RESULT + 1]; /* number of writes in `transactions`, by priority */
 } FkCalls;
 
 /* Receives the outcome of a transaction. `store_rev`: the store's revision at the reply. `failed`: paths
@@ -22,7 +22,7 @@
  * OK. */
 typedef void (*FkReadCallback)(FkController *c, gpointer data, FkOutcome outcome, FkStoreEvent *event);
 
-/* Frees a Call: the GDestroyNotify of the tables of calls. */
+/* Frees a Call; the GDestroyNotify of `pending_transactions` and `pending_reads`. */
 void fk_call_free(gpointer call);
 /* Retries the transactions whose replies are overdue. */
 void fk_calls_retry_overdue(FkController *c);
@@ -32,16 +32,17 @@
 /* Adds a guard: the transaction commits only if the key at `path` is still at `rev`, or does not exist if
  * `rev` is 0. Does nothing if the transaction already has a guard on the path. Takes `path`. */
 void fk_transaction_guard(FkOutput *transaction, char *path, FkRev rev);
-/* Adds a write of the record, attached to a lease (0 for none). Takes `path` and `record`. */
+/* Adds a write of `record` at `path`. The key is attached to `lease`, unless `lease` is 0. Takes `path` and
+ * `record`. */
 void fk_transaction_put(FkOutput *transaction, char *path, FkRecord *record, FkRev lease);
 /* Adds a deletion of the key. Takes `path`. */
 void fk_transaction_delete(FkOutput *transaction, char *path);
 /* Adds the writes that move a job to its terminal state. The job must be complete, or cancelled without
- * allocations. Adds at most `writes_left` writes; chunks that are left over are deleted later as orphans.
+ * allocations. Adds at most `writes_left` writes; the remaining chunks are later deleted as orphans.
  * Returns FALSE, and adds nothing, if `writes_left` is too low. */
 gboolean fk_transaction_finalize_job(FkController *c, FkOutput *transaction, FkJob *job, guint writes_left);
-/* Sends the transaction, which is taken. Calls `done` once, unless the controller is freed first. Then frees
- * `data` by `free_data`, unless `free_data` is NULL. */
+/* Sends the transaction, which is taken. Calls `done` once with the outcome, unless the controller is freed
+ * first. Frees `data` with `free_data`, unless `free_data` is NULL. */
 void fk_transaction_send(FkController *c, FkOutput *transaction, FkTransactionCallback done, gpointer data,
                          GDestroyNotify free_data);
 /* Reads one key. Takes `path`; the other arguments are as for fk_transaction_send(). */
--- a/src/core/store_session/read_freshness.c
+++ b/src/core/store_session/read_freshness.c
@@ -1,14 +1,15 @@
-/* Freshness of the view: the time for which the view is confirmed to include every decision of any
- * controller. Normally that is the time at which the latest answered watch was sent. While the store is
+/* Freshness of the view: the latest time for which the view is confirmed to include every decision of any
+ * controller. Normally, this is the time at which the latest answered watch was sent. While the store is
  * unreachable, the other controllers can confirm the view instead: if none of them has seen a later revision
- * than the view's, no controller has made a decision that the view lacks. A reply counts only if it is from
- * the incarnation that the view shows. A controller that has restarted confirms nothing, because its previous
- * incarnation may have acknowledged a cancellation that the new one does not know. */
+ * than the view's, no controller has made a decision that the view lacks. A reply counts only if it comes
+ * from the incarnation that the view shows for the replying controller. A restarted controller cannot confirm
+ * the view, because its previous incarnation may have acknowledged a cancellation that the new incarnation
+ * does not know. */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 
-#define PEER_QUERY_INTERVAL_S 1.0
-#define BARRIER_QUERY_INTERVAL_S 0.15 /* while a cancellation waits for other controllers */
+#define PEER_QUERY_INTERVAL_S 1.0     /* interval of queries to the other controllers */
+#define BARRIER_QUERY_INTERVAL_S 0.15 /* interval while a cancellation waits for other controllers */
 
 const char *fk_controller_store_progress(FkController *c, FkTime now, FkRev *seen, FkRev *applied,
                                          double *store_age_s) {
@@ -40,8 +41,8 @@
     if (peer_confirmed_at->us < confirmed_at.us)
       confirmed_at = *peer_confirmed_at;
   }
-  /* A revision that this controller has seen and the view lacks, such as its own commit, prevents
-   * confirmation by peers as well. */
+  /* Peers cannot confirm the view while this controller has seen a revision that the view lacks, such as the
+   * revision of its own commit. */
   if (c->store_session.latest_rev_seen.n > c->view->applied.n ||
       confirmed_at.us < c->store_session.confirmed_at.us)
     return c->store_session.confirmed_at;
--- a/src/core/store_session/session.c
+++ b/src/core/store_session/session.c
@@ -1,7 +1,7 @@
 /* The session with the store. It keeps a lease, to which the controller's node key is attached, and
  * synchronises the view: a paginated list reads the initial state, and a watch applies all later changes. The
- * pages of the list may show different revisions. So the watch replays every change after the revision of the
- * first page, and the view is ready only when it has caught up with the highest revision of any page. */
+ * pages of the list may show different revisions. Therefore the watch replays every change after the revision
+ * of the first page, and the view becomes ready when it reaches the highest revision of any page. */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 #include "core/scheduling/capacity_index.h"
@@ -12,12 +12,12 @@
 #define LEASE_RETRY_MIN_S 0.2
 #define LEASE_RETRY_MAX_S 0.6
 #define NODE_KEY_RETRY_S 0.3
-#define LIST_RETRY_STEP_S 0.2 /* added to the backoff by each consecutive failure */
+#define LIST_RETRY_STEP_S 0.2 /* backoff per consecutive failure */
 #define LIST_RETRY_MAX_S 2.0
-#define WATCH_S 2.0
+#define WATCH_S 2.0 /* longest time that the store holds a watch open */
 #define WATCH_RETRY_MIN_S 0.1
 #define WATCH_RETRY_MAX_S 0.4
-#define WATCH_PAUSE_MIN_S 0.02
+#define WATCH_PAUSE_MIN_S 0.02 /* shortest pause after a watch that returned changes */
 /* Share of the store's request rate that the watches of all controllers together may use. */
 #define WATCH_REQUEST_SHARE 0.35
 
@@ -199,7 +199,7 @@
   c->store_session.lease_pending = TRUE;
 }
 
-/* Writes the node key, unless the key in the view already has the controller's current incarnation. */
+/* Writes the node key, unless the view shows the node key with the controller's current incarnation. */
 static void put_node_key(FkController *c) {
   FkControllerNode *node = g_hash_table_lookup(c->view->nodes, c->settings->node);
   if (node && g_str_equal(node->incarnation, c->incarnation))
@@ -207,8 +207,8 @@
   FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_LEASE);
   FkRecord *record = fk_record_new(FK_KEY_NODE);
   record->incarnation = g_strdup(c->incarnation);
-  /* The guard prevents a late retry by an earlier incarnation, whose lease may still be valid for seconds,
-   * from overwriting the key. */
+  /* The guard prevents a delayed write of an earlier incarnation, whose lease may still be valid for seconds,
+   * from overwriting the node key. */
   fk_transaction_guard(transaction, fk_key_path(FK_KEY_NODE, c->settings->node),
                        node ? node->rev : (FkRev){0});
   fk_transaction_put(transaction, fk_key_path(FK_KEY_NODE, c->settings->node), record,
--- a/src/core/store_session/session.h
+++ b/src/core/store_session/session.h
@@ -6,27 +6,27 @@
 /* State of the session with the key-value store. */
 typedef struct {
   enum { FK_SYNC_IDLE, FK_SYNC_LISTING, FK_SYNC_CATCHING_UP, FK_SYNC_READY } sync;
-  char *list_after;   /* path after which the next page of the list begins; NULL for the first page */
-  FkRev list_epoch;   /* the store's revision at the list's first page; the watch starts from it */
-  FkRev catch_up_rev; /* highest revision of the list's pages; the view is ready once it has reached this */
-  gboolean listing, watching; /* a request is in flight */
-  FkTime retry_at;            /* when a failed list request is sent again */
+  char *list_after;           /* path after which the next page of the list begins; NULL for the first page */
+  FkRev list_epoch;           /* the store's revision at the list's first page; the watch starts from it */
+  FkRev catch_up_rev;         /* highest revision of the list's pages; the view must reach it to be ready */
+  gboolean listing, watching; /* a list request, or a watch, is in flight or queued */
+  FkTime retry_at;            /* earliest time to send a failed list request again */
   FkTime confirmed_at;        /* latest time at which the store's replies prove that the view was current */
   FkRev latest_rev_seen;      /* highest revision shown by the replies to transactions and watches */
-  GHashTable *peer_confirmed_at; /* controller -> FkTime*: when it last confirmed the view */
-  FkTime next_peer_query;
+  GHashTable *peer_confirmed_at; /* controller -> FkTime*: send time of the latest confirming query */
+  FkTime next_peer_query;        /* earliest time of the next queries to the other controllers */
   FkTime peer_answered_at;       /* when another controller last replied to this one */
-  FkTime peer_store_answered_at; /* latest time at which the store is known to have replied to a peer */
+  FkTime peer_store_answered_at; /* latest known time of a store reply to another controller */
   FkTime store_answered_at;      /* when the store last replied to this controller */
-  FkTime store_recovered_at;     /* when the store first replied after its latest outage */
-  FkTime ready_since;            /* when the view last became ready */
-  guint failures;                /* consecutive failures of list requests */
-  FkRev lease;                   /* 0 if there is none */
-  gboolean lease_pending;        /* a lease request is in flight */
+  FkTime store_recovered_at; /* when the store first replied after its latest outage; 0 if there was none */
+  FkTime ready_since;        /* when the view last became ready */
+  guint failures;            /* consecutive failures of list requests */
+  FkRev lease;               /* the controller's lease; 0 if there is none */
+  gboolean lease_pending;    /* a grant or keepalive request is in flight */
   FkTime next_keepalive, lease_request_sent;
   gboolean node_pending; /* a write of the node key is in flight */
-  FkRev node_wait_rev;   /* the node key is not written again until the view has reached this revision */
-  FkTime node_retry_at;
+  FkRev node_wait_rev;   /* the node key is not written again before the view includes this revision */
+  FkTime node_retry_at;  /* earliest time of the next write of the node key after a failure */
 } FkStoreSession;
 
 /* Sends the requests that are due: the list, the lease's grant or keepalive, the write of the node key. */
--- a/src/dependency_graph/dependency_graph.c
+++ b/src/dependency_graph/dependency_graph.c
@@ -6,7 +6,7 @@
   FkDependencyState state;
   gboolean live;           /* added by fk_dependency_graph_add() and not removed since */
   GPtrArray *dependencies; /* Node; empty unless the job is live */
-  GHashTable *dependents;  /* set of Node: live jobs that depend on it */
+  GHashTable *dependents;  /* set of Node: live jobs that depend on this job */
   guint unfinished;        /* number of dependencies that are not known to be done */
   gint64 ended_ms;         /* when the job ended, wall clock; 0 if unknown */
   guint64 visited_by;      /* number of the latest traversal that visited the node */
@@ -132,7 +132,8 @@
     release_dependents(graph, node);
 }
 
-/* Adds the edge, unless it exists or would lead to the node itself. */
+/* Adds the edge from the node to the dependency `id`. Does nothing if the edge exists or `id` is the node
+ * itself. */
 static void add_dependency(FkDependencyGraph *graph, Node *node, const char *id) {
   Node *dependency = ensure_node(graph, id);
   if (dependency == node || !g_hash_table_add(dependency->dependents, node))
@@ -246,8 +247,8 @@
 
 /* ------------------------------------------------------------------ inherited priorities */
 
-/* Lets the dependency inherit the node's own and inherited priorities and deadlines. A deadline is inherited
- * minus the node's run time: the dependency must end before the node has to start. */
+/* Passes the node's own and inherited priority and deadline to the dependency. The passed deadline is earlier
+ * by the node's run time, because the dependency must end before the node has to start. */
 static void propagate_priority(const Node *node, FkInheritedPriority own, gint64 run_us, Node *dependency) {
   FkInheritedPriority *to = &dependency->inherited;
   gint64 due_us = MIN(own.due_us, node->inherited.due_us);
--- a/test/test_forms.c
+++ b/test/test_forms.c
@@ -130,13 +130,13 @@
   return fk_user_print_reply(&o);
 }
 
-/* An error reply to a user; the argument is the status. */
+/* An error reply to a user; the argument is the HTTP status. */
 static char *error_reply(const char *argument, const char *text) {
   const FkOutput o = {.status = (int)g_ascii_strtoull(argument, NULL, 10)};
   return fk_user_print_reply(&o);
 }
 
-/* The reply to an invalid request of a user; its reason is parsed from the text and printed again. */
+/* The error reply to an invalid request of a user. The reason is parsed from TEXT and printed again. */
 static char *error_reason(const char *argument, const char *text) {
   g_autoptr(cJSON) j = fk_json_parse(text, strlen(text));
   return fk_json_str(j, "error") ? fk_user_print_error(fk_json_str(j, "error")) : NULL;
--- a/test/test_job_dependencies.c
+++ b/test/test_job_dependencies.c
@@ -177,9 +177,10 @@
 /* Acceptance of a job with dependencies: whether the store is queried first, and which reply follows. */
 static void test_acceptance(void) {
   static const struct {
-    const char *name, *dependency, *failed; /* `failed`: the queried key that exists in the store, or NULL */
-    int status;                             /* of the reply; 0 if the submission proceeds */
-    gboolean queries_store;                 /* the store is queried before the job is accepted */
+    const char *name, *dependency;
+    const char *failed;     /* path of the guard that fails because the key exists; NULL if none fails */
+    int status;             /* HTTP status of the reply; 0 if the submission proceeds */
+    gboolean queries_store; /* the store is queried before the job is accepted */
   } cases[] = {
       {"live job", "run-1", NULL, 0, FALSE},
       {"done job is left out of the record", "run-7", NULL, 0, FALSE},
@@ -265,9 +266,10 @@
   rig_free(r);
 }
 
-/* A page of machines that an earlier version wrote under a larger size limit. The page stays whole while a
+/* An earlier version wrote a page of machines under a larger size limit. The page stays whole while a
  * controller does not support several pages per shard. After that, one transaction divides the page: each new
- * page is within the future limit, no machine is lost, and no page of the old size is written again. */
+ * page is within the future limit, no machine is lost, and later writes contain no page of more than 23
+ * machines. */
 static void test_registry_page_divided(void) {
   for (int all_support_pages = 0; all_support_pages < 2; all_support_pages++) {
     Rig *r = rig_new(TRUE);
