--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -8,8 +8,8 @@
 
 /* ---- life cycle ---- */
 
-/* Creates a controller. `settings` must outlive it. `incarnation` identifies this start of the controller and
- * must be unique. `seed` seeds the controller's random numbers. */
+/* Creates a controller. `settings` must outlive the controller. `incarnation` identifies this start of the
+ * controller and must be unique. `seed` seeds the controller's random numbers. */
 FkController *fk_controller_new(const FkSettings *settings, const char *incarnation, guint32 seed,
                                 FkTime now);
 void fk_controller_free(FkController *c); /* NULL is fine */
@@ -48,8 +48,8 @@
 
 /* ---- inputs: workers ---- */
 
-/* A worker's heartbeat. It is answered, possibly after a delay, by one FK_OUTPUT_HEARTBEAT_REPLY with the
- * same request id. A heartbeat whose request is closed first is not answered. */
+/* A worker's heartbeat. Answered, possibly after a delay, by one FK_OUTPUT_HEARTBEAT_REPLY with the same
+ * request id, unless the request is closed first. */
 void fk_controller_heartbeat_received(FkController *c, FkTime now, FkRequestId request_id,
                                       FkHeartbeat *heartbeat /* taken */);
 /* A worker's reply to FK_OUTPUT_COMMANDS. `heartbeat`: taken; NULL if the reply contains none. */
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -14,7 +14,7 @@
   FK_EXIT_ERROR,   /* the task failed */
   FK_EXIT_FULL,    /* refused: the machine lacks the capacity for the task */
   FK_EXIT_BUSY,    /* refused: the worker is busy */
-  FK_EXIT_UNKNOWN
+  FK_EXIT_UNKNOWN  /* refused: the worker does not know the job */
 } FkExitReason;
 
 /* State of one attempt on a worker. */
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -50,7 +50,7 @@
   guint32 task;
   FkAttempt attempt;
   const char *machine;     /* interned */
-  const char *launched_by; /* interned: controller that launched it, using its share of the team's quota */
+  const char *launched_by; /* interned: controller that launched the attempt, from its quota share */
   gboolean stop_requested; /* the worker is to stop the task */
   FkTime first_seen_at;    /* when this controller first saw the allocation; not in the store */
   gboolean start_observed; /* FALSE if the allocation may be older than `first_seen_at` */
--- a/src/core/state/live_job.h
+++ b/src/core/state/live_job.h
@@ -40,10 +40,9 @@
   guint64 last_cycle;     /* number of the last scheduling cycle that selected the job */
   gboolean size_recorded; /* the job's size is included in the service-level statistics */
   FkTime probed_at;       /* when probes for the job were last placed */
-  double latest_start_s;  /* seconds until the latest start that meets a deadline or objective; G_MAXDOUBLE if
-                             none */
-  FkTime gang_until;      /* time until which a gang launch may continue in further transactions */
-  gint64 submitted_us;    /* time of submission, converted from the wall clock */
+  double latest_start_s; /* seconds until the latest start for a deadline or objective; G_MAXDOUBLE if none */
+  FkTime gang_until;     /* time until which a gang launch may continue in further transactions */
+  gint64 submitted_us;   /* time of submission, converted from the wall clock */
   gint64 startable_us; /* when the job became startable: its submission, or the end of its last dependency */
   gint64 deadline_us;  /* latest end for the job's own and its dependents' deadlines; G_MAXINT64 if none */
   FkJobPriority inherited_priority; /* highest priority of the job and its direct and indirect dependents */
--- a/src/core/state/records.h
+++ b/src/core/state/records.h
@@ -9,7 +9,7 @@
   const char *type, *zone; /* interned */
   gboolean spot;
   const char *drain_reason; /* interned: why the machine is to be drained; NULL if it is not */
-  double notice_s; /* if drained: seconds from the drain until the announced termination; < 0 if unknown */
+  double notice_s;          /* seconds from the drain until the announced termination; < 0 if unknown */
 } FkMachineRecord;
 
 FkMachineRecord *fk_machine_record_copy(const FkMachineRecord *machine);
@@ -71,9 +71,10 @@
       char *node, *incarnation;
     };
     struct {                   /* TEAM */
-      char *last_exhausted_by; /* the last controller to use up its share, or NULL */
-      GHashTable
-          *partition; /* controller -> double*: CPUs; empty in a pause; NULL if launches are serialized */
+      char *last_exhausted_by; /* the last controller to use up its share; NULL if none */
+      /* controller -> double*: its share of the CPU quota. Empty while launches are paused; NULL if launches
+       * are serialized. */
+      GHashTable *partition;
     };
     struct { /* TERMINAL_JOB */
       FkPhase phase;
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -43,10 +43,11 @@
   FkRev page_revs[FK_SHARD_PAGES_MAX]; /* revisions of the shard's machine pages; 0 if not seen */
   gboolean oversized;                  /* a page exceeds the lower of the current and the future size limit */
   GPtrArray *machines;     /* FkMachine; includes machines that are in no page but have sent heartbeats */
-  gboolean was_owned;      /* whether this controller owned the shard at its last tick */
+  gboolean was_owned;      /* whether this controller owned the shard when last checked */
   gboolean acquire_wanted; /* this controller is to acquire the shard, even if it owns the shard already */
   FkTime acquire_after;    /* earliest time of the next attempt to acquire the shard */
-  /* Time until which this controller does not take the shard back from a live owner that took it over. */
+  /* Time until which this controller does not take the shard back from a live owner. Set when this controller
+   * loses the shard while healthy: the workers probably could not reach this controller. */
   FkTime no_handback_until;
   /* Time until which returned workers do not show that the owner is unreachable. Set when this controller
    * loses the shard: the new owner acquired it just now, so workers were able to reach the owner. */
@@ -104,13 +105,16 @@
   FkRev rev;
   double cpus, gpus;                   /* allocated to the team's tasks */
   double reserved_cpus, reserved_gpus; /* reserved for launches in progress */
-  gboolean share_exhausted; /* a launch exceeded this controller's share of the quota, but not the quota */
+  gboolean share_exhausted; /* this controller's share of the quota did not allow a launch that the quota
+                               allowed */
   FkTime serialized_since;  /* from when launches have been serialized; the current time if they are not */
   FkTime changed_at;        /* when the team's record last changed */
-  char *last_exhausted_by;  /* the last controller to use up its share, or NULL */
+  char *last_exhausted_by;  /* the last controller to use up its share; NULL if none */
   double serialized_min_s;  /* shortest time for which launches stay serialized */
   GHashTable *cpus_by_controller; /* controller (interned) -> double*: CPUs allocated by its launches */
-  GHashTable *partition; /* controller -> double*: CPUs; empty in a pause; NULL if launches are serialized */
+  /* controller -> double*: its share of the CPU quota. Empty while launches are paused; NULL if launches are
+   * serialized. */
+  GHashTable *partition;
 } FkTeamUsage;
 
 /* A controller's launch fence. The revision of the launch fence guards each of the controller's launches.
@@ -155,16 +159,16 @@
   char *leader, *leader_incarnation; /* NULL if there is no leader */
   FkRev leader_rev;                  /* revision of the leader's record; 0 if none */
   GHashTable *changed_machines;      /* ids of machines changed since the last scheduling cycle */
-  GPtrArray
-      *capacity_removed; /* addresses of freed machines to remove from the capacity index; not dereferenced */
-  GHashTable *capacity_changed; /* ids of machines changed since the last update of the capacity index */
-  GPtrArray *live_jobs;         /* FkJob: the values of `jobs`, in no particular order */
-  GHashTable *changed_jobs;     /* FkJob, with references: waiting tasks may have changed since the last
-                                   scheduling cycle */
-  guint64 allocation_updates;   /* number of allocations added or removed so far */
-  gboolean caught_up;           /* the view is complete, so changes applied from now on have just happened */
-  FkTime now;                   /* current time; set by the caller before it applies changes */
-  gint64 wall_offset_us;        /* wall clock minus monotonic clock, in us; set by the caller */
+  GPtrArray *capacity_removed;       /* addresses of freed machines in the capacity index; not dereferenced */
+  GHashTable *capacity_changed;      /* ids of machines changed since the last update of the capacity index */
+  GPtrArray *live_jobs;              /* FkJob: the values of `jobs`, in no particular order */
+  GHashTable *changed_jobs;          /* FkJob, with references: waiting tasks may have changed since the last
+                                        scheduling cycle */
+  guint64 allocation_updates; /* number of allocations added or removed so far, which drives the cost of
+                                 applying changes */
+  gboolean caught_up;         /* the view is complete, so changes applied from now on have just happened */
+  FkTime now;                 /* current time; set by the caller before it applies changes */
+  gint64 wall_offset_us;      /* wall clock minus monotonic clock, in us; set by the caller */
 };
 
 FkView *fk_view_new(const FkSettings *settings); /* `settings` must outlive the view */
--- a/src/dependency_graph/dependency_graph.h
+++ b/src/dependency_graph/dependency_graph.h
@@ -1,10 +1,10 @@
 /* The dependency graph of jobs, a directed acyclic graph. Submissions, ends and cancellations of jobs may be
  * applied in any order. The graph does no I/O and copies ids. Each operation takes time proportional to the
- * edges that it visits, and none is recursive.
+ * number of edges that it visits. No operation is recursive.
  *
- * A job with dependencies becomes ready when all of them are done. If one of them is cancelled, the job and
- * all of its descendants are cancelled. Both states are final. A job that is not live stays in the graph as
- * long as a live job depends on it. */
+ * A job with dependencies becomes ready when all of the dependencies are done. If a dependency is cancelled,
+ * the job and all of the job's descendants are cancelled. Neither change is reverted. A job that is not live
+ * stays in the graph as long as a live job depends on it. */
 #pragma once
 #include <glib.h>
 
