--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -1,5 +1,5 @@
-/* The controller: its life cycle, and the order in which its parts act on a tick and on a change of the view.
- */
+/* The controller: its life cycle, and the order in which its components run on a tick and after a change of
+ * the view. */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 #include "core/scheduling/backfill_reservation.h"
@@ -9,7 +9,7 @@
 #include "core/scheduling/scheduling_queue.h"
 #include "core/scheduling/starvation.h"
 
-#define TYPES_INTERVAL_S 60 /* between queries of the cloud's instance types */
+#define TYPES_INTERVAL_S 60 /* between queries for the cloud's instance types */
 #define TYPES_RETRY_MIN_S 0.6
 #define TYPES_RETRY_MAX_S 1.4
 
@@ -119,7 +119,8 @@
 }
 
 void fk_controller_request_closed(FkController *c, FkRequestId request_id) {
-  /* the daemon drops replies that nobody waits for; only held heartbeats are worth dropping here */
+  /* Drops a held heartbeat of the request, because its reply could not be delivered. For other requests, the
+   * daemon discards the reply. */
   for (GList *link = c->workers.held_heartbeats->head; link; link = link->next) {
     FkHeldHeartbeat *held = link->data;
     if (held->request.n == request_id.n) {
@@ -148,7 +149,7 @@
       g_hash_table_replace(c->autoscaling.instance_types, type->name, type);
       continue;
     }
-    /* in place: machines keep pointers to theirs */
+    /* The type is updated in place, because machines hold pointers to their types. */
     FkInstanceType old = *known;
     *known = *type;
     known->name = old.name; /* the table's key */
@@ -188,11 +189,11 @@
   fk_cpu_profile_run(c, FK_CPU_SCHEDULING, fk_scheduling_cycle_run);
 }
 
-/* The parts act on what has changed at once. */
+/* Runs the components that react to changes of the view, without waiting for the next tick. */
 void fk_controller_watch_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
-                                  FkRev epoch, FkTime sent) {
+                                  FkRev store_rev, FkTime sent) {
   c->now = now;
-  fk_store_session_watch_received(c, outcome, events, epoch, sent);
+  fk_store_session_watch_received(c, outcome, events, store_rev, sent);
   if (outcome != FK_OUTCOME_OK || !fk_controller_is_ready(c))
     return;
   fk_cpu_profile_run(c, FK_CPU_SHARDS, fk_shard_ownership_tick);
--- a/src/core/controller_status.c
+++ b/src/core/controller_status.c
@@ -1,10 +1,16 @@
-/* The state of the controller as a whole. */
+/* Readiness, number of live controllers, and shares of the store's write budget. */
 #include "core/controller_internal.h"
 
+/* The controller counts as partitioned from the store if all of these hold: the store has not replied to it
+ * for more than ISOLATED_FROM_STORE_S; the store replied to another controller less than PEER_STORE_RECENT_S
+ * ago; and that reply came more than PEER_STORE_LEAD_S after the store's last reply to this controller. */
 #define ISOLATED_FROM_STORE_S 2.5
-#define PEER_STORE_LEAD_S 1 /* by how much later the store must have answered others */
+#define PEER_STORE_LEAD_S 1
 #define PEER_STORE_RECENT_S 5
-#define ISOLATED_FROM_ALL_S 6.0 /* the others are queried from FK_PEER_QUERY_AFTER_S on, once a second */
+/* The controller counts as partitioned from the store and all other controllers if the store has not replied
+ * for more than this time, and no controller has replied to the queries that are sent once a second from
+ * FK_PEER_QUERY_AFTER_S on. */
+#define ISOLATED_FROM_ALL_S 6.0
 
 FkOutput *fk_output_new(FkController *c, FkOutputKind kind) {
   FkOutput *output = g_new0(FkOutput, 1);
@@ -23,7 +29,6 @@
   return spec->shape != FK_SHAPE_ARRAY || spec->estimate_s >= c->settings->tuning.short_cutoff_s;
 }
 
-/* Does it with its processor time charged to that purpose. */
 void fk_cpu_profile_run(FkController *c, FkCpuPurpose purpose, void (*fn)(FkController *)) {
   FkCpuPurpose outer = fk_cpu_profile_enter(&c->cpu_profile, purpose);
   fn(c);
@@ -41,25 +46,26 @@
   return c->launches.services_waiting >= SERVICES_WAITING_MIN;
 }
 
-/* The leader launches the services of all controllers: its weight is two, and as much as all the others
- * together while services wait. */
+/* Other controllers have weight 1. The leader, which launches the services of all controllers, has weight 2
+ * and, while services have priority, at least the weight of all other controllers together. */
 double fk_store_write_share(FkController *c) {
   guint live = fk_controller_live_count(c);
-  double leader = fk_services_have_priority(c) ? MAX(2, live - 1) : 2;
-  return (c->leader.is_leader ? leader : 1.0) / (live - 1 + leader);
+  double leader_weight = fk_services_have_priority(c) ? MAX(2, live - 1) : 2;
+  return (c->leader.is_leader ? leader_weight : 1.0) / (live - 1 + leader_weight);
 }
 
 gboolean fk_controller_can_serve(FkController *c, FkTime now) {
-  /* While the store answers other controllers and not this one, they serve users better. While it answers
-   * nobody, to stop serving would only make the recovery slower. */
+  /* A controller that is partitioned from the store stops serving only if the store replies to other
+   * controllers, which can serve the users. If the store replies to no controller, stopping would only slow
+   * down the recovery. */
   double without_store_s = fk_time_between(c->store_session.store_answered_at, now);
   gboolean isolated_from_store =
       without_store_s > ISOLATED_FROM_STORE_S &&
       fk_time_between(c->store_session.store_answered_at, c->store_session.peer_store_answered_at) >
           PEER_STORE_LEAD_S &&
       fk_time_between(c->store_session.peer_store_answered_at, now) < PEER_STORE_RECENT_S;
-  /* Without the store and all other controllers it is this one that is partitioned off, whoever else still
-   * reaches it: every request would get a 503. */
+  /* If neither the store nor any other controller replies, this controller counts as partitioned from both.
+   * Clients may still reach this controller, which could only answer their requests with 503. */
   gboolean isolated_from_all =
       c->settings->peers->len && without_store_s > ISOLATED_FROM_ALL_S &&
       fk_time_between(c->store_session.peer_answered_at, now) > ISOLATED_FROM_ALL_S - FK_PEER_QUERY_AFTER_S;
--- a/src/core/state/failing_jobs.c
+++ b/src/core/state/failing_jobs.c
@@ -1,11 +1,12 @@
-/* Failed and successful attempts, as the view tells them to fault attribution. Every controller sees the same
- * completions and draws the same conclusions: a job that fails everywhere is slowed by all, and no owner
- * takes its machines for faulty. */
+/* Reports failed and successful attempts to fault attribution, which decides whether the job or the machine
+ * is at fault. All controllers evaluate the same completions. A job that fails on every machine is retried
+ * with a delay, and its failures do not mark machines as faulty. */
 #include "core/state/view_internal.h"
 
 #define FAILING_REVIEW_INTERVAL_S 1.0
 
-/* The longest that an attempt of the job has been running, of those whose start was observed. */
+/* Returns the age in seconds of the job's oldest current allocation; 0 if there is none. Ignores allocations
+ * that are to be stopped, and those whose start this controller did not observe. */
 static double longest_run_s(const FkView *v, const FkJob *job) {
   double longest_s = 0;
   for (guint32 i = 0; i < job->chunk_count; i++)
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -1,10 +1,11 @@
-/* Specifications of jobs, and the chunks that hold the states of their tasks with the legal changes. */
+/* Job specifications, the chunks that hold the states of a job's tasks, and the allowed state changes. */
 #pragma once
 #include "common/types.h"
 
-/* An array's tasks run one by one, a service's until it is cancelled, a gang's only all together. */
+/* ARRAY: independent tasks, each run once to completion. SERVICE: tasks that run until the job is cancelled.
+ * GANG: tasks that run only if all of them run at the same time. */
 typedef enum { FK_SHAPE_ARRAY, FK_SHAPE_SERVICE, FK_SHAPE_GANG } FkShape;
-/* Lower value: goes first. */
+/* A lower value is a higher priority. */
 typedef enum {
   FK_JOB_PRIORITY_PRODUCTION,
   FK_JOB_PRIORITY_HIGH,
@@ -13,7 +14,7 @@
 } FkJobPriority;
 typedef enum { FK_PHASE_QUEUED, FK_PHASE_RUNNING, FK_PHASE_DONE, FK_PHASE_CANCELLED } FkPhase;
 
-/* What the user submitted. Never changes once accepted, and is shared by reference. */
+/* A job as the user submitted it. Immutable once the job is accepted; shared by reference counting. */
 typedef struct {
   gint ref_count;
   char *id, *class_name, *team;
@@ -23,44 +24,44 @@
   double cpus, gpus, mem_gb;
   char *image;
   double image_gb;
-  char **types; /* NULL: any */
-  char *zone;   /* NULL: any */
+  char **types; /* instance types that the job may run on; NULL if any */
+  char *zone;   /* zone that the job must run in; NULL if any */
   gboolean one_zone, spread, spot;
   double estimate_s, checkpoint_s, save_s;
-  double deadline_s;   /* < 0: none */
-  gint64 submitted_ms; /* time of day */
-  char *owner;         /* the controller that accepted it, whose short path places it */
-  guint32 chunk_tasks; /* tasks a chunk */
-  char **dependencies; /* jobs that must be done before any of its tasks starts; NULL: none */
+  double deadline_s;   /* seconds from submission; < 0 if none */
+  gint64 submitted_ms; /* time of submission, wall clock */
+  char *owner;         /* name of the controller that accepted the job and places the job's short tasks */
+  guint32 chunk_tasks; /* tasks per chunk */
+  char **dependencies; /* ids of the jobs that must be done before this job starts; NULL if none */
 } FkSpec;
 
 FkSpec *fk_spec_new(void);
 FkSpec *fk_spec_ref(FkSpec *spec);
 void fk_spec_unref(FkSpec *spec);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkSpec, fk_spec_unref)
-/* CPU-seconds of all tasks together, by the user's estimate. */
+/* Returns the CPU-seconds of all tasks together, by the user's estimate. */
 double fk_spec_cpu_seconds(const FkSpec *spec);
 guint32 fk_spec_chunk_count(const FkSpec *spec);
 guint32 fk_spec_chunk_tasks(const FkSpec *spec, guint32 chunk);
 
-/* An attempt to run a task on a machine. It ends only on proof that the task does not, and will not, run
- * there. */
+/* An attempt to run a task on a machine. An allocation ends only on proof that the attempt is not running on
+ * that machine and never will be. */
 typedef struct {
   guint32 task;
   FkAttempt attempt;
   const char *machine;     /* interned */
-  const char *launched_by; /* interned: the controller whose share of the team's quota it uses */
-  gboolean stop_requested; /* the task is to be stopped */
-  FkTime first_seen_at;    /* when this controller first saw it; not in the store */
-  gboolean start_observed; /* that was when it was made, not when this controller came to know of it */
+  const char *launched_by; /* interned: controller that launched the attempt, from its quota share */
+  gboolean stop_requested; /* the worker is to stop the task */
+  FkTime first_seen_at;    /* when this controller first saw the allocation; not in the store */
+  gboolean start_observed; /* FALSE if the allocation may be older than `first_seen_at` */
 } FkAllocation;
 
-/* The state of up to `chunk_tasks` neighbouring tasks: one record of the store. */
+/* The states of up to `chunk_tasks` consecutive tasks of a job: one record in the store. */
 typedef struct {
   FkRev rev;
   guint32 first_task, task_count;
   guint64 next_attempt;
-  guint8 *done; /* a byte a task */
+  guint8 *done; /* one byte per task; 1 if the task is done */
   guint32 done_count;
   GArray *allocations; /* FkAllocation */
 } FkChunk;
@@ -69,23 +70,29 @@
 FkChunk *fk_chunk_copy(const FkChunk *chunk);
 void fk_chunk_free(FkChunk *chunk);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkChunk, fk_chunk_free)
-/* Whether its record stays within so many KiB, with one more allocation (`machine` NULL: as it is). */
+/* Returns whether the chunk's record stays within `value_kb` KiB after `controller` adds an allocation to
+ * `machine`. If `machine` is NULL, checks the chunk without a new allocation. */
 gboolean fk_chunk_fits(const FkChunk *chunk, double value_kb, const char *machine, const char *controller);
-/* The most tasks of a chunk that all fit its record when allocated by controllers with names of that length.
- */
+/* Returns the number of tasks per chunk for a size limit of `value_kb` KiB: as many as one record can hold
+ * allocations for, between a fixed minimum and maximum. Assumes that the names of the launching controllers
+ * are as long as `controller`. */
 guint32 fk_chunk_max_tasks(double value_kb, const char *controller);
-/* Borrowed, until the next change; NULL: the task has no allocation. */
+/* Returns the task's allocation, valid until the chunk next changes; NULL if it has none. */
 FkAllocation *fk_chunk_find_allocation(const FkChunk *chunk, guint32 task);
 
-/* The legal changes. Each returns FALSE, and changes nothing, when the change is not legal. */
-/* A task that is neither done nor allocated, under the next attempt number. */
+/* The allowed state changes. Each function returns FALSE, and changes nothing, if the change is not allowed.
+ */
+
+/* Allocates a task with the chunk's next attempt number. Not allowed if the task is done or allocated. */
 gboolean fk_chunk_allocate(FkChunk *chunk, guint32 task, const char *machine, const char *controller);
-/* A gang's tasks start together under one attempt number; it must be above all earlier ones. */
+/* Allocates a task of a gang with the given attempt number. All tasks of one gang launch share one number,
+ * which must be higher than the numbers of all earlier launches of the gang. */
 gboolean fk_chunk_allocate_attempt(FkChunk *chunk, guint32 task, const char *machine, const char *controller,
                                    FkAttempt attempt);
-/* The attempt has ended without a result. */
+/* Removes the allocation of an attempt that ended without a result. The task then waits for a new allocation.
+ */
 gboolean fk_chunk_release(FkChunk *chunk, guint32 task, FkAttempt attempt);
-/* The attempt has ended, and the task is done. */
+/* Removes the allocation of an attempt that succeeded, and marks the task done. */
 gboolean fk_chunk_finish(FkChunk *chunk, guint32 task, FkAttempt attempt);
-/* Marks an allocated task to be stopped; the allocation stays until it has ended. */
+/* Marks an allocated task to be stopped. The allocation stays until the attempt is proven to have ended. */
 gboolean fk_chunk_request_stop(FkChunk *chunk, guint32 task);
--- a/src/core/state/job_dependencies.h
+++ b/src/core/state/job_dependencies.h
@@ -1,9 +1,11 @@
-/* Dependencies between jobs, as far as the store and the other controllers are needed. */
+/* The parts of job dependencies that need the store or the other controllers; the graph itself is in
+ * dependency_graph/. */
 #pragma once
 #include "core/messages.h"
 
-/* Every controller of the settings last started in a version that knows dependencies. What only such a
- * version can read is written from then on. */
+/* Returns whether every controller in the settings last started with a version that supports dependencies.
+ * Records in formats that only such versions can read are written only if this function returns TRUE. */
 gboolean fk_job_dependencies_are_supported(FkController *c);
-/* Reads terminal states that the view lacks, and passes priorities and deadlines on to dependencies. */
+/* Requests the unknown terminal states of dependencies, and propagates priorities and deadlines from jobs to
+ * their dependencies. Each call does only the part of this work that is due. */
 void fk_job_dependencies_tick(FkController *c);
--- a/src/core/state/live_job.h
+++ b/src/core/state/live_job.h
@@ -1,55 +1,56 @@
-/* A live job as the view and the scheduler see it. */
+/* Live jobs: a job's records, and the state that the view and the scheduler keep of the job. */
 #pragma once
 #include "core/state/job.h"
 #include "fair_share/fair_share.h"
 
-/* `rev` and `spec` are the record's; times are on the steady clock of this process, as first seen by it. */
+/* A live job. Fields of type FkTime, and fields whose names end in `_us`, are times on this process's
+ * monotonic clock. */
 typedef struct {
-  gint ref_count;   /* the view's, and one for each probe */
-  gboolean removed; /* the view has dropped it: none of its tasks waits */
-  guint list_index; /* its place in the view's list of jobs */
+  gint ref_count;   /* number of references, such as from the view, probes and the scheduling queue */
+  gboolean removed; /* the job was removed from the view and has no waiting tasks */
+  guint list_index; /* index in the view's `live_jobs` */
   FkSpec *spec;
-  FkRev rev;
-  gboolean cancelled;
-  FkTime cancelled_at; /* when this controller first saw that */
+  FkRev rev;           /* revision of the job's record */
+  gboolean cancelled;  /* the job or one of its ancestors was cancelled */
+  FkTime cancelled_at; /* when this controller first saw the cancellation */
   guint32 chunk_count;
-  FkChunk **base_chunks; /* the records; NULL: no task of the chunk was ever started */
-  FkChunk **chunks;      /* ... with the completions that count already */
-  guint32 done, allocated;
-  guint32 unstarted_hint;    /* no chunk before this one has a waiting task */
-  FkTime first_seen_at;      /* when this controller first saw it */
-  FkTime attempt_lost_at;    /* when an attempt ended last without a result */
-  FkTime retry_at;           /* backoff after failures */
-  gboolean has_failed;       /* an attempt has failed */
-  gboolean failing;          /* it seems to fail on every machine: one task at a time */
-  FkTime cycle_tried_at;     /* ... and the scheduling cycle that tried it last */
-  guint64 wait_times_window; /* the window in which so many of its waits were counted: */
-  guint wait_times_counted;
-  FkAttempt gang_attempt;           /* of the launch under way */
-  guint32 gang_allocated;           /* tasks that the launch has allocated so far */
-  FkTime preempted_for_at;          /* when others were preempted for it last */
-  double waiting_cpu_s;             /* work of its waiting tasks; sorts the queue */
-  FkJobPriority effective_priority; /* in the queue: its own, or what its team's share gives it */
-  FkStanding fair_share_standing;   /* its team's, among those with demand */
-  guint queue_position;             /* in the queue, from 1; 0: never yet */
-  gboolean urgent;                  /* goes first within its priority and its team's standing */
-  gboolean quota_available; /* its team's quota had room for one more task, at its last scheduling cycle */
-  double demand_cpus;       /* as counted for its team in the scheduling queue */
-  guint waiting_services;   /* tasks of a service that wait, as counted there */
-  guint64 last_cycle;       /* its last scheduling cycle */
-  gboolean size_recorded;   /* its size is in the service level's statistics */
-  FkTime probed_at;
-  double latest_start_s; /* how far off its latest useful start is; sorts the queue */
-  FkTime gang_until;     /* a gang's launch may go on in further transactions until then */
-  gint64 submitted_us;   /* on the steady clock, by the time of day */
-  gint64 startable_us;   /* since when it could start: its submission, or the end of its last dependency */
-  gint64 deadline_us;    /* on the steady clock, its dependents' included; G_MAXINT64: none */
-  FkJobPriority inherited_priority; /* the highest of its own and its direct and indirect dependents' */
-  gboolean blocked;                 /* a dependency is not done: it takes no part in scheduling */
-  gboolean ancestor_cancelled;      /* cancelled with a dependency; its own record may not say so */
+  FkChunk **base_chunks;   /* the chunks as stored; NULL for a chunk without a record */
+  FkChunk **chunks;        /* stored chunks with the view's completions applied; NULL as in `base_chunks` */
+  guint32 done, allocated; /* numbers of tasks */
+  guint32 unstarted_hint;  /* no chunk before this index has a waiting task */
+  FkTime first_seen_at;   /* when this controller first saw the job; reset when the job stops being blocked */
+  FkTime attempt_lost_at; /* when an attempt of the job last ended without a result; 0 if none */
+  FkTime retry_at;        /* end of the job's backoff; 0 if there was none */
+  gboolean has_failed;    /* an attempt has failed */
+  gboolean failing;       /* the job seems to fail on every machine; see fk_job_waiting_tasks() */
+  FkTime cycle_tried_at;  /* last attempt of a scheduling cycle to start a task while `failing` */
+  guint64 wait_times_window;        /* number of the window to which `wait_times_counted` refers */
+  guint wait_times_counted;         /* number of the job's waits added to FkWaitTimes in that window */
+  FkAttempt gang_attempt;           /* attempt number of the gang launch in progress */
+  guint32 gang_allocated;           /* number of tasks allocated so far by the gang launch in progress */
+  FkTime preempted_for_at;          /* when tasks of other jobs were last preempted for this job */
+  double waiting_cpu_s;             /* CPU-seconds of the waiting tasks; sort key of the scheduling queue */
+  FkJobPriority effective_priority; /* priority in the scheduling queue, after fair share and aging */
+  FkStanding fair_share_standing;   /* fair-share standing of the job's team */
+  guint queue_position;             /* queue position when the job was last selected, from 1; 0 if never */
+  gboolean urgent;                  /* sorts before other jobs of equal effective priority and standing */
+  gboolean quota_available;         /* the team's quota allowed another task when last checked */
+  double demand_cpus;               /* number of CPUs counted for the job in its team's demand in the queue */
+  guint waiting_services; /* number of the job's tasks counted as waiting service tasks in the queue */
+  guint64 last_cycle;     /* number of the last scheduling cycle that selected the job */
+  gboolean size_recorded; /* the job's size is included in the service-level statistics */
+  FkTime probed_at;       /* when probes for the job were last placed */
+  double latest_start_s; /* seconds until the latest start for a deadline or objective; G_MAXDOUBLE if none */
+  FkTime gang_until;     /* time until which a gang launch may continue in further transactions */
+  gint64 submitted_us;   /* time of submission, converted from the wall clock */
+  gint64 startable_us; /* when the job became startable: its submission, or the end of its last dependency */
+  gint64 deadline_us;  /* latest end for the job's own and its dependents' deadlines; G_MAXINT64 if none */
+  FkJobPriority inherited_priority; /* highest priority of the job and its direct and indirect dependents */
+  gboolean blocked;                 /* the job has an unfinished dependency and is not scheduled */
+  gboolean ancestor_cancelled;      /* an ancestor was cancelled, even if the job's record does not show it */
 } FkJob;
 
-/* An allocation as the table of its machine has it. */
+/* An allocation in the list of its machine. */
 typedef struct {
   FkJob *job;
   guint32 task;
@@ -60,16 +61,17 @@
 
 FkJob *fk_job_ref(FkJob *job);
 void fk_job_unref(gpointer job);
-/* By its id and not by its address, so that tables of jobs have the same order in every run. */
+/* Hashes the job's id, not its address, so that tables of jobs have the same iteration order in every run. */
 guint fk_job_hash(gconstpointer job);
-/* When it must be done by its own deadline, on the steady clock; G_MAXINT64: at any time. */
+/* Returns the job's own deadline on the monotonic clock, in us; G_MAXINT64 if the job has none. */
 gint64 fk_job_own_deadline_us(const FkJob *job);
-/* Seconds from when it could start until it must be done, its dependents' deadlines included; < 0: any. */
+/* Returns the seconds from `startable_us` to `deadline_us`, at least 0; < 0 if there is no deadline. */
 double fk_job_allowed_s(const FkJob *job);
-/* Cancelled, running (a task is allocated) or queued. */
+/* Returns CANCELLED, RUNNING (a task is allocated) or QUEUED. */
 FkPhase fk_job_phase(const FkJob *job);
-/* All tasks are done. */
+/* Returns whether all tasks are done. */
 gboolean fk_job_is_complete(const FkJob *job);
-/* Tasks that wait for an allocation. Of a failing job that is one at a time: nothing is provisioned,
- * preempted or reserved for the others. */
+/* Returns the number of tasks that wait for an allocation; 0 if the job is cancelled, removed or blocked. For
+ * a failing job that is not a gang, returns at most 1, so that nothing is provisioned, preempted or reserved
+ * for the job's other tasks. */
 guint32 fk_job_waiting_tasks(const FkJob *job);
--- a/src/core/state/run_estimates.c
+++ b/src/core/state/run_estimates.c
@@ -1,16 +1,19 @@
-/* What the view learns of run times and of the arrival of services. */
+/* Estimates of run times and of the arrival rate of services, learned from the jobs in the view. */
 #include "core/state/view_internal.h"
 
-#define ESTIMATE_MIN_S 0.1 /* shorter estimates teach nothing */
+#define ESTIMATE_MIN_S 0.1 /* jobs with a shorter estimate are ignored */
 #define CORRECTION_EWMA_WEIGHT 0.08
 #define CORRECTION_MIN 0.2
 #define CORRECTION_MAX 8.0
-#define SERVICE_RATE_INTERVAL_S 1
-#define SERVICE_RATE_WINDOW_S 20.0
-#define SERVICE_RATE_GROWTH_MAX 2.0 /* an interval counts for so many times the rate at most: bursts pass */
-#define SERVICE_RATE_FLOOR 0.5      /* ... and this, services a second */
+#define ARRIVAL_RATE_INTERVAL_S 1
+#define ARRIVAL_RATE_WINDOW_S 20.0
+/* Limits how far a burst raises the rate: an interval counts as at most this multiple of the current rate,
+ * plus ARRIVAL_RATE_FLOOR tasks per second. */
+#define ARRIVAL_RATE_GROWTH_MAX 2.0
+#define ARRIVAL_RATE_FLOOR 0.5
 
-/* Estimates are biased by class: one ratio a class is learnt from finished tasks. */
+/* Users' estimates are biased, and the bias depends on the class. The correction factor of a class is an
+ * exponential moving average over completed tasks. */
 void fk_view_learn_run_time(FkView *v, const FkSpec *spec, double took_s) {
   if (spec->shape == FK_SHAPE_SERVICE || spec->estimate_s < ESTIMATE_MIN_S)
     return;
@@ -28,11 +31,11 @@
 
 void fk_view_update_service_rate(FkView *v) {
   double elapsed_s = fk_time_between(v->service_rate_at, v->now);
-  if (elapsed_s < SERVICE_RATE_INTERVAL_S)
+  if (elapsed_s < ARRIVAL_RATE_INTERVAL_S)
     return;
   double rate =
-      MIN(v->services_since_rate / elapsed_s, SERVICE_RATE_GROWTH_MAX * v->service_rate + SERVICE_RATE_FLOOR);
-  v->service_rate += (rate - v->service_rate) * MIN(1, elapsed_s / SERVICE_RATE_WINDOW_S);
+      MIN(v->services_since_rate / elapsed_s, ARRIVAL_RATE_GROWTH_MAX * v->service_rate + ARRIVAL_RATE_FLOOR);
+  v->service_rate += (rate - v->service_rate) * MIN(1, elapsed_s / ARRIVAL_RATE_WINDOW_S);
   v->services_since_rate = 0;
   v->service_rate_at = v->now;
 }
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -1,4 +1,5 @@
-/* The store as this controller sees it: a consistent prefix of its history, applied in order. */
+/* The view: an in-memory replica of the store's live records. Once ready, it applies changes in the order of
+ * the store's revisions and shows a consistent, possibly stale, state. */
 #pragma once
 #include "core/settings.h"
 #include "core/state/live_job.h"
@@ -7,7 +8,7 @@
 #include "fair_share/service_level.h"
 #include "fault_attribution/fault_attribution.h"
 
-/* A page of completions. */
+/* A page of completions, written by one controller. */
 typedef struct {
   FkRev rev;
   GPtrArray *records; /* FkCompletionRecord */
@@ -16,73 +17,80 @@
 /* How an allocation ended. */
 typedef enum {
   FK_COMPLETION_DONE,
-  FK_COMPLETION_RELEASED, /* stopped, refused, or lost with its machine */
-  FK_COMPLETION_FAILED    /* the worker says that the task failed */
+  FK_COMPLETION_RELEASED, /* stopped, refused by the worker, or lost with its machine */
+  FK_COMPLETION_FAILED    /* the worker reported that the task failed */
 } FkCompletionKind;
 
 typedef struct FkWorkerState FkWorkerState;
 
-/* When a worker that was redirected to its shard's owner last came back from there, and the time before. */
+/* Times of the two latest returns of a worker. A return is a heartbeat to this controller after it had
+ * redirected the worker to the shard's owner. Returns suggest that the worker cannot reach the owner. */
 typedef struct {
-  FkTime last_at, previous_at;
+  FkTime last_at, previous_at; /* 0 if none */
 } FkReturnedWorker;
 
-/* The most parts of a shard's machine page. It is one record while a value holds it, then several: "zone.k",
- * "zone.k+1", ... Only versions that support dependencies read those with a number. */
+/* The largest number of pages that describe the machines of one shard. The first page is named "zone.k".
+ * Further pages, "zone.k+1" and so on, are used when one value of the store cannot hold all machines. Only
+ * versions that support job dependencies read further pages. */
 #define FK_SHARD_PAGES_MAX 8
 
-/* Machines of one zone that have one owner together: the revision of the record that names the owner is the
- * fencing token of them all. */
+/* A subset of the machines of one zone that have a common owner. The fencing token of a shard's owner is the
+ * revision of the record that names the owner. */
 typedef struct {
   const char *id, *zone;               /* interned */
-  char *owner, *owner_incarnation;     /* the controller; NULL: none yet */
-  FkRev rev;                           /* of the owner's record; 0: none */
-  FkRev page_revs[FK_SHARD_PAGES_MAX]; /* of the pages that describe its machines */
-  gboolean oversized;                  /* a page was written under larger limits than those to come */
-  GPtrArray *machines;                 /* FkMachine: those in the pages, and others that were heard */
-  gboolean was_owned;                  /* by this controller, at the last tick */
-  gboolean acquire_wanted;             /* its workers can't reach their owner, or need a new fencing token */
-  FkTime acquire_after;
-  FkTime no_handback_until;      /* its workers couldn't reach this controller: it is left with its owner */
-  FkTime ignore_returns_until;   /* another has just taken it from us: workers that come back prove nothing */
-  GHashTable *returned_machines; /* id -> FkReturnedWorker*: those that came back from their owner lately */
-  FkRev later_token; /* the highest token that its workers have shown while our view was old: above `rev`,
-                        another controller owns it by now */
-  guint announcements_due; /* workers to be shown a new token at once */
-  gboolean page_dirty;     /* a page is to be written ... */
-  FkTime page_dirty_since;
-  FkTime removal_due; /* ... by then at the latest, since a machine is to be removed; 0: none is */
+  char *owner, *owner_incarnation;     /* the controller that owns the shard; NULL if none does */
+  FkRev rev;                           /* revision of the owner's record; 0 if there is no record */
+  FkRev page_revs[FK_SHARD_PAGES_MAX]; /* revisions of the shard's machine pages; 0 if not seen */
+  gboolean oversized;                  /* a page exceeds the lower of the current and the future size limit */
+  GPtrArray *machines;     /* FkMachine; includes machines that are in no page but have sent heartbeats */
+  gboolean was_owned;      /* whether this controller owned the shard when last checked */
+  gboolean acquire_wanted; /* this controller is to acquire the shard, even if it owns the shard already */
+  FkTime acquire_after;    /* earliest time of the next attempt to acquire the shard */
+  /* Time until which this controller does not take the shard back from a live owner. Set when this controller
+   * loses the shard while healthy: the workers probably could not reach this controller. */
+  FkTime no_handback_until;
+  /* Time until which returned workers do not show that the owner is unreachable. Set when this controller
+   * loses the shard: the new owner acquired it just now, so workers were able to reach the owner. */
+  FkTime ignore_returns_until;
+  GHashTable *returned_machines; /* id -> FkReturnedWorker* */
+  /* The highest fencing token that the shard's workers have reported while this controller's view was stale.
+   * If the token is above `rev`, another controller has acquired the shard. */
+  FkRev later_token;
+  guint announcements_due; /* number of workers to send the new fencing token without delay */
+  gboolean page_dirty;     /* a page has changes that are not written yet */
+  FkTime page_dirty_since; /* from when the pages have waited to be written */
+  FkTime removal_due;      /* when to write the removal of machines; 0 if none is pending */
 } FkShard;
 
-/* A machine, with what the view, its shard's owner and the scheduler know of it. */
+/* A machine, with the state that the view, the shard's owner and the scheduler keep of the machine. */
 typedef struct {
   const char *id;          /* interned */
-  FkMachineRecord *record; /* NULL: not registered */
-  FkShard *shard;          /* NULL: its zone isn't known */
-  FkRev page_rev;          /* the latest of its shard's pages that described it ... */
-  guint page_part;         /* ... and which that is */
-  /* What this controller asks the registry to write of it. */
-  FkMachineRecord *pending_record;  /* owned; NULL: it needn't be added */
-  const char *pending_drain_reason; /* interned; NULL: it stays as it is */
-  double pending_notice_s;
-  gboolean pending_clear;      /* it needn't go any more */
-  gboolean pending_removal;    /* it is gone */
-  struct FkInstanceType *type; /* cached */
+  FkMachineRecord *record; /* NULL if the machine is not registered */
+  FkShard *shard;          /* NULL if its zone is unknown */
+  FkRev page_rev;          /* revision of the page that last contained the machine's record */
+  guint page_part;         /* index of the page that last contained the machine's record */
+  /* Changes of the machine's record that are not written to the store yet. */
+  FkMachineRecord *pending_record;  /* the record to add, owned; NULL if none */
+  const char *pending_drain_reason; /* interned: the drain reason to set; NULL if none */
+  double pending_notice_s;     /* for `pending_drain_reason`: seconds until the termination; < 0 if unknown */
+  gboolean pending_clear;      /* the drain reason is to be cleared */
+  gboolean pending_removal;    /* the record is to be removed: the machine is terminated */
+  struct FkInstanceType *type; /* cached; NULL if not looked up yet */
   GArray *allocations;         /* FkAllocationRef */
   double allocated_cpus, allocated_gpus, allocated_mem_gb;
-  double reserved_cpus, reserved_gpus, reserved_mem_gb; /* by launches under way */
-  double allocated_long_cpus;                           /* of those allocated, to the long path's tasks */
-  const char *drain_reason;                             /* interned: why it should go, or NULL ... */
-  FkTime drain_reason_since;                            /* ... and since when this controller knows */
-  FkTime record_seen;                                   /* when this controller first saw its record */
-  double notice_s; /* seconds from then until its termination; < 0: none was given */
-  FkTime idle_since;
-  gboolean blacklisted;             /* in the short partition: closed to newly arrived long jobs */
-  FkTime full_until;                /* it refused a start: nothing new for a while */
-  FkWorkerState *worker;            /* what this controller keeps of it as its owner, or NULL */
-  GDestroyNotify worker_state_free; /* of `worker` */
-  GHashTable *images;               /* interned: images started there lately */
-  GPtrArray *probes; /* FkJob, with a reference: short jobs that may start here; NULL: none yet */
+  double reserved_cpus, reserved_gpus, reserved_mem_gb; /* reserved for launches in progress */
+  double allocated_long_cpus;                           /* CPUs allocated to tasks of the long path */
+  const char *drain_reason;  /* interned: why the machine is to be drained; NULL if it is not */
+  FkTime drain_reason_since; /* when this controller first saw the drain reason */
+  FkTime record_seen;        /* when this controller first saw the machine's record */
+  double notice_s;           /* seconds from `drain_reason_since` until the termination; < 0 if unknown */
+  FkTime idle_since;         /* when the machine last became idle */
+  gboolean blacklisted;      /* in the short partition, which newly arrived long jobs may not use */
+  FkTime full_until;         /* time until which no task is launched here, after the machine refused one */
+  FkWorkerState *worker;     /* state kept by the shard's owner; NULL if this controller keeps none */
+  GDestroyNotify worker_state_free; /* frees `worker` */
+  GHashTable *images;               /* interned: images of tasks that were allocated to the machine */
+  GPtrArray *probes; /* FkJob, with references: short jobs that placed probes here; NULL before the first */
 } FkMachine;
 
 /* A live controller. */
@@ -91,109 +99,124 @@
   FkRev rev;
 } FkControllerNode;
 
-/* What a team has allocated, and how its quota is kept (scheduling/quota_partition.c). */
+/* The resources allocated to a team, and how its quota is divided among the controllers
+ * (scheduling/quota_partition.c). */
 typedef struct {
   FkRev rev;
-  double cpus, gpus; /* allocated to the team's tasks */
-  double reserved_cpus, reserved_gpus;
-  gboolean share_exhausted; /* this controller's share is used up, the team's quota is not */
-  FkTime serialized_since, changed_at;
-  char *last_exhausted_by; /* the controller that used up its share last, or NULL */
-  double serialized_min_s;
-  GHashTable *cpus_by_controller; /* controller (interned) -> double*: allocated by its launches */
-  GHashTable *partition; /* controller -> double*: its share of the quota; NULL: launches are serialized */
+  double cpus, gpus;                   /* allocated to the team's tasks */
+  double reserved_cpus, reserved_gpus; /* reserved for launches in progress */
+  gboolean share_exhausted; /* this controller's share of the quota did not allow a launch that the quota
+                               allowed */
+  FkTime serialized_since;  /* from when launches have been serialized; the current time if they are not */
+  FkTime changed_at;        /* when the team's record last changed */
+  char *last_exhausted_by;  /* the last controller to use up its share; NULL if none */
+  double serialized_min_s;  /* shortest time for which launches stay serialized */
+  GHashTable *cpus_by_controller; /* controller (interned) -> double*: CPUs allocated by its launches */
+  /* controller -> double*: its share of the CPU quota. Empty while launches are paused; NULL if launches are
+   * serialized. */
+  GHashTable *partition;
 } FkTeamUsage;
 
-/* The guard of a controller's launches. Each incarnation writes it before it launches anything, so that it
- * also says what the version that wrote it last supports. */
+/* A controller's launch fence. The revision of the launch fence guards each of the controller's launches.
+ * Every incarnation writes the launch fence before its first launch, so the launch fence also shows which
+ * capabilities the controller's version has. */
 typedef struct {
   FkRev rev;
-  gboolean supports_dependencies; /* between jobs, and machine pages in parts */
+  gboolean supports_dependencies; /* job dependencies, and several pages per shard */
 } FkLaunchFence;
 
-/* Tables own their values unless it says otherwise. `now` and `wall_offset_us` are set by the owner before
- * changes are applied. */
+/* The replica of the store's live records, with statistics learned from their changes. Hash tables own their
+ * values unless noted otherwise. */
 typedef struct FkView FkView;
 struct FkView {
   const FkSettings *settings;
-  FkRev applied;
+  FkRev applied;                    /* the view includes all changes up to this revision */
   GHashTable *jobs;                 /* id -> FkJob */
   GHashTable *machines;             /* id -> FkMachine */
   GHashTable *shards;               /* id -> FkShard */
   GHashTable *completion_pages;     /* "node/n" -> FkCompletionPage */
-  GHashTable *completions_by_chunk; /* "job/index" -> GPtrArray of FkCompletionRecord, the pages' */
-  GHashTable *launch_fences;        /* node -> FkLaunchFence* */
-  FkDependencyGraph *dependencies;  /* of the live jobs */
-  GHashTable *nodes;                /* name -> FkControllerNode */
+  GHashTable *completions_by_chunk; /* "job/index" -> GPtrArray of FkCompletionRecord, owned by their pages */
+  GHashTable *launch_fences;        /* controller -> FkLaunchFence* */
+  FkDependencyGraph *dependencies;  /* dependency graph of the live jobs */
+  GHashTable *nodes;                /* controller -> FkControllerNode */
   GHashTable *teams;                /* name -> FkTeamUsage */
-  GHashTable *wait_times;           /* node -> FkWaitTimes */
-  GHashTable *terminal_phases;      /* id -> FkPhase+1 */
-  GHashTable *terminal_task_counts;
-  GQueue *terminal_order;
-  GHashTable *estimate_corrections; /* class -> double*: how long tasks really take, by their estimate */
-  FkSpec *latest_service;           /* the latest service seen, or NULL */
-  double service_rate;              /* services that arrive a second, smoothed */
-  guint services_since_rate;        /* since the rate was updated last */
-  FkTime service_rate_at;
-  double finished_run_s; /* of arrays' tasks done in this window: from allocation to end, summed */
-  guint finished_count;
-  double lost_cpu_s; /* of arrays' tasks that ended without a result in this window */
+  GHashTable *wait_times;           /* controller -> FkWaitTimes */
+  GHashTable *terminal_phases;      /* id -> FkPhase + 1 */
+  GHashTable *terminal_task_counts; /* id -> number of tasks done */
+  GQueue *terminal_order;           /* ids of terminal jobs, first added first; owned by `terminal_phases` */
+  GHashTable *estimate_corrections; /* class -> double*: ratio of actual to estimated run time, smoothed */
+  FkSpec *latest_service;           /* the service that was added last; NULL if none */
+  double service_rate;              /* arrival rate of services in tasks per second, smoothed */
+  guint services_since_rate;        /* tasks of services that arrived since `service_rate` was last updated */
+  FkTime service_rate_at;           /* when `service_rate` was last updated */
+  double finished_run_s; /* sum of the measured run times of array and gang tasks completed in this window */
+  guint finished_count;  /* number of tasks in `finished_run_s` */
+  double lost_cpu_s; /* CPU-seconds lost in this window by array and gang tasks that ended without a result */
   FkServiceLevel *service_level;
   FkFaultAttribution *fault_attribution;
-  FkTime failing_reviewed_at;
-  GHashTable *orphan_chunks; /* paths of chunks without a job -> FkRev* */
-  char *leader, *leader_incarnation;
-  FkRev leader_rev;
-  GHashTable *changed_machines; /* ids: allocations, record or owner changed since the last cycle */
-  GPtrArray *capacity_removed;  /* addresses of freed machines, for the capacity index: not to be followed */
-  GHashTable *capacity_changed; /* ids, as above, for the capacity index */
-  GPtrArray *live_jobs;         /* FkJob: those of `jobs`, in no order */
-  GHashTable *changed_jobs; /* FkJob, with a reference: waiting tasks may have changed since the last cycle */
-  guint64 allocation_updates; /* allocations counted in or out: the cost of applying changes */
-  gboolean caught_up;         /* what comes now has just happened: the list and its catch-up are over */
-  FkTime now;                 /* set by the owner before applying */
-  gint64 wall_offset_us;      /* steady = time of day - offset */
+  FkTime failing_reviewed_at;        /* when the failing jobs were last reviewed */
+  GHashTable *orphan_chunks;         /* path of a chunk whose job is not in the view -> FkRev* */
+  char *leader, *leader_incarnation; /* NULL if there is no leader */
+  FkRev leader_rev;                  /* revision of the leader's record; 0 if none */
+  GHashTable *changed_machines;      /* ids of machines changed since the last scheduling cycle */
+  GPtrArray *capacity_removed;       /* addresses of freed machines in the capacity index; not dereferenced */
+  GHashTable *capacity_changed;      /* ids of machines changed since the last update of the capacity index */
+  GPtrArray *live_jobs;              /* FkJob: the values of `jobs`, in no particular order */
+  GHashTable *changed_jobs;          /* FkJob, with references: waiting tasks may have changed since the last
+                                        scheduling cycle */
+  guint64 allocation_updates; /* number of allocations added or removed so far, which drives the cost of
+                                 applying changes */
+  gboolean caught_up;         /* the view is complete, so changes applied from now on have just happened */
+  FkTime now;                 /* current time; set by the caller before it applies changes */
+  gint64 wall_offset_us;      /* wall clock minus monotonic clock, in us; set by the caller */
 };
 
-FkView *fk_view_new(const FkSettings *settings); /* `settings` must outlive it */
+FkView *fk_view_new(const FkSettings *settings); /* `settings` must outlive the view */
 void fk_view_free(FkView *view);                 /* NULL is fine */
-/* Forgets everything but terminal jobs, which never change, before the store is listed again. */
+/* Removes all records of live keys, before they are listed again. Keeps terminal jobs, which never change,
+ * and the learned estimates. */
 void fk_view_clear(FkView *view);
-/* Applies one change. `record` is taken; NULL: the key was deleted. What is older than the view is ignored.
- */
+/* Applies the change of one key at revision `rev`. Takes `record`, which is NULL if the key was deleted. */
 void fk_view_apply(FkView *view, const char *path, FkRecord *record, FkRev rev);
 
-/* Borrowed; NULL: not in the view. */
+/* Return the entry, owned by the view; NULL if the view has no such entry. */
 FkJob *fk_view_find_job(FkView *view, const char *id);
 FkMachine *fk_view_find_machine(FkView *view, const char *id);
-/* Made if the view does not have it: other records may name it before its own comes. */
+/* Return the entry, owned by the view. Create the entry if necessary, because other records may refer to the
+ * entry before its own record arrives. */
 FkMachine *fk_view_ensure_machine(FkView *view, const char *id);
 FkShard *fk_view_ensure_shard(FkView *view, const char *id);
 FkTeamUsage *fk_view_ensure_team(FkView *view, const char *name);
-/* Frees the machine. */
+/* Removes the machine from the view and frees it. */
 void fk_view_remove_machine(FkView *view, FkMachine *machine);
-/* The shard of a machine, for good, by its zone and id; owned by the caller. */
+/* Returns the id of a machine's shard; owned by the caller. The shard depends only on the machine's zone and
+ * id, so a machine never changes its shard. */
 char *fk_shard_id_for_machine(const char *zone, const char *machine);
-/* Puts a machine that has no shard into its own. */
+/* Assigns a machine to its shard, unless the machine has one already. */
 void fk_view_assign_shard(FkView *view, FkMachine *machine, const char *zone);
-/* The revision of a controller's launch fence; 0: it has none. */
+/* Returns the revision of a controller's launch fence; 0 if the controller has none. */
 FkRev fk_view_launch_fence_rev(FkView *view, const char *node);
 
 /* terminal_jobs.c */
 
-/* FALSE: the job is not known as terminal, which does not mean that it isn't. */
+/* Looks up a terminal job: sets `phase` and `tasks`, the number of tasks done. Returns FALSE if the view
+ * lacks the job. The job may be terminal even then, because the view keeps only the most recent terminal
+ * jobs. */
 gboolean fk_view_find_terminal_job(FkView *view, const char *id, FkPhase *phase, guint32 *tasks);
-/* `ended_at_ms`: time of day; 0: not known. */
+/* Adds a terminal job and sets its state in the dependency graph. `tasks`: number of tasks done.
+ * `ended_at_ms`: when the job ended, wall clock; 0 if unknown. */
 void fk_view_add_terminal_job(FkView *view, const char *id, FkPhase phase, guint32 tasks, gint64 ended_at_ms);
 
 /* run_estimates.c */
 
-/* Seconds that a task is expected to run: the user's estimate, corrected by what tasks of its class took. */
+/* Returns the seconds that a task is expected to run: the user's estimate times the correction factor of the
+ * job's class. */
 double fk_view_expected_run_s(FkView *view, const FkSpec *spec);
-/* Updates the rate at which services arrive; at most once a second, calls between do nothing. */
+/* Updates the arrival rate of services. Does nothing if the last update was less than a second ago. */
 void fk_view_update_service_rate(FkView *view);
 
 /* failing_jobs.c */
 
-/* Reviews, at most once a second, which jobs still seem to fail on every machine. */
+/* Reevaluates which of the failing jobs still seem to fail on every machine. Does nothing if the last review
+ * was less than a second ago. */
 void fk_view_review_failing_jobs(FkView *view);
--- a/src/core/state/view_apply.c
+++ b/src/core/state/view_apply.c
@@ -1,4 +1,4 @@
-/* One change of the store, applied to the view. */
+/* Applies one change of the store to the view. */
 #include "core/state/view_internal.h"
 
 #include <string.h>
@@ -18,7 +18,7 @@
     fk_view_mark_machine_changed(v, shard->machines->pdata[i]);
 }
 
-/* Takes over how the page describes the machine. */
+/* Updates the machine from its record in a page. */
 static void set_machine_record(FkView *v, FkMachine *machine, const FkMachineRecord *record) {
   gboolean fresh = !machine->record, changed = machine->drain_reason != record->drain_reason;
   if (changed) {
@@ -34,12 +34,14 @@
     fk_view_mark_machine_changed(v, machine);
 }
 
-/* A machine that a part of its page no longer has, and no other part has now, is proven gone: its allocations
- * have ended before. One that moves is in its new part by the same transaction. */
-static void forget_missing_machines(FkView *v, FkShard *shard, guint64 part, FkRev rev) {
+/* Clears the records of machines that the previous revision of a page contained and the new revision `rev`
+ * does not. A machine that moved to another page keeps its record if that page was applied first. A machine's
+ * record is removed from the store only after the machine is terminated and all its allocations have ended.
+ */
+static void clear_missing_machine_records(FkView *v, FkShard *shard, guint64 page_index, FkRev rev) {
   for (guint i = 0; i < shard->machines->len; i++) {
     FkMachine *machine = shard->machines->pdata[i];
-    if (machine->page_part != part || machine->page_rev.n == rev.n || !machine->record)
+    if (machine->page_part != page_index || machine->page_rev.n == rev.n || !machine->record)
       continue;
     g_clear_pointer(&machine->record, fk_machine_record_free);
     machine->drain_reason = NULL;
@@ -51,25 +53,25 @@
 static void set_machine_page(FkView *v, const char *id, FkRecord *record, FkRev rev) {
   const char *plus = strrchr(id, '+');
   g_autofree char *shard_id = plus ? g_strndup(id, plus - id) : g_strdup(id);
-  guint64 part = plus ? g_ascii_strtoull(plus + 1, NULL, 10) : 0;
-  if (part >= FK_SHARD_PAGES_MAX)
+  guint64 page_index = plus ? g_ascii_strtoull(plus + 1, NULL, 10) : 0;
+  if (page_index >= FK_SHARD_PAGES_MAX)
     return;
   FkShard *shard = fk_view_ensure_shard(v, shard_id);
-  if (shard->page_revs[part].n >= rev.n)
+  if (shard->page_revs[page_index].n >= rev.n)
     return;
-  shard->page_revs[part] = rev;
+  shard->page_revs[page_index] = rev;
   guint bytes = FK_MACHINE_PAGE_OVERHEAD_BYTES;
   for (guint i = 0; record && i < record->machines->len; i++) {
     const FkMachineRecord *machine_record = record->machines->pdata[i];
     FkMachine *machine = fk_view_ensure_machine(v, machine_record->id);
-    fk_view_join_shard(machine, shard);
+    fk_view_move_to_shard(machine, shard);
     machine->page_rev = rev;
-    machine->page_part = (guint)part;
+    machine->page_part = (guint)page_index;
     bytes += fk_machine_record_bytes(machine_record);
     set_machine_record(v, machine, machine_record);
   }
   shard->oversized |= bytes > FK_MACHINE_PAGE_MAX_BYTES(v->settings->value_kb);
-  forget_missing_machines(v, shard, part, rev);
+  clear_missing_machine_records(v, shard, page_index, rev);
 }
 
 static void set_team(FkView *v, const char *id, FkRecord *record, FkRev rev) {
@@ -123,7 +125,8 @@
     g_hash_table_remove(v->wait_times, id);
 }
 
-/* A chunk may come before its job, or outlast it: then its path is kept, to be deleted. */
+/* A chunk may arrive before its job's record, or remain after its job's record is deleted. The view records
+ * the path of an orphaned chunk, so that the leader can delete the chunk. */
 static void set_chunk(FkView *v, const char *path, const char *id, guint32 index, FkRecord *record,
                       FkRev rev) {
   FkJob *job = fk_view_find_job(v, id);
@@ -132,7 +135,7 @@
   if (record && !job)
     g_hash_table_replace(v->orphan_chunks, g_strdup(path), g_memdup2(&rev, sizeof rev));
   else
-    g_hash_table_remove(v->orphan_chunks, path); /* the job has come since, or the chunk is gone */
+    g_hash_table_remove(v->orphan_chunks, path); /* the chunk has a job or was deleted */
 }
 
 void fk_view_apply(FkView *v, const char *path, FkRecord *taken, FkRev rev) {
--- a/src/core/state/view_chunks.c
+++ b/src/core/state/view_chunks.c
@@ -1,5 +1,5 @@
-/* The chunks of live jobs: a record with all that pages of completions have of it, and the sums of what is
- * allocated, kept by difference. */
+/* The chunks of live jobs: computes the effective chunk from the stored record and the completions, and
+ * incrementally updates the amounts allocated on each machine, to each team and to each job. */
 #include "core/state/view_internal.h"
 
 static gboolean is_long(const FkSpec *spec, const FkView *v) {
@@ -41,7 +41,7 @@
       }
     }
     if (!machine->allocations->len) {
-      /* no drift from adding and subtracting fractions */
+      /* Resets the amounts to 0, so that rounding errors do not accumulate. */
       machine->allocated_cpus = machine->allocated_gpus = machine->allocated_mem_gb =
           machine->allocated_long_cpus = 0;
       machine->idle_since = v->now;
@@ -65,8 +65,9 @@
          first->stop_requested == second->stop_requested;
 }
 
-/* Keeps when each allocation was first seen, and learns from those that are done now. */
-static void carry_first_seen(FkView *v, FkJob *job, const FkChunk *old, FkChunk *chunk) {
+/* Copies `first_seen_at` and `start_observed` of attempts that are in both chunks to the new chunk. Records
+ * the success of allocations whose tasks are done in the new chunk only. `old`: NULL if there is none. */
+static void carry_over_first_seen(FkView *v, FkJob *job, const FkChunk *old, FkChunk *chunk) {
   for (guint i = 0; i < chunk->allocations->len; i++) {
     FkAllocation *allocation = &g_array_index(chunk->allocations, FkAllocation, i);
     FkAllocation *previous = old ? fk_chunk_find_allocation(old, allocation->task) : NULL;
@@ -84,7 +85,7 @@
   }
 }
 
-/* A completion counts as long as the chunk has the allocation. */
+/* Marks the completed tasks as done, except tasks that have no allocation in the chunk. */
 static void apply_completed(FkChunk *chunk, const FkCompletionRecord *completion) {
   for (guint i = 0; i < MIN(completion->done->len, chunk->task_count); i++) {
     const FkAllocation *allocation = completion->done->data[i] && !chunk->done[i]
@@ -102,9 +103,11 @@
   }
 }
 
-/* One owner may prove that a task is done while another, or the leader on the cloud's word, proves that the
- * same attempt ended: the result counts, whichever came first. If the order counted, a controller that read
- * both pages from a list would see another state than one that saw them written. */
+/* All done tasks are applied before all released attempts, so a result takes precedence over a release of the
+ * same attempt. Two controllers may record different ends of an attempt: one records the task as done, and
+ * another, such as the leader after the cloud has confirmed a termination, records the attempt as lost. If
+ * the order of the writes decided, a controller that lists both pages could compute another state than a
+ * controller that watched the writes. */
 FkChunk *fk_view_effective_chunk(FkView *v, const FkJob *job, guint32 index) {
   FkChunk *chunk = fk_chunk_copy(job->base_chunks[index]);
   g_autofree char *key = g_strdup_printf("%s/%u", job->spec->id, index);
@@ -116,11 +119,12 @@
   return chunk;
 }
 
-/* Only the allocations in which the two differ are counted: most of a chunk stays as it was. */
+/* Updates the allocated amounts only for allocations that differ between the old and the new chunk, because
+ * most of a chunk stays unchanged. */
 void fk_view_set_effective_chunk(FkView *v, FkJob *job, guint32 index, FkChunk *chunk) {
   FkChunk *old = job->chunks[index];
   if (chunk)
-    carry_first_seen(v, job, old, chunk);
+    carry_over_first_seen(v, job, old, chunk);
   if (index < job->unstarted_hint)
     job->unstarted_hint = index;
   job->chunks[index] = chunk;
@@ -134,15 +138,15 @@
     fk_chunk_free(old);
     return;
   }
-  g_autofree const FkAllocation **kept =
-      g_new0(const FkAllocation *, chunk->task_count); /* by task: the old allocation, until it is matched */
+  /* By task: the old allocation; NULL if there is none or it is already handled. */
+  g_autofree const FkAllocation **unmatched = g_new0(const FkAllocation *, chunk->task_count);
   for (guint i = 0; i < old->allocations->len; i++) {
     const FkAllocation *allocation = &g_array_index(old->allocations, FkAllocation, i);
-    kept[allocation->task - old->first_task] = allocation;
+    unmatched[allocation->task - old->first_task] = allocation;
   }
   for (guint i = 0; i < chunk->allocations->len; i++) {
     const FkAllocation *allocation = &g_array_index(chunk->allocations, FkAllocation, i),
-                       **previous = &kept[allocation->task - chunk->first_task];
+                       **previous = &unmatched[allocation->task - chunk->first_task];
     if (*previous && is_same_allocation(*previous, allocation)) {
       *previous = NULL;
       continue;
@@ -153,8 +157,8 @@
     fk_view_count_allocation(v, job, allocation, +1);
   }
   for (guint32 i = 0; i < chunk->task_count; i++)
-    if (kept[i])
-      fk_view_count_allocation(v, job, kept[i], -1);
+    if (unmatched[i])
+      fk_view_count_allocation(v, job, unmatched[i], -1);
   job->done += chunk->done_count - old->done_count;
   fk_view_mark_job_changed(v, job);
   fk_chunk_free(old);
--- a/src/core/store_session/read_freshness.h
+++ b/src/core/store_session/read_freshness.h
@@ -1,15 +1,20 @@
-/* How fresh the view is for certain, and what the other controllers know. */
+/* Freshness of the view: the latest time for which replies of the store or of the other controllers prove
+ * that the view was current. */
 #pragma once
 #include "core/messages.h"
 
-#define FK_PEER_QUERY_AFTER_S 2.5 /* without an answer of the store, the other controllers are asked */
+/* The other controllers are queried when no reply of the store has confirmed the view for this long. */
+#define FK_PEER_QUERY_AFTER_S 2.5
 
-/* Queries the other controllers while the view is not confirmed, or a cancellation waits for them. `needed`:
- * the revision that they must have applied for it; 0: none. */
+/* Sends the queries to the other controllers that are due. Queries are sent while the store does not confirm
+ * the view, and while cancellations wait until all controllers have applied them. `needed`: the revision that
+ * the other controllers must have applied; 0 if there is none. */
 void fk_read_freshness_tick(FkController *c, FkRev needed);
-/* Another controller's answer to a query that was sent at `sent`: its incarnation, the latest revision that
- * it has seen, and how long ago the store last answered it. */
+/* Handles another controller's reply to the query sent at `sent`. `incarnation`: incarnation of the replying
+ * controller; `seen`: latest revision that the replying controller has seen; `store_age_s`: age in seconds of
+ * the store's last reply to the replying controller. */
 void fk_read_freshness_peer_received(FkController *c, const char *peer, const char *incarnation, FkRev seen,
                                      double store_age_s, FkTime sent);
-/* The latest moment up to which every decision of any controller is in the view for certain. */
+/* Returns the latest time for which the view is known to include every decision that any controller had made.
+ */
 FkTime fk_read_freshness_confirmed_at(FkController *c);
