--- a/src/core/shards/completions.c
+++ b/src/core/shards/completions.c
@@ -1,30 +1,30 @@
-/* Completions: the ends of allocations, as this owner has proof of them. They gather, and one write records
- * many of them, in a page of this controller's own: it alone writes there, so the completions of a hundred
- * jobs' tasks cost one write and no conflict. A page keeps a completion until the chunk's own record says so,
- * or the job is over. */
+/* Completions: the ends of allocations, recorded by the owner that has proof of them. They are batched, and
+ * one write records many of them in a page that only this controller writes, so the completions of a hundred
+ * jobs' tasks cost one write and cause no conflict. A page keeps a completion until the record of the task's
+ * chunk includes it or the job is finished. */
 #include "core/controller_internal.h"
 
 #include <string.h>
 
-#define WRITE_SHARE 0.1 /* of the store's write budget, all controllers together */
+#define WRITE_SHARE 0.1 /* of the store's write rate, for all controllers together */
 #define PAGES_MAX 64
 
-/* Sizes are estimates, in bytes; the limits are shares of a value's limit, which is in kilobytes. */
-#define PAGE_OPEN_BYTES_PER_KB 500.0  /* a page that is larger is left for the next one */
-#define PAGE_LIMIT_BYTES_PER_KB 900.0 /* ... and no page grows beyond this */
+/* Estimated sizes in bytes, and limits in bytes for each kilobyte of the store's limit for a value. */
+#define PAGE_OPEN_BYTES_PER_KB 500.0  /* a larger page is left, and the next one is used */
+#define PAGE_LIMIT_BYTES_PER_KB 900.0 /* no completion is added to a larger page */
 #define PAGE_OVERHEAD_BYTES 2
 #define RECORD_OVERHEAD_BYTES 20
 #define DONE_TASKS_PER_BYTE 4
 #define RELEASED_ATTEMPT_BYTES 10
 
-#define GUARDS_PER_OP 4 /* a transaction may have so many conditions for each operation allowed */
-#define GUARDS_RESERVED 12
-#define FINALIZE_WRITES 2 /* besides the job's chunks */
+#define GUARDS_PER_OP 4    /* conditions of a transaction for each operation that the store allows */
+#define GUARDS_RESERVED 12 /* conditions kept free for finalizing jobs and the page itself */
+#define FINALIZE_WRITES 2  /* writes that finalize a job, in addition to one for each of its chunks */
 
 struct FkCompletion {
   const char *machine;  /* interned */
-  const char *shard_id; /* interned; NULL: no ownership to guard */
-  FkRev shard_rev;      /* the fencing token that the proof stands on */
+  const char *shard_id; /* interned; NULL if the proof doesn't depend on shard ownership */
+  FkRev shard_rev;      /* the fencing token under which the end was proven */
   char *job;
   guint32 task;
   FkAttempt attempt;
@@ -43,12 +43,14 @@
 
 /* ---- pending completions ---- */
 
-/* We have proof that this allocation has ended, and will ask, or have asked, the store to end it: somebody
- * may have started the task elsewhere already, so it must not start here again, whatever our view still
- * shows. The write is guarded by our ownership of the shard, so that the view of a later owner settles it. */
+/* The allocation has certainly ended, and its completion is or will be written. The task may already have
+ * been started elsewhere, so it must not be started here again even if the view still shows the allocation.
+ * The write is conditional on this controller's ownership of the shard; a pending completion no longer counts
+ * once the shard has a new revision, since then it can't be written. */
 gboolean fk_completion_is_pending(FkController *c, const FkMachine *machine,
                                   const FkAllocationRef *allocation) {
-  /* This is asked of every allocation whenever a worker is checked; hardly any machine has a completion. */
+  /* Fast path: this runs for every allocation at each check of a worker, and hardly any machine has a pending
+   * completion. */
   if (!g_hash_table_contains(c->completions.pending_by_machine, machine->id))
     return FALSE;
   g_autofree char *key = fk_attempt_key(allocation->job->spec->id, allocation->task, allocation->attempt);
@@ -59,7 +61,7 @@
          (machine->shard && fk_rev_equal(completion->shard_rev, machine->shard->rev));
 }
 
-static void count_pending_on(FkController *c, const char *machine, int change) {
+static void adjust_pending_count(FkController *c, const char *machine, int change) {
   GHashTable *counts = c->completions.pending_by_machine;
   int count = GPOINTER_TO_INT(g_hash_table_lookup(counts, machine)) + change;
   if (count > 0)
@@ -73,7 +75,7 @@
   g_hash_table_remove_all(c->completions.pending_by_machine);
 }
 
-/* Whether somebody waits for the task to be started elsewhere. */
+/* Returns whether the task waits to be started elsewhere. */
 static gboolean is_urgent(const FkAllocationRef *allocation, FkCompletionKind kind) {
   const FkJob *job = allocation->job;
   return kind != FK_COMPLETION_DONE && !job->cancelled &&
@@ -95,8 +97,8 @@
   char *key = fk_attempt_key(completion->job, completion->task, completion->attempt);
   const FkCompletion *replaced = g_hash_table_lookup(c->completions.pending, key);
   if (replaced)
-    count_pending_on(c, replaced->machine, -1);
-  count_pending_on(c, completion->machine, +1);
+    adjust_pending_count(c, replaced->machine, -1);
+  adjust_pending_count(c, completion->machine, +1);
   g_hash_table_replace(c->completions.pending, key, completion);
   if (is_urgent(allocation, kind))
     c->completions.urgent = TRUE;
@@ -116,7 +118,8 @@
          record->released->len * RELEASED_ATTEMPT_BYTES;
 }
 
-/* The chunk's own record in the view, or NULL if there is none. `path`: "job/index". */
+/* Returns the chunk as its own record in the view shows it, without completion pages, or NULL if there is
+ * none. `path`: "job/index". */
 static const FkChunk *find_base_chunk(FkController *c, const char *path) {
   const char *slash = strrchr(path, '/');
   if (!slash)
@@ -127,8 +130,8 @@
   return job && index < job->chunk_count ? job->base_chunks[index] : NULL;
 }
 
-/* Adds to `unrecorded` what a page must still say of a chunk: completions that its own record doesn't show.
- */
+/* Adds to `unrecorded` the completions of `record` that the page must still hold because the chunk's own
+ * record doesn't include them. */
 static void keep_unrecorded(FkController *c, GPtrArray *unrecorded, const FkCompletionRecord *record) {
   const FkChunk *base = find_base_chunk(c, record->chunk);
   if (!base)
@@ -156,7 +159,7 @@
   return g_strdup_printf("%s/%u", c->settings->node, page);
 }
 
-/* What the page must still say, and its size. */
+/* Returns the completions that the page must still hold, and their size in bytes. */
 static GPtrArray *read_page(FkController *c, guint number, gsize *size) {
   g_autofree char *name = page_name(c, number);
   const FkCompletionPage *page = g_hash_table_lookup(c->view->completion_pages, name);
@@ -169,13 +172,14 @@
   return unrecorded;
 }
 
-/* The page to write next: the one written last, until it is half full; or NULL if all are. */
+/* Returns the contents of the page to write next: the page written last until it is half full, then another
+ * one, or NULL if all pages are. */
 static GPtrArray *open_page(FkController *c, gsize *size) {
   for (guint attempts = 0; attempts < PAGES_MAX; attempts++) {
     g_autoptr(GPtrArray) page = read_page(c, c->completions.page, size);
     if (*size < PAGE_OPEN_BYTES_PER_KB * c->settings->value_kb)
       return g_steal_pointer(&page);
-    /* a small page is likelier among the first */
+    /* the search restarts at page 0, since the lowest pages are the likeliest to have space */
     c->completions.page = attempts || !c->completions.page ? c->completions.page + 1 : 0;
     if (c->completions.page >= PAGES_MAX)
       c->completions.page = 0;
@@ -185,15 +189,15 @@
 
 /* ---- one write ---- */
 
-/* A page, and the transaction that writes it. */
+/* A page and the transaction that writes it. */
 typedef struct {
-  FkOutput *transaction; /* NULL: nothing is to be written yet */
+  FkOutput *transaction; /* NULL until there is something to write */
   GPtrArray *page;       /* FkCompletionRecord */
   gsize size;            /* of the page */
-  GHashTable *jobs;      /* FkJob -> JobCount* */
+  GHashTable *jobs;      /* FkJob* -> JobCount* */
 } Batch;
 
-/* What a batch says of one job: how many of its allocations have ended, and how many tasks are done so. */
+/* Number of one job's allocations that the batch ends, and number of tasks that are done thereby. */
 typedef struct {
   guint ended, done;
 } JobCount;
@@ -208,7 +212,7 @@
   batch->page = open_page(c, &batch->size);
   if (!batch->page)
     return FALSE;
-  /* before launches: what ends makes room for them */
+  /* sent before launches, since completions free capacity for them */
   batch->transaction = fk_transaction_new(c, FK_PRIORITY_SHARD);
   return TRUE;
 }
@@ -271,9 +275,10 @@
   fk_transaction_put(batch->transaction, fk_key_path(FK_KEY_COMPLETIONS, name), record, (FkRev){0});
 }
 
-/* How many more writes the transaction may have to finalize this job. A large transaction finds no room in a
- * busy store's budget; the sweep takes what is left here. But nothing that needs the job starts before its
- * terminal state is there. */
+/* Returns how many more writes the transaction may have for finalizing this job. The limit is the unused
+ * write budget, because a busy store never has budget for a large transaction; the leader's periodic sweep
+ * finalizes the jobs that are left. A job with dependents isn't limited by the budget, since they can't start
+ * until its terminal state is written. */
 static guint writes_left(FkController *c, const FkOutput *transaction, const FkJob *job) {
   guint max = c->settings->transaction_ops_max;
   if (!fk_dependency_graph_has_dependents(c->view->dependencies, job->spec->id))
@@ -281,14 +286,15 @@
   return max > transaction->writes->len ? max - transaction->writes->len : 0;
 }
 
-/* Whether nothing of the job is left once the batch is written. */
+/* Returns whether the batch ends the job's last allocations, and either all its tasks are done or the job is
+ * cancelled. */
 static gboolean completes_job(FkController *c, const FkJob *job, const JobCount *count) {
   if (job->allocated != count->ended)
     return FALSE;
   return job->cancelled ? !fk_services_have_priority(c) : job->done + count->done == job->spec->tasks;
 }
 
-/* The last completions of a job finalize it in the same transaction. */
+/* Finalizes the jobs that the batch completes, in the same transaction. */
 static void batch_finalize_jobs(FkController *c, Batch *batch) {
   FkOutput *transaction = batch->transaction;
   guint guards_max = GUARDS_PER_OP * c->settings->transaction_ops_max;
@@ -306,7 +312,7 @@
 
 /* ---- the tick ---- */
 
-/* The job of a completion that is still to be written, or NULL. */
+/* Returns the completion's job, or NULL if the completion needn't be written any more. */
 static FkJob *job_to_complete(FkController *c, const FkCompletion *completion) {
   const FkMachine *machine = fk_view_find_machine(c->view, completion->machine);
   FkJob *job = fk_view_find_job(c->view, completion->job);
@@ -316,12 +322,13 @@
     return NULL;
   const FkChunk *chunk = job->chunks[completion->task / job->spec->chunk_tasks];
   const FkAllocation *allocation = chunk ? fk_chunk_find_allocation(chunk, completion->task) : NULL;
-  gboolean stands = allocation && allocation->attempt.n == completion->attempt.n &&
-                    allocation->machine == completion->machine;
-  return stands ? job : NULL;
+  gboolean is_current = allocation && allocation->attempt.n == completion->attempt.n &&
+                        allocation->machine == completion->machine;
+  return is_current ? job : NULL;
 }
 
-/* Adds what is pending, and drops what needn't be written any more. Returns FALSE when no page has room. */
+/* Adds pending completions to the batch and drops those that needn't be written any more. Returns FALSE if no
+ * page has space. */
 static gboolean batch_fill(FkController *c, Batch *batch) {
   GHashTableIter iter;
   gpointer value;
@@ -330,7 +337,7 @@
     const FkCompletion *completion = value;
     FkJob *job = job_to_complete(c, completion);
     if (!job) {
-      count_pending_on(c, completion->machine, -1);
+      adjust_pending_count(c, completion->machine, -1);
       g_hash_table_iter_remove(&iter);
       continue;
     }
--- a/src/core/shards/machine_pages.c
+++ b/src/core/shards/machine_pages.c
@@ -1,5 +1,5 @@
-/* The pages of the machine registry: a shard's machines are described in one record while a value holds them,
- * then in several, each machine in one of them. */
+/* The pages of the machine registry. A shard's machines are described in one record as long as they fit into
+ * one value, then in several, with each machine in exactly one of them. */
 #include "core/shards/machine_pages.h"
 
 void fk_machine_pages_clear(FkMachinePages *pages) {
@@ -16,9 +16,9 @@
 
 /* ---- building ---- */
 
-/* The page that the machine is described in: its present one while that has room, else the first that has.
- * Until all controllers can read several pages there is one, which may be as large as the present limits
- * allow. FK_SHARD_PAGES_MAX: there is no room. */
+/* Returns the page for the machine's record: its present page if the record fits there, else the first page
+ * that it fits into, or FK_SHARD_PAGES_MAX if it fits into none. Until all controllers can read several pages
+ * there is only one, which may be as large as the store's present limit allows. */
 static guint page_for(FkController *c, const FkMachinePages *pages, const FkMachine *machine, guint size) {
   gboolean several = fk_job_dependencies_are_supported(c);
   guint limit = FK_MACHINE_PAGE_MAX_BYTES(several ? c->settings->value_kb : c->settings->current_value_kb);
@@ -37,8 +37,8 @@
   pages->bytes[page] += size;
 }
 
-/* Whether another drain reason is to be written than the one that is there. Requests that are met by now are
- * dropped. */
+/* Returns whether the drain reason must be written because a change of it is requested. Drops requests that
+ * are already fulfilled. */
 static gboolean drain_reason_changes(FkMachine *machine) {
   if (machine->pending_drain_reason == machine->drain_reason)
     machine->pending_drain_reason = NULL;
@@ -47,7 +47,7 @@
   return machine->pending_drain_reason || machine->pending_clear;
 }
 
-/* Returns whether the machine changes a page. */
+/* Adds the machine to its page. Returns whether a page changes because of the machine. */
 static gboolean add_machine(FkController *c, const FkShard *shard, FkMachine *machine,
                             FkMachinePages *pages) {
   const FkMachineRecord *present = machine->record ? machine->record : machine->pending_record;
@@ -76,8 +76,8 @@
   return TRUE;
 }
 
-/* What was written under larger limits is divided on the way: a machine that has no room in its page any more
- * moves to another, by the same transaction. */
+/* Also divides pages that were written under larger limits: a machine that no longer fits into its page moves
+ * to another page in the same transaction. */
 gboolean fk_machine_pages_build(FkController *c, FkShard *shard, FkMachinePages *pages) {
   gboolean owned = fk_shard_is_owned(c, shard), any_change = FALSE;
   for (guint i = 0; i < FK_SHARD_PAGES_MAX; i++)
--- a/src/core/shards/machine_registry.c
+++ b/src/core/shards/machine_registry.c
@@ -1,20 +1,22 @@
-/* The machine registry: the store's descriptions of the machines, by shard. Machines are added, drained and
- * removed. Changes gather, and several shards' pages are written by one transaction, so that a hundred
- * machines cost a few writes. */
+/* The machine registry: the records in the store that describe each shard's machines. Machines are added,
+ * drained and removed. Changes are batched, and one transaction writes the pages of several shards, so that
+ * changes of a hundred machines cost only a few writes. */
 #include "core/shards/machine_pages.h"
 
-#define WRITES_MIN 3 /* a transaction, and more as the budget allows */
+/* Writes in one transaction: at least WRITES_MIN are allowed, and more as the write budget permits. */
+#define WRITES_MIN 3
 #define WRITES_MAX 20
 #define TRANSACTION_BYTES_MAX 48000
-#define WRITE_SHARE 0.4 /* of the store's write budget, all controllers together */
+#define WRITE_SHARE 0.4 /* of the store's write rate, for all controllers together */
 #define WRITE_PAUSE_MAX_S 3.0
-#define REMOVAL_DELAY_S 6.0 /* nobody waits for a removal: many go by one write */
+#define REMOVAL_DELAY_S 6.0 /* nothing waits for a removal, so it is delayed to batch many in one write */
 
-/* While less of a second's budget than this is used there is nothing to save for. */
-#define PLENTY_SECONDS 0.4
-#define PACE_WITH_PLENTY_S 0.15
+/* With more than this many seconds of this controller's write budget unused, writes need no long pauses: the
+ * pause is at most SURPLUS_PACE_S. */
+#define SURPLUS_SECONDS 0.4
+#define SURPLUS_PACE_S 0.15
 
-/* After a write that failed. */
+/* Range of the jittered pause after a failed write. */
 #define RETRY_MIN_S 0.2
 #define RETRY_MAX_S 0.5
 
@@ -24,8 +26,8 @@
 
 double fk_write_pace_s(FkController *c, guint writes, double share) {
   double pace_s = writes * (double)fk_controller_live_count(c) / (share * c->settings->store_write_rps);
-  double plenty = PLENTY_SECONDS * fk_store_write_share(c) * c->settings->store_write_rps;
-  return c->launches.write_room > plenty ? MIN(pace_s, PACE_WITH_PLENTY_S) : pace_s;
+  double surplus = SURPLUS_SECONDS * fk_store_write_share(c) * c->settings->store_write_rps;
+  return c->launches.write_room > surplus ? MIN(pace_s, SURPLUS_PACE_S) : pace_s;
 }
 
 /* ---- requested changes ---- */
@@ -76,16 +78,17 @@
 
 /* ---- which shard's pages are written first ---- */
 
-/* What writing a shard's pages brings, by machine. In the tables' own order the first shards were dirty again
- * by the time that a write was free, and the last never had their turn: 250 idle machines stood for minutes,
- * each page draining one or two. So the pages that settle the most go first: what tasks wait for, then what
- * costs money, then what only tidies up. Gains grow with waiting, so that one idle machine has its turn as
- * well. */
-#define GAIN_USABLE 4.0      /* new, or no longer drained */
-#define GAIN_UNAVAILABLE 6.0 /* silent, faulty or noticed: what runs there is to go on elsewhere */
-#define GAIN_SPARE 1.0       /* idle or drained by request */
+/* The gain from writing a shard's pages is the sum of its machines' gains, and the pages with the largest
+ * gain are written first: changes that tasks wait for, then changes that save money, then mere cleanup. When
+ * pages were written in hash-table order, the first shards were dirty again before the next write was
+ * allowed, and the last shards starved: 250 idle machines were not drained for minutes, and each page written
+ * drained only one or two. The gain grows with the waiting time, so that a shard with one idle machine
+ * doesn't starve either. */
+#define GAIN_USABLE 4.0      /* a new machine, or one that is no longer drained */
+#define GAIN_UNAVAILABLE 6.0 /* silent, faulty or with a termination notice: its tasks must move */
+#define GAIN_SPARE 1.0       /* idle, or drained by request */
 #define GAIN_REMOVED 0.1
-#define GAIN_PER_SECOND 0.3
+#define GAIN_PER_SECOND 0.3 /* per second since the shard's page became dirty */
 
 static double machine_gain(const FkMachine *machine) {
   if (!machine->record)
@@ -114,14 +117,14 @@
 }
 
 static gboolean is_due(FkController *c, const FkShard *shard) {
-  /* Pages larger than the limits to come are divided by the owner as soon as all controllers can read that.
-   */
+  /* The owner divides pages that exceed the store's next limits as soon as all controllers can read divided
+   * pages. */
   gboolean divide = shard->oversized && fk_shard_is_owned(c, shard) && fk_job_dependencies_are_supported(c);
   gboolean removal = shard->removal_due.us && fk_time_reached(c->now, shard->removal_due);
   return shard->page_dirty || divide || removal;
 }
 
-/* The shards whose pages are to be written, those with the largest gain first. */
+/* Returns the shards whose pages are due to be written, sorted by decreasing gain. */
 static GArray *due_pages(FkController *c) {
   GArray *due = g_array_new(FALSE, FALSE, sizeof(DuePage));
   GHashTableIter iter;
@@ -152,7 +155,7 @@
     c->shards.page_write_after = fk_write_retry_at(c);
 }
 
-/* A transaction with as many due pages as fit, or NULL. */
+/* Returns a transaction with as many due pages as fit, or NULL if no page changes. */
 static FkOutput *write_due_pages(FkController *c) {
   FkOutput *transaction = NULL;
   guint bytes = 0;
@@ -173,7 +176,7 @@
       transaction = fk_transaction_new(c, FK_PRIORITY_LAUNCH);
     if (!fk_machine_pages_write(c, transaction, shard, &pages, writes_max))
       break;
-    shard->page_dirty_since = c->now; /* should anything be left, it waits from now on */
+    shard->page_dirty_since = c->now; /* waiting starts over for changes that remain */
     bytes += fk_machine_pages_changed_bytes(&pages);
   }
   return transaction;
--- a/src/core/shards/shard_ownership.c
+++ b/src/core/shards/shard_ownership.c
@@ -1,19 +1,23 @@
-/* Shard ownership: which controller owns which shard of machines. A shard is acquired by writing one record;
- * that record's revision is the fencing token of every machine in the shard, so that a failover of a crashed
- * controller's machines costs a few writes however many they are. A machine's shard never changes, so its
- * token only ever rises. */
+/* Shard ownership: which controller owns which shard of machines. A controller acquires a shard by writing
+ * one record, whose revision is the fencing token of every machine in the shard. The failover of a crashed
+ * controller's machines therefore costs only a few writes, regardless of their number. A machine's shard
+ * never changes, so its token only increases. */
 #include "core/controller_internal.h"
 
 #include <string.h>
 
-#define HANDBACK_AFTER_S 10.0      /* a controller that came back takes its shards back after this */
-#define IGNORE_RETURNS_LEASES 0.33 /* leases: work survives it, should the new owner fail at once */
-#define NO_HANDBACK_S 60.0         /* a shard lost to a live controller is left there for so long */
-#define STARTUP_PAUSE_S 1.0        /* a controller just started acquires no shards of dead ones */
-#define ACQUIRE_PAUSE_S 0.5        /* between two attempts to acquire one shard */
+#define HANDBACK_AFTER_S 10.0 /* time since a restart or recovery before a controller takes its shards back  \
+                               */
+/* Time in leases, after the loss of a shard, in which workers that return from the new owner are ignored.
+ * Short enough that their work survives if the new owner fails at once. */
+#define IGNORE_RETURNS_LEASES 0.33
+#define NO_HANDBACK_S 60.0 /* a shard lost to a live controller isn't taken back for this long */
+#define STARTUP_PAUSE_S                                                                                      \
+  1.0 /* time after its start in which a controller acquires no shards of dead controllers */
+#define ACQUIRE_PAUSE_S 0.5 /* between two attempts to acquire the same shard */
 #define SHARDS_PER_TRANSACTION_MAX 16
-#define HANDBACKS_MAX 2 /* shards taken back from live controllers at a time */
-#define HANDBACK_PAUSE_S 2.0
+#define HANDBACKS_MAX 2      /* shards taken back from live controllers by one transaction */
+#define HANDBACK_PAUSE_S 2.0 /* between two transactions that take shards back from live controllers */
 
 gboolean fk_shard_is_owned(FkController *c, const FkShard *shard) {
   return shard->owner && g_str_equal(shard->owner, c->settings->node) &&
@@ -34,7 +38,8 @@
   return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* The controllers of a zone (NULL: all), in an order that all agree on. */
+/* Returns the names of the controllers of a zone, or of all zones if `zone` is NULL, in an order that is the
+ * same on every controller. */
 static GPtrArray *controllers_in(FkController *c, const char *zone) {
   GPtrArray *names = g_ptr_array_new();
   if (!zone || g_str_equal(c->settings->zone, zone))
@@ -57,14 +62,15 @@
       g_ptr_array_remove_index(names, i);
 }
 
-/* The number of the shard within its zone. */
+/* Returns the shard's index within its zone. */
 static guint shard_index(const FkShard *shard) {
   const char *dot = strrchr(shard->id, '.');
   return dot ? (guint)g_ascii_strtoull(dot + 1, NULL, 10) : 0;
 }
 
-/* A shard's place among the controllers of a zone (NULL: all), or NULL if none of them lives. A dead
- * controller's shards are dealt out among the living. */
+/* Returns the controller that shard number `index` is assigned to among the controllers of a zone, or of all
+ * zones if `zone` is NULL; NULL if none of them is alive. The shards of a dead controller are distributed
+ * among the live ones. */
 static const char *assigned_controller(FkController *c, const char *zone, guint index) {
   g_autoptr(GPtrArray) names = controllers_in(c, zone);
   if (!names->len)
@@ -77,7 +83,7 @@
   return names->len ? names->pdata[rest % names->len] : NULL;
 }
 
-/* Every controller comes to the same answer from the same view. */
+/* Prefers the live controllers of the shard's zone. The result depends only on the settings and the view. */
 const char *fk_shard_preferred_owner(FkController *c, const FkShard *shard) {
   guint index = shard_index(shard);
   const char *owner = assigned_controller(c, shard->zone, index);
@@ -88,7 +94,7 @@
 
 /* ---- whether to acquire a shard ---- */
 
-/* Since when the view is there and the store answers. */
+/* Returns since when the view has been ready and the store has been reachable. */
 static FkTime healthy_since(FkController *c) {
   FkTime recovered = c->store_session.store_recovered_at, ready = c->store_session.ready_since;
   return recovered.us > ready.us ? recovered : ready;
@@ -98,10 +104,11 @@
   return shard->owner && !g_str_equal(shard->owner, c->settings->node) && fk_node_is_alive(c, shard->owner);
 }
 
-/* A shard lost while this controller was healthy was lost because its workers can't reach us: it is left
- * where it is for a while. Lost just after a start, or while the store couldn't be reached, it was only taken
- * in the meantime: what runs there would die in the next partition, its owner outside. */
-static void note_loss(FkController *c, FkShard *shard, gboolean owned) {
+/* Records the loss of a shard. A shard that a live controller took while this controller was healthy was
+ * taken because its workers can't reach this controller, so it isn't taken back for a while. A shard lost
+ * soon after a start, or after the store was unreachable, was only taken over temporarily and is taken back
+ * soon: with an owner outside its zone, its tasks would be lost in the next partition of the zone. */
+static void record_loss(FkController *c, FkShard *shard, gboolean owned) {
   if (shard->was_owned && !owned) {
     if (owned_by_live_peer(c, shard) && fk_time_between(healthy_since(c), c->now) > HANDBACK_AFTER_S)
       shard->no_handback_until = fk_time_add(c->now, NO_HANDBACK_S);
@@ -125,16 +132,17 @@
          fk_time_reached(c->now, c->shards.handback_after) && is_preferred_owner(c, shard);
 }
 
-/* `handbacks`: how many shards are being taken back from live controllers; counted up. */
+/* Returns whether to acquire the shard now. `handbacks`: number of shards that this transaction takes back
+ * from live controllers, incremented if this shard is one. */
 static gboolean should_acquire(FkController *c, FkShard *shard, guint *handbacks) {
   gboolean owned = fk_shard_is_owned(c, shard);
-  note_loss(c, shard, owned);
+  record_loss(c, shard, owned);
   if (!fk_time_reached(c->now, shard->acquire_after))
     return FALSE;
   if (owned || shard->acquire_wanted)
     return shard->acquire_wanted;
   if (shard->owner && g_str_equal(shard->owner, c->settings->node))
-    return TRUE; /* ours in an earlier incarnation */
+    return TRUE; /* an earlier incarnation of this controller owned it */
   if (!shard->owner || !fk_node_is_alive(c, shard->owner))
     return should_fail_over(c, shard);
   if (*handbacks >= HANDBACKS_MAX || !may_take_back(c, shard))
@@ -156,7 +164,7 @@
     c->shards.acquire_after = fk_write_retry_at(c);
 }
 
-/* Names this controller, in its present incarnation, as the shard's owner. */
+/* Adds a write that makes this controller, in its present incarnation, the shard's owner. */
 static void write_ownership(FkController *c, FkOutput *transaction, FkShard *shard) {
   FkRecord *record = fk_record_new(FK_KEY_SHARD);
   record->node = g_strdup(c->settings->node);
--- a/src/core/shards/shards.h
+++ b/src/core/shards/shards.h
@@ -1,81 +1,83 @@
-/* Shards of machines: who owns them, the registry of their machines, and the completions of what ran there.
- */
+/* Shards of machines: their ownership, the registry of their machines, and the completions of the allocations
+ * on them. */
 #pragma once
 #include "core/messages.h"
 
-/* Why a machine should go, as it is written in the store. */
+/* Reasons for draining a machine, as written in the store. */
 #define FK_DRAIN_REASON_IDLE "idle"
-#define FK_DRAIN_REASON_DRAIN "drain"   /* what runs there moves, then it goes */
-#define FK_DRAIN_REASON_NOTICE "notice" /* the cloud has given notice of its termination */
+#define FK_DRAIN_REASON_DRAIN "drain"   /* by request: its tasks move elsewhere, then it is terminated */
+#define FK_DRAIN_REASON_NOTICE "notice" /* the cloud gave notice that it will terminate the machine */
 #define FK_DRAIN_REASON_SILENT "silent"
 #define FK_DRAIN_REASON_FAULTY "sick"
 
-/* Acquiring shards, and writing their machine registry's pages. */
+/* State of the transactions that acquire shards and that write the machine registry's pages. */
 typedef struct {
-  gboolean acquiring;     /* a transaction is under way ... */
-  FkRev acquire_wait_rev; /* ... or the view must reach what the last one wrote */
-  FkTime acquire_after;
-  FkTime handback_after; /* no shard is taken back from a live controller before this */
-  gboolean page_writing; /* the same for the registry's pages */
-  FkRev page_wait_rev;
-  FkTime page_write_after;
+  gboolean acquiring;      /* a transaction that acquires shards is in flight */
+  FkRev acquire_wait_rev;  /* revision of the last such transaction: no new one until the view reaches it */
+  FkTime acquire_after;    /* earliest time of the next such transaction */
+  FkTime handback_after;   /* earliest time at which shards may be taken back from a live controller */
+  gboolean page_writing;   /* a transaction that writes registry pages is in flight */
+  FkRev page_wait_rev;     /* revision of the last such transaction: no new one until the view reaches it */
+  FkTime page_write_after; /* earliest time of the next such transaction */
 } FkShardOwnership;
 
-/* The end of one allocation, proven and not in the store yet. */
+/* The proven end of one allocation, not yet recorded in the store. */
 typedef struct FkCompletion FkCompletion;
 
 typedef struct {
   GHashTable *pending;            /* attempt key -> FkCompletion */
-  GHashTable *pending_by_machine; /* machine id (interned) -> how many of them */
-  gboolean writing;               /* a transaction is under way ... */
-  FkRev wait_rev;                 /* ... or the view must reach what the last one wrote */
-  FkTime write_after;
-  gboolean urgent; /* a task waits to be started elsewhere: the pause until `write_after` is skipped */
-  guint page;      /* the number of the page written last */
+  GHashTable *pending_by_machine; /* machine id (interned) -> number of pending completions */
+  gboolean writing;               /* a transaction is in flight */
+  FkRev wait_rev;                 /* revision of the last transaction: no new one until the view reaches it */
+  FkTime write_after;             /* earliest time of the next transaction, unless `urgent` */
+  gboolean urgent;                /* a task waits to be started elsewhere: don't wait until `write_after` */
+  guint page;                     /* number of the page written last */
 } FkCompletions;
 
-/* When to try again after a write that failed; spread, so that controllers don't collide. */
+/* Returns when to retry a failed write; jittered, so that controllers don't collide. */
 FkTime fk_write_retry_at(FkController *c);
-/* Seconds that so many writes must last when all controllers together may use `share` of the store's write
- * budget. */
+/* Returns how many seconds to pause after a transaction of `writes` writes, so that all controllers together
+ * use at most `share` of the store's write rate. The pause is short while most of the write budget is unused.
+ */
 double fk_write_pace_s(FkController *c, guint writes, double share);
 
 /* ---- shard_ownership.c ---- */
 
-/* Whether this controller, in its present incarnation, owns the shard by the view. */
+/* Returns whether the view shows this controller, in its present incarnation, as the shard's owner. */
 gboolean fk_shard_is_owned(FkController *c, const FkShard *shard);
 gboolean fk_machine_is_owned(FkController *c, const FkMachine *machine);
-/* The controller that should own the shard; all controllers agree on it while their views do. */
+/* Returns the controller that should own the shard. Controllers with the same view get the same result. */
 const char *fk_shard_preferred_owner(FkController *c, const FkShard *shard);
 /* Acquires the shards that this controller should own. */
 void fk_shard_ownership_tick(FkController *c);
 
 /* ---- machine_registry.c ---- */
 
-/* Asks for a machine that sends heartbeats to be registered. */
+/* Requests that a machine that sends heartbeats be registered. */
 void fk_machine_registry_add(FkController *c, FkMachine *machine, const FkHeartbeat *heartbeat);
-/* Asks the leader, through the store, to drain a registered machine; `reason` NULL: no longer. `notice_s`:
- * seconds until its termination, < 0: none. */
+/* Requests, by a record in the store, that the leader drain a registered machine, or end its drain if
+ * `reason` is NULL. `notice_s`: seconds until the cloud terminates it, < 0 if it gave no notice. */
 void fk_machine_registry_set_drain_reason(FkController *c, FkMachine *machine, const char *reason,
                                           double notice_s);
-/* Asks for a machine to be removed that is proven gone and has no allocations. */
+/* Requests the removal of a machine that is proven gone. It is removed when it has no allocations. */
 void fk_machine_registry_remove(FkController *c, FkMachine *machine);
-/* Writes the pages with requested changes. */
+/* Writes the pages that the requested changes affect. */
 void fk_machine_registry_tick(FkController *c);
 
 /* ---- completions.c ---- */
 
-/* "job/task#attempt". */
+/* Returns the attempt's key, "job/task#attempt". */
 char *fk_attempt_key(const char *job, guint32 task, FkAttempt attempt);
-/* Whether the allocation has certainly ended, and the view doesn't show it yet. */
+/* Returns whether a completion of the allocation is pending: it has certainly ended, but the view doesn't
+ * show that yet. */
 gboolean fk_completion_is_pending(FkController *c, const FkMachine *machine,
                                   const FkAllocationRef *allocation);
-/* Adds the proven end of an allocation. `guarded`: the proof stands on our ownership of the machine's shard.
- */
+/* Adds the completion of an allocation that is proven to have ended. `guarded`: the proof is valid only while
+ * this controller owns the machine's shard, so the write is conditional on that. */
 void fk_completions_add(FkController *c, const FkMachine *machine, const FkAllocationRef *allocation,
                         FkCompletionKind kind, gboolean guarded);
-/* Writes what is pending. */
+/* Writes pending completions to the store. */
 void fk_completions_tick(FkController *c);
-/* Forgets what is pending. */
+/* Discards all pending completions. */
 void fk_completions_clear(FkController *c);
 void fk_completion_free(gpointer completion);
