--- a/src/fault_attribution/fault_attribution.c
+++ b/src/fault_attribution/fault_attribution.c
@@ -1,33 +1,43 @@
 #include "fault_attribution/fault_attribution.h"
 
-#define SITES_MAX 8               /* machines remembered of a job, and jobs of a machine: the latest */
-#define FAILING_JOB_SITES_MIN 2   /* machines that a job must fail on, without any success */
-#define FAULTY_MACHINE_FAILURES 3 /* in a row, ... */
-#define UNPROVEN_FAILURES_MAX 2   /* ... of which one job that has worked nowhere yet may add so many ... */
-#define UNPROVEN_WEIGHT 0.5       /* ... of this weight each */
-#define AVOID_MACHINE_S 60.0      /* after that it may have been repaired */
-#define SURVIVAL_FACTOR 3.0       /* times as long as the failed tasks took ... */
-#define SURVIVAL_MARGIN_S 5.0     /* ... and so much longer, since an image may come late */
-#define IMMEDIATE_RETRIES 3       /* of a job that isn't failing everywhere */
+#define SITES_MAX 8 /* latest machines remembered for a job, and latest jobs remembered for a machine */
+/* Number of machines that a job without any success must have failed on to count as failing everywhere. */
+#define FAILING_JOB_SITES_MIN 2
+#define FAULTY_MACHINE_FAILURES 3 /* consecutive failures that make a machine faulty */
+/* Failures of a job that hasn't worked on any machine yet: how many of one job count against a machine, and
+ * the weight of each. */
+#define UNPROVEN_FAILURES_MAX 2
+#define UNPROVEN_WEIGHT 0.5
+#define AVOID_MACHINE_S                                                                                      \
+  60.0 /* a job avoids a machine for this long, after which it may have been repaired                        \
+        */
+/* A running task outlives the failed ones when it has run for SURVIVAL_FACTOR times as long as the
+ * longest of them took, plus SURVIVAL_MARGIN_S, since its image may have arrived late. */
+#define SURVIVAL_FACTOR 3.0
+#define SURVIVAL_MARGIN_S 5.0
+/* Retries of a job that isn't failing everywhere: the first ones are immediate, then the delay grows by
+ * RETRY_DELAY_S with each failure. */
+#define IMMEDIATE_RETRIES 3
 #define RETRY_DELAY_S 0.5
 #define RETRY_DELAY_MAX_S 30.0
-#define FAILING_RETRY_DELAY_S 2.0 /* twice as long after each further failure */
+/* Retries of a job that is failing everywhere: the first delay, doubled after each further failure. */
+#define FAILING_RETRY_DELAY_S 2.0
 #define FAILING_RETRY_DELAY_MAX_S 60.0
 
 /* The failures of one job on one machine. */
 typedef struct {
-  char *id; /* the machine in a job's history, the job in a machine's */
-  guint times;
-  FkTime last;
+  char *id; /* id of the machine in a job's history, of the job in a machine's history */
+  guint failure_count;
+  FkTime last_at;
 } FailureSite;
 
 /* The failures of one job, or on one machine. */
 typedef struct {
-  GArray *sites;      /* FailureSite */
-  guint consecutive;  /* failures since the latest success */
-  gboolean succeeded; /* a task of the job has succeeded */
-  gboolean survives;  /* a running task of the job has outlived the failed ones */
-  double longest_s;   /* the longest that a failed task took */
+  GArray *sites;           /* FailureSite */
+  guint consecutive;       /* number of failures since the latest success */
+  gboolean succeeded;      /* a task of the job has succeeded */
+  gboolean survives;       /* a running task of the job has outlived the failed ones */
+  double longest_failed_s; /* longest time between a failed task's allocation and its failure */
 } FailureHistory;
 
 struct FkFaultAttribution {
@@ -87,8 +97,8 @@
   FailureSite *site = find_site(history, id);
   history->consecutive++;
   if (site) {
-    site->times++;
-    site->last = now;
+    site->failure_count++;
+    site->last_at = now;
     return;
   }
   if (history->sites->len >= SITES_MAX)
@@ -100,19 +110,19 @@
 void fk_fault_attribution_task_survives(FkFaultAttribution *attribution, const char *job, double oldest_s) {
   FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
   if (history)
-    history->survives = oldest_s > SURVIVAL_FACTOR * history->longest_s + SURVIVAL_MARGIN_S;
+    history->survives = oldest_s > SURVIVAL_FACTOR * history->longest_failed_s + SURVIVAL_MARGIN_S;
 }
 
 void fk_fault_attribution_task_failed(FkFaultAttribution *attribution, const char *job, const char *machine,
-                                      double took_s, gboolean succeeded, FkTime now) {
+                                      double duration_s, gboolean succeeded, FkTime now) {
   FailureHistory *history = history_ensure(attribution->jobs, job);
   history->succeeded |= succeeded;
-  history->longest_s = MAX(history->longest_s, took_s);
+  history->longest_failed_s = MAX(history->longest_failed_s, duration_s);
   add_failure(history, machine, now);
   add_failure(history_ensure(attribution->machines, machine), job, now);
 }
 
-/* Jobs and machines without failures have no entry. */
+/* Jobs and machines without failures have no entry in the tables. */
 void fk_fault_attribution_task_succeeded(FkFaultAttribution *attribution, const char *job,
                                          const char *machine) {
   FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
@@ -133,11 +143,11 @@
 
 /* ------------------------------------------------------------------ verdicts */
 
-/* The job is known to work somewhere. */
+/* Returns whether the job is known to work on some machine. */
 static gboolean is_proven(const FailureHistory *job) { return job->succeeded || job->survives; }
 
-/* Whether so many other jobs' tasks have failed on the machine that a failure there says nothing about this
- * job. Counted are jobs that are proven, or have failed on that machine only. */
+/* Returns whether so many other jobs' tasks have failed on the machine that a failure there is no evidence
+ * against this job. Only jobs that are proven, or have failed on no other machine, are counted. */
 static gboolean fails_other_jobs(const FkFaultAttribution *attribution, const char *machine,
                                  const char *job) {
   const FailureHistory *history = g_hash_table_lookup(attribution->machines, machine);
@@ -148,7 +158,7 @@
       continue;
     const FailureHistory *other = g_hash_table_lookup(attribution->jobs, site->id);
     if (other && (is_proven(other) || other->sites->len == 1))
-      failures += site->times;
+      failures += site->failure_count;
   }
   return failures >= FAULTY_MACHINE_FAILURES;
 }
@@ -157,12 +167,12 @@
   const FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
   if (!history || is_proven(history) || history->sites->len < FAILING_JOB_SITES_MIN)
     return FALSE;
-  guint sound_machines = 0;
+  guint healthy_machines = 0;
   for (guint i = 0; i < history->sites->len; i++) {
     const FailureSite *site = &g_array_index(history->sites, FailureSite, i);
-    sound_machines += !fails_other_jobs(attribution, site->id, job);
+    healthy_machines += !fails_other_jobs(attribution, site->id, job);
   }
-  return sound_machines >= FAILING_JOB_SITES_MIN;
+  return healthy_machines >= FAILING_JOB_SITES_MIN;
 }
 
 static double exponential_backoff_s(double first_s, guint doublings, double max_s) {
@@ -177,7 +187,8 @@
   if (!history || !history->consecutive)
     return 0;
   if (fk_fault_attribution_job_is_failing(attribution, job)) {
-    /* all tasks of its first launch fail at about the same time: that is one attempt, not hundreds */
+    /* all tasks of the job's first launch fail at about the same time; they count as one attempt, not as
+     * hundreds */
     guint attempts = MIN(history->sites->len, history->consecutive);
     return exponential_backoff_s(FAILING_RETRY_DELAY_S, attempts - FAILING_JOB_SITES_MIN,
                                  FAILING_RETRY_DELAY_MAX_S);
@@ -190,16 +201,18 @@
 gboolean fk_fault_attribution_job_avoids(const FkFaultAttribution *attribution, const char *job,
                                          const char *machine, FkTime now) {
   const FailureSite *site = find_site(g_hash_table_lookup(attribution->jobs, job), machine);
-  return site && fk_time_between(site->last, now) < AVOID_MACHINE_S;
+  return site && fk_time_between(site->last_at, now) < AVOID_MACHINE_S;
 }
 
-/* What one job's failures weigh against a machine. Those of a job that has worked nowhere yet say little,
- * however many tasks it had: it may fail everywhere. Its next attempt, elsewhere and soon, will tell. */
+/* Returns the weight of one job's failures as evidence against a machine. Failures of a job that hasn't
+ * worked on any machine yet weigh little, regardless of their number, since the job may fail everywhere. Its
+ * next attempt, which is soon and on another machine, will decide that. */
 static double failure_weight(const FkFaultAttribution *attribution, const FailureSite *site) {
   const FailureHistory *job = g_hash_table_lookup(attribution->jobs, site->id);
   if (fk_fault_attribution_job_is_failing(attribution, site->id))
     return 0;
-  return job && is_proven(job) ? site->times : UNPROVEN_WEIGHT * MIN(site->times, UNPROVEN_FAILURES_MAX);
+  return job && is_proven(job) ? site->failure_count
+                               : UNPROVEN_WEIGHT * MIN(site->failure_count, UNPROVEN_FAILURES_MAX);
 }
 
 gboolean fk_fault_attribution_machine_is_faulty(const FkFaultAttribution *attribution, const char *machine) {
--- a/src/fault_attribution/fault_attribution.h
+++ b/src/fault_attribution/fault_attribution.h
@@ -1,7 +1,7 @@
-/* Fault attribution: whether a failed task is its job's fault, which may have been submitted with a mistake
- * and fails on every machine, or its machine's, which may be faulty and fails every job. Pure: evidence in,
- * verdicts out; without a clock, the store or placement. Alternatives weighed: docs/best-effort-teams.md,
- * "Fault attribution". */
+/* Fault attribution decides whether a task failed because of its job, which may have been submitted with a
+ * mistake and then fails on every machine, or because of its machine, which may be faulty and then fails
+ * every job. The module only turns evidence into verdicts: it has no access to a clock, the store or
+ * placement. For the alternatives considered see docs/best-effort-teams.md, "Fault attribution". */
 #pragma once
 #include "common/types.h"
 
@@ -9,41 +9,44 @@
 
 FkFaultAttribution *fk_fault_attribution_new(void);
 void fk_fault_attribution_free(FkFaultAttribution *attribution);
-/* Forgets everything: the view is going to be read again. */
+/* Discards all evidence, because the view will be read again from the start. */
 void fk_fault_attribution_clear(FkFaultAttribution *attribution);
 
-/* Evidence. Ids are copied. */
+/* ---- evidence; ids are copied ---- */
 
-/* A task of the job has failed on the machine, `took_s` seconds after its allocation. `succeeded`: the job
- * has tasks that are done. */
+/* Records that a task of the job failed on the machine, `duration_s` seconds after its allocation.
+ * `succeeded`: tasks of the job are done. */
 void fk_fault_attribution_task_failed(FkFaultAttribution *attribution, const char *job, const char *machine,
-                                      double took_s, gboolean succeeded, FkTime now);
-/* The job's longest-running task was allocated `oldest_s` seconds ago. That it has outlived the failed ones
- * speaks for the job while it lasts. Does nothing for a job without failures. */
+                                      double duration_s, gboolean succeeded, FkTime now);
+/* Records that the job's longest-running task was allocated `oldest_s` seconds ago. If it has run for much
+ * longer than the failed tasks did, the job counts as working for as long as that holds. Does nothing for a
+ * job without failures. */
 void fk_fault_attribution_task_survives(FkFaultAttribution *attribution, const char *job, double oldest_s);
-/* A task of the job has succeeded on the machine: that clears the machine. */
+/* Records that a task of the job succeeded on the machine, which discards the machine's failures. */
 void fk_fault_attribution_task_succeeded(FkFaultAttribution *attribution, const char *job,
                                          const char *machine);
-/* Forgets a job that has ended, or a machine that is gone. */
+/* Discards the evidence about a job that has ended, or about a machine that is gone. */
 void fk_fault_attribution_remove_job(FkFaultAttribution *attribution, const char *job);
 void fk_fault_attribution_remove_machine(FkFaultAttribution *attribution, const char *machine);
 
-/* Verdicts. */
+/* ---- verdicts ---- */
 
-/* The job fails everywhere: it has failed on two machines at least that don't fail other jobs, has never
- * succeeded, and no task of it has outlived the failed ones. Its tasks are to be started one at a time, after
- * growing delays, until one succeeds or the job is cancelled. */
+/* Returns whether the job fails everywhere: it has failed on at least two machines that don't fail other
+ * jobs, no task of it has succeeded, and none runs for much longer than the failed ones did. The tasks of
+ * such a job should be started one at a time, with growing delays, until one succeeds or the job is
+ * cancelled. */
 gboolean fk_fault_attribution_job_is_failing(const FkFaultAttribution *attribution, const char *job);
-/* For how many seconds after the job's latest failure the next attempt must wait: 0 for the first few of a
- * job that isn't failing everywhere, then growing, bounded. */
+/* Returns for how many seconds after the job's latest failure the next attempt must wait: 0 after the first
+ * few failures of a job that isn't failing everywhere, then a growing, bounded delay. */
 double fk_fault_attribution_retry_delay_s(const FkFaultAttribution *attribution, const char *job);
-/* The job has failed on the machine lately: an attempt elsewhere tells more. */
+/* Returns whether the job has failed on the machine recently, so that an attempt on another machine would
+ * give more evidence. */
 gboolean fk_fault_attribution_job_avoids(const FkFaultAttribution *attribution, const char *job,
                                          const char *machine, FkTime now);
-/* The machine is faulty: three failures in a row that aren't their jobs' fault. Those of jobs that have
- * worked nowhere yet count half. */
+/* Returns whether the machine is faulty: it has three consecutive failures that aren't their jobs' fault.
+ * Failures of jobs that haven't worked on any machine yet count half. */
 gboolean fk_fault_attribution_machine_is_faulty(const FkFaultAttribution *attribution, const char *machine);
 
-/* How many jobs and machines have failures on record. */
+/* Return the number of jobs and of machines with recorded failures. */
 guint fk_fault_attribution_job_count(const FkFaultAttribution *attribution);
 guint fk_fault_attribution_machine_count(const FkFaultAttribution *attribution);
