--- a/test/test_failure_modes.c
+++ b/test/test_failure_modes.c
@@ -1,7 +1,7 @@
-/* Troubles that were on no list, at one controller core fed by hand: copies of reports and repeats of what
- * was carried out, machines that hear nothing or have begun anew, a controller alone with its workers or
- * without a view, jobs that wait too long to begin. Each case fails with its guard taken out
- * (docs/service-checks.md). */
+/* Failure modes, tested on a single controller core whose inputs the test provides: duplicate heartbeats,
+ * commands delivered twice, workers that receive nothing or have restarted, a controller that is isolated
+ * with its workers or has no view, lost transactions, jobs that wait too long to start. Each test fails when
+ * the code that it guards is removed (docs/service-checks.md). */
 #include <string.h>
 
 #include "core/scheduling/backfill_reservation.h"
@@ -9,242 +9,249 @@
 #include "rig.h"
 #include "wire/store.h"
 
-/* run-1's first task is booked on i-1. */
-static void book(Rig *r) {
+/* Allocates the first task of run-1 on machine i-1. */
+static void allocate_first_task(Rig *r) {
   const char *lines[] = {"fk/l/t/run-1/00000", "{\"f\":0,\"n\":4,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}",
                          NULL};
   watched(r, lines);
 }
 
-static guint64 claim_rev(Rig *r) {
-  g_autofree char *group = fk_shard_id_for_machine("north", "i-1");
-  return fk_view_ensure_shard(fk_controller_view(r->c), group)->rev.n;
+static guint64 shard_rev(Rig *r) {
+  g_autofree char *shard = fk_shard_id_for_machine("north", "i-1");
+  return fk_view_ensure_shard(fk_controller_view(r->c), shard)->rev.n;
 }
 
-static guint orders_of(const FkOutput *o, FkCommandKind op) {
+static guint count_commands(const FkOutput *o, FkCommandKind kind) {
   guint n = 0;
   for (guint i = 0; o && o->commands && i < o->commands->len; i++)
-    n += ((FkCommand *)o->commands->pdata[i])->kind == op;
+    n += ((FkCommand *)o->commands->pdata[i])->kind == kind;
   return n;
 }
 
-static FkOutput *latest(Rig *r, FkOutputKind kind) { return find(r, kind, NULL); }
+static FkOutput *latest_output(Rig *r, FkOutputKind kind) { return find(r, kind, NULL); }
 
-static void forget_outs(Rig *r) { g_ptr_array_set_size(r->outs, 0); }
+static void clear_outputs(Rig *r) { g_ptr_array_set_size(r->outs, 0); }
 
-/* A direct call comes back with what the machine says now. */
-static void answered(Rig *r, FkOutcome o, FkHeartbeat *says_now) {
-  FkOutput *call = latest(r, FK_OUTPUT_COMMANDS);
+/* Finishes the latest direct call with an outcome, and the heartbeat in the worker's reply or NULL. */
+static void reply_to_command(Rig *r, FkOutcome outcome, FkHeartbeat *heartbeat) {
+  FkOutput *call = latest_output(r, FK_OUTPUT_COMMANDS);
   g_assert_nonnull(call);
   guint64 id = call->call;
-  forget_outs(r);
-  fk_controller_command_reply_received(r->c, r->now, id, o, says_now);
+  clear_outputs(r);
+  fk_controller_command_reply_received(r->c, r->now, id, outcome, heartbeat);
   pump(r);
 }
 
-static FkHeartbeat *with_task(FkHeartbeat *r, FkTaskState state, FkExitReason why) {
+static FkHeartbeat *add_run_1_status(FkHeartbeat *r, FkTaskState state, FkExitReason reason) {
   FkTaskStatus *t = g_new0(FkTaskStatus, 1);
-  *t = (FkTaskStatus){g_strdup("run-1"), 0, {1}, state, why};
+  *t = (FkTaskStatus){g_strdup("run-1"), 0, {1}, state, reason};
   g_ptr_array_add(r->tasks, t);
   return r;
 }
 
-static void says_now(Rig *r, FkHeartbeat *report) {
+static void receive_heartbeat(Rig *r, FkHeartbeat *report) {
   fk_controller_heartbeat_received(r->c, r->now, (FkRequestId){++r->tally}, report);
   pump(r);
 }
 
-static FkHeartbeat *i_1(Rig *r, guint64 session, guint64 seq) {
-  return says(r, "i-1", "north", session, seq);
+static FkHeartbeat *heartbeat_of_i_1(Rig *r, guint64 incarnation, guint64 sequence) {
+  return says(r, "i-1", "north", incarnation, sequence);
 }
 
-/* A start that was sent straight to the machine, and carried out, may be repeated by the network after its
- * attempt was forgotten: it would run again, while the task may run elsewhere (ran_twice), beyond its team's
- * limit (quota: seed 7919 of sim_copies), or be cancelled. So it isn't forgotten under the same token. */
+/* The network may deliver a direct call twice. If the worker has forgotten the attempt by then, the repeated
+ * start runs it again, although the task may run elsewhere (ran_twice), exceed its team's limit (quota: seed
+ * 7919 of sim_copies) or be cancelled. So the attempt isn't forgotten under the token of its start. */
 static void test_repeated_command(void) {
   Rig *r = rig_new(TRUE);
-  says_now(r, i_1(r, 1, 1));
-  forget_outs(r);
-  book(r);
+  receive_heartbeat(r, heartbeat_of_i_1(r, 1, 1));
+  clear_outputs(r);
+  allocate_first_task(r);
   tick(r, 0.3);
-  g_assert_cmpuint(orders_of(latest(r, FK_OUTPUT_COMMANDS), FK_COMMAND_START), ==, 1);
-  answered(r, FK_OUTCOME_OK, with_task(i_1(r, 1, 2), FK_TASK_RUNNING, FK_EXIT_NONE));
-  says_now(r, with_task(i_1(r, 1, 3), FK_TASK_EXITED, FK_EXIT_DONE));
+  g_assert_cmpuint(count_commands(latest_output(r, FK_OUTPUT_COMMANDS), FK_COMMAND_START), ==, 1);
+  reply_to_command(r, FK_OUTCOME_OK,
+                   add_run_1_status(heartbeat_of_i_1(r, 1, 2), FK_TASK_RUNNING, FK_EXIT_NONE));
+  receive_heartbeat(r, add_run_1_status(heartbeat_of_i_1(r, 1, 3), FK_TASK_EXITED, FK_EXIT_DONE));
   tick(r, 0.6);
-  /* its end is committed */
+  /* the task's end is committed */
   watched(r,
           (const char *const[]){"fk/l/t/run-1/00000", "{\"f\":0,\"n\":4,\"a\":2,\"d\":[0],\"b\":[]}", NULL});
-  forget_outs(r);
-  says_now(r, with_task(i_1(r, 1, 4), FK_TASK_EXITED, FK_EXIT_DONE));
-  g_assert_cmpuint(orders_of(latest(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_FORGET), ==, 0);
-  /* a later token makes it void wherever it is */
-  g_autofree char *claim = group_key("g");
-  watched(r, (const char *const[]){claim, "{\"node\":\"c-0\",\"life\":\"now\"}", NULL});
-  forget_outs(r);
-  says_now(r, with_task(i_1(r, 1, 5), FK_TASK_EXITED, FK_EXIT_DONE));
-  g_assert_cmpuint(orders_of(latest(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_FORGET), ==, 1);
+  clear_outputs(r);
+  receive_heartbeat(r, add_run_1_status(heartbeat_of_i_1(r, 1, 4), FK_TASK_EXITED, FK_EXIT_DONE));
+  g_assert_cmpuint(count_commands(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_FORGET), ==, 0);
+  /* under a later token the worker would reject a repeated start */
+  g_autofree char *shard_key = group_key("g");
+  watched(r, (const char *const[]){shard_key, "{\"node\":\"c-0\",\"life\":\"now\"}", NULL});
+  clear_outputs(r);
+  receive_heartbeat(r, add_run_1_status(heartbeat_of_i_1(r, 1, 5), FK_TASK_EXITED, FK_EXIT_DONE));
+  g_assert_cmpuint(count_commands(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_FORGET), ==, 1);
   rig_free(r);
 }
 
-/* A start in the answer to a report is dropped after 4 s: nothing of it can come again. */
+/* A worker drops the reply to a heartbeat after 4 s, so a start in a reply can't be delivered again. The
+ * reply contains the start. */
 static void test_replied_start(void) {
   Rig *r = rig_new(TRUE);
-  book(r);
-  says_now(r, i_1(r, 1, 1));
-  g_assert_cmpuint(starts(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)), ==, 1);
+  allocate_first_task(r);
+  receive_heartbeat(r, heartbeat_of_i_1(r, 1, 1));
+  g_assert_cmpuint(starts(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY)), ==, 1);
   rig_free(r);
 }
 
-/* What a copy must not do, at a home that has heard the machine: be answered 200, take orders, renew
- * anything, or cost more than a question in two seconds, however many there are. */
+/* A duplicate heartbeat at the owner of its worker must not get status 200, take commands or renew a lease,
+ * and many duplicates must not cause more than a few probes. */
 static void test_duplicate_heartbeats(void) {
   Rig *r = rig_new(TRUE);
-  says_now(r, i_1(r, 1, 5));
-  says_now(r, i_1(r, 1, 6));
+  receive_heartbeat(r, heartbeat_of_i_1(r, 1, 5));
+  receive_heartbeat(r, heartbeat_of_i_1(r, 1, 6));
   tick(r, 4);
-  forget_outs(r);
-  guint refused = 0, asked = 0;
+  clear_outputs(r);
+  guint rejected = 0, probes = 0;
   for (guint k = 0; k < 200; k++) {
-    says_now(r, i_1(r, 1, 1 + k % 6));
-    FkOutput *o = latest(r, FK_OUTPUT_HEARTBEAT_REPLY);
+    receive_heartbeat(r, heartbeat_of_i_1(r, 1, 1 + k % 6));
+    FkOutput *o = latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY);
     g_assert_cmpint(o->status, ==, 503);
     g_assert_true(!o->commands);
-    refused++;
-    FkOutput *q = latest(r, FK_OUTPUT_COMMANDS);
-    asked += q != NULL;
-    if (q)
-      answered(r, FK_OUTCOME_UNKNOWN, NULL);
-    forget_outs(r);
+    rejected++;
+    FkOutput *probe = latest_output(r, FK_OUTPUT_COMMANDS);
+    probes += probe != NULL;
+    if (probe)
+      reply_to_command(r, FK_OUTCOME_UNKNOWN, NULL);
+    clear_outputs(r);
     if (k % 20 == 19)
       tick(r, 0.1);
   }
-  g_assert_cmpuint(refused, ==, 200);
-  g_assert_cmpuint(asked, <=, 3);
+  g_assert_cmpuint(rejected, ==, 200);
+  g_assert_cmpuint(probes, <=, 3);
   rig_free(r);
 }
 
-/* A copy about a machine that was returned, or that nobody knows, brings nothing into the roster, and nothing
- * is booked there; who is there answers a question, and is written down at once. */
+/* A duplicate heartbeat of a terminated or unknown machine must neither register the machine nor cause an
+ * allocation on it. A machine that exists replies to the probe and is registered at once. */
 static void test_unknown_machines(void) {
-  for (guint there = 0; there < 2; there++) {
+  for (guint exists = 0; exists < 2; exists++) {
     Rig *r = rig_new(TRUE);
     g_autofree char *page = group_key("m");
     watched(r, (const char *const[]){page, "{\"zone\":\"north\",\"m\":[]}", NULL});
-    forget_outs(r);
-    FkHeartbeat *copy = i_1(r, 1, 9);
+    clear_outputs(r);
+    FkHeartbeat *copy = heartbeat_of_i_1(r, 1, 9);
     copy->fencing_token.n--;
-    says_now(r, copy);
-    g_assert_nonnull(latest(r, FK_OUTPUT_COMMANDS));
-    answered(r, there ? FK_OUTCOME_OK : FK_OUTCOME_UNKNOWN, there ? i_1(r, 1, 10) : NULL);
+    receive_heartbeat(r, copy);
+    g_assert_nonnull(latest_output(r, FK_OUTPUT_COMMANDS));
+    reply_to_command(r, exists ? FK_OUTCOME_OK : FK_OUTCOME_UNKNOWN,
+                     exists ? heartbeat_of_i_1(r, 1, 10) : NULL);
     tick(r, 2);
-    g_assert_cmpint(find(r, FK_OUTPUT_COMMIT, page) != NULL, ==, there);
+    g_assert_cmpint(find(r, FK_OUTPUT_COMMIT, page) != NULL, ==, exists);
     g_assert_null(find(r, FK_OUTPUT_COMMIT, "fk/l/t/"));
     rig_free(r);
   }
 }
 
-/* Its reports come, and nothing reaches it: nothing new is booked there, it is marked, and its reports are no
- * longer answered, so that its lease proves what it is to prove. One whose reports show what was ordered
- * hears them, whatever becomes of the direct calls. */
+/* A one-way partition: the worker's heartbeats arrive, but nothing reaches it. It gets no new allocations, is
+ * drained as silent, and gets no more replies, so that its lease provably expires. A worker whose heartbeats
+ * show the effect of commands does receive the replies, even if all direct calls fail. */
 static void test_inbound_partition(void) {
-  for (guint hears = 0; hears < 2; hears++) {
+  for (guint receives = 0; receives < 2; receives++) {
     Rig *r = rig_new(TRUE);
     g_autofree char *page = group_key("m");
-    guint64 seq = 0;
-    says_now(r, i_1(r, 1, ++seq));
-    book(r);
-    gboolean marked = FALSE;
+    guint64 sequence = 0;
+    receive_heartbeat(r, heartbeat_of_i_1(r, 1, ++sequence));
+    allocate_first_task(r);
+    gboolean drained = FALSE;
     int last = 0;
-    for (guint step = 0; step < 60 && !marked; step++) {
-      FkOutput *call = latest(r, FK_OUTPUT_COMMANDS);
+    for (guint step = 0; step < 60 && !drained; step++) {
+      FkOutput *call = latest_output(r, FK_OUTPUT_COMMANDS);
       if (call)
-        answered(r, FK_OUTCOME_UNKNOWN, NULL);
+        reply_to_command(r, FK_OUTCOME_UNKNOWN, NULL);
       if (step % 5 == 4) {
-        FkHeartbeat *rep = i_1(r, 1, ++seq);
-        says_now(r, hears ? with_task(rep, FK_TASK_RUNNING, FK_EXIT_NONE) : rep);
-        last = latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status;
+        FkHeartbeat *heartbeat = heartbeat_of_i_1(r, 1, ++sequence);
+        receive_heartbeat(r,
+                          receives ? add_run_1_status(heartbeat, FK_TASK_RUNNING, FK_EXIT_NONE) : heartbeat);
+        last = latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY)->status;
         g_assert_cmpint(last, ==, 200);
       }
       tick(r, 0.3);
-      marked = find(r, FK_OUTPUT_COMMIT, page) != NULL;
+      drained = find(r, FK_OUTPUT_COMMIT, page) != NULL;
       watched(r, NULL);
     }
-    g_assert_cmpint(marked, ==, !hears);
-    if (!hears) {
+    g_assert_cmpint(drained, ==, !receives);
+    if (!receives) {
       FkMachine *m = fk_view_find_machine(fk_controller_view(r->c), "i-1");
       g_assert_false(fk_machine_is_usable(r->c, m));
       watched(
           r, (const char *const[]){
                  page, "{\"zone\":\"north\",\"m\":[[\"i-1\",\"box8\",\"127.0.0.1:9\",0,\"silent\"]]}", NULL});
-      says_now(r, i_1(r, 1, ++seq));
-      g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, 503);
+      receive_heartbeat(r, heartbeat_of_i_1(r, 1, ++sequence));
+      g_assert_cmpint(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, 503);
     }
     rig_free(r);
   }
 }
 
-/* Back within a moment, session and report starting anew: its reports look like old copies, and stay so for
- * ever unless it is asked. What it had is started again there, at once; the token that it has seen proves
- * nothing until a later claim. */
+/* A worker restarts quickly, and its incarnation and sequence numbers start over. Its heartbeats look like
+ * old duplicates, and always would without a probe. Its tasks are started there again at once. That it
+ * shows the present token proves nothing until the shard is acquired again. */
 static void test_worker_restart(void) {
   Rig *r = rig_new(TRUE);
-  says_now(r, i_1(r, 1, 40));
-  book(r);
-  answered(r, FK_OUTCOME_OK, with_task(i_1(r, 1, 41), FK_TASK_RUNNING, FK_EXIT_NONE));
+  receive_heartbeat(r, heartbeat_of_i_1(r, 1, 40));
+  allocate_first_task(r);
+  reply_to_command(r, FK_OUTCOME_OK,
+                   add_run_1_status(heartbeat_of_i_1(r, 1, 41), FK_TASK_RUNNING, FK_EXIT_NONE));
   tick(r, 1.5);
-  forget_outs(r);
-  FkHeartbeat *fresh = i_1(r, 1, 1);
-  fresh->fencing_token.n = 0;
-  says_now(r, fresh);
-  g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, 503);
-  answered(r, FK_OUTCOME_OK, i_1(r, 1, 2));
-  /* it is empty: the task is started again, and not taken for ended */
-  g_assert_cmpuint(starts(latest(r, FK_OUTPUT_COMMANDS)), ==, 1);
+  clear_outputs(r);
+  FkHeartbeat *restarted = heartbeat_of_i_1(r, 1, 1);
+  restarted->fencing_token.n = 0;
+  receive_heartbeat(r, restarted);
+  g_assert_cmpint(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, 503);
+  reply_to_command(r, FK_OUTCOME_OK, heartbeat_of_i_1(r, 1, 2));
+  /* the restarted worker reports no task: the task is started again and doesn't count as ended */
+  g_assert_cmpuint(starts(latest_output(r, FK_OUTPUT_COMMANDS)), ==, 1);
   g_assert_false(fk_worker_has_echoed_token(fk_view_find_machine(fk_controller_view(r->c), "i-1")));
-  answered(r, FK_OUTCOME_OK, with_task(i_1(r, 1, 3), FK_TASK_RUNNING, FK_EXIT_NONE));
-  g_autofree char *claim = group_key("g");
+  reply_to_command(r, FK_OUTCOME_OK,
+                   add_run_1_status(heartbeat_of_i_1(r, 1, 3), FK_TASK_RUNNING, FK_EXIT_NONE));
+  g_autofree char *shard_key = group_key("g");
   tick(r, 4);
-  g_assert_nonnull(find(r, FK_OUTPUT_COMMIT, claim));
-  watched(r, (const char *const[]){claim, "{\"node\":\"c-0\",\"life\":\"now\"}", NULL});
-  says_now(r, with_task(i_1(r, 1, 4), FK_TASK_RUNNING, FK_EXIT_NONE));
+  g_assert_nonnull(find(r, FK_OUTPUT_COMMIT, shard_key));
+  watched(r, (const char *const[]){shard_key, "{\"node\":\"c-0\",\"life\":\"now\"}", NULL});
+  receive_heartbeat(r, add_run_1_status(heartbeat_of_i_1(r, 1, 4), FK_TASK_RUNNING, FK_EXIT_NONE));
   g_assert_true(fk_worker_has_echoed_token(fk_view_find_machine(fk_controller_view(r->c), "i-1")));
   rig_free(r);
 }
 
-/* A controller that has lost the store and its peers learns from one machine that its group has another home,
- * and sends all of the group's workers away. With a fresh view a token that the store never gave counts for
- * nothing but its own machine; and in an outage of the whole store nobody has a later token. */
+/* A controller that is isolated from the store and its peers learns from one worker's token that the shard
+ * has another owner, and redirects all of the shard's workers. With a fresh view, a token that was never
+ * issued affects only the worker that shows it. In an outage of the whole store no worker has a later token.
+ */
 static void test_controller_isolated(void) {
   static const struct {
     gboolean stale, later;
-    int other; /* what the other machine of the group is answered */
+    int other_status; /* expected status of the reply to the shard's other worker */
   } cases[] = {{TRUE, TRUE, 421}, {TRUE, FALSE, 200}, {FALSE, TRUE, 200}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
     if (cases[i].stale)
       tick(r, 5);
-    FkHeartbeat *rep = i_1(r, 1, 1);
-    rep->fencing_token.n = claim_rev(r) + (cases[i].later ? 100 : 0);
-    says_now(r, rep);
-    g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, cases[i].later ? 421 : 200);
-    g_autofree char *group = fk_shard_id_for_machine("north", "i-1"), *mate = NULL;
-    for (guint k = 2; !mate; k++) {
+    FkHeartbeat *heartbeat = heartbeat_of_i_1(r, 1, 1);
+    heartbeat->fencing_token.n = shard_rev(r) + (cases[i].later ? 100 : 0);
+    receive_heartbeat(r, heartbeat);
+    g_assert_cmpint(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, cases[i].later ? 421 : 200);
+    g_autofree char *shard = fk_shard_id_for_machine("north", "i-1"), *other_machine = NULL;
+    for (guint k = 2; !other_machine; k++) {
       g_autofree char *id = g_strdup_printf("i-%u", k), *of = fk_shard_id_for_machine("north", id);
-      if (g_str_equal(of, group))
-        mate = g_steal_pointer(&id);
+      if (g_str_equal(of, shard))
+        other_machine = g_steal_pointer(&id);
     }
-    says_now(r, says(r, mate, "north", 1, 1));
-    g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, cases[i].other);
-    /* a view that is fresh again would show such a claim: the group is ours, and answered */
+    receive_heartbeat(r, says(r, other_machine, "north", 1, 1));
+    g_assert_cmpint(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, cases[i].other_status);
+    /* a fresh view would show a later owner; it shows none, so this controller owns the shard and replies */
     watched(r, NULL);
-    says_now(r, says(r, mate, "north", 1, 2));
-    g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, 200);
+    receive_heartbeat(r, says(r, other_machine, "north", 1, 2));
+    g_assert_cmpint(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, 200);
     rig_free(r);
   }
 }
 
-/* Users of one that is alone are sent elsewhere; while others answer, an outage of the store takes nobody
- * out. */
+/* An isolated controller stops serving users, so that they use another one. In an outage of the store during
+ * which other controllers are heard from, it goes on serving. */
 static void test_store_outage_availability(void) {
   for (guint peers = 0; peers < 2; peers++) {
     Rig *r = rig_new(TRUE);
@@ -259,172 +266,176 @@
   }
 }
 
-/* A question to a controller that lists the store is read from the store itself, a few at a time. */
+/* While a controller has no view because it is listing the store, a user's query is answered by a
+ * read from the store. The number of concurrent reads is limited. */
 static void test_reads_without_view(void) {
   Rig *r = rig_new(TRUE);
   g_autoptr(GPtrArray) none = g_ptr_array_new();
   fk_controller_watch_received(r->c, r->now, FK_OUTCOME_GONE, none, (FkRev){0}, r->now);
   pump(r);
-  forget_outs(r);
+  clear_outputs(r);
   for (guint k = 0; k < 40; k++)
     fk_controller_poll_received(r->c, r->now, (FkRequestId){100 + k}, "run-7");
   pump(r);
-  guint reads = 0, refused = 0;
+  guint reads = 0, rejected = 0;
   guint64 call = 0;
   for (guint i = 0; i < r->outs->len; i++) {
     const FkOutput *o = r->outs->pdata[i];
     reads += o->kind == FK_OUTPUT_GET;
-    refused += o->kind == FK_OUTPUT_USER_REPLY && o->status == 503;
+    rejected += o->kind == FK_OUTPUT_USER_REPLY && o->status == 503;
     call = o->kind == FK_OUTPUT_GET && !call ? o->call : call;
   }
   g_assert_cmpuint(reads, ==, 16);
-  g_assert_cmpuint(refused, ==, 24);
-  /* neither live nor final: never accepted; and there is room for the next question */
-  forget_outs(r);
+  g_assert_cmpuint(rejected, ==, 24);
+  /* no live and no final record: the job was never accepted; and the next query is read again */
+  clear_outputs(r);
   fk_controller_get_received(r->c, r->now, call, FK_OUTCOME_GONE, NULL);
   pump(r);
-  call = latest(r, FK_OUTPUT_GET)->call;
+  call = latest_output(r, FK_OUTPUT_GET)->call;
   fk_controller_get_received(r->c, r->now, call, FK_OUTCOME_GONE, NULL);
   pump(r);
-  g_assert_cmpint(latest(r, FK_OUTPUT_USER_REPLY)->status, ==, 404);
-  forget_outs(r);
+  g_assert_cmpint(latest_output(r, FK_OUTPUT_USER_REPLY)->status, ==, 404);
+  clear_outputs(r);
   fk_controller_poll_received(r->c, r->now, (FkRequestId){200}, "run-7");
   pump(r);
-  g_assert_nonnull(latest(r, FK_OUTPUT_GET));
+  g_assert_nonnull(latest_output(r, FK_OUTPUT_GET));
   rig_free(r);
 }
 
-#define WHOLE                                                                                                \
+#define WHOLE_MACHINE_SPEC                                                                                   \
   "{\"class\":\"w\",\"team\":\"red\",\"shape\":0,\"rank\":2,\"tasks\":2,\"cpus\":8,\"gpus\":0,\"mem\":2,"    \
   "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
   "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16}"
 
-/* One that waits too long to begin goes first, and a machine is kept for it; others go there only if they
- * have ended by the time that it can begin. */
-/* The store compared while our view showed the job; before its answer the view is read again, as after a long
- * refusal. That the new view lacks the job proves nothing: 404 for an accepted job would be `forgotten`. The
- * job is read, then its final. */
+/* The view shows a job and the store is asked to confirm that; before its reply arrives, the view is
+ * discarded and listed again, as after a long time of refused requests. That the new view lacks the job
+ * proves nothing, and status 404 for an accepted job would be a lost job (`forgotten`). So the job's record
+ * is read, then its final record. */
 static void test_read_check_across_relist(void) {
   Rig *r = rig_new(TRUE);
-  forget_outs(r);
+  clear_outputs(r);
   fk_controller_poll_received(r->c, r->now, (FkRequestId){300}, "run-1");
   pump(r);
-  guint64 call = latest(r, FK_OUTPUT_COMMIT)->call;
+  guint64 call = latest_output(r, FK_OUTPUT_COMMIT)->call;
   g_autoptr(GPtrArray) none = g_ptr_array_new();
   fk_controller_watch_received(r->c, r->now, FK_OUTCOME_GONE, none, (FkRev){0}, r->now);
   pump(r);
-  forget_outs(r);
+  clear_outputs(r);
   fk_controller_commit_received(r->c, r->now, call, FK_OUTCOME_OK, (FkRev){r->epoch}, none);
   pump(r);
   g_assert_null(find(r, FK_OUTPUT_USER_REPLY, NULL));
-  call = latest(r, FK_OUTPUT_GET)->call;
+  call = latest_output(r, FK_OUTPUT_GET)->call;
   FkStoreEvent *e = g_new0(FkStoreEvent, 1);
   g_autoptr(cJSON) j = fk_json_parse(SPEC, strlen(SPEC));
   *e = (FkStoreEvent){g_strdup("fk/l/j/run-1"), fk_store_record_from_json("fk/l/j/run-1", j), {11}};
   fk_controller_get_received(r->c, r->now, call, FK_OUTCOME_OK, e);
   pump(r);
-  g_assert_cmpint(latest(r, FK_OUTPUT_USER_REPLY)->status, ==, 200);
+  g_assert_cmpint(latest_output(r, FK_OUTPUT_USER_REPLY)->status, ==, 200);
   rig_free(r);
 }
 
+/* A job that has waited too long to start is placed first, and a machine is reserved for it. Other jobs are
+ * backfilled there only if they end before the reserved job can start. */
 static void test_backfill_reservation(void) {
   static const struct {
     double waited_s;
-    gboolean begun, urgent;
+    gboolean started, urgent;
   } cases[] = {{100, FALSE, FALSE}, {140, FALSE, TRUE}, {140, TRUE, FALSE}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
     r->s->heartbeat_interval_s = 1000;
     ((FkTeam *)r->s->teams->pdata[0])->max_cpus = 100;
     ((FkTeam *)r->s->teams->pdata[1])->max_cpus = 100;
-    says_now(r, i_1(r, 1, 1));
-    watched(r, (const char *const[]){"fk/l/j/run-2", WHOLE, "fk/l/t/run-1/00000",
+    receive_heartbeat(r, heartbeat_of_i_1(r, 1, 1));
+    watched(r, (const char *const[]){"fk/l/j/run-2", WHOLE_MACHINE_SPEC, "fk/l/t/run-1/00000",
                                      "{\"f\":0,\"n\":4,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}", NULL});
-    r->now = r->c->now = fk_time_add(r->now, 3); /* the next look */
+    r->now = r->c->now = fk_time_add(r->now, 3); /* the next scheduling cycle */
     FkView *v = fk_controller_view(r->c);
     FkJob *big = fk_view_find_job(v, "run-2"), *small = fk_view_find_job(v, "run-1");
     FkMachine *m = fk_view_find_machine(v, "i-1");
     big->startable_us = r->now.us - (gint64)(cases[i].waited_s * 1e6);
     small->startable_us = r->now.us;
-    big->allocated += cases[i].begun;
+    big->allocated += cases[i].started;
     g_autoptr(GPtrArray) jobs = fk_scheduling_queue_select_jobs(r->c);
     g_assert_cmpint(big->urgent, ==, cases[i].urgent);
     g_assert_true(!cases[i].urgent || jobs->pdata[0] == big);
     g_assert_cmpint(fk_backfill_reservation_blocks(r->c, small, m), ==, cases[i].urgent);
     g_assert_false(fk_backfill_reservation_blocks(r->c, big, m));
     g_assert_true(fk_backfill_reservation_holder(r->c, m) == (cases[i].urgent ? big : NULL));
-    big->allocated -= cases[i].begun;
+    big->allocated -= cases[i].started;
     rig_free(r);
   }
 }
 
-/* A home whose view is old, and a machine that has begun anew: the token of a later home, which would keep
- * the old one's answers out, is forgotten with all else. It is given nothing: what the old view has booked
- * there may have ended, and run elsewhere. Who has seen a token, or ours, is answered. */
+/* A controller with a stale view, and a worker that has restarted and so has forgotten the token of a later
+ * owner, which would make it reject this controller's replies. It gets no starts: the tasks that the stale
+ * view shows on it may have ended and run elsewhere. A worker that shows any token gets a reply. */
 static void test_worker_restart_stale_view(void) {
   static const struct {
-    gboolean old;
-    guint64 token; /* 0, or 1: an earlier one, or 2: ours */
+    gboolean stale;
+    guint64 token; /* 0: none; 1: an earlier one; 2: this controller's */
     int status;
   } cases[] = {{TRUE, 0, 503}, {TRUE, 1, 200}, {TRUE, 2, 200}, {FALSE, 0, 200}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
-    book(r);
-    if (cases[i].old)
+    allocate_first_task(r);
+    if (cases[i].stale)
       tick(r, 5);
-    forget_outs(r);
-    FkHeartbeat *rep = i_1(r, 1, 1);
-    rep->fencing_token.n = cases[i].token == 2 ? claim_rev(r) : cases[i].token;
-    says_now(r, rep);
-    g_assert_cmpint(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, cases[i].status);
-    g_assert_cmpuint(starts(latest(r, FK_OUTPUT_HEARTBEAT_REPLY)), ==, cases[i].status == 200);
+    clear_outputs(r);
+    FkHeartbeat *heartbeat = heartbeat_of_i_1(r, 1, 1);
+    heartbeat->fencing_token.n = cases[i].token == 2 ? shard_rev(r) : cases[i].token;
+    receive_heartbeat(r, heartbeat);
+    g_assert_cmpint(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY)->status, ==, cases[i].status);
+    g_assert_cmpuint(starts(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY)), ==, cases[i].status == 200);
     rig_free(r);
   }
-  /* it had shown our token, and is asked, since its reports look like copies */
-  for (guint old = 0; old < 2; old++) {
+  /* the worker had shown this controller's token; it is probed since its heartbeats look like duplicates */
+  for (guint stale = 0; stale < 2; stale++) {
     Rig *r = rig_new(TRUE);
-    says_now(r, i_1(r, 1, 40));
-    book(r);
-    answered(r, FK_OUTCOME_OK, with_task(i_1(r, 1, 41), FK_TASK_RUNNING, FK_EXIT_NONE));
-    tick(r, old ? 5 : 1.5);
-    forget_outs(r);
-    FkHeartbeat *fresh = i_1(r, 1, 1);
-    fresh->fencing_token.n = 0;
-    says_now(r, fresh);
-    if (latest(r, FK_OUTPUT_COMMANDS))
-      answered(r, FK_OUTCOME_OK, i_1(r, 1, 2));
+    receive_heartbeat(r, heartbeat_of_i_1(r, 1, 40));
+    allocate_first_task(r);
+    reply_to_command(r, FK_OUTCOME_OK,
+                     add_run_1_status(heartbeat_of_i_1(r, 1, 41), FK_TASK_RUNNING, FK_EXIT_NONE));
+    tick(r, stale ? 5 : 1.5);
+    clear_outputs(r);
+    FkHeartbeat *restarted = heartbeat_of_i_1(r, 1, 1);
+    restarted->fencing_token.n = 0;
+    receive_heartbeat(r, restarted);
+    if (latest_output(r, FK_OUTPUT_COMMANDS))
+      reply_to_command(r, FK_OUTCOME_OK, heartbeat_of_i_1(r, 1, 2));
     for (guint k = 0; k < r->outs->len; k++)
-      g_assert_cmpuint(starts(r->outs->pdata[k]), ==, old ? 0 : 1);
+      g_assert_cmpuint(starts(r->outs->pdata[k]), ==, stale ? 0 : 1);
     rig_free(r);
   }
 }
 
-/* A machine with hundreds of ended attempts in its reports and one task of a cancelled job: the answer, which
- * renews the lease of all that it doesn't stop, stops that one, whatever else there is to say. */
+/* A worker reports hundreds of exited attempts and one running task of a cancelled job. The number of
+ * commands in a reply is bounded, and a reply renews the lease of every task that it doesn't stop, so the
+ * reply must stop that task before it lists attempts to forget. */
 static void test_stop_commands_first(void) {
   Rig *r = rig_new(TRUE);
-  book(r);
-  FkHeartbeat *rep = i_1(r, 1, 1);
+  allocate_first_task(r);
+  FkHeartbeat *heartbeat = heartbeat_of_i_1(r, 1, 1);
   for (guint k = 0; k < 300; k++) {
     FkTaskStatus *t = g_new0(FkTaskStatus, 1);
     *t = (FkTaskStatus){g_strdup("run-9"), k, {1}, FK_TASK_EXITED, FK_EXIT_DONE};
-    g_ptr_array_add(rep->tasks, t);
+    g_ptr_array_add(heartbeat->tasks, t);
   }
-  with_task(rep, FK_TASK_RUNNING, FK_EXIT_NONE);
+  add_run_1_status(heartbeat, FK_TASK_RUNNING, FK_EXIT_NONE);
   g_autofree char *cancelled = g_strdup(SPEC);
   cancelled[strlen(cancelled) - 1] = 0;
   g_autofree char *record = g_strconcat(cancelled, ",\"cancelled\":true}", NULL);
   watched(r, (const char *const[]){"fk/l/j/run-1", record, NULL});
   g_assert_true(fk_view_find_job(fk_controller_view(r->c), "run-1")->cancelled);
-  forget_outs(r);
-  says_now(r, rep);
-  g_assert_cmpuint(orders_of(latest(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_STOP), ==, 1);
-  g_assert_cmpuint(orders_of(latest(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_FORGET), >, 100);
+  clear_outputs(r);
+  receive_heartbeat(r, heartbeat);
+  g_assert_cmpuint(count_commands(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_STOP), ==, 1);
+  g_assert_cmpuint(count_commands(latest_output(r, FK_OUTPUT_HEARTBEAT_REPLY), FK_COMMAND_FORGET), >, 100);
   rig_free(r);
 }
 
-/* Transactions that were sent, by their call, since the outs were forgotten. */
-static guint sends_of(Rig *r, guint64 call) {
+/* Returns how often the transaction of a call was sent since the outputs were cleared. */
+static guint count_sends(Rig *r, guint64 call) {
   guint n = 0;
   for (guint i = 0; i < r->outs->len; i++) {
     const FkOutput *o = r->outs->pdata[i];
@@ -433,16 +444,16 @@
   return n;
 }
 
-/* No answer: the same transaction is sent again, a few times, later each time, and not before it was sent at
- * all. One send that was refused says nothing of the others; the first answer counts, and only that. A user
- * waited for 2 s, and so did all launches, for each one that got lost (day meet-late: 0.68 of the submissions
- * in time). */
+/* A transaction without a reply is resent a few times, with growing delays, but not before it was sent for
+ * the first time. One refused send proves nothing about the others; only the first result counts. Without
+ * resending, the user and all launches waited 2 s for each lost transaction (day meet-late: 0.68 of the
+ * submissions in time). */
 static void test_transaction_retry(void) {
   static const struct {
     gboolean sent;
-    FkOutcome first, second; /* FK_OUTCOME_UNKNOWN: none comes */
-    int status;              /* 0: the user still waits */
-    guint most;              /* sends */
+    FkOutcome first, second; /* results of the sends; FK_OUTCOME_UNKNOWN: none arrives */
+    int status;              /* of the reply to the user, 0 if there is none yet */
+    guint sends_max;         /* maximum number of sends */
   } cases[] = {{FALSE, FK_OUTCOME_UNKNOWN, FK_OUTCOME_UNKNOWN, 0, 1},
                {TRUE, FK_OUTCOME_UNKNOWN, FK_OUTCOME_UNKNOWN, 0, 4},
                {TRUE, FK_OUTCOME_UNKNOWN, FK_OUTCOME_OK, 201, 4},
@@ -451,7 +462,7 @@
                {TRUE, FK_OUTCOME_REFUSED, FK_OUTCOME_REFUSED, 503, 4}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
-    forget_outs(r);
+    clear_outputs(r);
     FkSpec *spec = fk_spec_new();
     spec->id = g_strdup("run-77");
     spec->team = g_strdup("red");
@@ -468,15 +479,15 @@
     if (cases[i].sent)
       fk_controller_transaction_sent(r->c, r->now, call);
     tick(r, 0.2);
-    g_assert_cmpuint(sends_of(r, call), ==, 1); /* a slow answer is no lost one */
+    g_assert_cmpuint(count_sends(r, call), ==, 1); /* not resent yet: the reply may only be slow */
     tick(r, 0.4);
-    g_assert_cmpuint(sends_of(r, call), ==, cases[i].sent ? 2 : 1);
+    g_assert_cmpuint(count_sends(r, call), ==, cases[i].sent ? 2 : 1);
     if (cases[i].first != FK_OUTCOME_UNKNOWN)
       fk_controller_commit_received(r->c, r->now, call, cases[i].first, (FkRev){0}, NULL);
     if (cases[i].second != FK_OUTCOME_UNKNOWN)
       fk_controller_commit_received(r->c, r->now, call, cases[i].second, (FkRev){r->epoch + 5}, NULL);
     pump(r);
-    const FkOutput *a = latest(r, FK_OUTPUT_USER_REPLY);
+    const FkOutput *a = latest_output(r, FK_OUTPUT_USER_REPLY);
     g_assert_cmpint(a ? a->status : 0, ==, cases[i].status);
     for (guint k = 0; k < 5; k++) {
       if (cases[i].sent)
@@ -484,31 +495,31 @@
       tick(r, 2);
     }
     if (!cases[i].status)
-      g_assert_cmpuint(sends_of(r, call), ==, cases[i].most);
-    /* the deadline of the first ends it; nothing more is said to the user */
+      g_assert_cmpuint(count_sends(r, call), ==, cases[i].sends_max);
+    /* the first send's deadline ends the call; the user gets no second reply */
     fk_controller_commit_received(r->c, r->now, call, FK_OUTCOME_UNKNOWN, (FkRev){0}, NULL);
     fk_controller_commit_received(r->c, r->now, call, FK_OUTCOME_OK, (FkRev){r->epoch + 5}, NULL);
     pump(r);
-    guint answers = 0;
+    guint replies = 0;
     for (guint k = 0; k < r->outs->len; k++)
-      answers += ((FkOutput *)r->outs->pdata[k])->kind == FK_OUTPUT_USER_REPLY;
-    g_assert_cmpuint(answers, ==, 1);
+      replies += ((FkOutput *)r->outs->pdata[k])->kind == FK_OUTPUT_USER_REPLY;
+    g_assert_cmpuint(replies, ==, 1);
     rig_free(r);
   }
 }
 
-/* While many get lost, what has no answer is sent again at once; not while hardly any does, since each send
- * is a write of the store's budget. */
+/* While many messages are lost, a transaction without a reply is resent at once. While hardly any are lost it
+ * isn't, since each send uses a write of the store's budget. */
 static void test_retry_under_loss(void) {
   for (guint lossy = 0; lossy < 2; lossy++) {
     Rig *r = rig_new(TRUE);
     guint64 call = 0;
     for (guint k = 0; k < 12; k++) {
-      forget_outs(r);
+      clear_outputs(r);
       g_autofree char *id = g_strdup_printf("run-%u", 100 + k);
       fk_controller_poll_received(r->c, r->now, (FkRequestId){100 + k}, id);
-      tick(r, 0.6); /* past the pace of the questions */
-      call = latest(r, FK_OUTPUT_COMMIT)->call;
+      tick(r, 0.6); /* longer than the minimum interval between checks at the store */
+      call = latest_output(r, FK_OUTPUT_COMMIT)->call;
       fk_controller_transaction_sent(r->c, r->now, call);
       if (k == 11)
         break;
@@ -519,19 +530,19 @@
       fk_controller_commit_received(r->c, r->now, call, FK_OUTCOME_OK, (FkRev){r->epoch}, NULL);
     }
     tick(r, 0.2);
-    g_assert_cmpuint(sends_of(r, call), ==, 1 + lossy);
+    g_assert_cmpuint(count_sends(r, call), ==, 1 + lossy);
     rig_free(r);
   }
 }
 
-static void quiet(const char *domain, GLogLevelFlags level, const char *text, gpointer data) {
+static void log_errors_only(const char *domain, GLogLevelFlags level, const char *text, gpointer data) {
   if (level & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL))
     g_log_default_handler(domain, level, text, data);
 }
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_log_set_default_handler(quiet, NULL);
+  g_log_set_default_handler(log_errors_only, NULL);
   g_test_add_func("/failure_modes/repeated_command", test_repeated_command);
   g_test_add_func("/failure_modes/replied_start", test_replied_start);
   g_test_add_func("/failure_modes/duplicate_heartbeats", test_duplicate_heartbeats);
