--- a/src/core/shards/shards.h
+++ b/src/core/shards/shards.h
@@ -4,11 +4,11 @@
 #include "core/messages.h"
 
 /* Reasons for draining a machine, as written in the store. */
-#define FK_DRAIN_REASON_IDLE "idle"
+#define FK_DRAIN_REASON_IDLE "idle"     /* the machine isn't needed any more */
 #define FK_DRAIN_REASON_DRAIN "drain"   /* for consolidation: the machine's tasks move elsewhere */
 #define FK_DRAIN_REASON_NOTICE "notice" /* the cloud gave notice that it will terminate the machine */
-#define FK_DRAIN_REASON_SILENT "silent"
-#define FK_DRAIN_REASON_FAULTY "sick"
+#define FK_DRAIN_REASON_SILENT "silent" /* the worker is silent or partitioned, or the instance failed */
+#define FK_DRAIN_REASON_FAULTY "sick"   /* tasks fail because of the machine, by fault attribution */
 
 /* State of the transactions that acquire shards and that write the machine registry's pages. */
 typedef struct {
@@ -40,9 +40,9 @@
 /* Returns when to retry a failed write. The time is jittered, so that controllers don't retry simultaneously.
  */
 FkTime fk_write_retry_at(FkController *c);
-/* Returns how many seconds to pause after a transaction of `writes` writes, so that all controllers together
- * use at most `share` of the store's write rate. The pause is shorter while enough of this controller's write
- * budget is unused. */
+/* Returns how many seconds to pause after a transaction of `writes` writes: long enough that all controllers
+ * together use at most `share` of the store's write rate, but only a short time while enough of this
+ * controller's write budget is unused. */
 double fk_write_pace_s(FkController *c, guint writes, double share);
 
 /* ---- shard_ownership.c ---- */
--- a/src/core/workers/failure_detector.c
+++ b/src/core/workers/failure_detector.c
@@ -1,9 +1,10 @@
 /* The failure detector of one worker; failure_detector.h defines what counts as proof of what. */
 #include "core/workers/failure_detector.h"
 
-/* A one-way partition is detected after PARTITION_MISSED_PROBES consecutive missed probes, the first of which
- * timed out more than PARTITION_AFTER_S ago, and PARTITION_REPLIES heartbeat replies without an effect. Two
- * replies are needed because only the heartbeat after the first reply can show an effect of that reply. */
+/* A one-way partition is detected after PARTITION_MISSED_PROBES missed probes, the first of which timed out
+ * more than PARTITION_AFTER_S ago, and PARTITION_REPLIES heartbeat replies, if no message since the first
+ * missed probe shows an effect of this controller's messages. Two replies are needed because only the
+ * heartbeat after the first reply can show an effect of that reply. */
 #define PARTITION_MISSED_PROBES 2
 #define PARTITION_AFTER_S 3.0
 #define PARTITION_REPLIES 2
--- a/src/core/workers/failure_detector.h
+++ b/src/core/workers/failure_detector.h
@@ -43,8 +43,8 @@
   FkTime incarnation_started_at;        /* when the first message of the present incarnation was received; the
                                            incarnation began earlier */
   /* ---- evidence of whether the worker receives this controller's messages ---- */
-  FkTime first_missed_at; /* when the first of the consecutive missed probes timed out; 0 if there is none */
-  guint missed_probes;    /* number of consecutive missed probes */
+  FkTime first_missed_at; /* when the first of `missed_probes` timed out; 0 if there is none */
+  guint missed_probes; /* number of probes missed since a message showed that the worker receives messages */
   guint replies_without_effect; /* number of replies to heartbeats since `first_missed_at`, none of which had
                                    a visible effect */
   gboolean lease_lapsed; /* the worker's lease expired although this controller had replied in time, and
@@ -78,7 +78,8 @@
                                                         FkTime now);
 /* Records that the worker didn't reply to the latest probe in time. */
 void fk_failure_detector_probe_missed(FkFailureDetector *detector, FkTime now);
-/* Records that this controller accepted a heartbeat and replied to it, which renews the worker's lease. */
+/* Records that this controller accepted a heartbeat and replied to it. The reply renews the worker's lease if
+ * it arrives. */
 void fk_failure_detector_reply_sent(FkFailureDetector *detector, FkTime now);
 /* Records that the newest message echoes `token`, this controller's present fencing token, and was received
  * now. Returns whether the token differs from the one that was echoed before. */
--- a/src/core/workers/workers.c
+++ b/src/core/workers/workers.c
@@ -10,7 +10,7 @@
  * BEHIND_PAUSE_S after such a tick no worker counts as silent or partitioned. */
 #define TICK_LATE_S 0.7
 #define BEHIND_PAUSE_S 3.0
-/* Consecutive missed probes after which a machine that isn't registered isn't probed any more. */
+/* Number of missed probes after which a machine that isn't registered isn't probed any more. */
 #define UNREGISTERED_PROBES_MAX 2
 /* A machine that isn't registered stays in the view this long after the last contact. */
 #define UNREGISTERED_CONTACT_S 60.0
--- a/src/core/workers/workers.h
+++ b/src/core/workers/workers.h
@@ -94,7 +94,8 @@
 /* Returns how many tasks of services that aren't cancelled are allocated on the machine. */
 guint fk_machine_service_tasks(const FkMachine *machine);
 /* Selects silent machines with services that may be terminated now, and adds their ids to `names` until it
- * holds `names_max`. `serving`: all silent machines with services (FkMachine), sorted in place. */
+ * holds `names_max`. `serving`: the silent machines with services (FkMachine) that wait for termination;
+ * sorted in place. */
 void fk_service_failover_select(FkController *c, GPtrArray *serving, GPtrArray *names, guint names_max);
 /* Returns the demand for capacity: an FkJob, borrowed from the view, for each allocation of a service that
  * isn't cancelled on a registered machine that is drained as silent. */
--- a/src/fault_attribution/fault_attribution.h
+++ b/src/fault_attribution/fault_attribution.h
@@ -18,9 +18,9 @@
  * 0 if the start wasn't observed. `succeeded`: whether any task of the job has succeeded so far. */
 void fk_fault_attribution_task_failed(FkFaultAttribution *attribution, const char *job, const char *machine,
                                       double duration_s, gboolean succeeded, FkTime now);
-/* Records that the job's longest-running task was allocated `oldest_s` seconds ago, 0 if no task runs. If
- * this is much longer than the failed tasks took, the job counts as working until a later call shows
- * otherwise. Does nothing for a job without failures. */
+/* Records that the job's longest-running task was allocated `oldest_s` seconds ago, 0 if no running task's
+ * start was observed. If this is much longer than the failed tasks took, the job counts as working until a
+ * later call shows otherwise. Does nothing for a job without failures. */
 void fk_fault_attribution_task_survives(FkFaultAttribution *attribution, const char *job, double oldest_s);
 /* Records that a task of the job succeeded on the machine. Discards the machine's failures, and ends the
  * job's consecutive failures. */
