--- a/src/core/shards/completions.c
+++ b/src/core/shards/completions.c
@@ -9,7 +9,7 @@
 
 /* Share of the store's write rate that the completions of all controllers together may use. */
 #define WRITE_SHARE 0.1
-#define PAGES_MAX 64 /* completion pages of one controller */
+#define PAGES_MAX 64 /* maximum number of completion pages of one controller */
 
 /* Limits on a page's estimated size, in bytes for each kilobyte of the store's limit for a value. A page of
  * PAGE_REOPEN_MAX_BYTES_PER_KB or more is at least half full and gets no further batch; a page above
--- a/src/core/shards/machine_registry.c
+++ b/src/core/shards/machine_registry.c
@@ -18,7 +18,7 @@
 #define SURPLUS_SECONDS 0.4
 #define SURPLUS_PACE_S 0.15
 
-/* Range of the jittered pause after a failed write. */
+/* Range in seconds of the jittered pause after a failed write. */
 #define RETRY_MIN_S 0.2
 #define RETRY_MAX_S 0.5
 
--- a/src/core/shards/shard_ownership.c
+++ b/src/core/shards/shard_ownership.c
@@ -22,7 +22,7 @@
 #define STARTUP_PAUSE_S 1.0
 #define ACQUIRE_PAUSE_S 0.5 /* pause between two attempts to acquire the same shard */
 #define SHARDS_PER_TRANSACTION_MAX 16
-#define HANDBACKS_MAX 2 /* shards taken back from live controllers by one transaction */
+#define HANDBACKS_MAX 2 /* most shards that one transaction takes back from live controllers */
 /* Pause between two transactions that take back shards from live controllers. */
 #define HANDBACK_PAUSE_S 2.0
 
--- a/src/core/shards/shards.h
+++ b/src/core/shards/shards.h
@@ -81,7 +81,7 @@
 gboolean fk_completion_is_pending(FkController *c, const FkMachine *machine,
                                   const FkAllocationRef *allocation);
 /* Adds the completion of an allocation that is proven to have ended. `guarded`: the proof is valid only while
- * this controller owns the machine's shard, so the write is conditional on that. */
+ * this controller owns the machine's shard, so the write is conditional on the ownership. */
 void fk_completions_add(FkController *c, const FkMachine *machine, const FkAllocationRef *allocation,
                         FkCompletionKind kind, gboolean guarded);
 /* Sends a transaction, if one is due, that writes pending completions to the store. */
--- a/src/core/workers/failure_detector.c
+++ b/src/core/workers/failure_detector.c
@@ -32,7 +32,7 @@
   gboolean next_incarnation = sequence_is_known(detector->newest_message) &&
                               sequence.incarnation > detector->newest_message.incarnation;
   /* A worker begins a new incarnation when none of its heartbeats of the last `lease_s` seconds got a reply.
-   * If this controller has replied more recently than that, its replies are being lost on the way. */
+   * If this controller has replied well within that time, its replies are being lost on the way. */
   if (next_incarnation && detector->last_replied_at.us &&
       detector->replied_incarnation == detector->newest_message.incarnation &&
       fk_time_between(detector->last_replied_at, now) < lease_s - LEASE_LAPSE_SLACK_S)
--- a/src/core/workers/heartbeats.c
+++ b/src/core/workers/heartbeats.c
@@ -155,7 +155,7 @@
   FkMachine *machine = fk_view_ensure_machine(c->view, heartbeat->machine);
   fk_view_assign_shard(c->view, machine, heartbeat->zone);
   if (machine->shard != shard) {
-    /* The heartbeat gives another zone than before, and a machine's shard never changes. */
+    /* The heartbeat names another zone than the machine's, but a machine's shard never changes. */
     fk_heartbeat_reply_new(c, message.request, STATUS_MISDIRECTED);
     return;
   }
--- a/src/core/workers/zone_reachability.c
+++ b/src/core/workers/zone_reachability.c
@@ -165,7 +165,7 @@
 }
 
 /* If more than half of a zone's workers, and at least two, don't receive messages, the fault is on this
- * controller's side: its replies are being lost, and the workers will find another owner. */
+ * controller's side: its replies are being lost, and the workers will turn to another controller. */
 gboolean fk_worker_is_partitioned(FkController *c, const FkMachine *machine, const FkZoneReachability *zone) {
   return fk_failure_detector_is_partitioned(&machine->worker->failure_detector, c->now) &&
          2 * zone->partitioned <= MAX(2, zone->machines) && silence_is_evidence(c, machine);
--- a/test/test_failure_detector.c
+++ b/test/test_failure_detector.c
@@ -23,7 +23,7 @@
   /* Incarnation and sequence number of a heartbeat or probe reply. For STEP_WAIT, `incarnation` holds the
    * seconds to wait. */
   guint64 incarnation, sequence;
-  FkHeartbeatFreshness freshness; /* expected for a heartbeat or probe reply */
+  FkHeartbeatFreshness freshness; /* expected freshness of a heartbeat or probe reply */
 } Step;
 
 #define HEARTBEAT(incarnation, sequence, freshness)                                                          \
--- a/test/test_failure_modes.c
+++ b/test/test_failure_modes.c
@@ -457,10 +457,10 @@
  * (scenario meet-late in test/days: only 0.68 of the submissions were in time). */
 static void test_transaction_retry(void) {
   static const struct {
-    gboolean sent;           /* the first send is no longer queued */
+    gboolean sent;           /* FALSE if the first send is still queued */
     FkOutcome first, second; /* results of the first two sends; FK_OUTCOME_UNKNOWN if no result arrives */
-    int status;              /* of the reply to the user, 0 if there is none yet */
-    guint sends_max;         /* maximum number of sends */
+    int status;              /* status of the reply to the user, 0 if there is none yet */
+    guint sends_max;         /* expected number of sends; checked only if `status` is 0 */
   } cases[] = {{FALSE, FK_OUTCOME_UNKNOWN, FK_OUTCOME_UNKNOWN, 0, 1},
                {TRUE, FK_OUTCOME_UNKNOWN, FK_OUTCOME_UNKNOWN, 0, 4},
                {TRUE, FK_OUTCOME_UNKNOWN, FK_OUTCOME_OK, 201, 4},
