--- a/src/core/shards/machine_registry.c
+++ b/src/core/shards/machine_registry.c
@@ -1,20 +1,24 @@
-/* The machine registry: the store's descriptions of the machines, by shard. Machines are added, drained and
- * removed. Changes gather, and several shards' pages are written by one transaction, so that a hundred
- * machines cost a few writes. */
+/* The machine registry: the records in the store that describe each shard's machines. Machines are added,
+ * drained and removed. Changes are batched, and one transaction writes the pages of several shards, so that
+ * changes of a hundred machines cost only a few writes. */
 #include "core/shards/machine_pages.h"
 
-#define WRITES_MIN 3 /* a transaction, and more as the budget allows */
+/* Lower and upper bound of the limit on a transaction's writes. The limit follows the unused write budget. */
+#define WRITES_MIN 3
 #define WRITES_MAX 20
-#define TRANSACTION_BYTES_MAX 48000
-#define WRITE_SHARE 0.4 /* of the store's write budget, all controllers together */
+#define TRANSACTION_FULL_BYTES 48000 /* no further shard is added to a transaction of this size or more */
+#define WRITE_SHARE 0.4              /* share of the store's write rate, for all controllers together */
 #define WRITE_PAUSE_MAX_S 3.0
-#define REMOVAL_DELAY_S 6.0 /* nobody waits for a removal: many go by one write */
 
-/* While less of a second's budget than this is used there is nothing to save for. */
-#define PLENTY_SECONDS 0.4
-#define PACE_WITH_PLENTY_S 0.15
+/* No task waits for a removal, so removals are delayed to batch many in one write. */
+#define REMOVAL_DELAY_S 6.0
 
-/* After a write that failed. */
+/* While this controller's unused write budget is larger than its share of the writes that the store accepts
+ * in SURPLUS_SECONDS, the pause between transactions is at most SURPLUS_PACE_S. */
+#define SURPLUS_SECONDS 0.4
+#define SURPLUS_PACE_S 0.15
+
+/* Range in seconds of the jittered pause after a failed write. */
 #define RETRY_MIN_S 0.2
 #define RETRY_MAX_S 0.5
 
@@ -24,8 +28,8 @@
 
 double fk_write_pace_s(FkController *c, guint writes, double share) {
   double pace_s = writes * (double)fk_controller_live_count(c) / (share * c->settings->store_write_rps);
-  double plenty = PLENTY_SECONDS * fk_store_write_share(c) * c->settings->store_write_rps;
-  return c->launches.write_room > plenty ? MIN(pace_s, PACE_WITH_PLENTY_S) : pace_s;
+  double surplus = SURPLUS_SECONDS * fk_store_write_share(c) * c->settings->store_write_rps;
+  return c->launches.write_room > surplus ? MIN(pace_s, SURPLUS_PACE_S) : pace_s;
 }
 
 /* ---- requested changes ---- */
@@ -76,15 +80,17 @@
 
 /* ---- which shard's pages are written first ---- */
 
-/* What writing a shard's pages brings, by machine. In the tables' own order the first shards were dirty again
- * by the time that a write was free, and the last never had their turn: 250 idle machines stood for minutes,
- * each page draining one or two. So the pages that settle the most go first: what tasks wait for, then what
- * costs money, then what only tidies up. Gains grow with waiting, so that one idle machine has its turn as
- * well. */
-#define GAIN_USABLE 4.0      /* new, or no longer drained */
-#define GAIN_UNAVAILABLE 6.0 /* silent, faulty or noticed: what runs there is to go on elsewhere */
-#define GAIN_SPARE 1.0       /* idle or drained by request */
-#define GAIN_REMOVED 0.1
+/* The gain from writing a shard's pages is the sum of its machines' gains, plus GAIN_PER_SECOND for each
+ * second of waiting. The pages with the largest gain are written first. Changes that tasks wait for have the
+ * largest gains, then changes that save money, then cleanup. With pages written in hash-table order, the
+ * first shards were dirty again before the next write was allowed, and the last shards starved: 250 idle
+ * machines were not drained for minutes, and each page written drained only one or two machines. The waiting
+ * time keeps a shard with a single idle machine from starving. */
+#define GAIN_USABLE 4.0      /* a new machine, or one that is no longer drained */
+#define GAIN_UNAVAILABLE 6.0 /* silent, faulty or with a termination notice: its tasks must move */
+#define GAIN_UNNEEDED 1.0    /* idle, or drained for consolidation */
+#define GAIN_REMOVED 0.1     /* to be removed, without allocations */
+/* gain for each second since a shard's pages became dirty, or were last written if that is later */
 #define GAIN_PER_SECOND 0.3
 
 static double machine_gain(const FkMachine *machine) {
@@ -97,8 +103,8 @@
   const char *reason = machine->pending_drain_reason;
   if (!reason || reason == machine->drain_reason)
     return 0;
-  gboolean spare = g_str_equal(reason, FK_DRAIN_REASON_IDLE) || g_str_equal(reason, FK_DRAIN_REASON_DRAIN);
-  return spare ? GAIN_SPARE : GAIN_UNAVAILABLE;
+  gboolean unneeded = g_str_equal(reason, FK_DRAIN_REASON_IDLE) || g_str_equal(reason, FK_DRAIN_REASON_DRAIN);
+  return unneeded ? GAIN_UNNEEDED : GAIN_UNAVAILABLE;
 }
 
 typedef struct {
@@ -114,14 +120,15 @@
 }
 
 static gboolean is_due(FkController *c, const FkShard *shard) {
-  /* Pages larger than the limits to come are divided by the owner as soon as all controllers can read that.
-   */
-  gboolean divide = shard->oversized && fk_shard_is_owned(c, shard) && fk_job_dependencies_are_supported(c);
+  /* Pages larger than the store's planned lower limit are split by the shard's owner. Only controllers that
+   * support job dependencies can read split pages, so the owner waits until all controllers do. */
+  gboolean split_due =
+      shard->oversized && fk_shard_is_owned(c, shard) && fk_job_dependencies_are_supported(c);
   gboolean removal = shard->removal_due.us && fk_time_reached(c->now, shard->removal_due);
-  return shard->page_dirty || divide || removal;
+  return shard->page_dirty || split_due || removal;
 }
 
-/* The shards whose pages are to be written, those with the largest gain first. */
+/* Returns the shards whose pages are due to be written, sorted by decreasing gain. */
 static GArray *due_pages(FkController *c) {
   GArray *due = g_array_new(FALSE, FALSE, sizeof(DuePage));
   GHashTableIter iter;
@@ -152,14 +159,15 @@
     c->shards.page_write_after = fk_write_retry_at(c);
 }
 
-/* A transaction with as many due pages as fit, or NULL. */
+/* Returns a transaction that writes as many due pages as fit, those with the largest gain first. Returns NULL
+ * if no page changes. */
 static FkOutput *write_due_pages(FkController *c) {
   FkOutput *transaction = NULL;
   guint bytes = 0;
   guint writes_max =
       (guint)CLAMP(c->launches.write_room, WRITES_MIN, MIN(c->settings->transaction_ops_max, WRITES_MAX));
   g_autoptr(GArray) due = due_pages(c);
-  for (guint i = 0; i < due->len && bytes < TRANSACTION_BYTES_MAX; i++) {
+  for (guint i = 0; i < due->len && bytes < TRANSACTION_FULL_BYTES; i++) {
     if (transaction && transaction->writes->len >= writes_max)
       break;
     FkShard *shard = g_array_index(due, DuePage, i).shard;
@@ -173,7 +181,8 @@
       transaction = fk_transaction_new(c, FK_PRIORITY_LAUNCH);
     if (!fk_machine_pages_write(c, transaction, shard, &pages, writes_max))
       break;
-    shard->page_dirty_since = c->now; /* should anything be left, it waits from now on */
+    /* A dirty page stays dirty until the view shows its changes; the gain from waiting restarts. */
+    shard->page_dirty_since = c->now;
     bytes += fk_machine_pages_changed_bytes(&pages);
   }
   return transaction;
--- a/src/core/workers/redirects.c
+++ b/src/core/workers/redirects.c
@@ -1,12 +1,17 @@
-/* Workers that are sent to their shard's owner, and those that come back because they can't reach it. */
+/* Redirects of workers to their shard's owner. A worker that can't reach the owner returns: it sends its
+ * heartbeats again to the controller that redirected it. If enough workers return, this controller acquires
+ * the shard. */
 #include "core/workers/workers_internal.h"
 
-/* A worker that can't reach the owner it was sent to is back after 4 s for the answer, 1 s of pause and half
- * a second on its way. One that never received the redirect, since nothing reaches it, goes through all
- * controllers at 5 s each: with two of them alive it is back after 10 s at the soonest. */
+/* A return within this time after a redirect means that the worker can't reach the owner. A worker that can't
+ * reach the owner waits for a reply for 4 s, pauses for 1 s, and its next heartbeat takes up to half a second
+ * to arrive. A worker that didn't receive the redirect tries all controllers at 5 s each: with two
+ * controllers alive it returns after 10 s at the earliest. */
 #define RETURN_WINDOW_S 9.0
-#define RETURN_MEMORY_S (3 * RETURN_WINDOW_S) /* returns are remembered for so long */
-#define RETURNED_SHARE_MIN 0.15               /* of a shard's workers: its owner can't be reached */
+#define RETURN_MEMORY_S (3 * RETURN_WINDOW_S) /* time for which a return is remembered */
+/* Minimum number of recent returns that shows that a shard's owner can't be reached: RETURNED_SHARE_MIN times
+ * the number of the shard's machines, but at least RETURNED_MIN. */
+#define RETURNED_SHARE_MIN 0.15
 #define RETURNED_MIN 2
 
 #define STATUS_MISDIRECTED 421
@@ -33,28 +38,29 @@
   g_hash_table_foreach_remove(c->workers.redirects, redirect_is_expired, &c->now);
 }
 
-static void remember_return(FkController *c, FkShard *shard, const char *machine) {
-  FkReturnedWorker *returned = g_hash_table_lookup(shard->returned_machines, machine);
-  if (!returned) {
-    returned = g_new0(FkReturnedWorker, 1);
-    g_hash_table_insert(shard->returned_machines, g_strdup(machine), returned);
+static void record_return(FkController *c, FkShard *shard, const char *machine) {
+  FkReturnedWorker *worker = g_hash_table_lookup(shard->returned_machines, machine);
+  if (!worker) {
+    worker = g_new0(FkReturnedWorker, 1);
+    g_hash_table_insert(shard->returned_machines, g_strdup(machine), worker);
   }
-  returned->previous_at = returned->last_at;
-  returned->last_at = c->now;
+  worker->previous_at = worker->last_at;
+  worker->last_at = c->now;
 }
 
-/* How many workers have come back lately, those that came back twice counted double. Old returns are dropped.
- */
+/* Returns how many workers have returned within the last RETURN_WINDOW_S. A worker counts as two if its last
+ * two returns were less than RETURN_MEMORY_S apart. Removes workers that last returned more than
+ * RETURN_MEMORY_S ago. */
 static guint count_recent_returns(FkController *c, FkShard *shard) {
   guint recent = 0;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init(&iter, shard->returned_machines);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const FkReturnedWorker *returned = value;
-    double age_s = fk_time_between(returned->last_at, c->now);
-    gboolean twice = returned->previous_at.us &&
-                     fk_time_between(returned->previous_at, returned->last_at) < RETURN_MEMORY_S;
+    const FkReturnedWorker *worker = value;
+    double age_s = fk_time_between(worker->last_at, c->now);
+    gboolean twice =
+        worker->previous_at.us && fk_time_between(worker->previous_at, worker->last_at) < RETURN_MEMORY_S;
     if (age_s < RETURN_WINDOW_S)
       recent += twice ? 2 : 1;
     if (age_s > RETURN_MEMORY_S)
@@ -63,12 +69,14 @@
   return recent;
 }
 
-/* The workers can't reach the shard's owner when a part of them came back from there. A few of many prove
- * nothing but that the owner is slow; and an owner that has only just taken the shard from this controller
- * can be reached, since the workers were there. Without both rules, two busy controllers take the same shards
- * from each other again and again, and each time all their workers must receive a new token. */
-void fk_redirect_note_return(FkController *c, FkShard *shard, const char *machine) {
-  remember_return(c, shard, machine);
+/* Requests that this controller acquire the shard if enough of the shard's workers have returned recently. In
+ * a shard with at most one machine, one return is enough. Two rules prevent two busy controllers from taking
+ * the same shards from each other again and again, with a new token for all their workers each time. First, a
+ * few returns among many workers are ignored, since the owner may only be slow. Second, all returns are
+ * ignored for a while after the owner has taken the shard from this controller, since the workers had reached
+ * that owner. */
+void fk_redirect_record_return(FkController *c, FkShard *shard, const char *machine) {
+  record_return(c, shard, machine);
   guint recent = count_recent_returns(c, shard);
   double enough = MAX(RETURNED_MIN, RETURNED_SHARE_MIN * shard->machines->len);
   if (fk_time_reached(c->now, shard->ignore_returns_until) && (recent >= enough || shard->machines->len <= 1))
--- a/src/core/workers/workers.h
+++ b/src/core/workers/workers.h
@@ -1,88 +1,102 @@
-/* The workers of the shards that this controller owns: their heartbeats, the commands they are given, and
- * which of them are out of reach. */
+/* The workers of the shards that this controller owns: their heartbeats, the commands sent to them, and the
+ * detection of unreachable workers. */
 #pragma once
 #include "core/messages.h"
 #include "core/workers/failure_detector.h"
 
-/* What an owner keeps of one worker. */
+/* The state that a shard's owner keeps for each worker. */
 struct FkWorkerState {
-  gboolean owned;         /* the view has shown our ownership of its shard */
-  FkRev shard_rev;        /* the fencing token at present ... */
-  FkTime shard_rev_since; /* ... and since when */
+  gboolean owned;         /* the view has shown that this controller owns the worker's shard */
+  FkRev shard_rev;        /* the shard's latest known revision, its fencing token */
+  FkTime shard_rev_since; /* when the view first showed `shard_rev` */
   FkFailureDetector failure_detector;
-  FkHeartbeat *heartbeat; /* the newest, or NULL */
-  FkRev restarted_under;  /* the token under which the worker restarted: it proves nothing of what runs now */
-  guint64 command_call;   /* the direct call under way, or 0 ... */
-  FkRev command_shard_rev; /* ... and its token */
-  FkTime command_after;    /* no direct call before this */
-  gboolean reconciled;     /* nothing urgent was found at the last check, and its heartbeat shows our token */
-  /* Starts of attempts ("job/task#attempt") that the worker may still carry out. */
-  GHashTable *starts_in_doubt;           /* they may arrive, or arrive again -> guint64*, their token */
-  GHashTable *starts_in_flight;          /* in the direct call under way */
-  GHashTable *starts_replied;            /* in the reply to ... */
-  FkHeartbeatSequence starts_replied_to; /* ... this heartbeat */
-  guint retained_attempts;               /* ended attempts that must not be forgotten yet */
+  FkHeartbeat *heartbeat;  /* the newest heartbeat, owned; NULL if none was received */
+  FkRev restart_token;     /* the shard's fencing token when the worker's last restart was detected, 0 if none
+                              was. An echo of this token proves nothing: the message may be from before the
+                              restart */
+  guint64 command_call;    /* id of the direct call in flight, 0 if there is none */
+  FkRev command_shard_rev; /* the fencing token of the latest direct call */
+  FkTime command_after;    /* earliest time of the next direct call */
+  gboolean reconciled;     /* the latest fk_commands_send found that no direct call was needed */
+  /* Starts that the worker may still execute, keyed by attempt ("job/task#attempt"). */
+  GHashTable *starts_unresolved; /* starts sent by earlier direct calls, which may be delivered late or twice:
+                                    attempt key -> guint64*, the fencing token of the call */
+  GHashTable *starts_in_flight;  /* starts sent by the direct call in flight: a set of attempt keys */
+  GHashTable *starts_in_reply;   /* starts sent in heartbeat replies that may still be delivered: a set of
+                                    attempt keys */
+  /* Incarnation and sequence number of the heartbeat that was last replied to with status 200. */
+  FkHeartbeatSequence starts_in_reply_to;
+  guint retained_attempts; /* number of exited attempts without an allocation that the worker must still
+                              remember, since their start may still be delivered */
 };
 
-/* A heartbeat that waits until this controller owns the worker's shard. */
+/* A heartbeat that is held for a few seconds, until this controller owns the worker's shard or knows where to
+ * redirect the worker. */
 typedef struct {
   FkRequestId request;
-  FkHeartbeat *heartbeat;
+  FkHeartbeat *heartbeat; /* owned */
   FkTime received_at;
-  FkRev shard_rev; /* the shard's revision when it was received */
+  FkRev shard_rev; /* the shard's revision when the heartbeat was first held */
 } FkHeldHeartbeat;
 
-/* A worker was sent to another controller. */
+/* The latest redirect of a worker to another controller. */
 typedef struct {
   FkTime sent_at;
-  char *target; /* the controller's name */
+  char *target; /* name of the controller that the worker was redirected to */
 } FkRedirect;
 
-/* This controller's registered workers of one zone, and how many of them were heard lately. */
+/* Reachability of one zone: the number of this controller's registered workers there, and how many of them
+ * were heard from lately. */
 typedef struct {
-  const char *zone; /* interned */
-  guint machines;
-  guint recently_seen;      /* heard within the shortest silence that counts */
-  guint just_seen;          /* heard in the last moment ... */
-  double expected_just_now; /* ... and how many should have been */
-  guint partitioned;        /* heard, and don't hear us */
-  FkTime outage_seen_at;    /* the last moment with so few heard that it may be we who are cut off ... */
-  FkTime outage_began;      /* ... and when that began */
-  FkTime all_silent_at;     /* the last moment with none heard */
+  const char *zone;    /* interned */
+  guint machines;      /* number of this controller's registered workers in the zone */
+  guint recently_seen; /* number of workers heard from recently (recent_contact_s in zone_reachability.c) */
+  guint seen_just_now; /* number of workers heard from within the last 1.3 s */
+  double expected_just_now; /* expected value of `seen_just_now`, given the heartbeat and probe intervals;
+                               drained machines count as 0 */
+  guint partitioned;        /* number of workers with a one-way partition: they send heartbeats but don't
+                               receive this controller's messages */
+  FkTime outage_seen_at;    /* latest time at which so few workers of the zone were heard from that this
+                               controller may be isolated; 0 if never */
+  FkTime outage_started_at; /* when the latest outage was first detected; 0 if there was none */
+  FkTime all_silent_at;     /* when `recently_seen` was last 0 although the zone has workers; 0 if never */
 } FkZoneReachability;
 
+/* This controller's state that concerns more than one worker. */
 typedef struct {
   GQueue *held_heartbeats;    /* FkHeldHeartbeat, owned */
-  guint duplicate_heartbeats; /* rejected in this window */
-  guint impossible_tokens;    /* heartbeats rejected in this window for a token that was never issued */
+  guint duplicate_heartbeats; /* heartbeats rejected as duplicates in this statistics window */
+  guint impossible_tokens;    /* heartbeats rejected in this statistics window for a fencing token that was
+                                 never issued */
   GHashTable *redirects;      /* machine id -> FkRedirect */
-  GHashTable *commands;       /* direct call -> machine id, interned */
-  FkTime last_tick;
-  FkTime behind_until; /* this controller was too slow lately to tell who is silent */
-  guint slice;         /* of the workers, checked in the last tick */
-  guint round;         /* how often all were checked */
+  GHashTable *commands;       /* id of a direct call -> machine id, interned */
+  FkTime last_tick;           /* time of the last tick, 0 before the first */
+  FkTime behind_until; /* until this time a worker's silence proves nothing, because a tick came too late */
+  guint slice;         /* index of the slice of the workers that the last tick checked */
+  guint round;         /* number of times that all slices have been checked */
   GArray *zones;       /* FkZoneReachability */
 } FkWorkerPool;
 
-/* Checks a slice of the workers; retries held heartbeats. To be called at each tick while the view is ready.
- */
+/* Retries the held heartbeats, announces newly acquired shards and checks one slice of the workers. Called at
+ * each tick while the view is ready. */
 void fk_workers_tick(FkController *c);
-/* Reconciles the machines that the view has marked as changed. */
+/* Handles the machines that the view marks as changed: reconciles those that this controller owns, and frees
+ * the worker state of the others. Then retries the held heartbeats. */
 void fk_workers_view_changed(FkController *c);
-/* Whether a message under the shard's present token has come: commands and replies under older tokens are
- * void.
- */
+/* Returns whether a message from the worker has echoed the shard's present fencing token. A worker that has
+ * received this token ignores commands and replies that carry an older one. */
 gboolean fk_worker_has_echoed_token(const FkMachine *machine);
-/* Whether the machine may be given new tasks. */
+/* Returns whether the machine may be given new tasks, as far as this controller knows. */
 gboolean fk_machine_is_usable(FkController *c, const FkMachine *machine);
 
 /* ---- service_failover.c ---- */
 
-/* Tasks of services allocated there that nobody has cancelled. */
+/* Returns how many tasks of services that aren't cancelled are allocated on the machine. */
 guint fk_machine_service_tasks(const FkMachine *machine);
-/* Adds to `names`, up to `names_max`, the ids of those of the silent machines `serving` (FkMachine, with
- * services; sorted here) that may be terminated now. */
+/* Selects silent machines with services that may be terminated now, and adds their ids to `names` until it
+ * holds `names_max`. `serving`: the silent machines with services (FkMachine) that wait for termination;
+ * sorted in place. */
 void fk_service_failover_select(FkController *c, GPtrArray *serving, GPtrArray *names, guint names_max);
-/* FkJob, borrowed from the view, one for each task of a service on a silent machine: capacity for them is
- * wanted. */
+/* Returns the services on registered machines that are drained as silent: one FkJob, borrowed from the view,
+ * for each replica that needs capacity elsewhere. Cancelled services are left out. */
 GPtrArray *fk_service_failover_demand(FkController *c);
--- a/src/fault_attribution/fault_attribution.c
+++ b/src/fault_attribution/fault_attribution.c
@@ -1,33 +1,52 @@
+/* Fault attribution from the failure histories of jobs and of machines; fault_attribution.h describes its
+ * rules. */
 #include "fault_attribution/fault_attribution.h"
 
-#define SITES_MAX 8               /* machines remembered of a job, and jobs of a machine: the latest */
-#define FAILING_JOB_SITES_MIN 2   /* machines that a job must fail on, without any success */
-#define FAULTY_MACHINE_FAILURES 3 /* in a row, ... */
-#define UNPROVEN_FAILURES_MAX 2   /* ... of which one job that has worked nowhere yet may add so many ... */
-#define UNPROVEN_WEIGHT 0.5       /* ... of this weight each */
-#define AVOID_MACHINE_S 60.0      /* after that it may have been repaired */
-#define SURVIVAL_FACTOR 3.0       /* times as long as the failed tasks took ... */
-#define SURVIVAL_MARGIN_S 5.0     /* ... and so much longer, since an image may come late */
-#define IMMEDIATE_RETRIES 3       /* of a job that isn't failing everywhere */
+/* Limit on the machines recorded for a job, and on the jobs recorded for a machine. Above the limit, the
+ * entry recorded first is dropped. */
+#define SITES_MAX 8
+/* Number of machines on which a job without any success must have failed to count as failing everywhere.
+ * Machines on which other jobs fail aren't counted. */
+#define FAILING_JOB_SITES_MIN 2
+/* Total weight of the failures since a machine's last success that makes the machine faulty. */
+#define FAULTY_MACHINE_FAILURES 3
+/* Failures of a job that hasn't worked on any machine yet: how many of the job's failures count against one
+ * machine at most, and the weight of each. */
+#define UNPROVEN_FAILURES_MAX 2
+#define UNPROVEN_WEIGHT 0.5
+/* A job avoids a machine for this long after a failure there; later the machine may have been repaired. */
+#define AVOID_MACHINE_S 60.0
+/* A running task outlives the failed tasks of its job when it has run for longer than SURVIVAL_FACTOR times
+ * the longest run of a failed task plus SURVIVAL_MARGIN_S. The margin is for the time to pull the image, as
+ * run times are counted from the allocation. */
+#define SURVIVAL_FACTOR 3.0
+#define SURVIVAL_MARGIN_S 5.0
+/* Retries of a job that isn't failing everywhere: the first IMMEDIATE_RETRIES are immediate, then the
+ * delay is RETRY_DELAY_S times the number of consecutive failures, at most RETRY_DELAY_MAX_S. */
+#define IMMEDIATE_RETRIES 3
 #define RETRY_DELAY_S 0.5
 #define RETRY_DELAY_MAX_S 30.0
-#define FAILING_RETRY_DELAY_S 2.0 /* twice as long after each further failure */
+/* Retries of a job that is failing everywhere: the delay after failures on FAILING_JOB_SITES_MIN machines,
+ * which is doubled for each further machine, and the longest delay. */
+#define FAILING_RETRY_DELAY_S 2.0
 #define FAILING_RETRY_DELAY_MAX_S 60.0
 
 /* The failures of one job on one machine. */
 typedef struct {
-  char *id; /* the machine in a job's history, the job in a machine's */
-  guint times;
-  FkTime last;
+  char *id; /* the machine's id in a job's history; the job's id in a machine's history */
+  guint failure_count;
+  FkTime last_at;
 } FailureSite;
 
-/* The failures of one job, or on one machine. */
+/* The failure history of a job or of a machine. A job's history has a site for each machine on which the job
+ * failed. A machine's history has a site for each job that failed on the machine. The last three fields are
+ * used only for jobs. */
 typedef struct {
-  GArray *sites;      /* FailureSite */
-  guint consecutive;  /* failures since the latest success */
-  gboolean succeeded; /* a task of the job has succeeded */
-  gboolean survives;  /* a running task of the job has outlived the failed ones */
-  double longest_s;   /* the longest that a failed task took */
+  GArray *sites;              /* FailureSite, at most SITES_MAX, in the order in which they were added */
+  guint consecutive_failures; /* number of failures since the latest success of the job, or on the machine */
+  gboolean succeeded;         /* a task of the job has succeeded */
+  gboolean survives;          /* a running task of the job has outlived the job's failed tasks */
+  double longest_failed_s;    /* longest time between the allocation of a task of the job and its failure */
 } FailureHistory;
 
 struct FkFaultAttribution {
@@ -75,7 +94,7 @@
   return history;
 }
 
-/* `history` may be NULL. */
+/* Returns the site with this id, or NULL if there is none. `history` may be NULL. */
 static FailureSite *find_site(const FailureHistory *history, const char *id) {
   for (guint i = 0; history && i < history->sites->len; i++)
     if (g_str_equal(g_array_index(history->sites, FailureSite, i).id, id))
@@ -85,14 +104,14 @@
 
 static void add_failure(FailureHistory *history, const char *id, FkTime now) {
   FailureSite *site = find_site(history, id);
-  history->consecutive++;
+  history->consecutive_failures++;
   if (site) {
-    site->times++;
-    site->last = now;
+    site->failure_count++;
+    site->last_at = now;
     return;
   }
   if (history->sites->len >= SITES_MAX)
-    g_array_remove_index(history->sites, 0); /* the oldest */
+    g_array_remove_index(history->sites, 0); /* drop the site added first */
   FailureSite first = {g_strdup(id), 1, now};
   g_array_append_val(history->sites, first);
 }
@@ -100,25 +119,25 @@
 void fk_fault_attribution_task_survives(FkFaultAttribution *attribution, const char *job, double oldest_s) {
   FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
   if (history)
-    history->survives = oldest_s > SURVIVAL_FACTOR * history->longest_s + SURVIVAL_MARGIN_S;
+    history->survives = oldest_s > SURVIVAL_FACTOR * history->longest_failed_s + SURVIVAL_MARGIN_S;
 }
 
 void fk_fault_attribution_task_failed(FkFaultAttribution *attribution, const char *job, const char *machine,
-                                      double took_s, gboolean succeeded, FkTime now) {
+                                      double duration_s, gboolean succeeded, FkTime now) {
   FailureHistory *history = history_ensure(attribution->jobs, job);
   history->succeeded |= succeeded;
-  history->longest_s = MAX(history->longest_s, took_s);
+  history->longest_failed_s = MAX(history->longest_failed_s, duration_s);
   add_failure(history, machine, now);
   add_failure(history_ensure(attribution->machines, machine), job, now);
 }
 
-/* Jobs and machines without failures have no entry. */
+/* Removes the machine's history. A job without a failure history needs none. */
 void fk_fault_attribution_task_succeeded(FkFaultAttribution *attribution, const char *job,
                                          const char *machine) {
   FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
   if (history) {
     history->succeeded = TRUE;
-    history->consecutive = 0;
+    history->consecutive_failures = 0;
   }
   g_hash_table_remove(attribution->machines, machine);
 }
@@ -133,13 +152,14 @@
 
 /* ------------------------------------------------------------------ verdicts */
 
-/* The job is known to work somewhere. */
+/* Returns whether the job is known to work on some machine. `job` is the job's history. */
 static gboolean is_proven(const FailureHistory *job) { return job->succeeded || job->survives; }
 
-/* Whether so many other jobs' tasks have failed on the machine that a failure there says nothing about this
- * job. Counted are jobs that are proven, or have failed on that machine only. */
-static gboolean fails_other_jobs(const FkFaultAttribution *attribution, const char *machine,
-                                 const char *job) {
+/* Returns whether at least FAULTY_MACHINE_FAILURES failures of other jobs are recorded for the machine. A
+ * failure on this machine is then no evidence against the job. Another job's failures are counted only if
+ * that job is known to work or has failed on no other machine. */
+static gboolean other_jobs_fail_on(const FkFaultAttribution *attribution, const char *machine,
+                                   const char *job) {
   const FailureHistory *history = g_hash_table_lookup(attribution->machines, machine);
   guint failures = 0;
   for (guint i = 0; history && i < history->sites->len; i++) {
@@ -148,7 +168,7 @@
       continue;
     const FailureHistory *other = g_hash_table_lookup(attribution->jobs, site->id);
     if (other && (is_proven(other) || other->sites->len == 1))
-      failures += site->times;
+      failures += site->failure_count;
   }
   return failures >= FAULTY_MACHINE_FAILURES;
 }
@@ -157,12 +177,12 @@
   const FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
   if (!history || is_proven(history) || history->sites->len < FAILING_JOB_SITES_MIN)
     return FALSE;
-  guint sound_machines = 0;
+  guint healthy_machines = 0;
   for (guint i = 0; i < history->sites->len; i++) {
     const FailureSite *site = &g_array_index(history->sites, FailureSite, i);
-    sound_machines += !fails_other_jobs(attribution, site->id, job);
+    healthy_machines += !other_jobs_fail_on(attribution, site->id, job);
   }
-  return sound_machines >= FAILING_JOB_SITES_MIN;
+  return healthy_machines >= FAILING_JOB_SITES_MIN;
 }
 
 static double exponential_backoff_s(double first_s, guint doublings, double max_s) {
@@ -174,32 +194,36 @@
 
 double fk_fault_attribution_retry_delay_s(const FkFaultAttribution *attribution, const char *job) {
   const FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
-  if (!history || !history->consecutive)
+  if (!history || !history->consecutive_failures)
     return 0;
   if (fk_fault_attribution_job_is_failing(attribution, job)) {
-    /* all tasks of its first launch fail at about the same time: that is one attempt, not hundreds */
-    guint attempts = MIN(history->sites->len, history->consecutive);
+    /* hundreds of the job's tasks may fail at about the same time; all failures on one machine count as one
+     * attempt */
+    guint attempts = MIN(history->sites->len, history->consecutive_failures);
     return exponential_backoff_s(FAILING_RETRY_DELAY_S, attempts - FAILING_JOB_SITES_MIN,
                                  FAILING_RETRY_DELAY_MAX_S);
   }
-  if (history->consecutive <= IMMEDIATE_RETRIES)
+  if (history->consecutive_failures <= IMMEDIATE_RETRIES)
     return 0;
-  return MIN(RETRY_DELAY_MAX_S, RETRY_DELAY_S * history->consecutive);
+  return MIN(RETRY_DELAY_MAX_S, RETRY_DELAY_S * history->consecutive_failures);
 }
 
 gboolean fk_fault_attribution_job_avoids(const FkFaultAttribution *attribution, const char *job,
                                          const char *machine, FkTime now) {
   const FailureSite *site = find_site(g_hash_table_lookup(attribution->jobs, job), machine);
-  return site && fk_time_between(site->last, now) < AVOID_MACHINE_S;
+  return site && fk_time_between(site->last_at, now) < AVOID_MACHINE_S;
 }
 
-/* What one job's failures weigh against a machine. Those of a job that has worked nowhere yet say little,
- * however many tasks it had: it may fail everywhere. Its next attempt, elsewhere and soon, will tell. */
+/* Returns the weight of one job's failures as evidence against a machine, 0 for a job that is failing
+ * everywhere. Failures of a job that hasn't worked on any machine yet weigh little, regardless of their
+ * number, since the job may fail everywhere. The job's next attempt, soon and on another machine, shows
+ * whether it does. */
 static double failure_weight(const FkFaultAttribution *attribution, const FailureSite *site) {
   const FailureHistory *job = g_hash_table_lookup(attribution->jobs, site->id);
   if (fk_fault_attribution_job_is_failing(attribution, site->id))
     return 0;
-  return job && is_proven(job) ? site->times : UNPROVEN_WEIGHT * MIN(site->times, UNPROVEN_FAILURES_MAX);
+  return job && is_proven(job) ? site->failure_count
+                               : UNPROVEN_WEIGHT * MIN(site->failure_count, UNPROVEN_FAILURES_MAX);
 }
 
 gboolean fk_fault_attribution_machine_is_faulty(const FkFaultAttribution *attribution, const char *machine) {
