--- a/src/core/api/cancellation_barrier.c
+++ b/src/core/api/cancellation_barrier.c
@@ -1,27 +1,29 @@
-/* When a user may be told that a job is cancelled, and how long a shard's owner may therefore renew leases
- * without a confirmed view.
+/* The cancellation barrier decides when a user may be told that a job is cancelled. It also determines for
+ * how long the owner of a shard may renew its workers' leases without a confirmed view.
  *
- * Once told, the user may count on every task being gone within the platform's deadline for cancellations. An
- * owner that cannot see the store cannot see the cancellation either, and goes on renewing its workers'
- * leases for a while (`fk_stale_view_trust_s`) after its view was confirmed last. If that time were the
- * deadline less a lease, a cancellation could be acknowledged at once, but a zone cut off for longer would
- * lose all that runs there. So the two are parted: the cancellation is committed, and acted on by all who see
- * it, at once. It is acknowledged when
+ * Once a cancellation is acknowledged, the user may count on every task of the job having ended within the
+ * platform's deadline for cancellations. An owner that cannot reach the store does not see the cancellation
+ * and goes on renewing its workers' leases for up to `fk_stale_view_trust_s` after its view was last
+ * confirmed. If that time were the deadline minus the length of a lease, a cancellation could be acknowledged
+ * at once, but a zone that is cut off for longer would lose everything that runs there. The commit and the
+ * acknowledgement are therefore separate: the cancellation is committed at once, and every controller that
+ * sees it acts on it at once. It is acknowledged as soon as one of these conditions holds:
  *
- * - no task of the job is allocated any more (each allocation ended on proof, launches are guarded by the
- *   job's record),
- * - or every machine with an allocation of it is owned here and has echoed the present fencing token: no
- *   other owner counts there, and this one knows,
- * - or every other controller has said that its view has reached the job's revision,
- * - or the barrier's time has passed since this controller saw it: an owner that did not know of it then has
- *   stopped renewing leases for long enough that they expire in time.
+ * - No task of the job is allocated any more. An allocation is ended only on proof that its task has ended,
+ * and launches are guarded by the job's record, so that no further task can start.
+ * - Every machine with an allocation of the job is owned by this controller and has echoed the current
+ * fencing token. No earlier owner can renew the lease of such a machine, and this controller knows of the
+ *   cancellation.
+ * - Every other controller has reported that its view has reached the job's revision.
+ * - The barrier's time has passed since this controller saw the cancellation. An owner that did not know of
+ * it then has stopped renewing leases, so that they expire before the deadline.
  *
- * What a controller has applied stays applied: the word of an earlier incarnation holds too, since the next
- * one reads a store that is no older. */
+ * A revision that a controller has applied stays applied: a report from an earlier incarnation still counts,
+ * because the next incarnation reads a store that is at least as recent. */
 #include "core/controller_internal.h"
 
 struct FkCancellationBarrier {
-  GHashTable *applied; /* controller -> FkRev*: the latest that it has applied */
+  GHashTable *applied; /* name of a controller -> FkRev*: the latest revision that it has applied */
 };
 
 FkCancellationBarrier *fk_cancellation_barrier_new(void) {
@@ -58,7 +60,8 @@
   return known && known->n >= rev.n;
 }
 
-/* Every allocation of the job is on an owned machine that has echoed the present fencing token. */
+/* Returns whether this controller owns all machines with allocations of the job, and each of them has echoed
+ * the current fencing token. */
 static gboolean all_allocations_confirmed(FkController *c, const FkJob *job) {
   for (guint32 i = 0; i < job->chunk_count; i++)
     for (guint k = 0; job->chunks[i] && k < job->chunks[i]->allocations->len; k++) {
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -1,10 +1,10 @@
-/* Cancellations: the commit, and the reply once the cancellation barrier is passed. */
+/* Cancels jobs: commits the cancellation to the store, and replies to the user once the cancellation barrier
+ * is passed. */
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
-#define COMMIT_CONFLICTS_MAX                                                                                 \
-  4 /* a job's record changes seldom: after so many conflicts the client retries                             \
-     */
+/* A job's record changes rarely. After this many conflicts the client is told to retry. */
+#define COMMIT_CONFLICTS_MAX 4
 
 static void cancellation_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                                    GPtrArray *failed) {
@@ -31,7 +31,7 @@
                                          const char *job_id) {
   c->now = now;
   FkPendingRequest *request = fk_pending_request_new(c, FK_REQUEST_CANCEL, request_id, job_id, NULL);
-  if (fk_job_reads_reply_from_memory(c, request))
+  if (fk_job_reads_handle_permanent_state(c, request))
     return;
   if (fk_job_reads_handle_without_view(c, request))
     return;
--- a/src/core/api/job_reads.c
+++ b/src/core/api/job_reads.c
@@ -1,19 +1,22 @@
-/* Reads of a job's state. A poll is answered from the view only after a read check: a transaction without
- * writes, which compares the revisions that the view has with the store's. What a check cannot decide is read
- * from the store. A job with dependencies is cancelled by the record of an ancestor, not by its own: its
- * state is told by a view that has reached the revision at which the store was asked (read barrier). */
+/* Reads a job's state. A poll is answered from the view only after a read check: a transaction without writes
+ * that compares the revisions in the view with those in the store, so that a stale view is never reported. If
+ * a read check cannot decide, the job's record is read from the store.
+ *
+ * The record of a job with dependencies doesn't show that one of its ancestors is cancelled, which cancels
+ * the job too. Its state is therefore reported from a view that has reached the store's revision at the time
+ * of the read (read barrier). */
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
 #define HTTP_OK 200
 #define HTTP_NOT_FOUND 404
-#define READ_CHECK_REQUEST_SHARE 0.15 /* of the store's requests, all controllers together */
-#define READ_CHECK_GUARDS_FACTOR 4    /* guards of a check, times the operations of a transaction */
-#define READ_CHECK_GUARDS_MAX 400
-#define READS_WITHOUT_VIEW_MAX 16 /* at a time */
-#define STORE_UNREACHABLE_S 3.0   /* the store is asked all the time: no answer for so long is an outage */
+#define READ_CHECK_REQUEST_SHARE 0.15 /* of the store's request rate, for all controllers together */
+#define READ_CHECK_GUARDS_FACTOR 4    /* guards per read check / operations per transaction */
+#define READ_CHECK_GUARDS_MAX 400     /* guards per read check */
+#define READS_WITHOUT_VIEW_MAX 16     /* concurrent requests */
+#define STORE_UNREACHABLE_S 3.0 /* requests are sent all the time: no answer for this long is an outage */
 
-gboolean fk_job_reads_reply_from_memory(FkController *c, FkPendingRequest *request) {
+gboolean fk_job_reads_handle_permanent_state(FkController *c, FkPendingRequest *request) {
   if (fk_pending_request_reply_if_terminal(c, request))
     return TRUE;
   const FkJob *job = fk_view_find_job(c->view, request->job_id);
@@ -41,7 +44,8 @@
 static void job_record_received(FkController *c, gpointer data, FkOutcome outcome, FkStoreEvent *event) {
   FkPendingRequest *request = data;
   if (outcome == FK_OUTCOME_GONE) {
-    /* a job goes from live to terminal, never back: so the terminal record is read after the live one */
+    /* The terminal record is read after the live one, because a job changes from live to terminal, never
+     * back. */
     char *path = fk_key_path(FK_KEY_TERMINAL_JOB, request->job_id);
     fk_read_send(c, path, terminal_record_received, request, NULL);
     return;
@@ -59,7 +63,7 @@
     fk_cancellations_commit(c, request, record->spec, event->rev);
     return;
   }
-  if (fk_job_reads_reply_from_memory(c, request))
+  if (fk_job_reads_handle_permanent_state(c, request))
     return;
   const FkJob *job = fk_view_find_job(c->view, request->job_id);
   if (record->spec->dependencies && (!job || job->blocked))
@@ -78,8 +82,9 @@
   return fk_time_between(c->store_session.store_answered_at, c->now) > STORE_UNREACHABLE_S;
 }
 
-/* Without a view the store itself is read, for a few requests at a time, so that none waits for as long as
- * the list takes. Submissions are not accepted this way: that needs to know who may run, and where. */
+/* Reads the job's record from the store while this controller has no view, for a few requests at a time, so
+ * that they need not wait until the view has been listed. Submissions are not accepted this way, because that
+ * requires the teams' quotas and the instance types. */
 static void read_without_view(FkController *c, FkPendingRequest *request) {
   if (c->requests.store_reads >= READS_WITHOUT_VIEW_MAX) {
     fk_pending_request_reply_unavailable(c, request);
@@ -102,7 +107,8 @@
 
 /* ------------------------------------------------------------------ read checks */
 
-/* The ids of the jobs whose records have changed since the view. */
+/* Returns the ids of the jobs whose revisions in the store differ from those in the view. Owned by the
+ * caller. */
 static GHashTable *changed_job_ids(FkOutcome outcome, const GPtrArray *failed) {
   GHashTable *changed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; outcome == FK_OUTCOME_CONFLICT && failed && i < failed->len; i++) {
@@ -115,7 +121,7 @@
 }
 
 static void finish_check(FkController *c, FkPendingRequest *request, GHashTable *changed, FkRev epoch) {
-  if (fk_job_reads_reply_from_memory(c, request))
+  if (fk_job_reads_handle_permanent_state(c, request))
     return;
   const FkJob *job = fk_view_find_job(c->view, request->job_id);
   if (g_hash_table_contains(changed, request->job_id))
@@ -125,10 +131,11 @@
   else if (job)
     fk_pending_request_reply_from_view(c, request, job);
   else if (request->shown_by_view)
-    /* it existed when the store compared, and the view has been cleared since: its absence proves nothing */
+    /* The job existed when the read check was sent, and the view has been cleared since: that the job is
+     * missing in the view proves nothing. */
     fk_job_reads_read_record(c, request);
   else
-    /* neither live nor terminal when the store compared */
+    /* The store had neither a live nor a terminal record when it compared the revisions. */
     fk_pending_request_reply_status(c, request, HTTP_NOT_FOUND);
 }
 
@@ -186,7 +193,7 @@
 void fk_controller_poll_received(FkController *c, FkTime now, FkRequestId request_id, const char *job_id) {
   c->now = now;
   FkPendingRequest *request = fk_pending_request_new(c, FK_REQUEST_POLL, request_id, job_id, NULL);
-  if (!fk_job_reads_reply_from_memory(c, request))
+  if (!fk_job_reads_handle_permanent_state(c, request))
     fk_job_reads_queue_check(c, request);
 }
 
@@ -204,15 +211,17 @@
   g_queue_push_tail(c->requests.awaiting_view, request);
 }
 
-/* The view has what the store had when the state was asked for. */
+/* Replies with the state of a job with dependencies, once the view has reached the store's revision at the
+ * time of the read. */
 static void reply_for_blocked_job(FkController *c, FkPendingRequest *request) {
-  if (fk_job_reads_reply_from_memory(c, request))
+  if (fk_job_reads_handle_permanent_state(c, request))
     return;
   const FkJob *job = fk_view_find_job(c->view, request->job_id);
   if (!job)
     fk_job_reads_read_record(c, request);
   else if (!fk_dependency_graph_is_known(c->view->dependencies, request->job_id))
-    fk_pending_request_reply_unavailable(c, request); /* the terminal state of an ancestor is being read */
+    /* the terminal state of an ancestor is still being read from the store */
+    fk_pending_request_reply_unavailable(c, request);
   else
     fk_pending_request_reply_from_view(c, request, job);
 }
--- a/src/core/api/pending_request.c
+++ b/src/core/api/pending_request.c
@@ -1,4 +1,4 @@
-/* A user's request that is not answered yet, and its replies. */
+/* Users' requests that have not been answered yet, and the replies to them. */
 #include "core/api/requests_internal.h"
 
 #define HTTP_OK 200
@@ -26,8 +26,8 @@
   return request;
 }
 
-/* Takes the request out of the controller's table, which frees it. */
-static void finish(FkPendingRequest *request) {
+/* Removes the request from the controller's table, which frees it. */
+static void remove_request(FkPendingRequest *request) {
   FkController *c = request->controller;
   c->requests.store_reads -= request->store_reads;
   g_hash_table_remove(c->requests.pending, request);
@@ -43,18 +43,18 @@
 
 void fk_pending_request_reply_status(FkController *c, FkPendingRequest *request, int status) {
   reply_new(c, request, status);
-  finish(request);
+  remove_request(request);
 }
 
 void fk_pending_request_reply_phase(FkController *c, FkPendingRequest *request, int status, FkPhase phase) {
   reply_new(c, request, status)->phase = phase;
-  finish(request);
+  remove_request(request);
 }
 
 void fk_pending_request_reply_unavailable(FkController *c, FkPendingRequest *request) {
   FkOutput *reply = reply_new(c, request, HTTP_UNAVAILABLE);
   reply->retry_s = RETRY_AFTER_MIN_S + g_rand_int_range(c->rand, 0, RETRY_AFTER_SPREAD_S);
-  finish(request);
+  remove_request(request);
 }
 
 void fk_pending_request_reply_terminal(FkController *c, FkPendingRequest *request, FkPhase phase,
@@ -62,7 +62,7 @@
   FkOutput *reply = reply_new(c, request, HTTP_OK);
   reply->phase = phase;
   reply->done = tasks;
-  finish(request);
+  remove_request(request);
 }
 
 void fk_pending_request_reply_from_view(FkController *c, FkPendingRequest *request, const FkJob *job) {
@@ -70,7 +70,7 @@
   reply->phase = fk_job_phase(job);
   reply->done = job->done;
   reply->running = job->allocated;
-  finish(request);
+  remove_request(request);
 }
 
 gboolean fk_pending_request_reply_if_terminal(FkController *c, FkPendingRequest *request) {
--- a/src/core/api/requests.h
+++ b/src/core/api/requests.h
@@ -1,31 +1,34 @@
-/* Users' requests that wait for a reply. */
+/* The queues of users' requests that have not been answered yet. */
 #pragma once
 #include "core/api/cancellation_barrier.h"
 #include "core/messages.h"
 
-/* Users' requests that aren't answered yet. */
+/* Users' requests that have not been answered yet. `pending` owns them; the queues borrow them. */
 typedef struct {
-  GHashTable *pending; /* FkPendingRequest: all of them */
-  GQueue *to_verify;   /* FkPendingRequest: waiting for a read check */
-  gboolean verifying;
-  FkTime verify_after;
-  guint store_reads; /* reads from the store under way while there is no view */
+  GHashTable *pending; /* set of FkPendingRequest: all of them; owned */
+  GQueue *to_verify;   /* FkPendingRequest: those waiting for the next read check */
+  gboolean verifying;  /* whether a read check is in flight */
+  FkTime verify_after; /* the next read check isn't sent before this time */
+  guint store_reads;   /* requests that are reading the store because there is no view */
   FkCancellationBarrier *cancellation_barrier;
-  GQueue *awaiting_cancellation; /* FkPendingRequest: of a cancelled job, not past the barrier yet */
-  GQueue *awaiting_view;         /* FkPendingRequest: until the view has reached a revision */
-  GHashTable *
-      terminal_states_requested; /* ids of jobs that others depend on, whose terminal states are being read */
-  FkTime inherited_at;           /* when inherited priorities and deadlines were computed last ... */
-  gboolean inheriting;           /* ... and whether there were any */
+  GQueue *awaiting_cancellation; /* FkPendingRequest: those waiting for the cancellation barrier */
+  GQueue *awaiting_view;         /* FkPendingRequest: those waiting for the view to reach `barrier_rev` */
+  /* set of ids of jobs that others depend on and whose terminal states are being read from the store */
+  GHashTable *terminal_states_requested;
+  FkTime inherited_at; /* when inherited priorities and deadlines were last computed */
+  gboolean inheriting; /* whether the last computation found any job that inherits */
 } FkPendingRequests;
 
-/* GDestroyNotify of the table of pending requests. */
+/* Frees a request. GDestroyNotify of the table of pending requests. */
 void fk_pending_request_free(gpointer request);
-/* Sends the queued read checks as one transaction, if none is under way and the request budget allows it. */
+/* Sends the queued read checks as one transaction, if none is in flight and their rate limit allows it. */
 void fk_requests_send_read_checks(FkController *c);
-/* Replies to those whose job is cancelled and past the cancellation barrier, or who have waited too long. */
+/* Replies to the requests in `awaiting_cancellation` whose cancellation barrier is passed, and to those that
+ * have waited for too long. */
 void fk_requests_reply_cancelled(FkController *c);
-/* Goes on with those whose revision the view has reached, or who have waited too long. */
+/* Resumes the requests in `awaiting_view` whose revision the view has reached, and replies 503 to those that
+ * have waited for too long. */
 void fk_requests_pass_read_barrier(FkController *c);
-/* The latest revision that a pending cancellation needs all controllers to have applied; 0: none. */
+/* Returns the latest revision that all controllers must have applied before the pending cancellations can be
+ * acknowledged; 0 if there are none. */
 FkRev fk_requests_awaited_rev(FkController *c);
--- a/src/core/api/requests_internal.h
+++ b/src/core/api/requests_internal.h
@@ -1,40 +1,42 @@
-/* What the files of the users' interface share: a request that is not answered yet, its replies, and the ways
- * to learn a job's state. Every function that replies also frees the request. */
+/* Shared by the modules of the users' API: the pending request, the replies to it, and the ways to read a
+ * job's state. Every function that replies also frees the request. */
 #pragma once
 #include "core/controller_internal.h"
 
-#define FK_REQUESTS_QUEUED_MAX 2000 /* requests in one of the queues; more are told to come back */
-#define FK_REQUEST_WAIT_MAX_S 0.7   /* the longest wait for a view or for other controllers; then 503 */
-#define FK_REQUEST_STEPS_MAX 64     /* reads and barriers that one request may take */
+#define FK_REQUESTS_QUEUED_MAX 2000 /* requests in each queue; further ones are answered with 503 */
+#define FK_REQUEST_WAIT_MAX_S 0.7   /* for the view or for other controllers; then the reply is 503 */
+#define FK_REQUEST_STEPS_MAX 64     /* reads and barriers of one request; then the reply is 503 */
 
 typedef enum { FK_REQUEST_POLL, FK_REQUEST_SUBMIT, FK_REQUEST_CANCEL } FkRequestKind;
 
-/* What is done with a request once the view has reached its revision. */
+/* What happens to a request once the view has reached its revision. */
 typedef enum { FK_BARRIER_REPLY, FK_BARRIER_READ_CHECK, FK_BARRIER_ACCEPT } FkBarrierAction;
 
+/* A user's request that has not been answered yet. */
 typedef struct {
-  FkController *controller; /* whose table of pending requests owns it */
+  FkController *controller; /* borrowed; its table of pending requests owns this request */
   FkRequestKind kind;
   FkRequestId request_id;
   char *job_id;
-  FkSpec *spec; /* SUBMIT: owned; else NULL */
-  FkTime waiting_since;
-  guint steps;            /* reads and barriers so far */
-  guint store_reads;      /* 1: counted among the reads without a view; else 0 */
-  gboolean shown_by_view; /* the view had the job when its read check was sent */
-  FkBarrierAction after_barrier;
-  FkRev barrier_rev;             /* the revision that the view must reach */
-  gboolean dependency_cancelled; /* SUBMIT: a job that it depends on is cancelled */
-  gboolean ancestor_unknown;     /* SUBMIT: the terminal state of an ancestor is being read */
-  guint compared_count;          /* SUBMIT: dependencies whose absence the store was asked to compare */
+  FkSpec *spec;                  /* owned; NULL except for SUBMIT */
+  FkTime waiting_since;          /* when the request arrived or began to wait for a barrier */
+  guint steps;                   /* number of reads and barriers so far */
+  guint store_reads;             /* 1 if it is counted in FkPendingRequests.store_reads, else 0 */
+  gboolean shown_by_view;        /* whether the view had the job when the read check was sent */
+  FkBarrierAction after_barrier; /* what happens once the view has reached `barrier_rev` */
+  FkRev barrier_rev;             /* the revision that the view must reach first */
+  gboolean dependency_cancelled; /* SUBMIT: whether a job that this one depends on is cancelled */
+  gboolean ancestor_unknown;     /* SUBMIT: whether the terminal state of an ancestor is being read */
+  guint compared_count;          /* SUBMIT: number of dependencies whose absence is being checked */
 } FkPendingRequest;
 
 /* pending_request.c */
 
-/* A request in the controller's table. `spec` is taken; NULL but for submissions. */
+/* Adds a request to the controller's table, which owns it. Takes ownership of `spec`, which is NULL except
+ * for submissions. */
 FkPendingRequest *fk_pending_request_new(FkController *c, FkRequestKind kind, FkRequestId request_id,
                                          const char *job_id, FkSpec *spec);
-/* Replies with an HTTP status alone. */
+/* Replies with an HTTP status only. */
 void fk_pending_request_reply_status(FkController *c, FkPendingRequest *request, int status);
 /* Replies with a status and the phase of a job that has no tasks running or done. */
 void fk_pending_request_reply_phase(FkController *c, FkPendingRequest *request, int status, FkPhase phase);
@@ -43,33 +45,36 @@
 /* Replies with a terminal state and the number of tasks done. */
 void fk_pending_request_reply_terminal(FkController *c, FkPendingRequest *request, FkPhase phase,
                                        guint32 tasks);
-/* Replies with the job's state in the view. */
+/* Replies with the job's state as shown by the view. */
 void fk_pending_request_reply_from_view(FkController *c, FkPendingRequest *request, const FkJob *job);
-/* Replies if the view remembers the job's terminal state. FALSE: nothing was done. */
+/* Replies if the view has the job's terminal state. Returns FALSE if it hasn't; the request is then still
+ * pending. */
 gboolean fk_pending_request_reply_if_terminal(FkController *c, FkPendingRequest *request);
 
 /* job_reads.c */
 
-/* Deals with a request about a job that is terminal or cancelled in the view: both are permanent, so that the
- * store need not be read. FALSE: nothing was done. */
-gboolean fk_job_reads_reply_from_memory(FkController *c, FkPendingRequest *request);
-/* Deals with a request that comes while the store, or the view, is missing. FALSE: nothing was done. */
+/* Handles a request for a job that is terminal or cancelled in the view. Both states are permanent, so that
+ * the store need not be read. Returns FALSE, without changing the request, if the job is in neither state. */
+gboolean fk_job_reads_handle_permanent_state(FkController *c, FkPendingRequest *request);
+/* Handles a request that arrives while the store is unreachable or this controller has no view. Returns
+ * FALSE, without changing the request, if neither is the case. */
 gboolean fk_job_reads_handle_without_view(FkController *c, FkPendingRequest *request);
-/* Reads the job's record from the store, then its terminal record, and goes on with what is found. */
+/* Reads the job's record from the store, or its terminal record if there is none, and goes on with the
+ * request according to the result. */
 void fk_job_reads_read_record(FkController *c, FkPendingRequest *request);
 /* Queues the request for the next batch of read checks. */
 void fk_job_reads_queue_check(FkController *c, FkPendingRequest *request);
-/* Goes on with the request, as `action` says, once the view has reached `rev`. */
+/* Queues the request until the view has reached `rev`, then does what `action` says. */
 void fk_job_reads_await_view(FkController *c, FkPendingRequest *request, FkRev rev, FkBarrierAction action);
 
 /* submissions.c */
 
-/* Commits the submission, after what it depends on has been looked up. */
+/* Looks up the job's dependencies, in the store if necessary, and then commits the submission. */
 void fk_submissions_accept(FkController *c, FkPendingRequest *request);
 
 /* cancellations.c */
 
-/* Commits the cancellation of a job whose record is `spec` at revision `rev`. */
+/* Commits the cancellation of a job whose record has the content `spec` and the revision `rev`. */
 void fk_cancellations_commit(FkController *c, FkPendingRequest *request, FkSpec *spec, FkRev rev);
-/* The store has the job as cancelled: replies as soon as the cancellation barrier is passed. */
+/* Replies as soon as the cancellation barrier is passed. The store must have the job as cancelled. */
 void fk_cancellations_await_barrier(FkController *c, FkPendingRequest *request);
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -1,4 +1,5 @@
-/* Submissions: whether a job can ever run, what is known of its dependencies, and the commit. */
+/* Accepts submissions: checks whether the job can ever run, looks up its dependencies, and commits its
+ * record. */
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 #include "core/scheduling/placement.h"
@@ -6,15 +7,15 @@
 
 #define HTTP_CREATED 201
 #define HTTP_UNPROCESSABLE 422
-#define VIEW_FRESH_S 5.0           /* far less than the deadline of cancellations */
-#define COMPARISON_GUARDS_FACTOR 4 /* guards of a comparison, times the operations of a transaction */
+#define VIEW_FRESH_S 5.0           /* much shorter than the deadline for cancellations */
+#define COMPARISON_GUARDS_FACTOR 4 /* guards per comparison / operations per transaction */
 
-/* What the view knows of a job that a submission depends on. */
+/* The state of a dependency of a submitted job, according to the view. */
 typedef enum {
-  DEPENDENCY_DONE,       /* permanent: it need not be written down */
-  DEPENDENCY_ACCEPTED,   /* it is live or cancelled: it was accepted, and that is permanent */
-  DEPENDENCY_UNKNOWN,    /* not in the view: the store is asked */
-  DEPENDENCY_IMPOSSIBLE, /* the job itself, or a service, which never ends */
+  DEPENDENCY_DONE,       /* permanent: it can be omitted from the job's record */
+  DEPENDENCY_ACCEPTED,   /* live or cancelled: it was accepted, and that is permanent */
+  DEPENDENCY_UNKNOWN,    /* not in the view: the store must be asked */
+  DEPENDENCY_IMPOSSIBLE, /* the submitted job itself, or a service, which never ends */
 } DependencyStatus;
 
 static void submission_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
@@ -23,7 +24,7 @@
   gboolean stale =
       request->ancestor_unknown || fk_time_between(c->store_session.confirmed_at, c->now) > VIEW_FRESH_S;
   if (outcome == FK_OUTCOME_OK && request->spec->dependencies && stale) {
-    /* a dependency may have been cancelled long ago without this view showing it */
+    /* a dependency may have been cancelled long ago without this view showing it yet */
     fk_job_reads_await_view(c, request, epoch, FK_BARRIER_REPLY);
   } else if (outcome == FK_OUTCOME_OK) {
     FkPhase phase = request->dependency_cancelled ? FK_PHASE_CANCELLED : FK_PHASE_QUEUED;
@@ -35,7 +36,8 @@
   }
 }
 
-/* Whether no fleet could run the job. Only asked of jobs that are not accepted yet. */
+/* Returns whether the job's team doesn't exist, the job exceeds the team's limits, or it fits no instance
+ * type. Only called for jobs that have not been accepted yet. */
 static gboolean can_never_run(FkController *c, const FkSpec *spec) {
   FkTeam *team = fk_settings_find_team(c->settings, spec->team);
   double tasks = spec->shape != FK_SHAPE_ARRAY ? spec->tasks : 1;
@@ -54,7 +56,7 @@
 void fk_controller_submission_received(FkController *c, FkTime now, FkRequestId request_id, FkSpec *spec) {
   c->now = now;
   FkPendingRequest *request = fk_pending_request_new(c, FK_REQUEST_SUBMIT, request_id, spec->id, spec);
-  if (fk_job_reads_reply_from_memory(c, request))
+  if (fk_job_reads_handle_permanent_state(c, request))
     return;
   if (fk_job_reads_handle_without_view(c, request))
     return;
@@ -63,7 +65,7 @@
     return;
   }
   if (!g_hash_table_size(c->autoscaling.instance_types)) {
-    /* without the instance types nobody can say whether it could run */
+    /* the instance types are needed to decide whether the job can ever run */
     fk_pending_request_reply_unavailable(c, request);
     return;
   }
@@ -96,14 +98,15 @@
   fk_submissions_accept(c, request);
 }
 
-/* The store has compared the absence of the job and of those that it depends on. Of the ones that it does
- * have, some are live and the view is behind, others are terminal and read one after another: the view keeps
- * each, also for a repeat of the same submission. */
+/* Handles the store's reply to the check that neither the job nor its unknown dependencies exist. The reply
+ * names those that do exist. A dependency that is live is missing from the view only because the view is
+ * behind. Terminal dependencies are read one after another; the view keeps each of them, also for a retry of
+ * the same submission. */
 static void dependencies_compared(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                                   GPtrArray *failed) {
   FkPendingRequest *request = data;
   if (outcome == FK_OUTCOME_OK) {
-    /* at one moment neither the job nor any of them existed */
+    /* neither the job nor any of these dependencies existed at the same revision of the store */
     fk_pending_request_reply_status(c, request, HTTP_UNPROCESSABLE);
     return;
   }
@@ -123,7 +126,8 @@
   }
   if (!found)
     fk_pending_request_reply_unavailable(c, request);
-  else if (found < request->compared_count) /* the others didn't exist, and neither did the job */
+  else if (found < request->compared_count)
+    /* at least one dependency doesn't exist, and neither does the job */
     fk_pending_request_reply_status(c, request, HTTP_UNPROCESSABLE);
   else if (terminal_path && request->steps++ < FK_REQUEST_STEPS_MAX)
     fk_read_send(c, g_strdup(terminal_path), dependency_record_received, request, NULL);
@@ -131,7 +135,8 @@
     fk_job_reads_await_view(c, request, epoch, FK_BARRIER_ACCEPT);
 }
 
-/* Notes in the request whether the dependency is cancelled, or an ancestor of it unknown. */
+/* Returns the dependency's status. Records in the request whether it is cancelled, and whether the terminal
+ * state of one of its ancestors is unknown. */
 static DependencyStatus dependency_status(FkController *c, FkPendingRequest *request, const char *id) {
   FkPhase phase;
   guint32 tasks;
@@ -149,9 +154,9 @@
   return DEPENDENCY_ACCEPTED;
 }
 
-/* Reduces the dependencies to those that are not done. FALSE: the store was asked about some, or the request
- * has been answered. None of this needs a guard: that a job was accepted never changes, and what becomes of
- * it is seen by whoever has it in its view. */
+/* Reduces the job's dependencies to those that are not done. Returns FALSE if the store was asked about some
+ * of them or the request has been answered. The submission needs no guards for its dependencies: an accepted
+ * job stays accepted, and every controller sees its further states in its own view. */
 static gboolean resolve_dependencies(FkController *c, FkPendingRequest *request) {
   char **dependencies = request->spec->dependencies;
   g_autoptr(GStrvBuilder) unfinished = g_strv_builder_new();
@@ -177,7 +182,7 @@
       guard_absence(comparison, request->job_id);
     }
     if (comparison->guards->len + 2 > COMPARISON_GUARDS_FACTOR * c->settings->transaction_ops_max)
-      break; /* the next comparison has the others */
+      break; /* the other dependencies are in the next comparison */
     guard_absence(comparison, dependencies[i]);
     request->compared_count++;
   }
@@ -199,7 +204,7 @@
     return;
   }
   if (spec->dependencies && !fk_job_dependencies_are_supported(c)) {
-    /* a controller of a version without dependencies would start it at once */
+    /* a controller whose version doesn't support dependencies would start the job at once */
     fk_pending_request_reply_unavailable(c, request);
     return;
   }
@@ -208,7 +213,7 @@
   g_free(spec->owner);
   spec->owner = g_strdup(c->settings->node);
   spec->submitted_ms = (c->now.us + c->view->wall_offset_us) / 1000;
-  /* a chunk with every task allocated stays within the limit of a value */
+  /* a chunk's record must stay within the store's limit for a value even if every task is allocated */
   spec->chunk_tasks = fk_chunk_max_tasks(c->settings->value_kb, c->settings->node);
   FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_USER);
   guard_absence(transaction, spec->id);
