--- a/src/core/leader/job_finalization.c
+++ b/src/core/leader/job_finalization.c
@@ -1,10 +1,10 @@
-/* Finalization of jobs: one transaction replaces the live records of ended jobs by their terminal states.
- * Chunks of tasks that didn't fit into that transaction are deleted by later ones. */
+/* Finalizes jobs: one transaction replaces the live records of jobs that have ended with their terminal
+ * states. Chunks of tasks that didn't fit into that transaction are deleted by later ones. */
 #include "core/leader/leader_internal.h"
 
-#define FREE_WRITES_MIN 3     /* writes that must be free before a transaction is made */
-#define JOB_WRITES_MIN 3      /* of a job in a transaction: its record, its terminal state, a chunk */
-#define ORPHAN_DELETES_MAX 12 /* a transaction */
+#define FREE_WRITES_MIN 3     /* least number of available writes for sending a transaction */
+#define JOB_WRITES_MIN 3      /* per job: its record, its terminal state, and at least one chunk */
+#define ORPHAN_DELETES_MAX 12 /* per transaction */
 #define FINALIZE_INTERVAL_S 0.3
 #define FINALIZE_INTERVAL_MAX_S 2.0
 #define FINALIZE_WRITE_SHARE 0.4 /* of the store's write rate */
@@ -20,14 +20,15 @@
   fk_transaction_send(c, transaction, on_finalized, NULL, NULL);
 }
 
-/* Adds the job, with as many of its chunks as there are operations left. FALSE: it didn't fit. */
+/* Adds the job to the transaction, with as many of its chunks as there are operations left. Returns FALSE if
+ * it didn't fit. */
 static gboolean add_job(FkController *c, FkOutput *transaction, FkJob *job) {
   guint operations_left = c->settings->transaction_ops_max - transaction->writes->len;
   return fk_transaction_finalize_job(c, transaction, job, operations_left);
 }
 
-/* Complete jobs that others depend on, ahead of all else: until their terminal states are written, their
- * dependents can't start. NULL: there are none. */
+/* Returns a transaction that finalizes complete jobs that others depend on, or NULL if there are none. It is
+ * sent ahead of all others, because the dependents can't start until these terminal states are written. */
 static FkOutput *finalize_dependencies(FkController *c) {
   if (!fk_dependency_graph_size(c->view->dependencies))
     return NULL;
@@ -49,7 +50,8 @@
   return transaction;
 }
 
-/* All ended jobs, as far as they fit into `writes_max` writes. NULL: there are none. */
+/* Returns a transaction that finalizes as many ended jobs as fit into `writes_max` writes, or NULL if there
+ * are none. */
 static FkOutput *finalize_jobs(FkController *c, guint writes_max) {
   FkOutput *transaction = NULL;
   GHashTableIter it;
@@ -57,7 +59,7 @@
   g_hash_table_iter_init(&it, c->view->jobs);
   while (g_hash_table_iter_next(&it, NULL, &value)) {
     FkJob *job = value;
-    /* a cancellation is visible in the job's record: its terminal state can wait */
+    /* A cancelled job's record already shows the cancellation: its terminal state can be written later. */
     if (job->allocated || !(job->cancelled ? !fk_services_have_priority(c) : fk_job_is_complete(job)))
       continue;
     if (!transaction)
@@ -68,7 +70,7 @@
   return transaction;
 }
 
-/* Chunks whose job is gone. NULL: there are none. */
+/* Returns a transaction that deletes chunks whose job has no record any more, or NULL if there are none. */
 static FkOutput *delete_orphan_chunks(FkController *c) {
   if (!g_hash_table_size(c->view->orphan_chunks))
     return NULL;
@@ -82,9 +84,9 @@
     guint32 chunk;
     fk_key_parse(path, &job_id, &chunk);
     fk_transaction_guard(transaction, g_strdup(path), *(FkRev *)rev);
-    /* Only the store can say that there is no such job: in a list that was read page by page, a job that was
-     * accepted meanwhile is missing although its first chunk isn't. To delete that chunk would start the
-     * job's tasks a second time. */
+    /* The guard makes the store confirm that the job doesn't exist. The view isn't enough: it is listed page
+     * by page, and a job that is accepted during the listing can be missing although its first chunk is
+     * listed. Deleting that chunk would start the job's tasks a second time. */
     fk_transaction_guard(transaction, fk_key_path(FK_KEY_JOB, job_id), (FkRev){0});
     fk_transaction_delete(transaction, g_strdup(path));
   }
@@ -99,15 +101,15 @@
     send_transaction(c, transaction);
     return;
   }
-  if (!fk_time_reached(c->now, c->leader.next_sweep) || c->launches.write_room < FREE_WRITES_MIN)
+  if (!fk_time_reached(c->now, c->leader.next_finalization_at) || c->launches.write_room < FREE_WRITES_MIN)
     return;
-  c->leader.next_sweep = fk_time_add(c->now, FINALIZE_INTERVAL_S);
+  c->leader.next_finalization_at = fk_time_add(c->now, FINALIZE_INTERVAL_S);
   transaction = finalize_jobs(c, (guint)MIN(c->settings->transaction_ops_max, c->launches.write_room));
   if (!transaction)
     transaction = delete_orphan_chunks(c);
   if (!transaction)
     return;
   double paced_s = transaction->writes->len / (FINALIZE_WRITE_SHARE * c->settings->store_write_rps);
-  c->leader.next_sweep = fk_time_add(c->now, MIN(FINALIZE_INTERVAL_MAX_S, paced_s));
+  c->leader.next_finalization_at = fk_time_add(c->now, MIN(FINALIZE_INTERVAL_MAX_S, paced_s));
   send_transaction(c, transaction);
 }
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -1,11 +1,12 @@
 /* Leader election and the leader's periodic work.
  *
- * A key of the store that is attached to a controller's lease names the leader. The leader places long jobs,
- * sizes the short partition and runs the autoscaler. Safety doesn't depend on there being only one: every
- * transaction is guarded by itself, so that two controllers that both believe to lead do no harm. */
+ * A key in the store, attached to a controller's lease, names the leader. The leader places long jobs, sizes
+ * the short partition and runs the autoscaler. Safety doesn't depend on having a single leader: every
+ * transaction has its own guards, so that two controllers that both take themselves for the leader do no
+ * harm. */
 #include "core/leader/leader_internal.h"
 
-#define CAMPAIGN_RETRY_S 0.1        /* after an answer: the view shows soon who leads */
+#define CAMPAIGN_RETRY_S 0.1        /* after a reply: the view will soon show the leader */
 #define CAMPAIGN_FAILED_RETRY_S 0.5 /* after a failed or unanswered transaction */
 
 static void on_leader_key_written(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
@@ -16,8 +17,8 @@
   c->leader.wait_rev = epoch;
 }
 
-/* Nobody leads, or the leader has restarted: its new incarnation isn't the leader, although the lease of the
- * old one may last for seconds yet. */
+/* Returns whether there is no leader, or the leader's process has restarted. A new incarnation isn't the
+ * leader, although the lease of the old one may last for several more seconds. */
 static gboolean leader_is_absent(FkController *c) {
   if (!c->view->leader)
     return TRUE;
@@ -31,7 +32,7 @@
          fk_controller_can_serve(c, c->now);
 }
 
-/* Claims the leader key, guarded by its revision in our view. */
+/* Writes this controller's name into the leader key, guarded by the key's revision in the view. */
 static void campaign(FkController *c) {
   if (!can_campaign(c))
     return;
@@ -45,13 +46,13 @@
   fk_transaction_send(c, transaction, on_leader_key_written, NULL, NULL);
 }
 
-/* Whether the leader key names this incarnation of this controller. */
-static gboolean view_names_us(FkController *c) {
+/* Returns whether the leader key names this incarnation of this controller. */
+static gboolean is_named_leader(FkController *c) {
   return c->view->leader && g_str_equal(c->view->leader, c->settings->node) &&
          g_strcmp0(c->view->leader_incarnation, c->incarnation) == 0;
 }
 
-/* What a leader has learnt about the cluster is void when leadership changes. */
+/* Resets the leader's state, which is out of date after a change of leadership. */
 static void leadership_changed(FkController *c, gboolean is_leader) {
   g_message("leadership %s", is_leader ? "acquired" : "lost");
   c->leader.is_leader = is_leader;
@@ -68,7 +69,7 @@
 
 void fk_leader_tick(FkController *c) {
   campaign(c);
-  gboolean is_leader = view_names_us(c);
+  gboolean is_leader = is_named_leader(c);
   if (is_leader != c->leader.is_leader)
     leadership_changed(c, is_leader);
   if (!is_leader)
--- a/src/core/leader/leader_internal.h
+++ b/src/core/leader/leader_internal.h
@@ -1,18 +1,18 @@
-/* What the modules of the leader share. Each is called from leader.c (or window.c) only. */
+/* Shared by the modules of the leader. Their functions are called only from leader.c and window.c. */
 #pragma once
 #include "core/controller_internal.h"
 
 /* job_finalization.c */
 
-/* Writes the terminal states of jobs that have ended and deletes their live records; then deletes chunks that
- * deleted jobs left behind. One transaction is in flight at a time. */
+/* Writes the terminal states of jobs that have ended and deletes their live records, or else deletes chunks
+ * that finalized jobs have left behind. One transaction is in flight at a time. */
 void fk_job_finalization_tick(FkController *c);
 
 /* leader_preemption.c */
 
-/* Stops tasks that must leave their machine although their job goes on: on machines that are drained or about
- * to be reclaimed by the cloud, in gangs that have lost a member, and the victims of services that fit
- * nowhere. */
+/* Stops tasks that must leave their machine although their job isn't finished: those on machines that are
+ * drained or about to be reclaimed by the cloud, the tasks of gangs that have lost a member, and those
+ * preempted for services that fit on no machine. */
 void fk_leader_preemption_tick(FkController *c);
 
 /* window.c */
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -1,4 +1,5 @@
-/* Tasks that the leader stops although their job goes on. They are started again elsewhere. */
+/* Stops tasks whose job isn't finished: evacuation of machines, broken gangs, and preemption for services.
+ * The tasks are restarted on other machines. */
 #include "core/leader/leader_internal.h"
 #include "core/scheduling/long_path.h"
 #include "core/scheduling/preemption.h"
@@ -9,14 +10,15 @@
 #include "core/scheduling/launch_batch.h"
 #include "core/scheduling/stop_transaction.h"
 
-#define PREEMPTION_INTERVAL_S 4.0        /* between two attempts for one job */
-#define SCAN_INTERVAL_S 0.1              /* between two scans of all jobs, ... */
-#define SCAN_INTERVAL_PER_MACHINE_S 1e-4 /* ... and as much more for each machine */
-#define PREEMPTION_ATTEMPTS_MAX 8        /* a scan: each looks at all machines */
-#define GANG_GRACE_S 2.0                 /* for members whose launch the view doesn't show yet */
-#define NOTICE_RUN_RATIO 1.5 /* a task stays if what is left of it fits into the notice so often */
+#define PREEMPTION_INTERVAL_S 4.0        /* between two preemptions for the same job */
+#define SCAN_INTERVAL_S 0.1              /* between two scans of all jobs */
+#define SCAN_INTERVAL_PER_MACHINE_S 1e-4 /* added to the interval for each machine */
+#define PREEMPTION_ATTEMPTS_MAX 8        /* per scan, because each attempt looks at all machines */
+#define GANG_GRACE_S 2.0                 /* for members whose launch isn't in the view yet */
+/* A task stays if its remaining run time is at most this multiple of what is left of the notice. */
+#define NOTICE_RUN_RATIO 1.5
 
-/* Capacity that victims leave must not be counted on by a second service. */
+/* Reserves the capacity that preempted tasks will release, so that it isn't planned for a second service. */
 static void reserve_capacity(FkController *c, FkMachine *machine, const FkSpec *spec) {
   machine->reserved_cpus += spec->cpus;
   machine->reserved_gpus += spec->gpus;
@@ -26,8 +28,9 @@
   g_array_append_val(c->launches.reservations, reservation);
 }
 
-/* Makes room for a service that fits nowhere, where the least work is lost and the image is cached. */
-static void preempt_for(FkController *c, FkStopTransaction *stops, FkJob *job, GPtrArray *machines) {
+/* Preempts tasks for a service that fits on no machine, on the machine where the least work is lost; a cached
+ * image counts in its favour. */
+static void preempt_for_service(FkController *c, FkStopTransaction *stops, FkJob *job, GPtrArray *machines) {
   if (!fk_team_quota_allows_task(c, job->spec) ||
       fk_time_between(job->preempted_for_at, c->now) < PREEMPTION_INTERVAL_S ||
       fk_long_path_best_machine(c, job, machines, NULL))
@@ -46,14 +49,16 @@
   reserve_capacity(c, machine, job->spec);
 }
 
-/* Whether the machine is drained, or the cloud will take it back. */
-static gboolean is_evacuated(const FkMachine *machine) {
+/* Returns whether the tasks of the machine must leave it: it is drained by request or by consolidation, or
+ * the cloud is about to reclaim it. */
+static gboolean needs_evacuation(const FkMachine *machine) {
   return machine->record && (g_strcmp0(machine->drain_reason, FK_DRAIN_REASON_DRAIN) == 0 ||
                              g_strcmp0(machine->drain_reason, "notice") == 0);
 }
 
-/* Stops what can't end within the machine's notice, so that the rest of the notice isn't lost as well. A task
- * that can save its progress does so. What is about to end in time stays. */
+/* Stops the tasks that can't end within the machine's termination notice, because
+ * the work that they would do in the rest of the notice would be lost. A stopped task saves its progress if
+ * it can. Tasks that will end in time keep running. */
 static void evacuate(FkController *c, FkStopTransaction *stops, const FkMachine *machine) {
   double notice_s = machine->notice_s - fk_time_between(machine->drain_reason_since, c->now);
   for (guint i = 0; i < machine->allocations->len; i++) {
@@ -73,7 +78,7 @@
   gpointer machine;
   g_hash_table_iter_init(&it, c->view->machines);
   while (g_hash_table_iter_next(&it, NULL, &machine))
-    if (is_evacuated(machine))
+    if (needs_evacuation(machine))
       evacuate(c, stops, machine);
 }
 
@@ -84,7 +89,8 @@
          fk_time_between(job->preempted_for_at, c->now) >= PREEMPTION_INTERVAL_S;
 }
 
-/* A gang that lost a member can't go on: all its tasks start again together. */
+/* Returns whether a gang has lost a member. It can't continue without it: all its tasks are stopped, and
+ * restarted together. */
 static gboolean gang_is_broken(FkController *c, const FkJob *job) {
   return job->spec->shape == FK_SHAPE_GANG && !job->cancelled && job->allocated &&
          fk_job_waiting_tasks(job) && fk_time_reached(c->now, fk_time_add(job->gang_until, GANG_GRACE_S));
@@ -101,7 +107,7 @@
     FkJob *job = value;
     if (attempts_left && service_needs_preemption(c, job)) {
       attempts_left--;
-      preempt_for(c, stops, job, machines);
+      preempt_for_service(c, stops, job, machines);
     }
     if (gang_is_broken(c, job))
       fk_stop_transaction_add_job(c, stops, job);
--- a/src/core/leader/window.c
+++ b/src/core/leader/window.c
@@ -1,5 +1,6 @@
-/* The periodic window: every controller writes the wait times of its short tasks, and logs its statistics.
- * The leader adds the waits of all controllers up and sizes the short partition (Elastic Sizing). */
+/* The periodic window of statistics. At the end of each window, every controller writes the wait times of its
+ * short tasks to the store and logs its statistics. The leader adds up the wait times of all controllers and
+ * sizes the short partition (Elastic Sizing). */
 #include "core/leader/leader_internal.h"
 #include "core/scheduling/starvation.h"
 
@@ -17,7 +18,7 @@
 
 /* ------------------------------------------------------------------ sizing */
 
-/* Machines with the least long work first; of equal ones, spot machines. */
+/* Orders machines by the CPUs of long tasks, fewest first; among equals, spot machines come first. */
 static int compare_by_long_work(gconstpointer a, gconstpointer b) {
   const FkMachine *x = *(FkMachine *const *)a, *y = *(FkMachine *const *)b;
   if (x->allocated_long_cpus != y->allocated_long_cpus)
@@ -27,12 +28,12 @@
   return g_strcmp0(x->id, y->id);
 }
 
-/* CPUs of short and long work, allocated or waiting. */
+/* CPUs of short and long tasks, both allocated and waiting. */
 typedef struct {
   double short_cpus, long_cpus;
 } Demand;
 
-/* FkMachine, borrowed: all that can take tasks. Adds what is allocated there to `demand`. */
+/* Returns all machines that can take tasks (FkMachine, borrowed). Adds their allocated CPUs to `demand`. */
 static GPtrArray *usable_machines(FkController *c, Demand *demand) {
   GPtrArray *machines = g_ptr_array_new();
   GHashTableIter it;
@@ -49,8 +50,8 @@
   return machines;
 }
 
-/* Waiting work counts like allocated work: a floor that has closed all machines to long jobs would otherwise
- * never see any. */
+/* Adds the CPUs of waiting tasks to `demand`. If only allocated tasks counted, a floor that has closed all
+ * machines to long jobs would never be lowered, because no long task could then be allocated. */
 static void add_waiting(FkController *c, Demand *demand) {
   GHashTableIter it;
   gpointer value;
@@ -98,7 +99,7 @@
 
 /* ------------------------------------------------------------------ logs */
 
-/* Machines of one type and purchase option, with what is allocated there. */
+/* Logs the machines of one type and purchase option, and the CPUs allocated on them. */
 static void log_machine_type(FkController *c, const FkInstanceType *type, gboolean spot) {
   guint machines = 0;
   double allocated_cpus = 0, long_cpus = 0;
@@ -136,13 +137,13 @@
   view->finished_count = 0;
 }
 
-/* The window's processor time by purpose: milliseconds, and how often each was entered. The simulation's
- * `slopes` reads this line. */
+/* Logs the CPU time of the window by purpose: milliseconds, and how often each purpose was entered. The
+ * simulation's `slopes` reads this line. */
 static void log_cpu_profile(FkController *c) {
   FkCpuProfile *profile = &c->cpu_profile;
   if (!profile->clock_ns)
     return;
-  /* charges what is being done now up to this moment */
+  /* charges the time up to now to the current purpose */
   fk_cpu_profile_leave(profile, fk_cpu_profile_enter(profile, FK_CPU_LOOP));
   g_autoptr(GString) line = g_string_new(NULL);
   double total_ms = 0;
@@ -157,7 +158,7 @@
   g_info("cpu profile total_ms=%.0f, ms and entries by purpose:%s", total_ms, line->str);
 }
 
-/* The tables that grow with the load or with time. */
+/* Logs the sizes of the tables that grow with the load or with time. */
 static void log_table_sizes(FkController *c) {
   FkView *view = c->view;
   guint owned = 0, allocations = 0, probes = 0;
@@ -185,7 +186,7 @@
   c->workers.duplicate_heartbeats = c->workers.impossible_tokens = 0;
 }
 
-/* Why scheduling cycles launched nothing, and how launches went. */
+/* Logs why scheduling cycles launched nothing, and the outcomes of launches. */
 static void log_launches(FkController *c) {
   g_autoptr(GString) reasons = g_string_new(NULL);
   GHashTableIter it;
@@ -200,7 +201,7 @@
   c->launches.launched = c->launches.conflicts = c->launches.failures = 0;
 }
 
-/* Transactions and their writes, by priority. */
+/* Logs the number of transactions and of their writes, by priority. */
 static void log_store_use(FkController *c) {
   const guint *transactions = c->calls.transactions, *writes = c->calls.transaction_writes;
   g_info("store transactions/writes lease=%u/%u user=%u/%u shard=%u/%u launch=%u/%u result=%u/%u resent=%u "
@@ -216,11 +217,11 @@
 
 /* ------------------------------------------------------------------ windows */
 
-/* A lost write costs one window's sample: there is nothing to retry. */
+/* Ignores the outcome: a failed write loses the sample of a single window, and isn't retried. */
 static void on_waits_written(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                              GPtrArray *failed) {}
 
-/* Writes the window's sums, unless they are zero and were so before. */
+/* Writes the sums of the window, unless both these and the last ones written are zero. */
 static void write_wait_times(FkController *c) {
   const FkWaitTimes *written = g_hash_table_lookup(c->view->wait_times, c->settings->node);
   if (!c->store_session.lease.n || (!c->window.waits.count && !(written && written->count)))
