--- a/src/core/autoscaler/arrival_rates.c
+++ b/src/core/autoscaler/arrival_rates.c
@@ -1,10 +1,11 @@
-/* How often services of each class arrive: headroom is provisioned for those that are expected. */
+/* Estimates the arrival rate of services of each class. The autoscaler provisions headroom for the arrivals
+ * that it expects. */
 #include "core/autoscaler/autoscaler_internal.h"
 
 #define TIME_CONSTANT_S 30.0
 #define INITIAL_PER_S 0.02
-#define GROWTH_MAX 2.0    /* an update: a burst at the start isn't taken for the rate to come */
-#define LEADER_STABLE_S 1 /* what a new leader sees until then has waited for long: no arrivals */
+#define GROWTH_MAX 2.0    /* factor per update: an initial burst isn't taken for the lasting rate */
+#define LEADER_STABLE_S 1 /* a new leader doesn't count services first seen so early: they arrived before */
 
 static FkArrivalRate *rate_of_class(FkAutoscaler *a, const FkJob *job) {
   FkArrivalRate *rate = g_hash_table_lookup(a->arrival_rates, job->spec->class_name);
--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -1,11 +1,13 @@
-/* The autoscaler's state and its round: list, terminate, provision, scale in. */
+/* The autoscaler's state, and its periodic round: list, terminate and provision machines, and scale in. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
 #define PLAN_INTERVAL_S 0.5
-#define IDLE_CHECK_INTERVAL_S 2.0 /* while services wait for the store's writes: more machines a page */
+/* While services have priority, idle machines are drained less often: each write then covers more of them. */
+#define IDLE_CHECK_INTERVAL_S 2.0
 #define REQUESTS_PER_TICK_MAX 3
-#define FIRST_LIST_TIMEOUT_S 5.0 /* a new leader waits so long for the cloud's list before it plans */
+/* A new leader plans without the cloud's list of machines after this time. */
+#define FIRST_LIST_TIMEOUT_S 5.0
 
 static void booting_instance_free(gpointer data) {
   FkBootingInstance *instance = data;
@@ -137,7 +139,8 @@
   }
 }
 
-/* A new leader first learns from the cloud's list what there is. */
+/* Returns whether a plan is due and can be made. A new leader doesn't plan before it has the cloud's list of
+ * machines, or the wait for it has timed out. */
 static gboolean can_plan(FkController *c) {
   const FkAutoscaler *a = c->autoscaling.autoscaler;
   gboolean knows_machines =
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -1,35 +1,37 @@
-/* The autoscaler: scale out and in, what instances cost, and which types there are. */
+/* The autoscaler: scale-out, scale-in, the prices of instances, and the instance types. */
 #pragma once
 #include "core/messages.h"
 
 typedef struct FkAutoscaler FkAutoscaler;
 typedef struct FkCostAccounting FkCostAccounting;
 
+/* The autoscaling state of a controller. Owns all members. */
 typedef struct {
   FkAutoscaler *autoscaler;
   FkCostAccounting *cost_accounting;
   GHashTable *instance_types; /* name -> FkInstanceType */
-  gboolean types_pending;     /* the cloud is being asked for them */
+  gboolean types_pending;     /* whether a request for the types is in flight */
   FkTime next_types_query;
 } FkAutoscaling;
 
 FkAutoscaler *fk_autoscaler_new(FkTime now);
 void fk_autoscaler_free(FkAutoscaler *autoscaler);
+/* Runs the autoscaler's round. Called on the leader only. */
 void fk_autoscaler_tick(FkController *c);
-/* Forgets what was learnt of the cloud, when this controller acquires or loses the leadership. */
+/* Discards the autoscaler's state. Called when this controller acquires or loses leadership. */
 void fk_autoscaler_reset(FkController *c);
-/* The machine is being terminated, or the cloud has said that it is gone. */
+/* Returns whether the machine is being terminated or the cloud has confirmed its termination. */
 gboolean fk_autoscaler_is_terminating(FkController *c, const FkMachine *machine);
-/* What capacity for one of the tasks costs where it is cheapest, an hour; G_MAXDOUBLE: no type has any. */
+/* Returns the lowest price per hour of the capacity for one task; G_MAXDOUBLE if the task fits no type. */
 double fk_autoscaler_cheapest_price(FkController *c, const FkSpec *spec);
-/* What the instances that are provisioned and not up yet cost, an hour. */
+/* Returns the price per hour of all instances that are booting. */
 double fk_autoscaler_booting_price(FkController *c);
-/* How many times as long as usual idle instances are kept (instance_models). */
+/* Returns the factor by which idle machines are kept for longer than configured (see instance_models). */
 double fk_autoscaler_retention_factor(FkController *c, gboolean spot);
 
 FkCostAccounting *fk_cost_accounting_new(void);
 void fk_cost_accounting_free(FkCostAccounting *accounting);
-/* Adds up what the machines are doing; for the leader. */
+/* Samples the cost of the machines by what they are doing. Called on the leader only. */
 void fk_cost_accounting_tick(FkController *c);
-/* Logs the accounts since the last time, and begins new ones. */
+/* Logs the costs since the last call, and resets them. */
 void fk_cost_accounting_log(FkController *c);
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -1,6 +1,6 @@
-/* What the modules of the autoscaler share: the machines that are requested, booting and terminating, and the
- * steps of a round. The leader's autoscaler provisions machines for what waits and for some headroom, and
- * terminates those that are idle, failed or too expensive for what runs there. */
+/* Shared by the modules of the autoscaler: the machines that are requested, booting and terminating, and the
+ * steps of a round. The autoscaler runs on the leader. It provisions machines for waiting tasks and for
+ * headroom, and terminates machines that are idle, have failed, or are too expensive for their tasks. */
 #pragma once
 #include "core/autoscaler/capacity_plan.h"
 #include "core/controller_internal.h"
@@ -8,65 +8,66 @@
 #include "instance_models/boot_time.h"
 #include "instance_models/idle_retention.h"
 
-#define FK_PROVISION_MACHINES_MAX 50 /* a request: the cloud's limit */
+#define FK_PROVISION_MACHINES_MAX 50 /* per request: the cloud's limit */
 
-/* A machine that the cloud has and that no worker has joined from yet. */
+/* A machine that exists in the cloud and whose worker hasn't joined yet. */
 typedef struct {
   char *id, *type, *zone;
   gboolean spot;
-  FkTime requested_at;      /* by us, or by the age that the cloud's list says */
-  gboolean requested_by_us; /* so that `requested_at` is exact */
-  gboolean listed, failed, running;
+  FkTime requested_at;         /* estimated from the listed age if this leader didn't request the instance */
+  gboolean request_time_exact; /* whether this leader requested the instance */
+  gboolean listed;             /* whether the cloud's list has had the instance */
+  gboolean failed, running;    /* whether the list shows it as failed or running */
   FkTime listed_at, running_since;
 } FkBootingInstance;
 
-/* A request for machines without a final answer. */
+/* A request for machines that has no definite reply yet. */
 typedef struct {
-  char *name; /* idempotency key: the same name gives the same machines */
+  char *name; /* idempotency key: a request that is repeated under its name gets the same machines */
   char *type, *zone;
   gboolean spot;
   guint count;
-  guint64 call; /* valid while `in_flight` */
+  guint64 call; /* id of the call; valid while `in_flight` */
   gboolean in_flight;
   FkTime retry_at;
 } FkProvisionRequest;
 
-/* The cloud had no capacity for an offer. */
+/* Backoff for an offer that the cloud had no capacity for. */
 typedef struct {
-  FkTime until;   /* not asked for again before */
-  guint refusals; /* in a row */
+  FkTime until;   /* the offer isn't requested again before this time */
+  guint refusals; /* consecutive */
 } FkCapacityShortage;
 
-/* How often services of a class arrive. */
+/* The arrival rate of the services of a class. */
 typedef struct {
-  FkSpec *spec;   /* of the latest one */
-  double per_s;   /* smoothed */
-  guint arrivals; /* since the last update */
+  FkSpec *spec;   /* of the latest service; owned */
+  double per_s;   /* smoothed arrivals per second */
+  guint arrivals; /* since the last update of the rate */
 } FkArrivalRate;
 
 struct FkAutoscaler {
   GHashTable *booting;         /* id -> FkBootingInstance */
   GPtrArray *requests;         /* FkProvisionRequest */
   GHashTable *shortages;       /* fk_autoscaler_offer_key() -> FkCapacityShortage */
-  GHashTable *terminating;     /* ids in `terminate_calls` */
-  GHashTable *terminate_calls; /* call -> GPtrArray of ids */
-  GHashTable *terminated;      /* id -> FkTime*: when the cloud confirmed it */
+  GHashTable *terminating;     /* set of the ids in `terminate_calls` */
+  GHashTable *terminate_calls; /* id of a call in flight -> GPtrArray of machine ids */
+  GHashTable *terminated;      /* id -> FkTime*: when the cloud confirmed the termination */
   guint64 request_counter;
   FkTime next_plan, next_list, next_termination, next_consolidation, next_idle_check;
   gboolean list_pending, listed_once;
-  char *list_cursor;          /* the last id of the page before; NULL: from the start */
+  char *list_cursor;          /* the last id of the previous page; NULL to list from the start */
   GHashTable *arrival_rates;  /* class -> FkArrivalRate */
-  FkTime arrivals_counted_at; /* jobs seen before this have been counted */
+  FkTime arrivals_counted_at; /* jobs first seen up to this time have been counted */
   FkBootTimeModel boot_times;
   FkIdleRetention retention[2]; /* by purchase option: on-demand, spot */
 };
 
 /* autoscaler.c */
 
-/* "type/zone/spot". Owned by the caller. */
+/* Returns "type/zone/spot". Owned by the caller. */
 char *fk_autoscaler_offer_key(const FkOffer *offer);
 
-/* Time since the request in boot times of the type. */
+/* Returns the time since the instance was requested, in multiples of its type's boot time. */
 double fk_autoscaler_boot_age(FkController *c, const FkBootingInstance *instance, const FkInstanceType *type);
 
 /* provisioning.c */
@@ -74,31 +75,31 @@
 /* Requests up to FK_PROVISION_MACHINES_MAX machines from the cloud. */
 void fk_autoscaler_provision(FkController *c, const FkOffer *offer, guint count);
 
-/* Sends requests that had no certain answer again, under their names. */
+/* Retries requests without a definite reply, under the same names. */
 void fk_autoscaler_retry_requests(FkController *c);
 
 /* arrival_rates.c */
 
-/* Counts the services that arrived in the last `interval_s` seconds into their classes' rates. */
+/* Updates the arrival rates with the services that have arrived in the last `interval_s` seconds. */
 void fk_autoscaler_update_arrival_rates(FkController *c, double interval_s);
 
 /* scale_out_plan.c */
 
-/* Simulates placing all that waits on what is free now or will be, and adds to `plan` what to provision for
- * work that would otherwise wait for too long. */
+/* Simulates the placement of all waiting tasks on capacity that is free now or will be, and adds to `plan`
+ * the machines to provision for tasks that would otherwise wait for too long. */
 void fk_autoscaler_plan_demand(FkController *c, FkCapacityPlan *plan);
 
 /* termination.c */
 
-/* Terminates machines that are drained or lost, and instances that didn't boot. */
+/* Terminates machines that are drained or lost, and instances that failed to boot. */
 void fk_autoscaler_terminate_machines(FkController *c);
 
 /* scale_in.c */
 
-/* Drains machines that have been idle for too long and that the plan has left idle. */
+/* Drains machines that have been idle for too long and that the plan doesn't use. */
 void fk_autoscaler_scale_in_idle(FkController *c, const FkCapacityPlan *plan);
 
 /* consolidation.c */
 
-/* Drains the machine that costs most in proportion to what runs there, if its tasks fit elsewhere. */
+/* Drains the machine whose price is highest relative to the needs of its tasks, if these fit elsewhere. */
 void fk_autoscaler_consolidate(FkController *c);
--- a/src/core/autoscaler/capacity_plan.c
+++ b/src/core/autoscaler/capacity_plan.c
@@ -1,3 +1,4 @@
+/* Implements capacity plans: bins of like capacity, found by a hash of their rounded amounts. */
 #include "core/autoscaler/capacity_plan.h"
 #include "core/scheduling/placement.h"
 
@@ -6,14 +7,14 @@
 
 #include "core/controller_internal.h"
 
-#define CPU_STEPS 4.0 /* a CPU or GPU */
-#define MEM_STEPS 2.0 /* a GB */
+#define CPU_STEPS 4.0 /* per CPU or GPU */
+#define MEM_STEPS 2.0 /* per GB */
 #define TIME_STEP_S 2.0
 #define SMALLEST_CPUS 0.25
 #define SMALLEST_MEM_GB 0.25
 #define ROUND_UP 0.9999 /* added before rounding down */
 #define ROUND_DOWN 1e-6
-#define AMOUNT_EPSILON 1e-6 /* amounts are sums of fractions */
+#define AMOUNT_EPSILON 1e-6 /* tolerates rounding errors in sums of fractions */
 #define SLOTS_MAX 100000
 
 static guint bin_key_hash(gconstpointer key) { /* FNV-1a */
@@ -47,12 +48,13 @@
   return (gint64)floor(amount * steps + rounding);
 }
 
-/* Free capacity is rounded down, capacity that will be released up: whatever releases it fits in again. */
+/* Free capacity is rounded down. Capacity that will be released is rounded up, so that a task like the one
+ * that releases it fits into it. */
 static FkCapacityBinKey bin_key(FkCapacityBinKind kind, const FkOffer *offer, FkCapacity free,
                                 double available_s) {
   double rounding = kind == FK_CAPACITY_BIN_RELEASED ? ROUND_UP : ROUND_DOWN;
   FkCapacityBinKey key;
-  memset(&key, 0, sizeof key); /* padding is compared as well */
+  memset(&key, 0, sizeof key); /* the padding is hashed and compared too */
   key.type = offer->type;
   key.zone = g_intern_string(offer->zone);
   key.spot = (guint32)offer->spot;
@@ -92,7 +94,7 @@
   return (guint)CLAMP(slots, 0, SLOTS_MAX);
 }
 
-/* How many tasks like this one machine of the bin has room for. */
+/* Returns how many tasks of the spec fit on one machine of the bin. */
 static guint bin_task_slots(const FkCapacityBin *bin, const FkSpec *spec) {
   if ((bin->key.spot && !spec->spot) || (spec->zone && !g_str_equal(spec->zone, bin->key.zone)) ||
       !fk_placement_fits_type(spec, bin->key.type))
@@ -100,7 +102,8 @@
   return fk_capacity_task_slots(bin->free, spec);
 }
 
-/* Available earlier than `best`, or at the same time on machines in use where `best` isn't. */
+/* Returns whether the bin is available earlier than `best`, or at the same time and the bin
+ * consists of machines in use, unlike `best`. */
 static gboolean is_preferred(const FkCapacityBin *bin, const FkCapacityBin *best) {
   if (bin->available_s != best->available_s)
     return bin->available_s < best->available_s;
@@ -119,24 +122,27 @@
   return best;
 }
 
-/* What `tasks` tasks leave of it. */
-static FkCapacity less_tasks(FkCapacity free, guint tasks, const FkSpec *spec) {
+/* Returns the capacity that is left of `free` after `tasks` tasks are allocated. */
+static FkCapacity capacity_after_tasks(FkCapacity free, guint tasks, const FkSpec *spec) {
   return (FkCapacity){free.cpus - tasks * spec->cpus, free.gpus - tasks * spec->gpus,
                       free.mem_gb - tasks * spec->mem_gb};
 }
 
 guint fk_capacity_plan_allocate(FkCapacityPlan *plan, int bin_index, const FkSpec *spec, guint tasks,
                                 double run_s) {
-  FkCapacityBin bin = g_array_index(plan->bins, FkCapacityBin, bin_index); /* a copy: the array may move */
+  FkCapacityBin bin =
+      g_array_index(plan->bins, FkCapacityBin, bin_index); /* a copy: the array may be reallocated */
   guint slots = bin_task_slots(&bin, spec);
   guint allocated = (guint)MIN((guint64)tasks, (guint64)slots * bin.count);
   guint full_machines = allocated / slots;
-  guint rest = allocated % slots; /* tasks on one machine more */
+  guint rest = allocated % slots; /* tasks on one further machine, which they don't fill */
   FkCapacityBinKind kind = bin.key.kind == FK_CAPACITY_BIN_IDLE ? FK_CAPACITY_BIN_IN_USE : bin.key.kind;
   FkOffer offer = {bin.key.type, bin.key.zone, (gboolean)bin.key.spot};
   g_array_index(plan->bins, FkCapacityBin, bin_index).count -= full_machines + (rest > 0);
-  fk_capacity_plan_add(plan, kind, &offer, full_machines, less_tasks(bin.free, slots, spec), bin.available_s);
-  fk_capacity_plan_add(plan, kind, &offer, rest > 0, less_tasks(bin.free, rest, spec), bin.available_s);
+  fk_capacity_plan_add(plan, kind, &offer, full_machines, capacity_after_tasks(bin.free, slots, spec),
+                       bin.available_s);
+  fk_capacity_plan_add(plan, kind, &offer, rest > 0, capacity_after_tasks(bin.free, rest, spec),
+                       bin.available_s);
   if (spec->shape != FK_SHAPE_SERVICE)
     fk_capacity_plan_add(plan, FK_CAPACITY_BIN_RELEASED, &offer, allocated,
                          (FkCapacity){spec->cpus, spec->gpus, spec->mem_gb}, bin.available_s + run_s);
--- a/src/core/autoscaler/consolidation.c
+++ b/src/core/autoscaler/consolidation.c
@@ -1,25 +1,26 @@
-/* Consolidation: a machine that costs far more than what runs there needs is drained, one at a time, when
- * nothing waits and its tasks fit on cheaper machines that are in use. What its tasks have done is lost,
- * which costs less than keeping the machine for them. */
+/* Consolidation drains a machine that costs far more than its tasks need. Machines are drained one at a time,
+ * only while no task waits, and only if the machine's tasks fit on cheaper machines that are in use. The
+ * tasks lose the work done so far, which costs less than keeping the machine for them. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
-#define PRICE_RATIO_MIN 4.0 /* of the machine to the cheapest machines that its tasks could have */
+#define PRICE_RATIO_MIN 4.0 /* price of the machine / price of the cheapest capacity for its tasks */
 #define CONSOLIDATION_INTERVAL_S 0.5
-#define ROOM_RATIO 2            /* room elsewhere, in times the machine's tasks */
-#define RESTART_MARGIN_S 5.0    /* for a task to start again */
-#define RUN_TIME_MAX_RATIO 1.6  /* of its expected run time, that a task may take */
-#define REMAINING_MIN_RATIO 0.6 /* of its expected remaining time, that a task may end after */
-#define SERVICE_STABLE_S 30.0
+#define ROOM_RATIO 2            /* required slots on other machines / tasks on the machine */
+#define RESTART_MARGIN_S 5.0    /* for restarting a task */
+#define RUN_TIME_MAX_RATIO 1.6  /* longest assumed run time / expected run time */
+#define REMAINING_MIN_RATIO 0.6 /* shortest assumed remaining run time / expected remaining run time */
+#define SERVICE_STABLE_S 30.0   /* run time from which a service may be moved */
 
-/* Where a task stands, in seconds. */
+/* The progress of a task, in seconds. */
 typedef struct {
-  double waited_s; /* since it could start */
-  double run_s;    /* expected, in all */
-  double left_s;   /* expected, from now */
+  double waited_s; /* since the task became startable */
+  double run_s;    /* expected total run time */
+  double left_s;   /* expected remaining run time */
 } TaskProgress;
 
-/* Whether a deadline that may be met where the task is will be met as well if it starts again. */
+/* Returns whether a restart doesn't endanger the deadline: either it can't be met where the task runs now, or
+ * it will be met after a restart too. */
 static gboolean deadline_allows_restart(double deadline_s, const TaskProgress *task) {
   return deadline_s < task->waited_s + REMAINING_MIN_RATIO * task->left_s ||
          deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s + RESTART_MARGIN_S;
@@ -29,7 +30,7 @@
   return deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s;
 }
 
-/* All deadlines allow a restart, and at least one of them is far off. */
+/* Returns whether all deadlines allow a restart and at least one of them leaves time for it. */
 static gboolean deadlines_allow_restart(FkController *c, const FkJob *job, const TaskProgress *task) {
   double own_s = fk_job_allowed_s(job);
   if (own_s >= 0 && !deadline_allows_restart(own_s, task))
@@ -47,8 +48,8 @@
   return has_slack;
 }
 
-/* Whether the task can start again elsewhere without harm: a service that has settled, or a task of an array
- * with time to spare. */
+/* Returns whether the task can be restarted on another machine without harm: a service that has run for
+ * SERVICE_STABLE_S, or a task of an array whose deadlines leave enough time. */
 static gboolean task_can_move(FkController *c, const FkAllocationRef *allocation) {
   const FkJob *job = allocation->job;
   if (allocation->stop_requested || job->cancelled || job->spec->shape == FK_SHAPE_GANG)
@@ -62,8 +63,8 @@
   return deadlines_allow_restart(c, job, &task);
 }
 
-/* The machine's price in times what its tasks would cost on the cheapest machines; 0: it must not be drained.
- */
+/* Returns the machine's price divided by the price of its tasks on the cheapest machines; 0 if the machine
+ * must not be drained. */
 static double price_ratio(FkController *c, const FkMachine *machine) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   if (!type || machine->drain_reason || !machine->allocations->len)
@@ -88,7 +89,8 @@
   return FALSE;
 }
 
-/* The machine with the highest price ratio; NULL: all are below the least. */
+/* Returns the machine with the highest price ratio; NULL if none is above PRICE_RATIO_MIN. Stores the highest
+ * ratio in `ratio`. */
 static FkMachine *most_overpriced_machine(FkController *c, double *ratio) {
   FkMachine *worst = NULL;
   *ratio = PRICE_RATIO_MIN;
@@ -106,7 +108,7 @@
   return worst;
 }
 
-/* The task that is hardest to place stands for all of them. */
+/* Returns the spec of the machine's task that is hardest to place. It stands in for all its tasks. */
 static const FkSpec *hardest_to_place(const FkMachine *machine) {
   const FkSpec *hardest = g_array_index(machine->allocations, FkAllocationRef, 0).job->spec;
   for (guint i = 1; i < machine->allocations->len; i++) {
@@ -117,7 +119,7 @@
   return hardest;
 }
 
-/* Slots for such tasks on cheaper machines that are in use. */
+/* Returns the number of tasks of the spec that fit on machines in use that are cheaper than `left`. */
 static guint slots_elsewhere(FkController *c, const FkMachine *left, const FkSpec *spec) {
   double price = fk_instance_type_price(left->type, left->record->spot);
   guint slots = 0;
--- a/src/core/autoscaler/cost_accounting.c
+++ b/src/core/autoscaler/cost_accounting.c
@@ -1,19 +1,19 @@
-/* Cost accounting: what the machines cost, by what they were doing when the leader sampled them. Logged once
- * a window. */
+/* Cost accounting: the leader samples the machines, divides their cost by what they are doing, and logs the
+ * sums once per window. */
 #include "core/controller_internal.h"
 #include "core/scheduling/placement.h"
 
 #define SAMPLE_INTERVAL_S 2.0
 #define S_PER_HOUR 3600
 
-/* Since the last log line, in the unit of prices (money an hour) times seconds. */
+/* Costs since the last log line, in the unit of prices (money per hour) times seconds. */
 struct FkCostAccounting {
-  double booting;     /* requested, not joined yet */
-  double terminating; /* drained or lost, with what still runs there */
-  double idle;        /* nothing allocated */
-  double unused;      /* the free part of machines in use */
-  double needed;      /* what the allocated tasks would cost on the cheapest machines that they may have */
-  double overpriced;  /* ... and what they cost above that */
+  double booting;     /* machines that are requested or booting */
+  double terminating; /* machines that are drained or lost, with the tasks that still run there */
+  double idle;        /* machines without allocations */
+  double unused;      /* the free part of machines with allocations */
+  double needed;      /* the cost of the allocated tasks on the cheapest machines that they may run on */
+  double overpriced;  /* the cost of the allocated tasks beyond `needed` */
   FkTime sampled_at;
 };
 
@@ -21,7 +21,7 @@
 
 void fk_cost_accounting_free(FkCostAccounting *accounting) { g_free(accounting); }
 
-/* Divides a machine's cost of `interval_s` seconds between its tasks. */
+/* Divides the machine's cost for `interval_s` seconds among its tasks and its unused part. */
 static void account_tasks(FkController *c, const FkMachine *machine, double price, double interval_s) {
   FkCostAccounting *accounting = c->autoscaling.cost_accounting;
   const FkInstanceType *type = machine->type;
@@ -66,7 +66,8 @@
   if (interval_s < SAMPLE_INTERVAL_S)
     return;
   accounting->sampled_at = c->now;
-  if (interval_s < 2 * SAMPLE_INTERVAL_S) /* longer: this controller wasn't the leader meanwhile */
+  /* after a longer interval, this controller wasn't the leader during all of it */
+  if (interval_s < 2 * SAMPLE_INTERVAL_S)
     take_sample(c, interval_s);
 }
 
--- a/src/core/autoscaler/machine_listing.c
+++ b/src/core/autoscaler/machine_listing.c
@@ -1,14 +1,15 @@
-/* The cloud's list of machines: what is booting, and what has failed. The list lags behind the cloud's other
- * answers by several seconds. */
+/* Processes the cloud's list of machines: updates the booting instances, and detects failed machines. The
+ * list lags several seconds behind the cloud's other replies. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/controller.h"
 
 #define LIST_RETRY_MIN_S 1.0
 #define LIST_RETRY_MAX_S 2.0
 #define LIST_INTERVAL_MIN_S 3.0
-#define RECORD_STABLE_S 1.0 /* a record younger than this may be newer than the list */
+#define RECORD_STABLE_S 1.0 /* a younger record may be more recent than the list */
 
-/* Not in the list yet: known from its age. */
+/* Adds a listed instance that this leader doesn't know yet. Its request time is estimated from the listed
+ * age. */
 static FkBootingInstance *booting_instance_from_list(FkController *c, const FkCloudMachine *listed) {
   FkBootingInstance *instance = g_new0(FkBootingInstance, 1);
   instance->id = g_strdup(listed->id);
@@ -20,7 +21,7 @@
   return instance;
 }
 
-/* A machine with a record that has stopped by itself is as good as silent. */
+/* Marks a joined machine as silent if the cloud lists it as failed. */
 static void check_joined_machine(FkController *c, FkMachine *machine, const FkCloudMachine *listed) {
   if (listed->state == FK_CLOUD_MACHINE_FAILED && !machine->drain_reason &&
       fk_time_between(machine->record_seen, c->now) > RECORD_STABLE_S)
--- a/src/core/autoscaler/provisioning.c
+++ b/src/core/autoscaler/provisioning.c
@@ -1,13 +1,13 @@
-/* Requests for machines. A request is repeated under its name until its answer is certain: the cloud then
- * gives the same machines. */
+/* Provisions machines. A request is retried under the same name until its reply is definite; for a repeated
+ * name the cloud returns the same machines. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/controller.h"
 
 #define REQUEST_RETRY_S 1.5
 #define REJECTED_PLAN_DELAY_S 1.0
-#define PARTIAL_SHORTAGE_S 15.0 /* after an answer with fewer machines than requested */
-#define SHORTAGE_STEP_S 5.0     /* more with each refusal, ... */
-#define SHORTAGE_MAX_S 30.0     /* ... up to this */
+#define PARTIAL_SHORTAGE_S 15.0 /* after a reply with fewer machines than requested */
+#define SHORTAGE_STEP_S 5.0     /* backoff per consecutive refusal */
+#define SHORTAGE_MAX_S 30.0     /* longest backoff */
 
 static void send_request(FkController *c, FkProvisionRequest *request) {
   FkOutput *output = fk_output_new(c, FK_OUTPUT_PROVISION);
@@ -21,8 +21,8 @@
   request->call = output->call;
 }
 
-/* A name is never used again, by whoever leads: the lease's number comes from the store, the counter is ours.
- */
+/* Returns a name that no other request ever has: the store never issues a lease's number twice, and the
+ * counter is unique within this controller. Owned by the caller. */
 static char *request_name(FkController *c) {
   return g_strdup_printf("r-%" G_GUINT64_FORMAT "-%s-%" G_GUINT64_FORMAT, c->store_session.lease.n,
                          c->incarnation, ++c->autoscaling.autoscaler->request_counter);
@@ -70,12 +70,13 @@
   instance->type = g_strdup(request->type);
   instance->zone = g_strdup(request->zone);
   instance->spot = request->spot;
-  instance->requested_by_us = TRUE;
+  instance->request_time_exact = TRUE;
   instance->requested_at = c->now;
   g_hash_table_insert(a->booting, instance->id, instance);
 }
 
-/* Fewer machines than requested: the cloud has no more of them for now. */
+/* Adds the machines of the reply as booting. If there are fewer than requested, the cloud has no more
+ * capacity for now, and the offer is backed off. */
 static void request_granted(FkController *c, const FkProvisionRequest *request, const GPtrArray *ids) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
   g_autofree char *key = request_offer_key(request);
@@ -90,7 +91,7 @@
   g_hash_table_replace(a->shortages, g_steal_pointer(&key), shortage);
 }
 
-/* "No capacity": the offer is backed off from. */
+/* Backs off the offer after the cloud has replied that it has no capacity. */
 static void request_refused(FkController *c, const FkProvisionRequest *request) {
   GHashTable *shortages = c->autoscaling.autoscaler->shortages;
   g_autofree char *key = request_offer_key(request);
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -1,25 +1,27 @@
-/* Scaling in: idle machines that the plan has no use for are drained and terminated. */
+/* Scales in: drains idle machines that the plan doesn't use, so that they are terminated. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
-#define SMALL_CLUSTER_MACHINES 50.0 /* with more of them demand is smoother: spare machines show sooner */
-#define IDLE_BASE_SHARE 0.5         /* of the idle time that the size of the cluster doesn't change */
-#define SPOT_IDLE_RATIO 1.5         /* of on-demand machines' idle time, ... */
-#define SPOT_IDLE_RATIO_SMALL 2.5   /* ... and more in a small cluster: spot costs little against a boot */
-#define SPOT_IDLE_MIN_S 60.0        /* while on-demand machines run work that spot machines could */
+#define SMALL_CLUSTER_MACHINES 50.0 /* in larger clusters, demand is smoother and idle limits are shorter */
+#define IDLE_BASE_SHARE 0.5         /* share of the idle time that doesn't depend on the cluster's size */
+#define SPOT_IDLE_RATIO 1.5         /* idle limit of spot machines / that of on-demand machines */
+#define SPOT_IDLE_RATIO_SMALL 2.5   /* added in a small cluster: a boot costs more than idle spot capacity */
+#define SPOT_IDLE_MIN_S 60.0        /* while on-demand machines run tasks that spot machines could run */
 
-/* The longest idle first. */
+/* Orders machines by idle time, longest first. */
 static int compare_by_idle_time(gconstpointer a, gconstpointer b) {
   const FkMachine *x = *(FkMachine *const *)a, *y = *(FkMachine *const *)b;
   return x->idle_since.us < y->idle_since.us ? -1 : x->idle_since.us > y->idle_since.us;
 }
 
-/* How long a machine may be idle; `retention`: factors by purchase option. */
+/* Returns for how long the machine may be idle. `retention` holds the factors for on-demand and spot
+ * machines. */
 static double idle_limit_s(FkController *c, const FkMachine *machine, const double retention[2]) {
-  double smallness = MIN(1, SMALL_CLUSTER_MACHINES / MAX(1, g_hash_table_size(c->view->machines)));
-  double spot_ratio = machine->record->spot ? SPOT_IDLE_RATIO + SPOT_IDLE_RATIO_SMALL * smallness : 1;
-  return c->settings->tuning.idle_s * (IDLE_BASE_SHARE + (1 - IDLE_BASE_SHARE) * smallness) * spot_ratio *
-         retention[machine->record->spot != 0];
+  double small_cluster_weight = MIN(1, SMALL_CLUSTER_MACHINES / MAX(1, g_hash_table_size(c->view->machines)));
+  double spot_ratio =
+      machine->record->spot ? SPOT_IDLE_RATIO + SPOT_IDLE_RATIO_SMALL * small_cluster_weight : 1;
+  return c->settings->tuning.idle_s * (IDLE_BASE_SHARE + (1 - IDLE_BASE_SHARE) * small_cluster_weight) *
+         spot_ratio * retention[machine->record->spot != 0];
 }
 
 static gboolean is_idle(const FkMachine *machine) {
@@ -27,7 +29,8 @@
          !machine->allocations->len && machine->reserved_cpus <= 0;
 }
 
-/* FkMachine, borrowed: idle for longer than their limits, the longest idle first. */
+/* Returns the machines that have been idle for longer than their limits, longest idle time first (FkMachine,
+ * borrowed). */
 static GPtrArray *long_idle_machines(FkController *c) {
   GPtrArray *idle = g_ptr_array_new();
   const double retention[2] = {fk_autoscaler_retention_factor(c, FALSE),
@@ -45,9 +48,9 @@
   return idle;
 }
 
-/* CPUs of tasks on on-demand machines that spot machines could run. While there are any, an idle spot machine
- * is worth keeping for the next tasks: the on-demand machines, which cost several times as much, run empty
- * instead. */
+/* Returns the CPUs of tasks that run on on-demand machines but could run on spot machines. While there are
+ * any, an idle spot machine is kept for the next tasks, so that the on-demand machines, which cost several
+ * times as much, become idle instead. */
 static double spot_capable_cpus_on_demand(FkController *c) {
   double cpus = 0;
   GHashTableIter it;
@@ -76,8 +79,9 @@
   fk_idle_retention_terminated(retention, machine->type->cpus, c->now);
 }
 
-/* Drains as many of the bin's machines as the plan has left idle. Machines that are dealt with are set to
- * NULL in `idle`; `movable_cpus` is what kept spot machines are kept for. */
+/* Drains as many of the idle machines of the bin's offer as the plan leaves idle. Machines that have been
+ * handled are set to NULL in `idle`. `movable_cpus` are the CPUs for which idle spot machines are still to be
+ * kept. */
 static void scale_in_bin(FkController *c, const FkCapacityBin *bin, GPtrArray *idle, double *movable_cpus) {
   guint spare = bin->count;
   for (guint i = 0; i < idle->len && spare; i++) {
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -1,5 +1,7 @@
-/* What to provision: a simulation of placing all that waits on what is free now, will be released by running
- * tasks, or is booting. Only work that would wait for longer than it has patience is provisioned for. */
+/* Plans what to provision. The plan simulates the placement of all waiting tasks on capacity that is free
+ * now, will be released by running tasks, or is booting. Machines are provisioned only for tasks that would
+ * otherwise wait for longer than their patience, which is the time that they may wait without missing a
+ * deadline. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
@@ -7,36 +9,37 @@
 
 #include "fair_share/quota.h"
 
-#define PLANNED_JOBS_MIN 2000        /* at least so many are looked at; more wait for a later plan */
-#define PLANNED_BOOT_PROBABILITY 0.3 /* to join within a boot time: below it a replacement is planned */
+#define PLANNED_JOBS_MIN 2000 /* least limit of the jobs in one plan; the others wait for a later plan */
+#define PLANNED_BOOT_PROBABILITY 0.3 /* below this probability of joining, a replacement is planned */
 #define AMOUNT_EPSILON 1e-6
 
-#define SERVICE_COST_RUN_S 200.0 /* a service's run time, for the share of its cost that is booting */
+#define SERVICE_COST_RUN_S 200.0 /* a service's assumed run time, to weigh the cost of booting */
 #define TASK_COST_RUN_MIN_S 5.0
 #define FETCH_GB_PER_S_MIN 0.01
-#define UNKNOWN_READY_S 60.0 /* where nothing is offered */
+#define UNKNOWN_READY_S 60.0 /* assumed if there is no offer */
 
-#define LATE_JOB_PATIENCE_S 45.0 /* of work that no machine provisioned now would finish in time */
-#define NO_DEADLINE_RUNS 3.0     /* work without a deadline waits for so many of its run times, ... */
-#define NO_DEADLINE_S 30.0       /* ... and so long beside */
+#define LATE_JOB_PATIENCE_S 45.0 /* patience of jobs that would miss their deadlines on a new machine too */
+/* The deadline assumed for work without one is NO_DEADLINE_RUNS run times plus NO_DEADLINE_S. */
+#define NO_DEADLINE_RUNS 3.0
+#define NO_DEADLINE_S 30.0
 
-#define OVERDUE_TASK_MIN_S 2.0  /* until a task past its expected run time is taken to end */
-#define OVERDUE_TASK_MAX_S 60.0 /* ... at most so much longer */
-#define CANCELLED_TASK_S 1.0
-#define BOOTING_MIN_S 2.0
+#define OVERDUE_TASK_MIN_S 2.0  /* least remaining run time assumed for a task */
+#define OVERDUE_TASK_MAX_S 60.0 /* upper limit of what is added for a task past its expected run time */
+#define CANCELLED_TASK_S 1.0    /* until a cancelled task releases its capacity */
+#define BOOTING_MIN_S 2.0       /* least remaining boot time assumed */
 
 #define HEADROOM_ARRIVALS_MAX 2000
-#define HEADROOM_TASKS_MAX 8 /* of one service */
+#define HEADROOM_TASKS_MAX 8 /* counted per expected service */
 
 /* ------------------------------------------------------------------ capacity */
 
-/* Seconds until the task releases what it has allocated. */
+/* Returns the expected seconds until the task releases its capacity. */
 static double remaining_run_s(FkController *c, const FkAllocationRef *allocation) {
   const FkJob *job = allocation->job;
   double left_s = job->cancelled ? CANCELLED_TASK_S
                                  : fk_view_expected_run_s(c->view, job->spec) -
                                        fk_time_between(allocation->first_seen_at, c->now);
-  /* a task that is late may take as long again as it's late */
+  /* A task past its expected run time is expected to take as long again as it is late. */
   return left_s < OVERDUE_TASK_MIN_S ? OVERDUE_TASK_MIN_S + MIN(OVERDUE_TASK_MAX_S, -left_s) : left_s;
 }
 
@@ -73,9 +76,9 @@
   return (FkCapacity){type->cpus, type->gpus, type->mem_gb};
 }
 
-/* Instances that will probably join soon. The remaining boot time is taken relative to that of a new
- * instance, which the plan expects after one boot time: otherwise those under way would look later than any
- * other. */
+/* Adds instances that will probably join soon. The plan expects a new instance after one nominal boot time,
+ * although the model's estimate may be longer. The remaining boot time of a booting instance is scaled in the
+ * same proportion: otherwise it would seem to become ready later than a new one. */
 static void add_booting_instances(FkController *c, FkCapacityPlan *plan) {
   const FkAutoscaler *a = c->autoscaling.autoscaler;
   GHashTableIter it;
@@ -111,21 +114,22 @@
 
 /* ------------------------------------------------------------------ offers */
 
-/* An offer, as seen by a task. */
+/* An offer, rated for a task. */
 typedef struct {
   FkOffer offer;
-  guint slots;    /* tasks a machine */
-  double ready_s; /* boot and fetch of the image */
-  double cost;    /* a task */
+  guint slots;    /* tasks per machine */
+  double ready_s; /* seconds to boot the machine and fetch the image */
+  double cost;    /* relative cost per task */
 } RankedOffer;
 
-static gboolean offer_is_short(FkController *c, const FkOffer *offer) {
+static gboolean offer_is_backed_off(FkController *c, const FkOffer *offer) {
   g_autofree char *key = fk_autoscaler_offer_key(offer);
   const FkCapacityShortage *shortage = g_hash_table_lookup(c->autoscaling.autoscaler->shortages, key);
   return shortage && !fk_time_reached(c->now, shortage->until);
 }
 
-/* Price a task, where up to `tasks` share a machine and the time until it is ready is paid for as well. */
+/* Rates the offer by its price per task, with up to `tasks` tasks on a machine. The price includes a share
+ * for the time until the machine is ready. */
 static RankedOffer rank_offer(const FkOffer *offer, const FkSpec *spec, guint tasks, double run_s) {
   const FkInstanceType *type = offer->type;
   RankedOffer ranked = {.offer = *offer};
@@ -137,12 +141,12 @@
   return ranked;
 }
 
-/* Replaces `best` where an offer of the type in the zone is cheaper. */
+/* Replaces `best` if the type's on-demand or spot offer in the zone is cheaper. */
 static void consider_zone(FkController *c, const FkSpec *spec, guint tasks, double run_s, gboolean spot_only,
                           FkOffer offer, RankedOffer *best) {
   for (int spot = spot_only; spot <= (spec->spot ? 1 : 0); spot++) {
     offer.spot = spot;
-    if (offer_is_short(c, &offer))
+    if (offer_is_backed_off(c, &offer))
       continue;
     RankedOffer ranked = rank_offer(&offer, spec, tasks, run_s);
     if (ranked.slots && ranked.cost < best->cost)
@@ -150,7 +154,7 @@
   }
 }
 
-/* The cheapest way to get room for up to `tasks` more tasks like this. FALSE: nothing is offered. */
+/* Finds the cheapest offer for up to `tasks` tasks of the spec. Returns FALSE if there is none. */
 static gboolean cheapest_offer(FkController *c, const FkSpec *spec, guint tasks, gboolean spot_only,
                                RankedOffer *best) {
   double run_s = spec->shape == FK_SHAPE_SERVICE
@@ -172,7 +176,7 @@
   return best->cost < G_MAXDOUBLE;
 }
 
-/* Enough machines for so many tasks. */
+/* Plans to provision enough machines for `tasks` tasks. */
 static void plan_provision(FkCapacityPlan *plan, const RankedOffer *ranked, guint tasks) {
   guint machines = (tasks + ranked->slots - 1) / ranked->slots;
   fk_capacity_plan_provision(plan, &ranked->offer, machines, ranked->ready_s);
@@ -180,8 +184,8 @@
 
 /* ------------------------------------------------------------------ patience */
 
-/* The tightest deadline, in seconds from the submission, that a task can meet if it starts at `start_s`;
- * G_MAXDOUBLE: none. `has_deadline` says whether there is any at all. */
+/* Returns the tightest deadline that a task can meet if it starts at `start_s`, both in seconds since the job
+ * became startable; G_MAXDOUBLE if it can meet none. Sets `has_deadline` if the job has any deadline. */
 static double tightest_deadline_s(FkController *c, const FkJob *job, double start_s, gboolean *has_deadline) {
   double run_s = fk_view_expected_run_s(c->view, job->spec);
   double deadline_s = G_MAXDOUBLE;
@@ -201,8 +205,8 @@
   return deadline_s;
 }
 
-/* How long a task of the job may wait from now before it's worth money to start it sooner, if a machine
- * provisioned now is ready after `ready_s`. */
+/* Returns the patience of the job in seconds: how long its tasks may wait from now before a machine is
+ * provisioned for them. `ready_s` is the time until a machine provisioned now is ready. */
 static double patience_s(FkController *c, const FkJob *job, double ready_s) {
   if (job->spec->shape == FK_SHAPE_SERVICE)
     return 0;
@@ -214,13 +218,13 @@
     return LATE_JOB_PATIENCE_S;
   if (deadline_s == G_MAXDOUBLE)
     deadline_s = NO_DEADLINE_RUNS * run_s + NO_DEADLINE_S;
-  /* the last task is the one that counts, and run times spread round their estimate */
+  /* The slack covers the spread of run times around their estimate: a job ends with its slowest task. */
   return MAX(0, deadline_s - waited_s - c->settings->tuning.deadline_slack * run_s);
 }
 
 /* ------------------------------------------------------------------ demand */
 
-/* Room for so many tasks at once, provisioned where there is none. */
+/* Plans capacity for `tasks` tasks that run at the same time, and provisions what is missing. */
 static void plan_tasks(FkController *c, FkCapacityPlan *plan, const FkSpec *spec, guint tasks) {
   while (tasks) {
     int bin = fk_capacity_plan_earliest(plan, spec);
@@ -237,14 +241,14 @@
   }
 }
 
-/* Services that run on lost machines. */
+/* Plans capacity for the services that run on lost machines. */
 static void plan_failover(FkController *c, FkCapacityPlan *plan) {
   g_autoptr(GPtrArray) jobs = fk_service_failover_demand(c);
   for (guint i = 0; i < jobs->len; i++)
     plan_tasks(c, plan, ((FkJob *)jobs->pdata[i])->spec, 1);
 }
 
-/* Headroom for the services that are expected next. */
+/* Plans headroom for the services that are expected to arrive next. */
 static void plan_headroom(FkController *c, FkCapacityPlan *plan) {
   GHashTableIter it;
   gpointer value;
@@ -257,7 +261,7 @@
   }
 }
 
-/* Waiting tasks that the team's quota allows, of which `used_cpus` are used. */
+/* Returns how many of the job's waiting tasks the team's quota allows if the team uses `used_cpus` CPUs. */
 static guint32 allowed_tasks(FkController *c, const FkJob *job, double used_cpus) {
   const FkSpec *spec = job->spec;
   guint32 waiting = fk_job_waiting_tasks(job);
@@ -268,7 +272,7 @@
   return (guint32)MIN((double)waiting, allowed);
 }
 
-/* Plans the job's waiting tasks. `used_cpus`: of its team, added to. */
+/* Plans the job's waiting tasks, and adds their CPUs to `used_cpus`, those of its team. */
 static void plan_job(FkController *c, FkCapacityPlan *plan, FkJob *job, double *used_cpus) {
   const FkSpec *spec = job->spec;
   guint32 waiting = allowed_tasks(c, job, *used_cpus);
@@ -281,7 +285,7 @@
     int bin = fk_capacity_plan_earliest(plan, spec);
     double wait_s = bin >= 0 ? g_array_index(plan->bins, FkCapacityBin, bin).available_s : G_MAXDOUBLE;
     gboolean worth_any = wait_s > patience && !low_cost_only;
-    /* spot machines are cheap: there is less patience before those are provisioned */
+    /* Spot machines are cheap: they are provisioned after a smaller part of the patience. */
     gboolean worth_spot = spec->spot && wait_s > patience * c->settings->tuning.spot_patience;
     if ((worth_any || worth_spot) && cheapest_offer(c, spec, waiting, !worth_any, &cheapest) &&
         cheapest.ready_s < wait_s) {
@@ -296,7 +300,7 @@
   }
 }
 
-/* By priority, then by how long they have been startable. */
+/* Orders jobs by priority, then by the time at which they became startable, earliest first. */
 static int compare_by_priority(gconstpointer a, gconstpointer b) {
   const FkJob *x = *(FkJob *const *)a, *y = *(FkJob *const *)b;
   if (x->inherited_priority != y->inherited_priority)
@@ -304,7 +308,7 @@
   return x->startable_us < y->startable_us ? -1 : 1;
 }
 
-/* FkJob, borrowed: those with waiting tasks, in the order in which they are planned. */
+/* Returns the jobs with waiting tasks in the order in which they are planned (FkJob, borrowed). */
 static GPtrArray *waiting_jobs(FkController *c) {
   GPtrArray *jobs = g_ptr_array_new();
   GHashTableIter it;
@@ -319,15 +323,15 @@
   return jobs;
 }
 
-/* As many jobs are planned as there are machines, up or on their way: each may want one of its own, and a
- * machine that nothing is planned for counts as idle. */
+/* Returns the limit of the jobs in one plan, which is at least the number of machines, including booting
+ * ones: each job may need a machine of its own, and a machine without planned jobs would count as idle. */
 static guint planned_jobs_max(FkController *c) {
   guint machines =
       g_hash_table_size(c->view->machines) + g_hash_table_size(c->autoscaling.autoscaler->booting);
   return MAX(PLANNED_JOBS_MIN, machines);
 }
 
-/* CPUs that the team's planned tasks use. */
+/* Returns the entry in `by_team` for the CPUs of the team's running and planned tasks. The table owns it. */
 static double *planned_team_cpus(FkController *c, GHashTable *by_team, const char *team) {
   double *cpus = g_hash_table_lookup(by_team, team);
   if (!cpus) {
--- a/src/core/autoscaler/termination.c
+++ b/src/core/autoscaler/termination.c
@@ -1,25 +1,25 @@
-/* Terminating machines, and what the cloud's confirmation releases. */
+/* Terminates machines, and releases their allocations once the cloud has confirmed the termination. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/controller.h"
 
-#define TERMINATE_NAMES_MAX 100 /* a call: the cloud's limit */
+#define TERMINATE_NAMES_MAX 100 /* per call: the cloud's limit */
 #define TERMINATION_INTERVAL_S 0.7
 #define TERMINATION_RETRY_S 1.0
-#define TERMINATED_RETENTION_S 300.0 /* the cloud's list lags by far less */
-#define DRAIN_STABLE_S 0.5           /* an idle machine may have been given a task just before */
+#define TERMINATED_RETENTION_S 300.0 /* much longer than the cloud's list lags behind */
+#define DRAIN_STABLE_S 0.5 /* a task may have been launched on the idle machine just before the drain */
 
-#define MIN_BILLED_S 60.0 /* a machine costs so much at the least: an earlier end saves nothing */
-#define JOIN_TIMEOUT_S 45.0
-#define BOOT_AGE_MAX 4.0               /* boot times */
-#define BOOT_PROBABILITY_WITHIN 2.0    /* boot times more */
-#define BOOT_PROBABILITY_TERMINATE 0.1 /* to join within that */
+#define MIN_BILLED_S 60.0   /* the shortest time billed: terminating an instance earlier saves nothing */
+#define JOIN_TIMEOUT_S 45.0 /* from when the cloud lists the instance as running */
+#define BOOT_AGE_MAX 4.0    /* in boot times of the type */
+#define BOOT_PROBABILITY_WITHIN 2.0    /* in boot times from now: the time for which that probability holds */
+#define BOOT_PROBABILITY_TERMINATE 0.1 /* below this probability of joining, it is terminated */
 
 /* ------------------------------------------------------------------ answers */
 
-/* The cloud's confirmation proves that the machine, and all that ran there, is gone, whoever owns its shard:
- * all allocations are released at once, hundreds by one write, and then the machine's record. If this
- * controller ends before that is written, the next leader terminates the machine once more, and gets the same
- * answer. */
+/* Releases the allocations of a terminated machine, and removes the machine's record once it has none. The
+ * cloud's confirmation proves that the machine and all its tasks have ended, whichever controller owns the
+ * shard. All allocations are therefore released at once, hundreds in one write. If this controller ends
+ * before that write, the next leader terminates the machine again and gets the same reply. */
 static void release_terminated_machine(FkController *c, FkMachine *machine) {
   for (guint i = 0; i < machine->allocations->len; i++) {
     const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
@@ -63,24 +63,25 @@
   return fk_time_between(*(FkTime *)confirmed_at, *(FkTime *)now) > TERMINATED_RETENTION_S;
 }
 
-/* Machines that go as soon as nothing is allocated there. */
-static gboolean waits_until_empty(const FkMachine *machine) {
+/* Returns whether the machine is terminated only once it has no allocations. */
+static gboolean terminates_when_empty(const FkMachine *machine) {
   return g_str_equal(machine->drain_reason, FK_DRAIN_REASON_IDLE) ||
          g_str_equal(machine->drain_reason, FK_DRAIN_REASON_DRAIN);
 }
 
-/* The cloud takes machines with a notice back by itself. */
+/* Returns whether the machine may be terminated now. The cloud itself terminates machines for which it has
+ * given a termination notice. */
 static gboolean can_terminate(FkController *c, const FkMachine *machine) {
   if (g_hash_table_contains(c->autoscaling.autoscaler->terminating, machine->id) ||
       g_str_equal(machine->drain_reason, "notice"))
     return FALSE;
-  return !waits_until_empty(machine) ||
+  return !terminates_when_empty(machine) ||
          (!machine->allocations->len &&
           fk_time_between(machine->drain_reason_since, c->now) >= DRAIN_STABLE_S);
 }
 
-/* Adds the ids of drained machines to `ids`. Silent machines with services are left to the failover, which
- * paces them. */
+/* Adds the ids of the machines to terminate to `ids`. Silent machines with services are passed to the
+ * failover, which limits the rate at which they are terminated. */
 static void select_machines(FkController *c, GPtrArray *ids) {
   const FkAutoscaler *a = c->autoscaling.autoscaler;
   g_autoptr(GPtrArray) silent_with_services = g_ptr_array_new();
@@ -103,8 +104,9 @@
   fk_service_failover_select(c, silent_with_services, ids, TERMINATE_NAMES_MAX);
 }
 
-/* Thousands of machines that boot at once take their time to join: those that run are judged by how long they
- * have run, not by their age. */
+/* Returns whether the instance has failed to boot in time. For an instance that the cloud lists as running,
+ * the time since then counts rather than its age, because thousands of machines that boot at once take longer
+ * to join. */
 static gboolean boot_timed_out(FkController *c, const FkBootingInstance *instance,
                                const FkInstanceType *type) {
   if (fk_time_between(instance->requested_at, c->now) < MIN_BILLED_S)
@@ -119,8 +121,8 @@
          fk_boot_time_probability(boot_times, age, BOOT_PROBABILITY_WITHIN) < BOOT_PROBABILITY_TERMINATE;
 }
 
-/* Adds the ids of instances that failed to boot to `ids`, and forgets those that have joined or are gone.
- * Both teach the model of boot times. */
+/* Adds the ids of instances that failed to boot to `ids`, and removes those that have joined or are
+ * terminated from `booting`. Updates the model of boot times with instances that joined or failed to boot. */
 static void select_booting_instances(FkController *c, GPtrArray *ids) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
   GHashTableIter it;
@@ -131,9 +133,9 @@
     const FkMachine *machine = fk_view_find_machine(c->view, instance->id);
     const FkInstanceType *type = g_hash_table_lookup(c->autoscaling.instance_types, instance->type);
     gboolean joined = machine && machine->record;
-    gboolean teaches = type && instance->requested_by_us;
+    gboolean is_observation = type && instance->request_time_exact;
     if (joined || g_hash_table_contains(a->terminated, instance->id)) {
-      if (joined && teaches)
+      if (joined && is_observation)
         fk_boot_time_observe_joined(&a->boot_times, fk_autoscaler_boot_age(c, instance, type));
       g_hash_table_iter_remove(&it);
       continue;
@@ -141,13 +143,13 @@
     if ((!instance->failed && !boot_timed_out(c, instance, type)) || ids->len >= TERMINATE_NAMES_MAX ||
         g_hash_table_contains(a->terminating, instance->id))
       continue;
-    if (teaches)
+    if (is_observation)
       fk_boot_time_observe_given_up(&a->boot_times, fk_autoscaler_boot_age(c, instance, type));
     g_ptr_array_add(ids, g_strdup(instance->id));
   }
 }
 
-/* Takes `ids`. */
+/* Sends a call that terminates the machines. Takes ownership of `ids`. */
 static void send_termination(FkController *c, GPtrArray *ids) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
   FkOutput *output = fk_output_new(c, FK_OUTPUT_TERMINATE);
