--- a/src/instance_models/boot_time.c
+++ b/src/instance_models/boot_time.c
@@ -1,20 +1,20 @@
-/* A Kaplan-Meier estimator over bins of age, with exponential decay. */
+/* Estimates boot times with a Kaplan-Meier estimator over bins of age, with exponential decay. */
 #include "instance_models/boot_time.h"
 
 #include <math.h>
 
-#define BIN_WIDTH 0.25     /* boot times; the last bin has all that came later */
-#define DECAY_FACTOR 0.995 /* with each instance: the last few hundred count */
-#define PRIOR_WEIGHT 20.0  /* instances */
-#define PRIOR_LATE_SHARE 0.1
-#define PRIOR_NEVER_SHARE 0.02
+#define BIN_WIDTH 0.25         /* in boot times; the last bin also has all higher ages */
+#define DECAY_FACTOR 0.995     /* per observed instance: the last few hundred determine the estimate */
+#define PRIOR_WEIGHT 20.0      /* in instances */
+#define PRIOR_LATE_SHARE 0.1   /* share of instances that join late */
+#define PRIOR_NEVER_SHARE 0.02 /* share of instances that never join */
 #define WEIGHT_EPSILON 1e-9
 
 static guint bin_index(double age) { return (guint)CLAMP(floor(age / BIN_WIDTH), 0, FK_BOOT_TIME_BINS - 1); }
 
 static double bin_start(guint bin) { return bin * BIN_WIDTH; }
 
-/* Instances that were given up count as being at risk for as long as they were awaited. */
+/* Adds an observation. An instance that didn't join is censored: it counts as at risk up to its age. */
 static void observe(FkBootTimeModel *model, double age, gboolean joined, double weight) {
   guint last = bin_index(age);
   for (guint i = 0; i <= last; i++)
@@ -24,8 +24,8 @@
 }
 
 void fk_boot_time_init(FkBootTimeModel *model) {
-  /* The prior has late instances: without them, one that takes three boot times would always be given up
-   * before, and it would never be learnt that such instances join. */
+  /* The prior includes late instances. Without them, an instance that takes three boot times would always be
+   * given up earlier, and the model would never observe that such instances join. */
   static const double usual[] = {0.7, 0.8, 0.9, 1.0, 1.1, 1.2, 1.3, 1.4};
   static const double late[] = {2.0, 2.5, 3.0, 3.7};
   *model = (FkBootTimeModel){0};
@@ -54,13 +54,13 @@
   observe(model, age, FALSE, 1);
 }
 
-/* The probability that an instance awaited at the bin's start joins in it. */
+/* Returns the probability that an instance that hasn't joined at the start of the bin joins in the bin. */
 static double hazard(const FkBootTimeModel *model, guint bin) {
   return model->at_risk[bin] > WEIGHT_EPSILON ? MIN(1, model->joined[bin] / model->at_risk[bin]) : 0;
 }
 
 double fk_boot_time_probability(const FkBootTimeModel *model, double age, double within) {
-  double survival = 1; /* not joined yet */
+  double survival = 1; /* probability that the instance hasn't joined yet */
   guint last = bin_index(age + within);
   for (guint i = bin_index(age); i <= last; i++)
     survival *= 1 - hazard(model, i);
--- a/src/instance_models/idle_retention.c
+++ b/src/instance_models/idle_retention.c
@@ -1,14 +1,17 @@
+/* Estimates the share of terminated CPUs that are provisioned again soon, with exponential decay. */
 #include "instance_models/idle_retention.h"
 
 #include <math.h>
 
-#define REPROVISION_WINDOW_S 90.0 /* provisioned again within this: it had better been kept */
+/* If capacity is provisioned within this time of a termination, the machine should have been kept. */
+#define REPROVISION_WINDOW_S 90.0
 #define DECAY_TIME_CONSTANT_S 120.0
 #define DECAY_INTERVAL_S 1.0
-#define TERMINATION_MERGE_S 1.0 /* one entry a second bounds the list by the time that it covers */
-#define SATURATION_SHARE 0.5    /* reprovisioned: as bad as all of it */
-#define SAMPLE_CPUS_MIN 16.0    /* nothing is learnt from fewer terminated CPUs */
+#define TERMINATION_MERGE_S 1.0 /* terminations within this time share an entry, which bounds the list */
+#define SATURATION_SHARE 0.5    /* share of terminated CPUs provisioned again that gives the highest factor */
+#define SAMPLE_CPUS_MIN 16.0    /* with fewer terminated CPUs the factor stays 1 */
 
+/* Terminated CPUs that have not been matched with provisioned ones yet. */
 typedef struct {
   FkTime at;
   double cpus;
@@ -59,7 +62,7 @@
   g_array_append_val(retention->recent, termination);
 }
 
-/* Set against the latest terminations first. */
+/* Matches the provisioned CPUs with the latest terminations first. */
 void fk_idle_retention_provisioned(FkIdleRetention *retention, double cpus, FkTime now) {
   decay(retention, now);
   Termination *latest;
