--- a/test/test_core.c
+++ b/test/test_core.c
@@ -1,4 +1,6 @@
-/* One controller core, fed by hand: what its transactions are guarded by, and what it takes for proof. */
+/* Tests of a single controller core, whose inputs the tests provide and whose outputs they check: the guards
+ * of its transactions, when it takes over or gives up shards and machines, and how it applies records from
+ * the store. */
 #include <string.h>
 
 #include "core/scheduling/preemption.h"
@@ -11,14 +13,15 @@
 #include "wire/settings.h"
 #include "wire/store.h"
 
-/* A launch counts only while all that it was decided on still stands. */
+/* A launch must be guarded by every record that the decision was based on, so that it fails if one of them
+ * has changed. */
 static void test_launch_guards(void) {
-  static const char *const needed[] = {"fk/l/f/c-0", "fk/l/g/north.", "fk/l/j/run-1", "fk/l/q/red",
-                                       "fk/l/t/run-1/"};
+  static const char *const expected_guards[] = {"fk/l/f/c-0", "fk/l/g/north.", "fk/l/j/run-1", "fk/l/q/red",
+                                                "fk/l/t/run-1/"};
   Rig *r = rig_new(TRUE);
   report(r, 1, 1, 11, NULL, FK_EXIT_NONE);
   tick(r, 1);
-  /* before anything else, launches of an earlier life are made impossible */
+  /* the first write changes the fence, so that launches of an earlier incarnation can't be applied */
   FkOutput *t = find(r, FK_OUTPUT_COMMIT, "fk/l/f/");
   g_assert_nonnull(t);
   g_assert_null(find(r, FK_OUTPUT_COMMIT, "fk/l/t/"));
@@ -28,9 +31,9 @@
   tick(r, 1);
   t = find(r, FK_OUTPUT_COMMIT, "fk/l/t/");
   g_assert_nonnull(t);
-  for (guint i = 0; i < G_N_ELEMENTS(needed); i++)
-    g_assert_true(guarded(t, needed[i]));
-  /* unanswered, it may yet apply: nothing more is launched before the fence has changed */
+  for (guint i = 0; i < G_N_ELEMENTS(expected_guards); i++)
+    g_assert_true(guarded(t, expected_guards[i]));
+  /* A launch without a reply may still be applied: nothing is launched until the fence has changed. */
   fk_controller_commit_received(r->c, r->now, t->call, FK_OUTCOME_UNKNOWN, (FkRev){0}, NULL);
   g_ptr_array_set_size(r->outs, 0);
   tick(r, 2);
@@ -39,13 +42,14 @@
   rig_free(r);
 }
 
-#define BOOKED "{\"f\":0,\"n\":4,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}"
+#define ONE_ALLOCATION "{\"f\":0,\"n\":4,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}"
 
-/* An attempt whose end was sent to the store never starts again, whatever the view still shows. */
+/* An attempt whose completion was sent to the store must not be started again, even if the view still shows
+ * it as allocated. */
 static void test_completion_is_final(void) {
   Rig *r = rig_new(TRUE);
-  const char *booked[] = {"fk/l/t/run-1/00000", BOOKED, NULL};
-  watched(r, booked);
+  const char *chunk[] = {"fk/l/t/run-1/00000", ONE_ALLOCATION, NULL};
+  watched(r, chunk);
   report(r, 1, 1, 11, "running", FK_EXIT_NONE);
   report(r, 1, 2, 11, "exited", FK_EXIT_ERROR);
   tick(r, 1);
@@ -53,7 +57,7 @@
   g_assert_nonnull(t);
   g_assert_true(guarded(t, "fk/l/g/north."));
   g_assert_true(guarded(t, "fk/l/r/c-0/"));
-  /* the worker's lease runs out: it comes back with nothing, while the end is unanswered */
+  /* The worker's lease expires, and it reconnects without tasks while the completion has no reply yet. */
   fk_controller_commit_received(r->c, r->now, t->call, FK_OUTCOME_UNKNOWN, (FkRev){0}, NULL);
   g_ptr_array_set_size(r->outs, 0);
   report(r, 2, 3, 11, NULL, FK_EXIT_NONE);
@@ -67,39 +71,40 @@
   rig_free(r);
 }
 
-/* Until a machine taken over has shown our token, its earlier home may have gone on answering for as long as
- * it trusted its view: only then does the lease begin to run out. */
+/* The previous owner of a machine may renew its lease for as long as it trusts its unconfirmed view. Until
+ * the machine has echoed this controller's token, its allocations may therefore be ended only after that time
+ * plus the length of a lease. */
 static void test_previous_owner_trust(void) {
   Rig *r = rig_new(FALSE);
-  const char *booked[] = {"fk/l/t/run-1/00000", BOOKED, NULL};
-  watched(r, booked);
-  g_autofree char *claim = group_key("g");
-  const char *ours[] = {claim, "{\"node\":\"c-0\",\"life\":\"now\"}", NULL};
-  watched(r, ours);
+  const char *chunk[] = {"fk/l/t/run-1/00000", ONE_ALLOCATION, NULL};
+  watched(r, chunk);
+  g_autofree char *owner_key = group_key("g");
+  const char *ownership[] = {owner_key, "{\"node\":\"c-0\",\"life\":\"now\"}", NULL};
+  watched(r, ownership);
   double trust = fk_stale_view_trust_s(r->s), lease = r->s->worker_lease_s;
   double waited = 0;
   while (waited < trust + lease + 20 && !find(r, FK_OUTPUT_COMMIT, "fk/l/r/")) {
     tick(r, 0.5);
     waited += 0.5;
-    watched(r, NULL); /* the store is there all the time */
+    watched(r, NULL); /* the store stays reachable */
   }
   g_assert_cmpfloat(waited, >=, trust + lease);
   g_assert_cmpfloat(waited, <, trust + lease + 10);
   rig_free(r);
 }
 
-/* A group's token stays the same when machines join it or are marked; a page without a machine says it's
- * gone. */
+/* A shard's fencing token doesn't change when its machines are marked as drained. A machine that is missing
+ * from its shard's page is removed from the view. */
 static void test_shards(void) {
   static const struct {
-    const char *zone, *machine, *group;
-  } ids[] = {/* part of the store's layout: never to change */
+    const char *zone, *machine, *shard;
+  } ids[] = {/* part of the store's layout: must never change */
              {"north", "i-000001", "north.14"},
              {"north", "i-000002", "north.8"},
              {"a.b", "i-000231", "a.b.17"}};
   for (guint i = 0; i < G_N_ELEMENTS(ids); i++) {
     g_autofree char *id = fk_shard_id_for_machine(ids[i].zone, ids[i].machine);
-    g_assert_cmpstr(id, ==, ids[i].group);
+    g_assert_cmpstr(id, ==, ids[i].shard);
   }
   Rig *r = rig_new(TRUE);
   FkView *v = fk_controller_view(r->c);
@@ -111,22 +116,24 @@
   watched(r, marked);
   g_assert_cmpstr(m->drain_reason, ==, "idle");
   g_assert_cmpuint(m->shard->rev.n, ==, token);
-  const char *gone[] = {page, "{\"m\":[]}", NULL};
-  watched(r, gone);
+  const char *emptied[] = {page, "{\"m\":[]}", NULL};
+  watched(r, emptied);
   m = fk_view_find_machine(v, "i-1");
   g_assert_true(!m || !m->record);
   rig_free(r);
 }
 
-/* A page of so many machines of the zone, all in the group of the first; their names go into `ids`. */
-static char *page_of(const char *zone, const char *name, guint n, GPtrArray *ids) {
-  g_autofree char *one = g_strconcat(name, "-1", NULL), *group = fk_shard_id_for_machine(zone, one);
+/* Returns a page with `n` machines of the zone, all in the shard of the first one, and adds their ids to
+ * `ids`. */
+static char *machine_page(const char *zone, const char *name, guint n, GPtrArray *ids) {
+  g_autofree char *first_id = g_strconcat(name, "-1", NULL),
+                  *first_shard = fk_shard_id_for_machine(zone, first_id);
   GString *page = g_string_new(NULL);
   g_string_printf(page, "{\"zone\":\"%s\",\"m\":[", zone);
   guint first = ids->len;
   for (guint k = 1; ids->len < first + n; k++) {
-    g_autofree char *id = g_strdup_printf("%s-%u", name, k), *of = fk_shard_id_for_machine(zone, id);
-    if (!g_str_equal(of, group))
+    g_autofree char *id = g_strdup_printf("%s-%u", name, k), *shard = fk_shard_id_for_machine(zone, id);
+    if (!g_str_equal(shard, first_shard))
       continue;
     g_string_append_printf(page, "%s[\"%s\",\"box8\",\"127.0.0.1:9\",0]", ids->len > first ? "," : "", id);
     g_ptr_array_add(ids, g_steal_pointer(&id));
@@ -135,54 +142,57 @@
   return g_string_free(page, FALSE);
 }
 
-/* Another's group is claimed when a part of its machines were sent there and came back; a few of many, or a
- * group just lost, prove nothing: two busy controllers once took the same groups from each other for 25 s. */
+/* A controller acquires another controller's shard if a sufficient share of the shard's workers were
+ * redirected to that owner and returned. It must not do so if only a few of many returned, or if it has only
+ * just lost the shard: two busy controllers once took the same shards from each other for 25 s. */
 static void test_redirected_workers_return(void) {
   static const struct {
-    guint machines, back;
-    gboolean just_lost, claimed;
-    double after_s; /* one that hears nothing of where it was sent is back later, and moves no group */
+    guint machines, returned;
+    gboolean just_lost, acquired;
+    /* seconds between returns; workers that never received the redirect take longer, and aren't counted */
+    double interval_s;
   } cases[] = {{2, 2, FALSE, TRUE, 5},     {20, 2, FALSE, FALSE, 5}, {20, 3, FALSE, TRUE, 5},
                {40, 5, FALSE, FALSE, 5},   {40, 6, FALSE, TRUE, 5},  {20, 3, TRUE, FALSE, 5},
                {20, 20, FALSE, FALSE, 10}, {20, 6, FALSE, FALSE, 15}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(cases[i].just_lost);
-    g_autofree char *claim = group_key("g"), *page = group_key("m");
+    g_autofree char *owner_key = group_key("g"), *page = group_key("m");
     g_autoptr(GPtrArray) ids = g_ptr_array_new_with_free_func(g_free);
-    g_autofree char *members = page_of("north", "i", cases[i].machines, ids);
-    const char *lines[] = {claim, "{\"node\":\"c-2\",\"life\":\"y\"}", page, members, NULL};
+    g_autofree char *members = machine_page("north", "i", cases[i].machines, ids);
+    const char *lines[] = {owner_key, "{\"node\":\"c-2\",\"life\":\"y\"}", page, members, NULL};
     watched(r, lines);
     tick(r, 0.3);
     g_ptr_array_set_size(r->outs, 0);
-    g_autofree char *group = fk_shard_id_for_machine("north", "i-1");
-    fk_view_ensure_shard(fk_controller_view(r->c), group)->no_handback_until =
-        fk_time_add(r->now, 100); /* not to be taken back */
+    g_autofree char *shard_id = fk_shard_id_for_machine("north", "i-1");
+    fk_view_ensure_shard(fk_controller_view(r->c), shard_id)->no_handback_until =
+        fk_time_add(r->now, 100); /* prevents a handback */
     for (guint round = 0; round < 3; round++) {
-      for (guint k = 0; k < cases[i].back; k++)
+      for (guint k = 0; k < cases[i].returned; k++)
         report_of(r, ids->pdata[k], "north");
-      for (double s = 0; s < cases[i].after_s && round < (cases[i].after_s < 9 ? 1 : 2); s += 0.5) {
+      for (double s = 0; s < cases[i].interval_s && round < (cases[i].interval_s < 9 ? 1 : 2); s += 0.5) {
         tick(r, 0.5);
         watched(r, NULL);
       }
       tick(r, 0.3);
-      if (cases[i].after_s < 9 && round)
-        break; /* those that come back once are enough, or too few */
+      if (cases[i].interval_s < 9 && round)
+        break; /* a single return of each worker decides these cases */
     }
     g_test_message("case %u", i);
-    g_assert_cmpint(find(r, FK_OUTPUT_COMMIT, claim) != NULL, ==, cases[i].claimed);
+    g_assert_cmpint(find(r, FK_OUTPUT_COMMIT, owner_key) != NULL, ==, cases[i].acquired);
     rig_free(r);
   }
 }
 
-/* Of the machines only those of `awake` answer what they are asked; whether one was then marked in the page.
- */
-static gboolean marked_unless(Rig *r, const char *page, GHashTable *awake) {
+/* Replies to all commands that were sent: with success for the machines in `responding`, which is then
+ * cleared, and with an unknown outcome for the others. Returns whether the controller has written the page,
+ * which marks a machine as drained. */
+static gboolean reply_to_commands(Rig *r, const char *page, GHashTable *responding) {
   gboolean marked = find(r, FK_OUTPUT_COMMIT, page) != NULL;
   g_autoptr(GPtrArray) outs = g_steal_pointer(&r->outs);
   r->outs = g_ptr_array_new_with_free_func((GDestroyNotify)fk_output_free);
   for (guint i = 0; i < outs->len; i++) {
     FkOutput *o = outs->pdata[i];
-    gboolean answers = o->kind == FK_OUTPUT_COMMANDS && g_hash_table_contains(awake, o->machine);
+    gboolean answers = o->kind == FK_OUTPUT_COMMANDS && g_hash_table_contains(responding, o->machine);
     if (o->kind == FK_OUTPUT_COMMANDS)
       fk_controller_command_reply_received(
           r->c, r->now, o->call, answers ? FK_OUTCOME_OK : FK_OUTCOME_UNKNOWN,
@@ -190,59 +200,65 @@
                   : NULL);
   }
   pump(r);
-  g_hash_table_remove_all(awake);
+  g_hash_table_remove_all(responding);
   watched(r, NULL);
   return marked;
 }
 
-static void reports_awake(Rig *r, GHashTable *awake, const char *machine, const char *zone) {
+static void report_and_respond(Rig *r, GHashTable *responding, const char *machine, const char *zone) {
   report_of(r, machine, zone);
-  g_hash_table_add(awake, (gpointer)machine);
+  g_hash_table_add(responding, (gpointer)machine);
 }
 
-/* A home that hears its own zone and none of another is cut off from that one: marking its machines silent
- * would give them all back, with what runs there. One quiet machine among others is silent. */
+/* An owner that receives heartbeats from its own zone and none from another zone is partitioned from that
+ * zone. It must not mark that zone's machines as silent, because they would all be terminated together with
+ * their tasks. A single machine without heartbeats among others that send them is marked as silent. */
 static void test_zone_partition_is_not_silence(void) {
-  /* 0: one is quiet; 1: all of the zone always were; 2: all are from a moment on, one of them with a service,
-   * so that it is asked sooner than the others would report; 3: as 2, but then the zone is heard again, all
-   * but the one with the service, which answers a little later; 4: it never does */
-  for (guint cut_off = 0; cut_off < 5; cut_off++) {
+  /* The scenarios differ in which machines of zone north respond:
+   *
+   * - 0: all but one.
+   * - 1: none.
+   * - 2: all up to some step, none afterwards. One of them runs a service and is therefore probed before the
+   * next heartbeat of the others is due.
+   * - 3: as 2, but later all of them respond again, the one with the service a little after the others.
+   * - 4: as 3, but the one with the service never responds again. */
+  for (guint scenario = 0; scenario < 5; scenario++) {
     Rig *r = rig_new(TRUE);
-    r->s->heartbeat_interval_s = cut_off >= 2 ? 10 : r->s->heartbeat_interval_s;
+    r->s->heartbeat_interval_s = scenario >= 2 ? 10 : r->s->heartbeat_interval_s;
     g_autoptr(GPtrArray) north = g_ptr_array_new_with_free_func(g_free),
                          south = g_ptr_array_new_with_free_func(g_free);
-    g_autofree char *page = group_key("m"), *members = page_of("north", "i", 4, north),
-                    *others = page_of("south", "s", 6, south);
-    g_autofree char *group = fk_shard_id_for_machine("south", "s-1"),
-                    *claim = g_strconcat("fk/l/g/", group, NULL),
-                    *south_page = g_strconcat("fk/l/m/", group, NULL);
-    const char *lines[] = {page,       members, claim, "{\"node\":\"c-0\",\"life\":\"now\"}",
-                           south_page, others,  NULL};
+    g_autofree char *page = group_key("m"), *members = machine_page("north", "i", 4, north),
+                    *south_members = machine_page("south", "s", 6, south);
+    g_autofree char *shard_id = fk_shard_id_for_machine("south", "s-1"),
+                    *owner_key = g_strconcat("fk/l/g/", shard_id, NULL),
+                    *south_page = g_strconcat("fk/l/m/", shard_id, NULL);
+    const char *lines[] = {page,       members,       owner_key, "{\"node\":\"c-0\",\"life\":\"now\"}",
+                           south_page, south_members, NULL};
     watched(r, lines);
     const char *service[] = {"fk/l/j/run-9", SERVICE, "fk/l/t/run-9/00000",
                              "{\"f\":0,\"n\":1,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}", NULL};
-    if (cut_off >= 2)
+    if (scenario >= 2)
       watched(r, service);
     gboolean marked = FALSE;
-    g_autoptr(GHashTable) awake = g_hash_table_new(g_str_hash, g_str_equal);
-    for (guint step = 0; step < (cut_off > 2 ? 160 : 60) && !marked; step++) {
+    g_autoptr(GHashTable) responding = g_hash_table_new(g_str_hash, g_str_equal);
+    for (guint step = 0; step < (scenario > 2 ? 160 : 60) && !marked; step++) {
       for (guint i = 0; i < south->len; i++)
-        reports_awake(r, awake, south->pdata[i], "south");
-      gboolean heals = cut_off > 2 && step >= 90;
-      for (guint i = cut_off >= 2 ? 0 : 1; i < north->len; i++)
-        if (!cut_off || (cut_off >= 2 && step < 20) || (heals && (i || (cut_off == 3 && step > 104))))
-          reports_awake(r, awake, north->pdata[i], "north");
+        report_and_respond(r, responding, south->pdata[i], "south");
+      gboolean heals = scenario > 2 && step >= 90;
+      for (guint i = scenario >= 2 ? 0 : 1; i < north->len; i++)
+        if (!scenario || (scenario >= 2 && step < 20) || (heals && (i || (scenario == 3 && step > 104))))
+          report_and_respond(r, responding, north->pdata[i], "north");
       tick(r, 0.5);
-      marked = marked_unless(r, page, awake);
+      marked = reply_to_commands(r, page, responding);
     }
-    g_assert_cmpint(marked, ==, !cut_off || cut_off == 4);
+    g_assert_cmpint(marked, ==, !scenario || scenario == 4);
     rig_free(r);
   }
 }
 
-/* Ends that a home writes down count against the chunk's bookings, until the chunk says so itself. */
-/* What was taken while we couldn't reach the store is taken back soon; what was taken from us while we were
- * well is left where it is: its workers can't reach us. */
+/* A shard that another controller took over while this one couldn't reach the store is taken back soon. A
+ * shard that was taken over while this controller was healthy is left with its new owner, because its workers
+ * can't reach this controller. */
 static void test_handback(void) {
   for (guint outage = 0; outage < 2; outage++) {
     Rig *r = rig_new(TRUE);
@@ -252,72 +268,73 @@
     }
     if (outage)
       tick(r, 8);
-    g_autofree char *claim = group_key("g");
-    watched(r, (const char *const[]){claim, "{\"node\":\"c-2\",\"life\":\"y\"}", NULL});
+    g_autofree char *owner_key = group_key("g");
+    watched(r, (const char *const[]){owner_key, "{\"node\":\"c-2\",\"life\":\"y\"}", NULL});
     g_ptr_array_set_size(r->outs, 0);
-    double back = -1;
-    for (double s = 0; s < 30 && back < 0; s += 0.5) {
+    double acquired_after_s = -1;
+    for (double s = 0; s < 30 && acquired_after_s < 0; s += 0.5) {
       tick(r, 0.5);
       watched(r, NULL);
-      back = find(r, FK_OUTPUT_COMMIT, claim) ? s : -1;
+      acquired_after_s = find(r, FK_OUTPUT_COMMIT, owner_key) ? s : -1;
     }
-    g_assert_true(outage ? back >= 9 && back < 15 : back < 0);
+    g_assert_true(outage ? acquired_after_s >= 9 && acquired_after_s < 15 : acquired_after_s < 0);
     rig_free(r);
   }
 }
 
-/* A home that loses its workers must notice before it marks any: the one with a service had been quiet for a
- * while, was asked just after the cut, and would be judged while the others still count as heard lately.
- * Should it alone be lost, it is marked. */
+/* An owner that loses contact with all its workers must detect the partition before it marks any of them as
+ * silent. The worker with a service stops first and is probed just after the partition begins. The probe
+ * times out while the others' last heartbeats are still recent. If only that worker is lost, it is marked. */
 static void test_owner_partitioned(void) {
-  for (guint cut = 0; cut < 2; cut++) {
+  for (guint all_lost = 0; all_lost < 2; all_lost++) {
     Rig *r = rig_new(TRUE);
     r->s->heartbeat_interval_s = 10;
     g_autoptr(GPtrArray) ids = g_ptr_array_new_with_free_func(g_free);
-    g_autofree char *page = group_key("m"), *members = page_of("north", "i", 70, ids);
+    g_autofree char *page = group_key("m"), *members = machine_page("north", "i", 70, ids);
     watched(r, (const char *const[]){page, members, "fk/l/j/run-9", SERVICE, "fk/l/t/run-9/00000",
                                      "{\"f\":0,\"n\":1,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}", NULL});
     gboolean marked = FALSE;
-    g_autoptr(GHashTable) awake = g_hash_table_new(g_str_hash, g_str_equal);
+    g_autoptr(GHashTable) responding = g_hash_table_new(g_str_hash, g_str_equal);
     for (guint step = 0; step < 260 && !marked; step++) {
-      if (!cut || step < 200)
-        reports_awake(r, awake, ids->pdata[1 + step % 69], "north");
+      if (!all_lost || step < 200)
+        report_and_respond(r, responding, ids->pdata[1 + step % 69], "north");
       if (step < 160)
-        reports_awake(r, awake, ids->pdata[0], "north");
+        report_and_respond(r, responding, ids->pdata[0], "north");
       tick(r, 0.1);
-      marked = marked_unless(r, page, awake);
+      marked = reply_to_commands(r, page, responding);
     }
-    g_assert_cmpint(marked, ==, !cut);
+    g_assert_cmpint(marked, ==, !all_lost);
     rig_free(r);
   }
 }
 
-/* A cancellation is committed and acted on at once, and told when no home that may still answer for its tasks
- * can lack it: see core/tell.c. Machine i-1 is c-1's, and run-1 is booked there. */
+/* A cancellation is committed and acted on at once, and acknowledged when no owner that doesn't know of it
+ * may still renew the leases of the job's tasks: see core/api/cancellation_barrier.c. Machine i-1 is owned by
+ * c-1 unless `owned` is set, and run-1 has an allocation there if `allocated` is set. */
 static void test_cancellation_barrier(void) {
   static const struct {
     const char *what;
-    gboolean ours, heard, booked;
-    guint64 applied[2]; /* by c-1 and c-2, beyond the cancellation's revision or before it; 0: not asked */
-    double after_s;     /* tell_after_s */
-    double told_s;      /* the least, and the most a little later; -1: not within 20 s */
+    gboolean owned, token_echoed, allocated;
+    guint64 applied[2];    /* revisions reported by c-1 and c-2; 0 if none */
+    double barrier_s;      /* the setting tell_after_s */
+    double acknowledged_s; /* earliest expected time, the latest is 1 s later; -1 if not within 20 s */
   } cases[] = {
-      {"nobody has said that he knows", FALSE, FALSE, TRUE, {0, 0}, 30, -1},
-      {"one has", FALSE, FALSE, TRUE, {1000, 0}, 30, -1},
-      {"one is behind", FALSE, FALSE, TRUE, {1000, 2}, 30, -1},
-      {"all know", FALSE, FALSE, TRUE, {1000, 1000}, 30, 0},
-      {"longer ago than anybody may answer for", FALSE, FALSE, TRUE, {0, 0}, 5, 5},
-      {"nothing is booked", FALSE, FALSE, FALSE, {0, 0}, 30, 0},
-      {"ours, but an earlier home may be answering", TRUE, FALSE, TRUE, {0, 0}, 30, -1},
-      {"ours alone", TRUE, TRUE, TRUE, {0, 0}, 30, 0},
-      {"switched off", FALSE, FALSE, TRUE, {0, 0}, 0, 0},
+      {"no controller has reported its revision", FALSE, FALSE, TRUE, {0, 0}, 30, -1},
+      {"only one controller has applied the revision", FALSE, FALSE, TRUE, {1000, 0}, 30, -1},
+      {"one controller is behind", FALSE, FALSE, TRUE, {1000, 2}, 30, -1},
+      {"all controllers have applied the revision", FALSE, FALSE, TRUE, {1000, 1000}, 30, 0},
+      {"no owner may still trust an older view", FALSE, FALSE, TRUE, {0, 0}, 5, 5},
+      {"the job has no allocations", FALSE, FALSE, FALSE, {0, 0}, 30, 0},
+      {"the machine is owned, but hasn't echoed the token", TRUE, FALSE, TRUE, {0, 0}, 30, -1},
+      {"the machine is owned and has echoed the token", TRUE, TRUE, TRUE, {0, 0}, 30, 0},
+      {"the barrier is disabled", FALSE, FALSE, TRUE, {0, 0}, 0, 0},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    Rig *r = rig_new(cases[i].ours);
-    r->s->tuning.cancellation_barrier_s = cases[i].after_s;
-    if (cases[i].booked)
-      watched(r, (const char *const[]){"fk/l/t/run-1/00000", BOOKED, NULL});
-    if (cases[i].heard) {
+    Rig *r = rig_new(cases[i].owned);
+    r->s->tuning.cancellation_barrier_s = cases[i].barrier_s;
+    if (cases[i].allocated)
+      watched(r, (const char *const[]){"fk/l/t/run-1/00000", ONE_ALLOCATION, NULL});
+    if (cases[i].token_echoed) {
       g_autofree char *id = fk_shard_id_for_machine("north", "i-1");
       report(r, 1, 1, fk_view_ensure_shard(fk_controller_view(r->c), id)->rev.n, "running", FK_EXIT_NONE);
     }
@@ -327,11 +344,12 @@
     g_assert_nonnull(t);
     g_autoptr(GPtrArray) none = g_ptr_array_new();
     fk_controller_commit_received(r->c, r->now, t->call, FK_OUTCOME_OK, (FkRev){r->epoch + 1}, none);
-    g_autofree char *gone = g_strdup_printf("%.*s,\"cancelled\":true}", (int)strlen(SPEC) - 1, SPEC);
-    watched(r, (const char *const[]){"fk/l/j/run-1", gone, NULL});
+    g_autofree char *cancelled_spec =
+        g_strdup_printf("%.*s,\"cancelled\":true}", (int)strlen(SPEC) - 1, SPEC);
+    watched(r, (const char *const[]){"fk/l/j/run-1", cancelled_spec, NULL});
     g_assert_true(fk_view_find_job(fk_controller_view(r->c), "run-1")->cancelled);
-    double told = -1;
-    for (double s = 0; s < 20 && told < 0; s += 0.5) {
+    double acknowledged_s = -1;
+    for (double s = 0; s < 20 && acknowledged_s < 0; s += 0.5) {
       for (guint k = 0; k < 2; k++)
         if (cases[i].applied[k])
           fk_controller_peer_progress_received(r->c, r->now, k ? "c-2" : "c-1", "y", (FkRev){1000},
@@ -342,34 +360,37 @@
         FkOutput *o = r->outs->pdata[k];
         if (o->kind != FK_OUTPUT_USER_REPLY)
           continue;
-        /* never the older state, and who must come back hears it at once */
+        /* The reply never shows the earlier state; a client that must retry is told so. */
         g_assert_true(o->status == 503 ? o->retry_s >= 1
                                        : o->status == 200 && o->phase == FK_PHASE_CANCELLED);
-        if (o->status == 200 && told < 0)
-          told = s;
+        if (o->status == 200 && acknowledged_s < 0)
+          acknowledged_s = s;
       }
       g_ptr_array_set_size(r->outs, 0);
       watched(r, NULL);
     }
-    g_test_message("%s: told after %.1f s", cases[i].what, told);
-    g_assert_cmpfloat(told, >=, cases[i].told_s);
-    g_assert_cmpfloat(told, <=, cases[i].told_s < 0 ? -1 : cases[i].told_s + 1);
+    g_test_message("%s: acknowledged after %.1f s", cases[i].what, acknowledged_s);
+    g_assert_cmpfloat(acknowledged_s, >=, cases[i].acknowledged_s);
+    g_assert_cmpfloat(acknowledged_s, <=, cases[i].acknowledged_s < 0 ? -1 : cases[i].acknowledged_s + 1);
     rig_free(r);
   }
 }
 
-static int by_text(gconstpointer a, gconstpointer b) { return strcmp(*(char *const *)a, *(char *const *)b); }
+static int compare_strings(gconstpointer a, gconstpointer b) {
+  return strcmp(*(char *const *)a, *(char *const *)b);
+}
 
-/* Machines that went silent with services on them are given up no faster than these find places, one with
- * many of them too; room for all of them is rented at once. Two machines have none, and go at once. */
+/* Silent machines with services are terminated no faster than their services can be restarted on other
+ * machines. This also holds for a machine with many services. Capacity for all of these services is
+ * provisioned at once. The two machines without services are terminated at once. */
 static void test_service_failover_pacing(void) {
   static const struct {
-    guint on_first, waiting, given_up;
+    guint services_on_first, waiting, terminated;
   } cases[] = {{1, 0, 2 + 4}, {1, 3, 2 + 1}, {6, 0, 2 + 1}, {6, 1, 2 + 1}, {1, 4, 2}};
   for (guint k = 0; k < G_N_ELEMENTS(cases); k++) {
     Rig *r = rig_new(TRUE);
     g_autoptr(GPtrArray) ids = g_ptr_array_new_with_free_func(g_free);
-    g_autofree char *page = group_key("m"), *members = page_of("north", "i", 12, ids);
+    g_autofree char *page = group_key("m"), *members = machine_page("north", "i", 12, ids);
     g_autoptr(GString) marked = g_string_new(members);
     for (guint at = 0; at < marked->len; at++)
       if (marked->str[at] == ']' && at && g_ascii_isdigit(marked->str[at - 1])) {
@@ -378,70 +399,71 @@
       }
     watched(r, (const char *const[]){page, marked->str, "fk/l/leader", "{\"node\":\"c-0\",\"life\":\"now\"}",
                                      NULL});
-    g_ptr_array_sort(ids, by_text);
+    g_ptr_array_sort(ids, compare_strings);
     guint jobs = 0;
     for (guint i = 0; i + 2 < ids->len; i++)
-      for (guint n = i ? 1 : cases[k].on_first; n; n--) {
+      for (guint n = i ? 1 : cases[k].services_on_first; n; n--) {
         g_autofree char *job = g_strdup_printf("fk/l/j/run-5%u", jobs),
                         *chunk = g_strdup_printf("fk/l/t/run-5%u/00000", jobs++),
-                        *booked = g_strdup_printf("{\"f\":0,\"n\":1,\"a\":2,\"b\":[[0,1,\"%s\",\"c-0\"]]}",
-                                                  (char *)ids->pdata[i]);
-        watched(r, (const char *const[]){job, SERVICE, chunk, booked, NULL});
+                        *chunk_record = g_strdup_printf(
+                            "{\"f\":0,\"n\":1,\"a\":2,\"b\":[[0,1,\"%s\",\"c-0\"]]}", (char *)ids->pdata[i]);
+        watched(r, (const char *const[]){job, SERVICE, chunk, chunk_record, NULL});
       }
     for (guint i = 0; i < cases[k].waiting; i++) {
       g_autofree char *job = g_strdup_printf("fk/l/j/run-6%u", i);
       watched(r, (const char *const[]){job, SERVICE, NULL});
     }
-    r->s->store_write_rps = 8; /* four services' worth */
-    guint given_up = 0, rented = 0;
+    r->s->store_write_rps = 8; /* allows 4 services without a machine */
+    guint terminated = 0, provisioned = 0;
     for (guint s = 0; s < 7; s++)
       tick(r, 1);
     for (guint i = 0; i < r->outs->len; i++) {
       FkOutput *o = r->outs->pdata[i];
-      given_up += o->kind == FK_OUTPUT_TERMINATE ? o->names->len : 0;
-      rented += o->kind == FK_OUTPUT_PROVISION ? o->count : 0;
+      terminated += o->kind == FK_OUTPUT_TERMINATE ? o->names->len : 0;
+      provisioned += o->kind == FK_OUTPUT_PROVISION ? o->count : 0;
     }
-    g_assert_cmpuint(given_up, ==, cases[k].given_up);
-    g_assert_cmpuint(rented, >=,
-                     3); /* of eight CPUs: for ten or more, of a CPU each, and two for what comes */
+    g_assert_cmpuint(terminated, ==, cases[k].terminated);
+    /* of eight CPUs each: ten or more for services of one CPU, and two for headroom */
+    g_assert_cmpuint(provisioned, >=, 3);
     rig_free(r);
   }
 }
 
+/* Completions in a controller's page apply to a chunk's allocations until the chunk's record has them. */
 static void test_completions(void) {
   static const struct {
-    const char *ends;
-    guint done, booked;
+    const char *completions;
+    guint done, allocated;
   } cases[] = {
       {"{\"run-1/0\":{\"d\":\"1\"}}", 1, 1},          {"{\"run-1/0\":{\"r\":[0,1]}}", 0, 1},
       {"{\"run-1/0\":{\"r\":[0,7]}}", 0, 2},          {"{\"run-1/0\":{\"d\":\"2\",\"r\":[0,1]}}", 1, 0},
       {"{\"run-1/9\":{\"d\":\"f\"},\"x\":{}}", 0, 2}, {"{\"run-1/0\":{\"d\":\"c\"}}", 0, 2}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++)
-    for (int first = 0; first < 2; first++) {
+    for (int completions_first = 0; completions_first < 2; completions_first++) {
       Rig *r = rig_new(FALSE);
       const char *chunk[] = {"fk/l/t/run-1/00000",
                              "{\"f\":0,\"n\":4,\"a\":3,\"b\":[[0,1,\"i-1\",\"c-0\"],[1,2,\"i-1\",\"c-1\"]]}",
                              NULL},
-                 *ends[] = {"fk/l/r/c-1/0", cases[i].ends, NULL};
-      watched(r, first ? ends : chunk);
-      watched(r, first ? chunk : ends);
+                 *completions[] = {"fk/l/r/c-1/0", cases[i].completions, NULL};
+      watched(r, completions_first ? completions : chunk);
+      watched(r, completions_first ? chunk : completions);
       FkJob *j = fk_view_find_job(fk_controller_view(r->c), "run-1");
       g_assert_cmpuint(j->done, ==, cases[i].done);
-      g_assert_cmpuint(j->allocated, ==, cases[i].booked);
+      g_assert_cmpuint(j->allocated, ==, cases[i].allocated);
       g_assert_cmpfloat(fk_view_find_machine(fk_controller_view(r->c), "i-1")->allocated_cpus, ==,
-                        2 * cases[i].booked);
-      /* the chunk takes it over, the page drops it */
-      const char *folded[] = {"fk/l/t/run-1/00000", "{\"f\":0,\"n\":4,\"a\":3,\"d\":\"3\",\"b\":[]}",
+                        2 * cases[i].allocated);
+      /* the chunk's record includes the completions, and the page drops them */
+      const char *merged[] = {"fk/l/t/run-1/00000", "{\"f\":0,\"n\":4,\"a\":3,\"d\":\"3\",\"b\":[]}",
                               "fk/l/r/c-1/0", "{}", NULL};
-      watched(r, folded);
+      watched(r, merged);
       g_assert_cmpuint(j->done, ==, 2);
       g_assert_cmpuint(j->allocated, ==, 0);
       rig_free(r);
     }
 }
 
-/* One home has written that the task is done, another that the same attempt has ended: the result counts, in
- * whatever order they are read. */
+/* One controller has written that the task is done, another that the same attempt was released. The result
+ * counts, in whatever order the records are read. */
 static void test_result_and_release(void) {
   const char *chunk[] = {"fk/l/t/run-1/00000", "{\"f\":0,\"n\":4,\"a\":3,\"b\":[[0,1,\"i-1\",\"c-0\"]]}",
                          NULL},
@@ -461,35 +483,37 @@
   }
 }
 
-/* A chunk whose job isn't there is swept by the leader, on the store's word that there is none; one that was
- * read before its job, as in a list read while the job was accepted, isn't. */
+/* The leader deletes a chunk whose job doesn't exist, guarded by the absence of the job in the store. It
+ * doesn't delete a chunk that was read before its job, as happens if the job is accepted while the store is
+ * listed. */
 static void test_orphan_chunks(void) {
-  for (int comes = 0; comes < 2; comes++) {
+  for (int job_follows = 0; job_follows < 2; job_follows++) {
     Rig *r = rig_new(FALSE);
     const char *chunk[] = {"fk/l/t/run-8/00000", "{\"f\":0,\"n\":4,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}",
                            NULL},
                *job[] = {"fk/l/j/run-8", SPEC, NULL},
                *leader[] = {"fk/l/leader", "{\"node\":\"c-0\",\"life\":\"now\"}", NULL};
     watched(r, chunk);
-    if (comes) {
+    if (job_follows) {
       watched(r, job);
       watched(r, chunk);
     }
     watched(r, leader);
     tick(r, 1);
     FkOutput *t = find(r, FK_OUTPUT_COMMIT, "fk/l/t/run-8/00000");
-    g_assert_true((t != NULL) == !comes);
-    gboolean guarded = FALSE;
+    g_assert_true((t != NULL) == !job_follows);
+    gboolean has_absence_guard = FALSE;
     for (guint i = 0; t && i < t->guards->len; i++) {
       FkGuard *g = &g_array_index(t->guards, FkGuard, i);
-      guarded |= g_str_equal(g->path, "fk/l/j/run-8") && !g->rev.n;
+      has_absence_guard |= g_str_equal(g->path, "fk/l/j/run-8") && !g->rev.n;
     }
-    g_assert_true(guarded == !comes);
+    g_assert_true(has_absence_guard == !job_follows);
     rig_free(r);
   }
 }
 
-/* What applying a change costs follows from what changed, not from how large the chunk or the page is. */
+/* The work of applying a change depends on the number of changed allocations, not on the size of the chunk or
+ * the page. */
 static void test_incremental_work(void) {
   Rig *r = rig_new(FALSE);
   FkView *v = fk_controller_view(r->c);
@@ -500,9 +524,9 @@
   const char *job[] = {"fk/l/j/run-9", big, NULL};
   watched(r, job);
   static const struct {
-    const char *page; /* what the page of ends says; NULL: a launch */
-    guint booked;     /* bookings in the chunk's record, from task 0 on */
-    guint work;
+    const char *page; /* content of the page of completions; NULL if the chunk's record changes instead */
+    guint allocated;  /* allocations in the chunk's record, from task 0 on */
+    guint updates;    /* expected updates of allocations */
   } steps[] = {{NULL, 60, 60},
                {NULL, 61, 1},
                {"{\"run-9/0\":{\"d\":\"1\"}}", 61, 1},
@@ -511,15 +535,15 @@
                {"{}", 61, 0}};
   for (guint i = 0; i < G_N_ELEMENTS(steps); i++) {
     g_autoptr(GString) chunk = g_string_new(NULL);
-    g_string_printf(chunk, "{\"f\":0,\"n\":128,\"a\":%u,\"b\":[", steps[i].booked + 1);
-    for (guint t = 0; t < steps[i].booked; t++)
+    g_string_printf(chunk, "{\"f\":0,\"n\":128,\"a\":%u,\"b\":[", steps[i].allocated + 1);
+    for (guint t = 0; t < steps[i].allocated; t++)
       g_string_append_printf(chunk, "%s[%u,%u,\"i-%u\",\"c-1\"]", t ? "," : "", t, t + 1, 100 + t % 20);
     g_string_append(chunk, "]}");
     const char *lines[] = {steps[i].page ? "fk/l/r/c-1/0" : "fk/l/t/run-9/00000",
                            steps[i].page ? steps[i].page : chunk->str, NULL};
     guint64 before = v->allocation_updates;
     watched(r, lines);
-    g_assert_cmpuint(v->allocation_updates - before, ==, steps[i].work);
+    g_assert_cmpuint(v->allocation_updates - before, ==, steps[i].updates);
   }
   FkJob *j = fk_view_find_job(v, "run-9");
   g_assert_cmpuint(j->done, ==, 2);
@@ -527,7 +551,8 @@
   rig_free(r);
 }
 
-/* A split limit: what others launched doesn't count against our share, and a pause gives nobody anything. */
+/* If a team's quota is partitioned among the controllers, allocations by other controllers don't count
+ * against this controller's share. While the partition is being changed, no controller has a share. */
 static void test_partitioned_quota(void) {
   static const struct {
     const char *team, *chunk;
@@ -564,57 +589,60 @@
   return fk_rate_limiter_new(&options, count_sent, count_shed, sent);
 }
 
-/* What waits in the background stays within its share; what users wait for may run it into debt. */
+/* Background writes are limited to the available tokens of the rate limiter. Urgent writes, for which users
+ * wait, may overdraw them. */
 static void test_write_budget(void) {
   guint sent = 0;
-  FkRateLimiter *b = new_limiter(100, 10, &sent);
+  FkRateLimiter *limiter = new_limiter(100, 10, &sent);
   for (guint i = 0; i < 4; i++)
-    fk_rate_limiter_submit(b, 2, 4,
-                           &sent); /* 10 writes are there: two go, the third into debt, the fourth waits */
+    /* of 10 tokens: two are sent, the third overdraws the tokens, the fourth waits */
+    fk_rate_limiter_submit(limiter, 2, 4, &sent);
   g_assert_cmpuint(sent, ==, 3);
-  g_assert_cmpfloat(fk_rate_limiter_available_writes(b, 2), ==, 0); /* somebody waits already */
+  /* none available, because a request of this level waits already */
+  g_assert_cmpfloat(fk_rate_limiter_available_writes(limiter, 2), ==, 0);
   for (guint i = 0; i < 5; i++)
-    fk_rate_limiter_submit(b, 0, 1, &sent);
+    fk_rate_limiter_submit(limiter, 0, 1, &sent);
   g_assert_cmpuint(sent, ==, 8);
-  /* ... and a large one needn't wait for a full budget that others keep from filling */
-  FkRateLimiter *small = new_limiter(100, 10, &sent);
-  fk_rate_limiter_submit(small, 1, 7, &sent);
-  fk_rate_limiter_submit(small, 2, 24, &sent);
+  /* A large request needn't wait until the bucket is full, which other requests might keep from happening. */
+  FkRateLimiter *partly_used = new_limiter(100, 10, &sent);
+  fk_rate_limiter_submit(partly_used, 1, 7, &sent);
+  fk_rate_limiter_submit(partly_used, 2, 24, &sent);
   g_assert_cmpuint(sent, ==, 10);
-  fk_rate_limiter_free(small);
-  fk_rate_limiter_free(b);
-  /* A crowd of submissions runs into debt, waits for a second at the most, and leaves launches their part: a
-   * leader that was sent the submissions of all once started nothing for 10 s. */
+  fk_rate_limiter_free(partly_used);
+  fk_rate_limiter_free(limiter);
+  /* A burst of submissions overdraws the tokens, waits for at most one second, and leaves the reserved share
+   * to launches: a leader that received all submissions once launched nothing for 10 s. */
   sent = 0;
-  FkRateLimiter *crowd = new_limiter(1000, 10, &sent);
+  FkRateLimiter *burst = new_limiter(1000, 10, &sent);
   for (guint i = 0; i < 40; i++)
-    fk_rate_limiter_submit(crowd, 0, 1, &sent);
-  g_assert_cmpuint(sent % 1000, ==, 17); /* 6.5 that are for all, and 10 that are owed */
-  g_assert_cmpuint(sent / 1000, ==, 13); /* 10 wait */
-  g_assert_cmpfloat(fk_rate_limiter_available_writes(crowd, 2), >=, 3.5);
-  fk_rate_limiter_submit(crowd, 2, 3, &sent);
+    fk_rate_limiter_submit(burst, 0, 1, &sent);
+  g_assert_cmpuint(sent % 1000, ==, 17); /* 6.5 tokens for all levels, and 10 overdrawn */
+  g_assert_cmpuint(sent / 1000, ==, 13); /* rejected; 10 wait */
+  g_assert_cmpfloat(fk_rate_limiter_available_writes(burst, 2), >=, 3.5);
+  fk_rate_limiter_submit(burst, 2, 3, &sent);
   g_assert_cmpuint(sent % 1000, ==, 18);
-  g_assert_cmpfloat(fk_rate_limiter_available_writes(crowd, 2), <, 1);
-  fk_rate_limiter_free(crowd);
+  g_assert_cmpfloat(fk_rate_limiter_available_writes(burst, 2), <, 1);
+  fk_rate_limiter_free(burst);
 }
 
-static void quiet(const char *domain, GLogLevelFlags level, const char *text, gpointer data) {
+static void log_only_errors(const char *domain, GLogLevelFlags level, const char *text, gpointer data) {
   if (level & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL))
     g_log_default_handler(domain, level, text, data);
 }
 
-/* A small task of a low rank leaves a machine's room to an array whose turn it is, unless that can't run
- * there, seems to fail everywhere, or has only just come (docs/incidents/, "Small tasks in every gap"). */
+/* A small task of low priority must not be backfilled on a machine that an array of higher priority waits
+ * for, unless the array can't run there, fails on every machine, or has only just been submitted
+ * (docs/incidents/, "Small tasks in every gap"). */
 static void test_backfill_yields(void) {
   static const struct {
     const char *what;
     double waited_s;
-    const char *type; /* that the array needs; NULL: any */
-    gboolean doubted, yields;
+    const char *type; /* instance type that the array requires; NULL if any */
+    gboolean failing, yields;
   } cases[] = {{"an array waits", 3, NULL, FALSE, TRUE},
-               {"just come", 0.1, NULL, FALSE, FALSE},
-               {"it can't run there", 3, "box64", FALSE, FALSE},
-               {"it fails everywhere", 3, NULL, TRUE, FALSE}};
+               {"the array has just been submitted", 0.1, NULL, FALSE, FALSE},
+               {"the array can't run there", 3, "box64", FALSE, FALSE},
+               {"the array fails on every machine", 3, NULL, TRUE, FALSE}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
     g_autoptr(GString) low = g_string_new(SPEC), first = g_string_new(SPEC);
@@ -625,9 +653,9 @@
     watched(r, (const char *const[]){"fk/l/j/run-low", low->str, "fk/l/j/run-first", first->str, NULL});
     FkView *v = fk_controller_view(r->c);
     FkJob *one = fk_view_find_job(v, "run-1");
-    one->cancelled = TRUE; /* not in the way */
+    one->cancelled = TRUE; /* excluded from scheduling */
     r->c->now = fk_time_add(r->now, cases[i].waited_s);
-    fk_view_find_job(v, "run-first")->failing = cases[i].doubted;
+    fk_view_find_job(v, "run-first")->failing = cases[i].failing;
     g_autoptr(GPtrArray) jobs = fk_scheduling_queue_select_jobs(r->c);
     const FkMachine *m = fk_view_find_machine(v, "i-1");
     g_assert_cmpuint(jobs->len, ==, 2);
@@ -638,23 +666,24 @@
   }
 }
 
-/* Borrowed room is asked back for who has waited long enough and has the better claim, no more of it than
- * that wants, the latest tasks first, by one write. */
+/* Capacity that a team uses beyond its fair share is reclaimed for a blocked job that has waited long enough
+ * and has a better claim to it: a higher priority, or a team within its guarantee. No more tasks are stopped
+ * than the job needs, the latest ones first, in one write. */
 static void test_quota_reclaim(void) {
   static const struct {
     const char *what, *team;
     int rank;
     double waited_s;
     guint stops;
-  } cases[] = {{"a lower rank", "blue", 3, 20, 4},
-               {"not so soon", "blue", 3, 10, 0},
-               {"the same rank, for who is within its guarantee", "blue", 2, 20, 4},
-               {"a higher one, too: it is above its own guarantee", "blue", 1, 20, 4},
-               {"never the team's own", "red", 3, 20, 0}};
+  } cases[] = {{"a lower priority", "blue", 3, 20, 4},
+               {"the job has not waited long enough", "blue", 3, 10, 0},
+               {"the same priority, for a team within its guarantee", "blue", 2, 20, 4},
+               {"a higher priority of a team above its guarantee", "blue", 1, 20, 4},
+               {"tasks of the same team", "red", 3, 20, 0}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
     g_autoptr(GPtrArray) ids = g_ptr_array_new_with_free_func(g_free);
-    g_autofree char *page = group_key("m"), *members = page_of("north", "i", 50, ids);
+    g_autofree char *page = group_key("m"), *members = machine_page("north", "i", 50, ids);
     g_autoptr(GString) spec = g_string_new(SPEC),
                        chunk = g_string_new("{\"f\":0,\"n\":100,\"a\":101,\"b\":[");
     g_autofree char *rank = g_strdup_printf("\"rank\":%d", cases[i].rank);
@@ -669,12 +698,12 @@
                              (char *)ids->pdata[k % 50]);
     g_string_append(chunk, "]}");
     g_test_message("%s", cases[i].what);
-    r->s->value_kb = r->s->current_value_kb = 32; /* a record of a hundred bookings fits */
+    r->s->value_kb = r->s->current_value_kb = 32; /* so that a record with 100 allocations fits */
     watched(r, (const char *const[]){page, members, "fk/l/j/run-many", spec->str, "fk/l/t/run-many/00000",
                                      chunk->str, "fk/l/j/run-first", SPEC, NULL});
-    fk_view_find_job(fk_controller_view(r->c), "run-1")->cancelled = TRUE; /* not in the way */
+    fk_view_find_job(fk_controller_view(r->c), "run-1")->cancelled = TRUE; /* excluded from scheduling */
     if (g_str_equal(cases[i].team, "red")) {
-      /* blue wants all of a large guarantee, so that red holds twice what it is due, within its limit */
+      /* blue demands all of a large guarantee, so that red uses twice its fair share, within its limit */
       FkTeam *red = r->s->teams->pdata[0], *blue = r->s->teams->pdata[1];
       red->max_cpus = blue->max_cpus = 1000;
       blue->guaranteed_cpus = 300;
@@ -706,11 +735,12 @@
   }
 }
 
-/* The page that settles the most is written first, whatever the order of the tables; what waits gains. */
+/* The pages with the most pending changes are written first, whatever the order of the hash tables. A page's
+ * gain also grows with the time that it waits. */
 static void test_registry_page_order(void) {
   Rig *r = rig_new(TRUE);
-  const guint groups = 8;
-  for (guint g = 1; g <= groups; g++) {
+  const guint shards = 8;
+  for (guint g = 1; g <= shards; g++) {
     g_autofree char *key = g_strdup_printf("fk/l/m/north.%u", 100 + g);
     g_autoptr(GString) page = g_string_new("{\"zone\":\"north\",\"m\":[");
     for (guint k = 0; k < g; k++)
@@ -718,7 +748,7 @@
     g_string_append(page, "]}");
     watched(r, (const char *const[]){key, page->str, NULL});
   }
-  for (guint g = 1; g <= groups; g++)
+  for (guint g = 1; g <= shards; g++)
     for (guint k = 0; k < g; k++) {
       g_autofree char *id = g_strdup_printf("g%u-%u", g, k);
       fk_machine_registry_set_drain_reason(r->c, fk_view_find_machine(fk_controller_view(r->c), id),
@@ -732,14 +762,14 @@
   g_assert_nonnull(t);
   g_assert_cmpuint(t->writes->len, ==, 3);
   for (guint i = 0; i < 3; i++) {
-    g_autofree char *key = g_strdup_printf("fk/l/m/north.%u", 100 + groups - i);
+    g_autofree char *key = g_strdup_printf("fk/l/m/north.%u", 100 + shards - i);
     g_assert_cmpstr(g_array_index(t->writes, FkWrite, i).path, ==, key);
   }
   rig_free(r);
 }
 
-/* The cloud lists a machine that isn't described yet. */
-static void listed(Rig *r, gboolean running, double age_s) {
+/* Delivers a list from the cloud with one machine that has no record yet. */
+static void list_machine(Rig *r, gboolean running, double age_s) {
   g_autoptr(GPtrArray) list = g_ptr_array_new_with_free_func(fk_cloud_machine_free);
   FkCloudMachine *l = g_new0(FkCloudMachine, 1);
   *l = (FkCloudMachine){g_strdup("i-9"),
@@ -754,29 +784,31 @@
   pump(r);
 }
 
-/* Old machines that are up when the first controller begins have time to join, however old they are: 1,166 of
- * 3,040 were given back within 25 s. One that is still starting after four boot times never comes up. */
+/* Machines that are already running when the first controller starts get time to join, however old they are:
+ * without it, 1,166 of 3,040 were terminated within 25 s. A machine that is still booting after four boot
+ * times is terminated soon, because it will never join. */
 static void test_join_timeout(void) {
   static const struct {
-    gboolean running, early, late; /* given back soon, in the end */
+    gboolean running;
+    gboolean terminated_early, terminated_late; /* within 20 s, within 50 s */
   } cases[] = {{TRUE, FALSE, TRUE}, {FALSE, TRUE, TRUE}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     Rig *r = rig_new(TRUE);
     const char *leader[] = {"fk/l/leader", "{\"node\":\"c-0\",\"life\":\"now\"}", NULL};
     watched(r, leader);
-    tick(r, 0.2); /* it begins to lead */
-    listed(r, cases[i].running, 500);
+    tick(r, 0.2); /* acquires leadership */
+    list_machine(r, cases[i].running, 500);
     tick(r, 20);
-    g_assert_cmpint(find(r, FK_OUTPUT_TERMINATE, NULL) != NULL, ==, cases[i].early);
+    g_assert_cmpint(find(r, FK_OUTPUT_TERMINATE, NULL) != NULL, ==, cases[i].terminated_early);
     tick(r, 30);
-    g_assert_cmpint(find(r, FK_OUTPUT_TERMINATE, NULL) != NULL, ==, cases[i].late);
+    g_assert_cmpint(find(r, FK_OUTPUT_TERMINATE, NULL) != NULL, ==, cases[i].terminated_late);
     rig_free(r);
   }
 }
 
 int main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_log_set_default_handler(quiet, NULL);
+  g_log_set_default_handler(log_only_errors, NULL);
   g_log_set_always_fatal(G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL);
   g_test_add_func("/core/launch_guards", test_launch_guards);
   g_test_add_func("/core/completion_is_final", test_completion_is_final);
