--- a/src/core/api/cancellation_barrier.c
+++ b/src/core/api/cancellation_barrier.c
@@ -10,13 +10,13 @@
  * sees it acts on it at once. It is acknowledged as soon as one of these conditions holds:
  *
  * - No task of the job is allocated any more. An allocation is ended only on proof that its task has ended,
- * and launches are guarded by the job's record, so that no further task can start.
+ *   and launches are guarded by the job's record, so that no further task can start.
  * - Every machine with an allocation of the job is owned by this controller and has echoed the current
- * fencing token. No earlier owner can renew the lease of such a machine, and this controller knows of the
+ *   fencing token. No earlier owner can renew the lease of such a machine, and this controller knows of the
  *   cancellation.
  * - Every other controller has reported that its view has reached the job's revision.
- * - The barrier's time has passed since this controller saw the cancellation. An owner that did not know of
- * it then has stopped renewing leases, so that they expire before the deadline.
+ * - More than `cancellation_barrier_s` has passed since this controller saw the cancellation. By then an
+ *   owner that hasn't seen it has stopped renewing leases, so that they expire before the deadline.
  *
  * A revision that a controller has applied stays applied: a report from an earlier incarnation still counts,
  * because the next incarnation reads a store that is at least as recent. */
--- a/src/core/api/cancellation_barrier.h
+++ b/src/core/api/cancellation_barrier.h
@@ -18,6 +18,6 @@
 /* Returns the seconds after which a worker's lease that is not renewed has expired, with allowance for clock
  * drift. */
 double fk_lease_expiry_s(const FkSettings *s);
-/* Returns for how many seconds after the last confirmation of its view a shard's owner may renew its
- * workers' leases. */
+/* Returns for how many seconds after the last confirmation of its view a shard's owner may renew its workers'
+ * leases. */
 double fk_stale_view_trust_s(const FkSettings *s);
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -3,7 +3,7 @@
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
-/* A job's record changes rarely. After this many conflicts the client is told to retry. */
+/* After this many conflicts the client is told to retry: a job's record changes rarely. */
 #define COMMIT_CONFLICTS_MAX 4
 
 static void cancellation_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
@@ -33,7 +33,7 @@
   FkPendingRequest *request = fk_pending_request_new(c, FK_REQUEST_CANCEL, request_id, job_id, NULL);
   if (fk_job_reads_handle_permanent_state(c, request))
     return;
-  if (fk_job_reads_handle_without_view(c, request))
+  if (fk_job_reads_handle_unavailable(c, request))
     return;
   FkJob *job = fk_view_find_job(c->view, job_id);
   if (job)
--- a/src/core/api/job_reads.c
+++ b/src/core/api/job_reads.c
@@ -3,18 +3,20 @@
  * a read check cannot decide, the job's record is read from the store.
  *
  * The record of a job with dependencies doesn't show that one of its ancestors is cancelled, which cancels
- * the job too. Its state is therefore reported from a view that has reached the store's revision at the time
- * of the read (read barrier). */
+ * the job too. The state of such a job is therefore reported from a view that has reached the store's
+ * revision at the time of the read (read barrier). */
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
 #define HTTP_OK 200
 #define HTTP_NOT_FOUND 404
-#define READ_CHECK_REQUEST_SHARE 0.15 /* of the store's request rate, for all controllers together */
+#define READ_CHECK_REQUEST_SHARE 0.15 /* share of the store's request rate, for all controllers together */
 #define READ_CHECK_GUARDS_FACTOR 4    /* guards per read check / operations per transaction */
 #define READ_CHECK_GUARDS_MAX 400     /* guards per read check */
-#define READS_WITHOUT_VIEW_MAX 16     /* concurrent requests */
-#define STORE_UNREACHABLE_S 3.0 /* requests are sent all the time: no answer for this long is an outage */
+#define READS_WITHOUT_VIEW_MAX 16     /* concurrent reads */
+/* Requests to the store are sent continually: the store counts as unreachable if it hasn't replied for this
+ * long. */
+#define STORE_UNREACHABLE_S 3.0
 
 gboolean fk_job_reads_handle_permanent_state(FkController *c, FkPendingRequest *request) {
   if (fk_pending_request_reply_if_terminal(c, request))
@@ -95,7 +97,7 @@
   fk_job_reads_read_record(c, request);
 }
 
-gboolean fk_job_reads_handle_without_view(FkController *c, FkPendingRequest *request) {
+gboolean fk_job_reads_handle_unavailable(FkController *c, FkPendingRequest *request) {
   if (is_store_unreachable(c))
     fk_pending_request_reply_unavailable(c, request);
   else if (!fk_controller_is_ready(c))
@@ -120,7 +122,7 @@
   return changed;
 }
 
-static void finish_check(FkController *c, FkPendingRequest *request, GHashTable *changed, FkRev epoch) {
+static void finish_read_check(FkController *c, FkPendingRequest *request, GHashTable *changed, FkRev epoch) {
   if (fk_job_reads_handle_permanent_state(c, request))
     return;
   const FkJob *job = fk_view_find_job(c->view, request->job_id);
@@ -131,8 +133,8 @@
   else if (job)
     fk_pending_request_reply_from_view(c, request, job);
   else if (request->shown_by_view)
-    /* The job existed when the read check was sent, and the view has been cleared since: that the job is
-     * missing in the view proves nothing. */
+    /* The job existed when the read check was sent, and the view has been cleared since: its absence from the
+     * view therefore doesn't show that it doesn't exist. */
     fk_job_reads_read_record(c, request);
   else
     /* The store had neither a live nor a terminal record when it compared the revisions. */
@@ -148,7 +150,7 @@
       outcome == FK_OUTCOME_OK || (outcome == FK_OUTCOME_CONFLICT && g_hash_table_size(changed));
   for (guint i = 0; i < batch->len; i++) {
     if (compared)
-      finish_check(c, batch->pdata[i], changed, epoch);
+      finish_read_check(c, batch->pdata[i], changed, epoch);
     else
       fk_pending_request_reply_unavailable(c, batch->pdata[i]);
   }
@@ -180,7 +182,7 @@
 }
 
 void fk_job_reads_queue_check(FkController *c, FkPendingRequest *request) {
-  if (fk_job_reads_handle_without_view(c, request))
+  if (fk_job_reads_handle_unavailable(c, request))
     return;
   if (c->requests.to_verify->length >= FK_REQUESTS_QUEUED_MAX) {
     fk_pending_request_reply_unavailable(c, request);
@@ -211,8 +213,8 @@
   g_queue_push_tail(c->requests.awaiting_view, request);
 }
 
-/* Replies with the state of a job with dependencies, once the view has reached the store's revision at the
- * time of the read. */
+/* Replies with the state of a job whose dependencies are not done. Called once the view has reached the
+ * store's revision at the time of the read. */
 static void reply_for_blocked_job(FkController *c, FkPendingRequest *request) {
   if (fk_job_reads_handle_permanent_state(c, request))
     return;
@@ -244,8 +246,8 @@
   for (guint n = c->requests.awaiting_view->length; n; n--) {
     FkPendingRequest *request = g_queue_pop_head(c->requests.awaiting_view);
     gboolean reached = c->view->applied.n >= request->barrier_rev.n;
-    gboolean late = fk_time_between(request->waiting_since, c->now) > FK_REQUEST_WAIT_MAX_S;
-    if (!fk_controller_is_ready(c) || (!reached && late))
+    gboolean timed_out = fk_time_between(request->waiting_since, c->now) > FK_REQUEST_WAIT_MAX_S;
+    if (!fk_controller_is_ready(c) || (!reached && timed_out))
       fk_pending_request_reply_unavailable(c, request);
     else if (reached)
       pass_barrier(c, request);
--- a/src/core/api/requests.h
+++ b/src/core/api/requests.h
@@ -23,12 +23,13 @@
 void fk_pending_request_free(gpointer request);
 /* Sends the queued read checks as one transaction, if none is in flight and their rate limit allows it. */
 void fk_requests_send_read_checks(FkController *c);
-/* Replies to the requests in `awaiting_cancellation` whose cancellation barrier is passed, and to those that
- * have waited for too long. */
+/* Replies to the requests in `awaiting_cancellation` whose cancellation barrier is passed, and replies 503 to
+ * those that have waited for too long. */
 void fk_requests_reply_cancelled(FkController *c);
 /* Resumes the requests in `awaiting_view` whose revision the view has reached, and replies 503 to those that
  * have waited for too long. */
 void fk_requests_pass_read_barrier(FkController *c);
-/* Returns the latest revision that all controllers must have applied before the pending cancellations can be
- * acknowledged; 0 if there are none. */
+/* Returns the highest revision of the jobs whose cancellations wait to be acknowledged; 0 if no cancellation
+ * waits. When every other controller has applied this revision, all of these cancellations can be
+ * acknowledged. */
 FkRev fk_requests_awaited_rev(FkController *c);
--- a/src/core/api/requests_internal.h
+++ b/src/core/api/requests_internal.h
@@ -4,12 +4,13 @@
 #include "core/controller_internal.h"
 
 #define FK_REQUESTS_QUEUED_MAX 2000 /* requests in each queue; further ones are answered with 503 */
-#define FK_REQUEST_WAIT_MAX_S 0.7   /* for the view or for other controllers; then the reply is 503 */
+#define FK_REQUEST_WAIT_MAX_S 0.7   /* longest wait for the view or other controllers; then 503 */
 #define FK_REQUEST_STEPS_MAX 64     /* reads and barriers of one request; then the reply is 503 */
 
 typedef enum { FK_REQUEST_POLL, FK_REQUEST_SUBMIT, FK_REQUEST_CANCEL } FkRequestKind;
 
-/* What happens to a request once the view has reached its revision. */
+/* The action on a request once the view has reached the request's `barrier_rev`: reply with the job's state,
+ * queue a read check, or go on with accepting the submission. */
 typedef enum { FK_BARRIER_REPLY, FK_BARRIER_READ_CHECK, FK_BARRIER_ACCEPT } FkBarrierAction;
 
 /* A user's request that has not been answered yet. */
@@ -23,7 +24,7 @@
   guint steps;                   /* number of reads and barriers so far */
   guint store_reads;             /* 1 if it is counted in FkPendingRequests.store_reads, else 0 */
   gboolean shown_by_view;        /* whether the view had the job when the read check was sent */
-  FkBarrierAction after_barrier; /* what happens once the view has reached `barrier_rev` */
+  FkBarrierAction after_barrier; /* the action once the view has reached `barrier_rev` */
   FkRev barrier_rev;             /* the revision that the view must reach first */
   gboolean dependency_cancelled; /* SUBMIT: whether a job that this one depends on is cancelled */
   gboolean ancestor_unknown;     /* SUBMIT: whether the terminal state of an ancestor is being read */
@@ -47,7 +48,7 @@
                                        guint32 tasks);
 /* Replies with the job's state as shown by the view. */
 void fk_pending_request_reply_from_view(FkController *c, FkPendingRequest *request, const FkJob *job);
-/* Replies if the view has the job's terminal state. Returns FALSE if it hasn't; the request is then still
+/* Replies if the view has the job's terminal state. Otherwise returns FALSE and leaves the request
  * pending. */
 gboolean fk_pending_request_reply_if_terminal(FkController *c, FkPendingRequest *request);
 
@@ -58,13 +59,13 @@
 gboolean fk_job_reads_handle_permanent_state(FkController *c, FkPendingRequest *request);
 /* Handles a request that arrives while the store is unreachable or this controller has no view. Returns
  * FALSE, without changing the request, if neither is the case. */
-gboolean fk_job_reads_handle_without_view(FkController *c, FkPendingRequest *request);
+gboolean fk_job_reads_handle_unavailable(FkController *c, FkPendingRequest *request);
 /* Reads the job's record from the store, or its terminal record if there is none, and goes on with the
  * request according to the result. */
 void fk_job_reads_read_record(FkController *c, FkPendingRequest *request);
 /* Queues the request for the next batch of read checks. */
 void fk_job_reads_queue_check(FkController *c, FkPendingRequest *request);
-/* Queues the request until the view has reached `rev`, then does what `action` says. */
+/* Queues the request until the view has reached `rev`, and then performs `action`. */
 void fk_job_reads_await_view(FkController *c, FkPendingRequest *request, FkRev rev, FkBarrierAction action);
 
 /* submissions.c */
@@ -76,5 +77,7 @@
 
 /* Commits the cancellation of a job whose record has the content `spec` and the revision `rev`. */
 void fk_cancellations_commit(FkController *c, FkPendingRequest *request, FkSpec *spec, FkRev rev);
-/* Replies as soon as the cancellation barrier is passed. The store must have the job as cancelled. */
+/* Queues the request until the cancellation barrier is passed, and then replies. Replies 503 if the view
+ * isn't ready, the queue is full, or the wait exceeds FK_REQUEST_WAIT_MAX_S. The cancellation must already be
+ * committed to the store. */
 void fk_cancellations_await_barrier(FkController *c, FkPendingRequest *request);
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -12,8 +12,8 @@
 
 /* The state of a dependency of a submitted job, according to the view. */
 typedef enum {
-  DEPENDENCY_DONE,       /* permanent: it can be omitted from the job's record */
-  DEPENDENCY_ACCEPTED,   /* live or cancelled: it was accepted, and that is permanent */
+  DEPENDENCY_DONE,       /* done, which is permanent: the dependency can be omitted from the job's record */
+  DEPENDENCY_ACCEPTED,   /* live or cancelled: the dependency was accepted, which is permanent */
   DEPENDENCY_UNKNOWN,    /* not in the view: the store must be asked */
   DEPENDENCY_IMPOSSIBLE, /* the submitted job itself, or a service, which never ends */
 } DependencyStatus;
@@ -24,7 +24,7 @@
   gboolean stale =
       request->ancestor_unknown || fk_time_between(c->store_session.confirmed_at, c->now) > VIEW_FRESH_S;
   if (outcome == FK_OUTCOME_OK && request->spec->dependencies && stale) {
-    /* a dependency may have been cancelled long ago without this view showing it yet */
+    /* the view may be too old to show that a dependency was cancelled, even long ago */
     fk_job_reads_await_view(c, request, epoch, FK_BARRIER_REPLY);
   } else if (outcome == FK_OUTCOME_OK) {
     FkPhase phase = request->dependency_cancelled ? FK_PHASE_CANCELLED : FK_PHASE_QUEUED;
@@ -58,7 +58,7 @@
   FkPendingRequest *request = fk_pending_request_new(c, FK_REQUEST_SUBMIT, request_id, spec->id, spec);
   if (fk_job_reads_handle_permanent_state(c, request))
     return;
-  if (fk_job_reads_handle_without_view(c, request))
+  if (fk_job_reads_handle_unavailable(c, request))
     return;
   if (fk_view_find_job(c->view, request->job_id)) {
     fk_job_reads_queue_check(c, request);
@@ -99,9 +99,9 @@
 }
 
 /* Handles the store's reply to the check that neither the job nor its unknown dependencies exist. The reply
- * names those that do exist. A dependency that is live is missing from the view only because the view is
- * behind. Terminal dependencies are read one after another; the view keeps each of them, also for a retry of
- * the same submission. */
+ * names the records that do exist. A dependency that is live is missing from the view only because the view
+ * is behind. Terminal dependencies are read one after another; the view keeps the terminal states, which are
+ * then also known to a retry of the same submission. */
 static void dependencies_compared(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                                   GPtrArray *failed) {
   FkPendingRequest *request = data;
@@ -135,8 +135,8 @@
     fk_job_reads_await_view(c, request, epoch, FK_BARRIER_ACCEPT);
 }
 
-/* Returns the dependency's status. Records in the request whether it is cancelled, and whether the terminal
- * state of one of its ancestors is unknown. */
+/* Returns the status of the dependency `id`. Sets `dependency_cancelled` in the request if the dependency is
+ * cancelled, and `ancestor_unknown` if the terminal state of one of the dependency's ancestors is unknown. */
 static DependencyStatus dependency_status(FkController *c, FkPendingRequest *request, const char *id) {
   FkPhase phase;
   guint32 tasks;
@@ -154,9 +154,10 @@
   return DEPENDENCY_ACCEPTED;
 }
 
-/* Reduces the job's dependencies to those that are not done. Returns FALSE if the store was asked about some
- * of them or the request has been answered. The submission needs no guards for its dependencies: an accepted
- * job stays accepted, and every controller sees its further states in its own view. */
+/* Removes the dependencies that are done from the job's spec. Returns FALSE if a query to the store is in
+ * flight or the request has been answered. The submission isn't guarded by the records of its dependencies:
+ * the acceptance of a job is permanent, and each controller follows later changes of the dependencies through
+ * its own view. */
 static gboolean resolve_dependencies(FkController *c, FkPendingRequest *request) {
   char **dependencies = request->spec->dependencies;
   g_autoptr(GStrvBuilder) unfinished = g_strv_builder_new();
