--- a/src/core/leader/job_finalization.c
+++ b/src/core/leader/job_finalization.c
@@ -1,5 +1,5 @@
-/* Finalizes jobs: one transaction replaces the live records of jobs that have ended with their terminal
- * states. Chunks of tasks that didn't fit into that transaction are deleted by later ones. */
+/* Finalizes jobs that have ended: a transaction deletes a job's live records and writes its terminal state.
+ * Chunks of tasks that don't fit into this transaction are deleted by later transactions. */
 #include "core/leader/leader_internal.h"
 
 #define FREE_WRITES_MIN 3     /* least number of available writes for sending a transaction */
@@ -7,7 +7,7 @@
 #define ORPHAN_DELETES_MAX 12 /* per transaction */
 #define FINALIZE_INTERVAL_S 0.3
 #define FINALIZE_INTERVAL_MAX_S 2.0
-#define FINALIZE_WRITE_SHARE 0.4 /* of the store's write rate */
+#define FINALIZE_WRITE_SHARE 0.4 /* share of the store's write rate */
 
 static void on_finalized(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch, GPtrArray *failed) {
   c->leader.finalizing = FALSE;
@@ -109,7 +109,7 @@
     transaction = delete_orphan_chunks(c);
   if (!transaction)
     return;
-  double paced_s = transaction->writes->len / (FINALIZE_WRITE_SHARE * c->settings->store_write_rps);
-  c->leader.next_finalization_at = fk_time_add(c->now, MIN(FINALIZE_INTERVAL_MAX_S, paced_s));
+  double interval_s = transaction->writes->len / (FINALIZE_WRITE_SHARE * c->settings->store_write_rps);
+  c->leader.next_finalization_at = fk_time_add(c->now, MIN(FINALIZE_INTERVAL_MAX_S, interval_s));
   send_transaction(c, transaction);
 }
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -2,12 +2,11 @@
  *
  * A key in the store, attached to a controller's lease, names the leader. The leader places long jobs, sizes
  * the short partition and runs the autoscaler. Safety doesn't depend on having a single leader: every
- * transaction has its own guards, so that two controllers that both take themselves for the leader do no
- * harm. */
+ * transaction has its own guards, so that two leaders at the same time are harmless. */
 #include "core/leader/leader_internal.h"
 
-#define CAMPAIGN_RETRY_S 0.1        /* after a reply: the view will soon show the leader */
-#define CAMPAIGN_FAILED_RETRY_S 0.5 /* after a failed or unanswered transaction */
+#define CAMPAIGN_RETRY_S 0.1 /* delay after a reply from the store: the view will soon show the leader */
+#define CAMPAIGN_FAILED_RETRY_S 0.5 /* delay after a failed or unanswered transaction */
 
 static void on_leader_key_written(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                                   GPtrArray *failed) {
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -38,7 +38,8 @@
 
 /* Preempts tasks if necessary after a change of the view. Called after a scheduling cycle. */
 void fk_leader_view_changed(FkController *c);
-/* Tries to acquire leadership if there is no leader, and does the leader's work that is due. */
+/* Tries to acquire leadership if there is no leader. Does the periodic work that is due if this controller is
+ * the leader. */
 void fk_leader_tick(FkController *c);
 /* Starts a new window of Elastic Sizing when the current one is over. */
 void fk_windows_tick(FkController *c);
--- a/src/core/leader/leader_internal.h
+++ b/src/core/leader/leader_internal.h
@@ -1,4 +1,5 @@
-/* Shared by the modules of the leader. Their functions are called only from leader.c and window.c. */
+/* Functions shared by the modules of the leader. Those declared here are called only from leader.c and
+ * window.c. */
 #pragma once
 #include "core/controller_internal.h"
 
@@ -17,5 +18,5 @@
 
 /* window.c */
 
-/* Opens all machines of the short partition to long jobs again. */
+/* Clears the blacklist, so that long jobs may use all machines of the short partition again. */
 void fk_window_clear_blacklist(FkController *c);
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -13,9 +13,10 @@
 #define PREEMPTION_INTERVAL_S 4.0        /* between two preemptions for the same job */
 #define SCAN_INTERVAL_S 0.1              /* between two scans of all jobs */
 #define SCAN_INTERVAL_PER_MACHINE_S 1e-4 /* added to the interval for each machine */
-#define PREEMPTION_ATTEMPTS_MAX 8        /* per scan, because each attempt looks at all machines */
-#define GANG_GRACE_S 2.0                 /* for members whose launch isn't in the view yet */
-/* A task stays if its remaining run time is at most this multiple of what is left of the notice. */
+#define PREEMPTION_ATTEMPTS_MAX 8        /* attempts per scan, because each attempt looks at all machines */
+#define GANG_GRACE_S 2.0                 /* time for the launches of all members to appear in the view */
+/* A task is not stopped if its expected remaining run time is at most this multiple of the remaining
+ * termination notice. */
 #define NOTICE_RUN_RATIO 1.5
 
 /* Reserves the capacity that preempted tasks will release, so that it isn't planned for a second service. */
@@ -28,8 +29,9 @@
   g_array_append_val(c->launches.reservations, reservation);
 }
 
-/* Preempts tasks for a service that fits on no machine, on the machine where the least work is lost; a cached
- * image counts in its favour. */
+/* Preempts tasks to make room for a service that fits on no machine. Chooses the machine where preemption
+ * loses the least work, and prefers machines that have the service's image cached. Does nothing if the team's
+ * quota is used up, or if tasks were preempted for the job less than PREEMPTION_INTERVAL_S ago. */
 static void preempt_for_service(FkController *c, FkStopTransaction *stops, FkJob *job, GPtrArray *machines) {
   if (!fk_team_quota_allows_task(c, job->spec) ||
       fk_time_between(job->preempted_for_at, c->now) < PREEMPTION_INTERVAL_S ||
@@ -56,9 +58,9 @@
                              g_strcmp0(machine->drain_reason, "notice") == 0);
 }
 
-/* Stops the tasks that can't end within the machine's termination notice, because
- * the work that they would do in the rest of the notice would be lost. A stopped task saves its progress if
- * it can. Tasks that will end in time keep running. */
+/* Stops the tasks that can't end within the machine's termination notice: the work that they would still do
+ * during the notice would be lost. A stopped task saves its progress if it can. Tasks that will end in time
+ * keep running. */
 static void evacuate(FkController *c, FkStopTransaction *stops, const FkMachine *machine) {
   double notice_s = machine->notice_s - fk_time_between(machine->drain_reason_since, c->now);
   for (guint i = 0; i < machine->allocations->len; i++) {
@@ -89,8 +91,8 @@
          fk_time_between(job->preempted_for_at, c->now) >= PREEMPTION_INTERVAL_S;
 }
 
-/* Returns whether a gang has lost a member. It can't continue without it: all its tasks are stopped, and
- * restarted together. */
+/* Returns whether the job is a gang that has lost a member. Such a gang can't continue: all its tasks are
+ * stopped, and later restarted together. */
 static gboolean gang_is_broken(FkController *c, const FkJob *job) {
   return job->spec->shape == FK_SHAPE_GANG && !job->cancelled && job->allocated &&
          fk_job_waiting_tasks(job) && fk_time_reached(c->now, fk_time_add(job->gang_until, GANG_GRACE_S));
--- a/src/core/leader/window.c
+++ b/src/core/leader/window.c
@@ -50,8 +50,9 @@
   return machines;
 }
 
-/* Adds the CPUs of waiting tasks to `demand`. If only allocated tasks counted, a floor that has closed all
- * machines to long jobs would never be lowered, because no long task could then be allocated. */
+/* Adds the CPUs of waiting tasks to `demand`. If only allocated tasks counted, a minimum size of the short
+ * partition that excludes long jobs from all machines would never be lowered, because no long task could be
+ * allocated. */
 static void add_waiting(FkController *c, Demand *demand) {
   GHashTableIter it;
   gpointer value;
