--- a/src/core/autoscaler/arrival_rates.c
+++ b/src/core/autoscaler/arrival_rates.c
@@ -4,8 +4,10 @@
 
 #define TIME_CONSTANT_S 30.0
 #define INITIAL_PER_S 0.02
-#define GROWTH_MAX 2.0    /* factor per update: an initial burst isn't taken for the lasting rate */
-#define LEADER_STABLE_S 1 /* a new leader doesn't count services first seen so early: they arrived before */
+#define GROWTH_MAX 2.0 /* largest factor per update, so that an initial burst doesn't dominate the rate */
+/* Services first seen within this time after a change of leadership aren't counted: they arrived before
+ * it. */
+#define LEADER_STABLE_S 1
 
 static FkArrivalRate *rate_of_class(FkAutoscaler *a, const FkJob *job) {
   FkArrivalRate *rate = g_hash_table_lookup(a->arrival_rates, job->spec->class_name);
--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -3,10 +3,11 @@
 #include "core/scheduling/placement.h"
 
 #define PLAN_INTERVAL_S 0.5
-/* While services have priority, idle machines are drained less often: each write then covers more of them. */
+/* Interval of idle checks while services have priority for the store's writes: with fewer checks, each write
+ * drains more machines. */
 #define IDLE_CHECK_INTERVAL_S 2.0
 #define REQUESTS_PER_TICK_MAX 3
-/* A new leader plans without the cloud's list of machines after this time. */
+/* After this time, a new leader plans even if it hasn't received the cloud's list of machines. */
 #define FIRST_LIST_TIMEOUT_S 5.0
 
 static void booting_instance_free(gpointer data) {
@@ -139,8 +140,8 @@
   }
 }
 
-/* Returns whether a plan is due and can be made. A new leader doesn't plan before it has the cloud's list of
- * machines, or the wait for it has timed out. */
+/* Returns whether a plan is due and can be made. A new leader doesn't plan until it has received the cloud's
+ * list of machines or has waited for FIRST_LIST_TIMEOUT_S. */
 static gboolean can_plan(FkController *c) {
   const FkAutoscaler *a = c->autoscaling.autoscaler;
   gboolean knows_machines =
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -26,12 +26,14 @@
 double fk_autoscaler_cheapest_price(FkController *c, const FkSpec *spec);
 /* Returns the price per hour of all instances that are booting. */
 double fk_autoscaler_booting_price(FkController *c);
-/* Returns the factor by which idle machines are kept for longer than configured (see instance_models). */
+/* Returns the factor, at least 1, by which the configured idle time of spot machines, or of on-demand
+ * machines, is multiplied (see instance_models/idle_retention.h). */
 double fk_autoscaler_retention_factor(FkController *c, gboolean spot);
 
 FkCostAccounting *fk_cost_accounting_new(void);
 void fk_cost_accounting_free(FkCostAccounting *accounting);
-/* Samples the cost of the machines by what they are doing. Called on the leader only. */
+/* Samples the cost of the machines and attributes it to their use (booting, terminating, idle, unused,
+ * needed, overpriced). Called on the leader only. */
 void fk_cost_accounting_tick(FkController *c);
 /* Logs the costs since the last call, and resets them. */
 void fk_cost_accounting_log(FkController *c);
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -16,7 +16,7 @@
   gboolean spot;
   FkTime requested_at;         /* estimated from the listed age if this leader didn't request the instance */
   gboolean request_time_exact; /* whether this leader requested the instance */
-  gboolean listed;             /* whether the cloud's list has had the instance */
+  gboolean listed;             /* whether the instance has appeared in the cloud's list */
   gboolean failed, running;    /* whether the list shows it as failed or running */
   FkTime listed_at, running_since;
 } FkBootingInstance;
@@ -35,7 +35,7 @@
 /* Backoff for an offer that the cloud had no capacity for. */
 typedef struct {
   FkTime until;   /* the offer isn't requested again before this time */
-  guint refusals; /* consecutive */
+  guint refusals; /* consecutive replies that no capacity is available */
 } FkCapacityShortage;
 
 /* The arrival rate of the services of a class. */
@@ -57,7 +57,7 @@
   gboolean list_pending, listed_once;
   char *list_cursor;          /* the last id of the previous page; NULL to list from the start */
   GHashTable *arrival_rates;  /* class -> FkArrivalRate */
-  FkTime arrivals_counted_at; /* jobs first seen up to this time have been counted */
+  FkTime arrivals_counted_at; /* services first seen up to this time have been counted */
   FkBootTimeModel boot_times;
   FkIdleRetention retention[2]; /* by purchase option: on-demand, spot */
 };
--- a/src/core/autoscaler/capacity_plan.c
+++ b/src/core/autoscaler/capacity_plan.c
@@ -1,4 +1,4 @@
-/* Implements capacity plans: bins of like capacity, found by a hash of their rounded amounts. */
+/* Capacity plans: keeps bins of equal capacity in a hash table, with rounded amounts in the key. */
 #include "core/autoscaler/capacity_plan.h"
 #include "core/scheduling/placement.h"
 
@@ -10,11 +10,12 @@
 #define CPU_STEPS 4.0 /* per CPU or GPU */
 #define MEM_STEPS 2.0 /* per GB */
 #define TIME_STEP_S 2.0
-#define SMALLEST_CPUS 0.25
-#define SMALLEST_MEM_GB 0.25
-#define ROUND_UP 0.9999 /* added before rounding down */
-#define ROUND_DOWN 1e-6
-#define AMOUNT_EPSILON 1e-6 /* tolerates rounding errors in sums of fractions */
+/* Smaller amounts fit no task and are omitted. The first limit holds for CPUs and GPUs. */
+#define BIN_CPUS_MIN 0.25
+#define BIN_MEM_GB_MIN 0.25
+#define ROUND_UP_OFFSET 0.9999 /* added before rounding down, which thereby rounds up */
+#define ROUND_DOWN_OFFSET 1e-6 /* added before rounding down; tolerates rounding errors */
+#define AMOUNT_EPSILON 1e-6    /* tolerates rounding errors in sums of fractions */
 #define SLOTS_MAX 100000
 
 static guint bin_key_hash(gconstpointer key) { /* FNV-1a */
@@ -52,7 +53,7 @@
  * that releases it fits into it. */
 static FkCapacityBinKey bin_key(FkCapacityBinKind kind, const FkOffer *offer, FkCapacity free,
                                 double available_s) {
-  double rounding = kind == FK_CAPACITY_BIN_RELEASED ? ROUND_UP : ROUND_DOWN;
+  double rounding = kind == FK_CAPACITY_BIN_RELEASED ? ROUND_UP_OFFSET : ROUND_DOWN_OFFSET;
   FkCapacityBinKey key;
   memset(&key, 0, sizeof key); /* the padding is hashed and compared too */
   key.type = offer->type;
@@ -68,7 +69,7 @@
 
 void fk_capacity_plan_add(FkCapacityPlan *plan, FkCapacityBinKind kind, const FkOffer *offer, guint count,
                           FkCapacity free, double available_s) {
-  if (!count || (free.cpus < SMALLEST_CPUS && free.gpus < SMALLEST_CPUS) || free.mem_gb < SMALLEST_MEM_GB)
+  if (!count || (free.cpus < BIN_CPUS_MIN && free.gpus < BIN_CPUS_MIN) || free.mem_gb < BIN_MEM_GB_MIN)
     return;
   FkCapacityBinKey key = bin_key(kind, offer, free, available_s);
   guint place = GPOINTER_TO_UINT(g_hash_table_lookup(plan->index, &key));
@@ -94,7 +95,7 @@
   return (guint)CLAMP(slots, 0, SLOTS_MAX);
 }
 
-/* Returns how many tasks of the spec fit on one machine of the bin. */
+/* Returns how many tasks with this spec fit on one machine of the bin. */
 static guint bin_task_slots(const FkCapacityBin *bin, const FkSpec *spec) {
   if ((bin->key.spot && !spec->spot) || (spec->zone && !g_str_equal(spec->zone, bin->key.zone)) ||
       !fk_placement_fits_type(spec, bin->key.type))
@@ -102,15 +103,15 @@
   return fk_capacity_task_slots(bin->free, spec);
 }
 
-/* Returns whether the bin is available earlier than `best`, or at the same time and the bin
- * consists of machines in use, unlike `best`. */
+/* Returns whether the bin is available earlier than `best`. If both are available at the same time, machines
+ * in use are preferred to others. */
 static gboolean is_preferred(const FkCapacityBin *bin, const FkCapacityBin *best) {
   if (bin->available_s != best->available_s)
     return bin->available_s < best->available_s;
   return bin->key.kind == FK_CAPACITY_BIN_IN_USE && best->key.kind != FK_CAPACITY_BIN_IN_USE;
 }
 
-int fk_capacity_plan_earliest(const FkCapacityPlan *plan, const FkSpec *spec) {
+int fk_capacity_plan_earliest_bin(const FkCapacityPlan *plan, const FkSpec *spec) {
   int best = -1;
   for (guint i = 0; i < plan->bins->len; i++) {
     const FkCapacityBin *bin = &g_array_index(plan->bins, FkCapacityBin, i);
@@ -122,7 +123,7 @@
   return best;
 }
 
-/* Returns the capacity that is left of `free` after `tasks` tasks are allocated. */
+/* Returns `free` minus the needs of `tasks` tasks. */
 static FkCapacity capacity_after_tasks(FkCapacity free, guint tasks, const FkSpec *spec) {
   return (FkCapacity){free.cpus - tasks * spec->cpus, free.gpus - tasks * spec->gpus,
                       free.mem_gb - tasks * spec->mem_gb};
@@ -135,7 +136,7 @@
   guint slots = bin_task_slots(&bin, spec);
   guint allocated = (guint)MIN((guint64)tasks, (guint64)slots * bin.count);
   guint full_machines = allocated / slots;
-  guint rest = allocated % slots; /* tasks on one further machine, which they don't fill */
+  guint rest = allocated % slots; /* tasks on one further machine that isn't filled */
   FkCapacityBinKind kind = bin.key.kind == FK_CAPACITY_BIN_IDLE ? FK_CAPACITY_BIN_IN_USE : bin.key.kind;
   FkOffer offer = {bin.key.type, bin.key.zone, (gboolean)bin.key.spot};
   g_array_index(plan->bins, FkCapacityBin, bin_index).count -= full_machines + (rest > 0);
--- a/src/core/autoscaler/capacity_plan.h
+++ b/src/core/autoscaler/capacity_plan.h
@@ -18,9 +18,9 @@
   gboolean spot;
 } FkOffer;
 
-/* The state of the machines in a bin. */
+/* What a bin consists of. */
 typedef enum {
-  FK_CAPACITY_BIN_IDLE,    /* machines that no task is allocated on */
+  FK_CAPACITY_BIN_IDLE,    /* machines without allocated tasks */
   FK_CAPACITY_BIN_IN_USE,  /* free capacity on machines with tasks */
   FK_CAPACITY_BIN_BOOTING, /* machines that are requested or booting */
   FK_CAPACITY_BIN_RELEASED /* capacity that running tasks will release */
@@ -53,7 +53,7 @@
 void fk_capacity_plan_free(FkCapacityPlan *plan);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkCapacityPlan, fk_capacity_plan_free)
 
-/* Returns how many tasks of the spec fit into `free`. */
+/* Returns how many tasks with this spec fit into `free`. */
 guint fk_capacity_task_slots(FkCapacity free, const FkSpec *spec);
 
 /* Adds `count` machines, or parts of machines, each with `free` capacity from `available_s` seconds on.
@@ -63,7 +63,7 @@
 
 /* Returns the index of the bin that is available earliest and has room for a task, preferring machines in use
  * over idle ones; -1 if no bin has room. */
-int fk_capacity_plan_earliest(const FkCapacityPlan *plan, const FkSpec *spec);
+int fk_capacity_plan_earliest_bin(const FkCapacityPlan *plan, const FkSpec *spec);
 
 /* Allocates up to `tasks` tasks in the bin, filling one machine after another. The capacity of tasks that
  * aren't services is available again after `run_s`. Returns the number of tasks allocated. */
--- a/src/core/autoscaler/consolidation.c
+++ b/src/core/autoscaler/consolidation.c
@@ -7,7 +7,7 @@
 #define PRICE_RATIO_MIN 4.0 /* price of the machine / price of the cheapest capacity for its tasks */
 #define CONSOLIDATION_INTERVAL_S 0.5
 #define ROOM_RATIO 2            /* required slots on other machines / tasks on the machine */
-#define RESTART_MARGIN_S 5.0    /* for restarting a task */
+#define RESTART_MARGIN_S 5.0    /* time for restarting a task */
 #define RUN_TIME_MAX_RATIO 1.6  /* longest assumed run time / expected run time */
 #define REMAINING_MIN_RATIO 0.6 /* shortest assumed remaining run time / expected remaining run time */
 #define SERVICE_STABLE_S 30.0   /* run time from which a service may be moved */
@@ -19,8 +19,8 @@
   double left_s;   /* expected remaining run time */
 } TaskProgress;
 
-/* Returns whether a restart doesn't endanger the deadline: either it can't be met where the task runs now, or
- * it will be met after a restart too. */
+/* Returns whether a restart of the task makes no difference to the deadline: the deadline is missed even
+ * without a restart, or met even with one. */
 static gboolean deadline_allows_restart(double deadline_s, const TaskProgress *task) {
   return deadline_s < task->waited_s + REMAINING_MIN_RATIO * task->left_s ||
          deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s + RESTART_MARGIN_S;
@@ -30,7 +30,8 @@
   return deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s;
 }
 
-/* Returns whether all deadlines allow a restart and at least one of them leaves time for it. */
+/* Returns whether all deadlines of the job allow a restart, and at least one of them is met with the task's
+ * longest assumed run time. */
 static gboolean deadlines_allow_restart(FkController *c, const FkJob *job, const TaskProgress *task) {
   double own_s = fk_job_allowed_s(job);
   if (own_s >= 0 && !deadline_allows_restart(own_s, task))
@@ -108,7 +109,8 @@
   return worst;
 }
 
-/* Returns the spec of the machine's task that is hardest to place. It stands in for all its tasks. */
+/* Returns the spec of the machine's task that is hardest to place. The check for room on other machines
+ * assumes it for all tasks of the machine. */
 static const FkSpec *hardest_to_place(const FkMachine *machine) {
   const FkSpec *hardest = g_array_index(machine->allocations, FkAllocationRef, 0).job->spec;
   for (guint i = 1; i < machine->allocations->len; i++) {
@@ -119,9 +121,9 @@
   return hardest;
 }
 
-/* Returns the number of tasks of the spec that fit on machines in use that are cheaper than `left`. */
-static guint slots_elsewhere(FkController *c, const FkMachine *left, const FkSpec *spec) {
-  double price = fk_instance_type_price(left->type, left->record->spot);
+/* Returns how many tasks with this spec fit on machines that are in use and cheaper than `drained`. */
+static guint slots_elsewhere(FkController *c, const FkMachine *drained, const FkSpec *spec) {
+  double price = fk_instance_type_price(drained->type, drained->record->spot);
   guint slots = 0;
   GHashTableIter it;
   gpointer value;
@@ -129,7 +131,7 @@
   while (g_hash_table_iter_next(&it, NULL, &value)) {
     FkMachine *machine = value;
     const FkInstanceType *type = fk_machine_type(c, machine);
-    if (!type || machine == left || machine->drain_reason || !machine->allocations->len ||
+    if (!type || machine == drained || machine->drain_reason || !machine->allocations->len ||
         (machine->record->spot && !spec->spot) || !fk_placement_fits_type(spec, type) ||
         fk_instance_type_price(type, machine->record->spot) >= price)
       continue;
--- a/src/core/autoscaler/cost_accounting.c
+++ b/src/core/autoscaler/cost_accounting.c
@@ -1,4 +1,4 @@
-/* Cost accounting: the leader samples the machines, divides their cost by what they are doing, and logs the
+/* Cost accounting: the leader samples the machines, attributes their cost to categories of use, and logs the
  * sums once per window. */
 #include "core/controller_internal.h"
 #include "core/scheduling/placement.h"
--- a/src/core/autoscaler/provisioning.c
+++ b/src/core/autoscaler/provisioning.c
@@ -5,8 +5,8 @@
 
 #define REQUEST_RETRY_S 1.5
 #define REJECTED_PLAN_DELAY_S 1.0
-#define PARTIAL_SHORTAGE_S 15.0 /* after a reply with fewer machines than requested */
-#define SHORTAGE_STEP_S 5.0     /* backoff per consecutive refusal */
+#define PARTIAL_SHORTAGE_S 15.0 /* backoff after a reply with fewer machines than requested */
+#define SHORTAGE_STEP_S 5.0     /* backoff for each consecutive refusal */
 #define SHORTAGE_MAX_S 30.0     /* longest backoff */
 
 static void send_request(FkController *c, FkProvisionRequest *request) {
@@ -76,7 +76,7 @@
 }
 
 /* Adds the machines of the reply as booting. If there are fewer than requested, the cloud has no more
- * capacity for now, and the offer is backed off. */
+ * capacity for now, and requests for the offer are suspended for a backoff time. */
 static void request_granted(FkController *c, const FkProvisionRequest *request, const GPtrArray *ids) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
   g_autofree char *key = request_offer_key(request);
@@ -91,7 +91,7 @@
   g_hash_table_replace(a->shortages, g_steal_pointer(&key), shortage);
 }
 
-/* Backs off the offer after the cloud has replied that it has no capacity. */
+/* Suspends requests for the offer for a backoff time, after the cloud has replied that it has no capacity. */
 static void request_refused(FkController *c, const FkProvisionRequest *request) {
   GHashTable *shortages = c->autoscaling.autoscaler->shortages;
   g_autofree char *key = request_offer_key(request);
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -5,8 +5,10 @@
 #define SMALL_CLUSTER_MACHINES 50.0 /* in larger clusters, demand is smoother and idle limits are shorter */
 #define IDLE_BASE_SHARE 0.5         /* share of the idle time that doesn't depend on the cluster's size */
 #define SPOT_IDLE_RATIO 1.5         /* idle limit of spot machines / that of on-demand machines */
-#define SPOT_IDLE_RATIO_SMALL 2.5   /* added in a small cluster: a boot costs more than idle spot capacity */
-#define SPOT_IDLE_MIN_S 60.0        /* while on-demand machines run tasks that spot machines could run */
+/* Added to SPOT_IDLE_RATIO in a small cluster, where a boot costs more than idle spot capacity. */
+#define SPOT_IDLE_RATIO_SMALL 2.5
+/* Least idle time of a spot machine while on-demand machines run tasks that could run on spot machines. */
+#define SPOT_IDLE_MIN_S 60.0
 
 /* Orders machines by idle time, longest first. */
 static int compare_by_idle_time(gconstpointer a, gconstpointer b) {
@@ -14,7 +16,7 @@
   return x->idle_since.us < y->idle_since.us ? -1 : x->idle_since.us > y->idle_since.us;
 }
 
-/* Returns for how long the machine may be idle. `retention` holds the factors for on-demand and spot
+/* Returns the seconds that the machine may be idle. `retention` holds the factors for on-demand and spot
  * machines. */
 static double idle_limit_s(FkController *c, const FkMachine *machine, const double retention[2]) {
   double small_cluster_weight = MIN(1, SMALL_CLUSTER_MACHINES / MAX(1, g_hash_table_size(c->view->machines)));
@@ -68,7 +70,7 @@
   return cpus;
 }
 
-static gboolean machine_is_in_bin(const FkMachine *machine, const FkCapacityBin *bin) {
+static gboolean machine_is_of_bin_offer(const FkMachine *machine, const FkCapacityBin *bin) {
   return machine->type == bin->key.type && machine->record->spot == (gboolean)bin->key.spot &&
          g_str_equal(machine->record->zone, bin->key.zone);
 }
@@ -80,13 +82,13 @@
 }
 
 /* Drains as many of the idle machines of the bin's offer as the plan leaves idle. Machines that have been
- * handled are set to NULL in `idle`. `movable_cpus` are the CPUs for which idle spot machines are still to be
- * kept. */
+ * handled are set to NULL in `idle`. `movable_cpus` are the CPUs of tasks that could move from on-demand to
+ * spot machines and that no kept spot machine covers yet. */
 static void scale_in_bin(FkController *c, const FkCapacityBin *bin, GPtrArray *idle, double *movable_cpus) {
   guint spare = bin->count;
   for (guint i = 0; i < idle->len && spare; i++) {
     FkMachine *machine = idle->pdata[i];
-    if (!machine || !machine_is_in_bin(machine, bin))
+    if (!machine || !machine_is_of_bin_offer(machine, bin))
       continue;
     idle->pdata[i] = NULL;
     spare--;
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -1,7 +1,6 @@
 /* Plans what to provision. The plan simulates the placement of all waiting tasks on capacity that is free
  * now, will be released by running tasks, or is booting. Machines are provisioned only for tasks that would
- * otherwise wait for longer than their patience, which is the time that they may wait without missing a
- * deadline. */
+ * otherwise wait for longer than their allowed wait time, which is derived from their deadlines. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
@@ -9,27 +8,29 @@
 
 #include "fair_share/quota.h"
 
-#define PLANNED_JOBS_MIN 2000 /* least limit of the jobs in one plan; the others wait for a later plan */
-#define PLANNED_BOOT_PROBABILITY 0.3 /* below this probability of joining, a replacement is planned */
+/* Lower bound of the limit on jobs per plan; further jobs wait for a later plan. */
+#define PLANNED_JOBS_MIN 2000
+/* A replacement is planned for an instance that is less likely than this to join within one boot time. */
+#define PLANNED_BOOT_PROBABILITY 0.3
 #define AMOUNT_EPSILON 1e-6
 
-#define SERVICE_COST_RUN_S 200.0 /* a service's assumed run time, to weigh the cost of booting */
-#define TASK_COST_RUN_MIN_S 5.0
+#define BOOT_COST_SERVICE_RUN_S 200.0 /* a service's assumed run time, to weigh the cost of booting */
+#define BOOT_COST_TASK_RUN_MIN_S 5.0  /* least run time assumed for a task, to weigh the cost of booting */
 #define FETCH_GB_PER_S_MIN 0.01
-#define UNKNOWN_READY_S 60.0 /* assumed if there is no offer */
+#define UNKNOWN_READY_S 60.0 /* time until ready, assumed if there is no offer */
 
-#define LATE_JOB_PATIENCE_S 45.0 /* patience of jobs that would miss their deadlines on a new machine too */
+#define LATE_JOB_ALLOWED_WAIT_S 45.0 /* of jobs that would miss all deadlines even on a new machine */
 /* The deadline assumed for work without one is NO_DEADLINE_RUNS run times plus NO_DEADLINE_S. */
 #define NO_DEADLINE_RUNS 3.0
 #define NO_DEADLINE_S 30.0
 
 #define OVERDUE_TASK_MIN_S 2.0  /* least remaining run time assumed for a task */
-#define OVERDUE_TASK_MAX_S 60.0 /* upper limit of what is added for a task past its expected run time */
+#define OVERDUE_TASK_MAX_S 60.0 /* longest overdue time that is added to OVERDUE_TASK_MIN_S */
 #define CANCELLED_TASK_S 1.0    /* until a cancelled task releases its capacity */
 #define BOOTING_MIN_S 2.0       /* least remaining boot time assumed */
 
 #define HEADROOM_ARRIVALS_MAX 2000
-#define HEADROOM_TASKS_MAX 8 /* counted per expected service */
+#define HEADROOM_TASKS_MAX 8 /* tasks per expected service for which headroom is planned */
 
 /* ------------------------------------------------------------------ capacity */
 
@@ -39,7 +40,7 @@
   double left_s = job->cancelled ? CANCELLED_TASK_S
                                  : fk_view_expected_run_s(c->view, job->spec) -
                                        fk_time_between(allocation->first_seen_at, c->now);
-  /* A task past its expected run time is expected to take as long again as it is late. */
+  /* The remaining run time of an overdue task is estimated as the time by which it is overdue. */
   return left_s < OVERDUE_TASK_MIN_S ? OVERDUE_TASK_MIN_S + MIN(OVERDUE_TASK_MAX_S, -left_s) : left_s;
 }
 
@@ -78,7 +79,7 @@
 
 /* Adds instances that will probably join soon. The plan expects a new instance after one nominal boot time,
  * although the model's estimate may be longer. The remaining boot time of a booting instance is scaled in the
- * same proportion: otherwise it would seem to become ready later than a new one. */
+ * same proportion: otherwise the booting instance would seem to become ready later than a new one. */
 static void add_booting_instances(FkController *c, FkCapacityPlan *plan) {
   const FkAutoscaler *a = c->autoscaling.autoscaler;
   GHashTableIter it;
@@ -154,12 +155,12 @@
   }
 }
 
-/* Finds the cheapest offer for up to `tasks` tasks of the spec. Returns FALSE if there is none. */
+/* Finds the cheapest offer for up to `tasks` tasks with this spec. Returns FALSE if there is none. */
 static gboolean cheapest_offer(FkController *c, const FkSpec *spec, guint tasks, gboolean spot_only,
                                RankedOffer *best) {
   double run_s = spec->shape == FK_SHAPE_SERVICE
-                     ? SERVICE_COST_RUN_S
-                     : MAX(TASK_COST_RUN_MIN_S, fk_view_expected_run_s(c->view, spec));
+                     ? BOOT_COST_SERVICE_RUN_S
+                     : MAX(BOOT_COST_TASK_RUN_MIN_S, fk_view_expected_run_s(c->view, spec));
   *best = (RankedOffer){.cost = G_MAXDOUBLE};
   GHashTableIter it;
   gpointer value;
@@ -182,7 +183,7 @@
   fk_capacity_plan_provision(plan, &ranked->offer, machines, ranked->ready_s);
 }
 
-/* ------------------------------------------------------------------ patience */
+/* ------------------------------------------------------------------ allowed wait time */
 
 /* Returns the tightest deadline that a task can meet if it starts at `start_s`, both in seconds since the job
  * became startable; G_MAXDOUBLE if it can meet none. Sets `has_deadline` if the job has any deadline. */
@@ -205,9 +206,9 @@
   return deadline_s;
 }
 
-/* Returns the patience of the job in seconds: how long its tasks may wait from now before a machine is
- * provisioned for them. `ready_s` is the time until a machine provisioned now is ready. */
-static double patience_s(FkController *c, const FkJob *job, double ready_s) {
+/* Returns the allowed wait time of the job's tasks: the seconds from now that they may wait before a machine
+ * is provisioned for them. `ready_s` is the time until a machine provisioned now is ready. */
+static double allowed_wait_s(FkController *c, const FkJob *job, double ready_s) {
   if (job->spec->shape == FK_SHAPE_SERVICE)
     return 0;
   double run_s = fk_view_expected_run_s(c->view, job->spec);
@@ -215,7 +216,7 @@
   gboolean has_deadline;
   double deadline_s = tightest_deadline_s(c, job, waited_s + ready_s, &has_deadline);
   if (deadline_s == G_MAXDOUBLE && has_deadline)
-    return LATE_JOB_PATIENCE_S;
+    return LATE_JOB_ALLOWED_WAIT_S;
   if (deadline_s == G_MAXDOUBLE)
     deadline_s = NO_DEADLINE_RUNS * run_s + NO_DEADLINE_S;
   /* The slack covers the spread of run times around their estimate: a job ends with its slowest task. */
@@ -227,13 +228,13 @@
 /* Plans capacity for `tasks` tasks that run at the same time, and provisions what is missing. */
 static void plan_tasks(FkController *c, FkCapacityPlan *plan, const FkSpec *spec, guint tasks) {
   while (tasks) {
-    int bin = fk_capacity_plan_earliest(plan, spec);
+    int bin = fk_capacity_plan_earliest_bin(plan, spec);
     if (bin < 0) {
       RankedOffer cheapest;
       if (!cheapest_offer(c, spec, tasks, FALSE, &cheapest))
         return;
       plan_provision(plan, &cheapest, tasks);
-      bin = fk_capacity_plan_earliest(plan, spec);
+      bin = fk_capacity_plan_earliest_bin(plan, spec);
       if (bin < 0)
         return;
     }
@@ -278,19 +279,20 @@
   guint32 waiting = allowed_tasks(c, job, *used_cpus);
   RankedOffer cheapest;
   gboolean has_offer = cheapest_offer(c, spec, fk_job_waiting_tasks(job), FALSE, &cheapest);
-  double patience = patience_s(c, job, has_offer ? cheapest.ready_s : UNKNOWN_READY_S);
+  double allowed_s = allowed_wait_s(c, job, has_offer ? cheapest.ready_s : UNKNOWN_READY_S);
   double run_s = fk_view_expected_run_s(c->view, spec);
   gboolean low_cost_only = spec->spot && fk_scheduling_queue_is_low_cost_only(c, job);
   while (waiting) {
-    int bin = fk_capacity_plan_earliest(plan, spec);
+    int bin = fk_capacity_plan_earliest_bin(plan, spec);
     double wait_s = bin >= 0 ? g_array_index(plan->bins, FkCapacityBin, bin).available_s : G_MAXDOUBLE;
-    gboolean worth_any = wait_s > patience && !low_cost_only;
-    /* Spot machines are cheap: they are provisioned after a smaller part of the patience. */
-    gboolean worth_spot = spec->spot && wait_s > patience * c->settings->tuning.spot_patience;
+    gboolean worth_any = wait_s > allowed_s && !low_cost_only;
+    /* Spot machines are cheap, so they are provisioned for a shorter expected wait: the share `spot_patience`
+     * of the allowed wait time. */
+    gboolean worth_spot = spec->spot && wait_s > allowed_s * c->settings->tuning.spot_patience;
     if ((worth_any || worth_spot) && cheapest_offer(c, spec, waiting, !worth_any, &cheapest) &&
         cheapest.ready_s < wait_s) {
       plan_provision(plan, &cheapest, waiting);
-      bin = fk_capacity_plan_earliest(plan, spec);
+      bin = fk_capacity_plan_earliest_bin(plan, spec);
     }
     if (bin < 0)
       break;
--- a/src/core/autoscaler/termination.c
+++ b/src/core/autoscaler/termination.c
@@ -5,14 +5,18 @@
 #define TERMINATE_NAMES_MAX 100 /* per call: the cloud's limit */
 #define TERMINATION_INTERVAL_S 0.7
 #define TERMINATION_RETRY_S 1.0
-#define TERMINATED_RETENTION_S 300.0 /* much longer than the cloud's list lags behind */
-#define DRAIN_STABLE_S 0.5 /* a task may have been launched on the idle machine just before the drain */
+/* How long confirmations of terminations are kept: much longer than the cloud's list lags behind. */
+#define TERMINATED_RETENTION_S 300.0
+/* Wait between drain and termination: a task may have been launched on the idle machine just before the
+ * drain. */
+#define DRAIN_STABLE_S 0.5
 
 #define MIN_BILLED_S 60.0   /* the shortest time billed: terminating an instance earlier saves nothing */
-#define JOIN_TIMEOUT_S 45.0 /* from when the cloud lists the instance as running */
-#define BOOT_AGE_MAX 4.0    /* in boot times of the type */
-#define BOOT_PROBABILITY_WITHIN 2.0    /* in boot times from now: the time for which that probability holds */
-#define BOOT_PROBABILITY_TERMINATE 0.1 /* below this probability of joining, it is terminated */
+#define JOIN_TIMEOUT_S 45.0 /* counted from when the cloud lists the instance as running */
+#define BOOT_AGE_MAX 4.0    /* age at which an instance is terminated, in boot times of its type */
+#define BOOT_PROBABILITY_WITHIN 2.0 /* horizon of the probability of joining, in boot times from now */
+/* An instance whose probability of joining within that horizon is lower is terminated. */
+#define BOOT_PROBABILITY_TERMINATE 0.1
 
 /* ------------------------------------------------------------------ answers */
 
