--- a/src/instance_models/boot_time.h
+++ b/src/instance_models/boot_time.h
@@ -16,8 +16,8 @@
   double at_risk[FK_BOOT_TIME_BINS];
 } FkBootTimeModel;
 
-/* Initializes the model with a prior: the distribution that the protocol describes, with the weight of a few
- * instances. */
+/* Initializes the model with a prior: the distribution of boot times that the cloud's protocol describes,
+ * with the weight of PRIOR_WEIGHT instances. */
 void fk_boot_time_init(FkBootTimeModel *model);
 
 /* Records that an instance joined at the age of `age` boot times. */
--- a/src/instance_models/idle_retention.c
+++ b/src/instance_models/idle_retention.c
@@ -7,9 +7,9 @@
 #define REPROVISION_WINDOW_S 90.0
 #define DECAY_TIME_CONSTANT_S 120.0
 #define DECAY_INTERVAL_S 1.0
-#define TERMINATION_MERGE_S 1.0 /* terminations within this time share an entry, which bounds the list */
-#define SATURATION_SHARE 0.5    /* share of terminated CPUs provisioned again that gives the highest factor */
-#define SAMPLE_CPUS_MIN 16.0    /* with fewer terminated CPUs the factor stays 1 */
+#define TERMINATION_MERGE_S 1.0 /* terminations within this time share an entry, which bounds the array */
+#define SATURATION_SHARE 0.5 /* share of terminated CPUs provisioned again at which the factor is highest */
+#define SAMPLE_CPUS_MIN 16.0 /* with fewer terminated CPUs the factor stays 1 */
 
 /* Terminated CPUs that have not been matched with provisioned ones yet. */
 typedef struct {
