--- a/test/test_core.c
+++ b/test/test_core.c
@@ -184,8 +184,8 @@
 }
 
 /* Replies to all commands that were sent: with success for the machines in `responding`, which is then
- * cleared, and with an unknown outcome for the others. Returns whether the controller has written the page,
- * which marks a machine as drained. */
+ * cleared, and with an unknown outcome for the others. Returns whether the controller has sent a commit of
+ * the page `page`, which is how a machine is marked as silent. */
 static gboolean reply_to_commands(Rig *r, const char *page, GHashTable *responding) {
   gboolean marked = find(r, FK_OUTPUT_COMMIT, page) != NULL;
   g_autoptr(GPtrArray) outs = g_steal_pointer(&r->outs);
@@ -218,8 +218,8 @@
    *
    * - 0: all but one.
    * - 1: none.
-   * - 2: all up to some step, none afterwards. One of them runs a service and is therefore probed before the
-   * next heartbeat of the others is due.
+   * - 2: all up to some step, none afterwards. One of them runs a service and is therefore probed before
+   *   the next heartbeat of the others is due.
    * - 3: as 2, but later all of them respond again, the one with the service a little after the others.
    * - 4: as 3, but the one with the service never responds again. */
   for (guint scenario = 0; scenario < 5; scenario++) {
@@ -360,7 +360,8 @@
         FkOutput *o = r->outs->pdata[k];
         if (o->kind != FK_OUTPUT_USER_REPLY)
           continue;
-        /* The reply never shows the earlier state; a client that must retry is told so. */
+        /* The reply never shows the earlier state. If the state can't be confirmed, the reply is 503 and
+         * tells the client to retry. */
         g_assert_true(o->status == 503 ? o->retry_s >= 1
                                        : o->status == 200 && o->phase == FK_PHASE_CANCELLED);
         if (o->status == 200 && acknowledged_s < 0)
@@ -413,7 +414,8 @@
       g_autofree char *job = g_strdup_printf("fk/l/j/run-6%u", i);
       watched(r, (const char *const[]){job, SERVICE, NULL});
     }
-    r->s->store_write_rps = 8; /* allows 4 services without a machine */
+    /* allows four services without a machine, which half a second's writes can start */
+    r->s->store_write_rps = 8;
     guint terminated = 0, provisioned = 0;
     for (guint s = 0; s < 7; s++)
       tick(r, 1);
@@ -610,8 +612,9 @@
   g_assert_cmpuint(sent, ==, 10);
   fk_rate_limiter_free(partly_used);
   fk_rate_limiter_free(limiter);
-  /* A burst of submissions overdraws the tokens, waits for at most one second, and leaves the reserved share
-   * to launches: a leader that received all submissions once launched nothing for 10 s. */
+  /* A burst of submissions may overdraw the tokens. Requests that would wait for more than one second are
+   * rejected, and the share of the tokens that is reserved for launches stays available. Without the
+   * reservation, a leader that received all submissions launched nothing for 10 s. */
   sent = 0;
   FkRateLimiter *burst = new_limiter(1000, 10, &sent);
   for (guint i = 0; i < 40; i++)
@@ -736,7 +739,7 @@
 }
 
 /* The pages with the most pending changes are written first, whatever the order of the hash tables. A page's
- * gain also grows with the time that it waits. */
+ * priority also grows with the age of its pending changes. */
 static void test_registry_page_order(void) {
   Rig *r = rig_new(TRUE);
   const guint shards = 8;
@@ -785,8 +788,8 @@
 }
 
 /* Machines that are already running when the first controller starts get time to join, however old they are:
- * without it, 1,166 of 3,040 were terminated within 25 s. A machine that is still booting after four boot
- * times is terminated soon, because it will never join. */
+ * without that time, 1,166 of 3,040 were terminated within 25 s. A machine that is still booting after four
+ * boot times is terminated soon, because it will never join. */
 static void test_join_timeout(void) {
   static const struct {
     gboolean running;
