--- a/src/core/api/cancellation_barrier.c
+++ b/src/core/api/cancellation_barrier.c
@@ -1,29 +1,34 @@
 /* The cancellation barrier decides when a user may be told that a job is cancelled. It also determines for
  * how long the owner of a shard may renew its workers' leases without a confirmed view.
  *
- * Once a cancellation is acknowledged, the user may count on every task of the job having ended within the
- * platform's deadline for cancellations. An owner that cannot reach the store does not see the cancellation
+ * Every task of the job must have ended within the platform's deadline for cancellations, which starts when
+ * the cancellation is acknowledged. An owner that cannot reach the store does not see the cancellation
  * and goes on renewing its workers' leases for up to `fk_stale_view_trust_s` after its view was last
- * confirmed. If that time were the deadline minus the length of a lease, a cancellation could be acknowledged
- * at once, but a zone that is cut off for longer would lose everything that runs there. The commit and the
- * acknowledgement are therefore separate: the cancellation is committed at once, and every controller that
- * sees it acts on it at once. It is acknowledged as soon as one of these conditions holds:
+ * confirmed. If that time were only the deadline minus the length of a lease, every cancellation could be
+ * acknowledged at once, but all tasks would be lost in a zone that is cut off from the store for longer. The
+ * commit and the acknowledgement are therefore separate: the cancellation is committed at once, and every
+ * controller that sees it acts on it at once. The cancellation is acknowledged as soon as one of these
+ * conditions holds:
  *
  * - No task of the job is allocated any more. An allocation is ended only on proof that its task has ended,
  *   and launches are guarded by the job's record, so that no further task can start.
  * - Every machine with an allocation of the job is owned by this controller and has echoed the current
- *   fencing token. No earlier owner can renew the lease of such a machine, and this controller knows of the
- *   cancellation.
+ *   fencing token. Earlier owners can then no longer renew the leases of the workers on these machines, and
+ *   this controller knows of the cancellation.
  * - Every other controller has reported that its view has reached the job's revision.
- * - More than `cancellation_barrier_s` has passed since this controller saw the cancellation. By then an
- *   owner that hasn't seen it has stopped renewing leases, so that they expire before the deadline.
+ * - More than `cancellation_barrier_s`, plus an allowance for clock drift, has passed since this controller
+ *   saw the cancellation. An owner that hasn't seen the cancellation renews leases for at most
+ *   `fk_stale_view_trust_s` after its view was last confirmed, so that the leases expire before the deadline.
+ *
+ * If `cancellation_barrier_s` is 0, cancellations are acknowledged at once.
  *
  * A revision that a controller has applied stays applied: a report from an earlier incarnation still counts,
  * because the next incarnation reads a store that is at least as recent. */
 #include "core/controller_internal.h"
 
 struct FkCancellationBarrier {
-  GHashTable *applied; /* name of a controller -> FkRev*: the latest revision that it has applied */
+  GHashTable
+      *applied; /* name of a controller -> FkRev*: the latest revision that the controller has applied */
 };
 
 FkCancellationBarrier *fk_cancellation_barrier_new(void) {
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -3,7 +3,7 @@
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
-/* After this many conflicts the client is told to retry: a job's record changes rarely. */
+/* After this many commit conflicts the reply is 503: a job's record changes rarely. */
 #define COMMIT_CONFLICTS_MAX 4
 
 static void cancellation_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
--- a/src/core/api/job_reads.c
+++ b/src/core/api/job_reads.c
@@ -1,21 +1,22 @@
-/* Reads a job's state. A poll is answered from the view only after a read check: a transaction without writes
- * that compares the revisions in the view with those in the store, so that a stale view is never reported. If
- * a read check cannot decide, the job's record is read from the store.
+/* Reads a job's state. A poll for a job that is neither terminal nor cancelled in the view is answered from
+ * the view only after a read check: a transaction without writes that compares the revisions in the view with
+ * those in the store, so that a stale state is never reported. If the revisions of the job differ, its record
+ * is read from the store.
  *
  * The record of a job with dependencies doesn't show that one of its ancestors is cancelled, which cancels
- * the job too. The state of such a job is therefore reported from a view that has reached the store's
- * revision at the time of the read (read barrier). */
+ * the job too. The state of a job with unfinished dependencies is therefore reported from a view that has
+ * reached the store's revision at the time of the read (read barrier). */
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
 #define HTTP_OK 200
 #define HTTP_NOT_FOUND 404
 #define READ_CHECK_REQUEST_SHARE 0.15 /* share of the store's request rate, for all controllers together */
-#define READ_CHECK_GUARDS_FACTOR 4    /* guards per read check / operations per transaction */
-#define READ_CHECK_GUARDS_MAX 400     /* guards per read check */
-#define READS_WITHOUT_VIEW_MAX 16     /* concurrent reads */
-/* Requests to the store are sent continually: the store counts as unreachable if it hasn't replied for this
- * long. */
+#define READ_CHECK_GUARDS_FACTOR 4    /* guards per read check / settings' operations per transaction */
+#define READ_CHECK_GUARDS_MAX 400     /* guards per read check, whatever the settings */
+#define READS_WITHOUT_VIEW_MAX 16     /* concurrent reads of records while the view isn't ready */
+/* The store counts as unreachable if it hasn't replied to any request for this long. Requests are sent to the
+ * store continually. */
 #define STORE_UNREACHABLE_S 3.0
 
 gboolean fk_job_reads_handle_permanent_state(FkController *c, FkPendingRequest *request) {
@@ -84,9 +85,9 @@
   return fk_time_between(c->store_session.store_answered_at, c->now) > STORE_UNREACHABLE_S;
 }
 
-/* Reads the job's record from the store while this controller has no view, for a few requests at a time, so
- * that they need not wait until the view has been listed. Submissions are not accepted this way, because that
- * requires the teams' quotas and the instance types. */
+/* Reads the job's record from the store while the view isn't ready, so that polls and cancellations need not
+ * wait until the view has been listed. Replies 503 if READS_WITHOUT_VIEW_MAX such reads are in flight. A new
+ * job isn't accepted in this way, because that requires the teams' quotas and the instance types. */
 static void read_without_view(FkController *c, FkPendingRequest *request) {
   if (c->requests.store_reads >= READS_WITHOUT_VIEW_MAX) {
     fk_pending_request_reply_unavailable(c, request);
@@ -109,8 +110,8 @@
 
 /* ------------------------------------------------------------------ read checks */
 
-/* Returns the ids of the jobs whose revisions in the store differ from those in the view. Owned by the
- * caller. */
+/* Returns the ids of the jobs whose revisions in the store differ from those that the read check compared, as
+ * a set owned by the caller. */
 static GHashTable *changed_job_ids(FkOutcome outcome, const GPtrArray *failed) {
   GHashTable *changed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; outcome == FK_OUTCOME_CONFLICT && failed && i < failed->len; i++) {
@@ -133,11 +134,11 @@
   else if (job)
     fk_pending_request_reply_from_view(c, request, job);
   else if (request->shown_by_view)
-    /* The job existed when the read check was sent, and the view has been cleared since: its absence from the
-     * view therefore doesn't show that it doesn't exist. */
+    /* The job was in the view when the read check was sent, and the view has been cleared since: that the job
+     * is missing from the view doesn't show that it is missing from the store. */
     fk_job_reads_read_record(c, request);
   else
-    /* The store had neither a live nor a terminal record when it compared the revisions. */
+    /* The store had neither a live nor a terminal record of the job when it compared the revisions. */
     fk_pending_request_reply_status(c, request, HTTP_NOT_FOUND);
 }
 
@@ -213,8 +214,8 @@
   g_queue_push_tail(c->requests.awaiting_view, request);
 }
 
-/* Replies with the state of a job whose dependencies are not done. Called once the view has reached the
- * store's revision at the time of the read. */
+/* Replies with the state of a job that has dependencies. Called once the view has reached the store's
+ * revision at the time of the read check, or of the commit of the submission. */
 static void reply_for_blocked_job(FkController *c, FkPendingRequest *request) {
   if (fk_job_reads_handle_permanent_state(c, request))
     return;
--- a/src/core/api/requests.h
+++ b/src/core/api/requests.h
@@ -6,30 +6,32 @@
 /* Users' requests that have not been answered yet. `pending` owns them; the queues borrow them. */
 typedef struct {
   GHashTable *pending; /* set of FkPendingRequest: all of them; owned */
-  GQueue *to_verify;   /* FkPendingRequest: those waiting for the next read check */
+  GQueue *to_verify;   /* FkPendingRequest: those waiting for a read check */
   gboolean verifying;  /* whether a read check is in flight */
   FkTime verify_after; /* the next read check isn't sent before this time */
-  guint store_reads;   /* requests that are reading the store because there is no view */
+  guint store_reads;   /* number of requests that read the store because the view isn't ready */
   FkCancellationBarrier *cancellation_barrier;
   GQueue *awaiting_cancellation; /* FkPendingRequest: those waiting for the cancellation barrier */
-  GQueue *awaiting_view;         /* FkPendingRequest: those waiting for the view to reach `barrier_rev` */
-  /* set of ids of jobs that others depend on and whose terminal states are being read from the store */
+  GQueue *awaiting_view; /* FkPendingRequest: those waiting for the view to reach their `barrier_rev` */
+  /* set of ids of jobs that other jobs depend on and whose terminal states are being read from the store */
   GHashTable *terminal_states_requested;
   FkTime inherited_at; /* when inherited priorities and deadlines were last computed */
-  gboolean inheriting; /* whether the last computation found any job that inherits */
+  gboolean inheriting; /* whether any job inherited a priority or deadline at `inherited_at` */
 } FkPendingRequests;
 
 /* Frees a request. GDestroyNotify of the table of pending requests. */
 void fk_pending_request_free(gpointer request);
-/* Sends the queued read checks as one transaction, if none is in flight and their rate limit allows it. */
+/* Sends a read check for the oldest queued requests, as many as fit into one transaction, if no read check is
+ * in flight and the rate limit of read checks allows it. */
 void fk_requests_send_read_checks(FkController *c);
-/* Replies to the requests in `awaiting_cancellation` whose cancellation barrier is passed, and replies 503 to
- * those that have waited for too long. */
+/* Replies to the requests in `awaiting_cancellation` whose job is terminal or whose cancellation barrier is
+ * passed. Replies 503 to requests that have waited for longer than FK_REQUEST_WAIT_MAX_S, and to all that
+ * remain if the view isn't ready. */
 void fk_requests_reply_cancelled(FkController *c);
-/* Resumes the requests in `awaiting_view` whose revision the view has reached, and replies 503 to those that
- * have waited for too long. */
+/* Resumes the requests in `awaiting_view` whose `barrier_rev` the view has reached. Replies 503 to requests
+ * that have waited for longer than FK_REQUEST_WAIT_MAX_S, and to all if the view isn't ready. */
 void fk_requests_pass_read_barrier(FkController *c);
-/* Returns the highest revision of the jobs whose cancellations wait to be acknowledged; 0 if no cancellation
- * waits. When every other controller has applied this revision, all of these cancellations can be
+/* Returns the highest revision of the jobs in the view whose cancellations wait to be acknowledged; 0 if
+ * there is none. Once every other controller has applied this revision, all of these cancellations can be
  * acknowledged. */
 FkRev fk_requests_awaited_rev(FkController *c);
--- a/src/core/api/requests_internal.h
+++ b/src/core/api/requests_internal.h
@@ -5,7 +5,7 @@
 
 #define FK_REQUESTS_QUEUED_MAX 2000 /* requests in each queue; further ones are answered with 503 */
 #define FK_REQUEST_WAIT_MAX_S 0.7   /* longest wait for the view or other controllers; then 503 */
-#define FK_REQUEST_STEPS_MAX 64     /* reads and barriers of one request; then the reply is 503 */
+#define FK_REQUEST_STEPS_MAX 64     /* highest value of FkPendingRequest.steps; then the reply is 503 */
 
 typedef enum { FK_REQUEST_POLL, FK_REQUEST_SUBMIT, FK_REQUEST_CANCEL } FkRequestKind;
 
@@ -19,16 +19,16 @@
   FkRequestKind kind;
   FkRequestId request_id;
   char *job_id;
-  FkSpec *spec;                  /* owned; NULL except for SUBMIT */
-  FkTime waiting_since;          /* when the request arrived or began to wait for a barrier */
-  guint steps;                   /* number of reads and barriers so far */
-  guint store_reads;             /* 1 if it is counted in FkPendingRequests.store_reads, else 0 */
+  FkSpec *spec;                  /* owned; NULL unless `kind` is FK_REQUEST_SUBMIT */
+  FkTime waiting_since;          /* when the request arrived or last began to wait for a barrier */
+  guint steps;                   /* commit conflicts, reads of dependencies and read barriers so far */
+  guint store_reads;             /* 1 if the request is counted in FkPendingRequests.store_reads, else 0 */
   gboolean shown_by_view;        /* whether the view had the job when the read check was sent */
   FkBarrierAction after_barrier; /* the action once the view has reached `barrier_rev` */
-  FkRev barrier_rev;             /* the revision that the view must reach first */
-  gboolean dependency_cancelled; /* SUBMIT: whether a job that this one depends on is cancelled */
-  gboolean ancestor_unknown;     /* SUBMIT: whether the terminal state of an ancestor is being read */
-  guint compared_count;          /* SUBMIT: number of dependencies whose absence is being checked */
+  FkRev barrier_rev;             /* the view must reach this revision before `after_barrier` is performed */
+  gboolean dependency_cancelled; /* SUBMIT: whether a dependency of the job is cancelled in the view */
+  gboolean ancestor_unknown;     /* SUBMIT: whether the view lacks an ancestor's terminal state */
+  guint compared_count;          /* SUBMIT: number of dependencies whose existence the store checks */
 } FkPendingRequest;
 
 /* pending_request.c */
@@ -39,45 +39,50 @@
                                          const char *job_id, FkSpec *spec);
 /* Replies with an HTTP status only. */
 void fk_pending_request_reply_status(FkController *c, FkPendingRequest *request, int status);
-/* Replies with a status and the phase of a job that has no tasks running or done. */
+/* Replies with an HTTP status, a phase, and no running or done tasks. */
 void fk_pending_request_reply_phase(FkController *c, FkPendingRequest *request, int status, FkPhase phase);
 /* Replies 503 with a random delay of 1 or 2 seconds until the client's next attempt. */
 void fk_pending_request_reply_unavailable(FkController *c, FkPendingRequest *request);
-/* Replies with a terminal state and the number of tasks done. */
+/* Replies 200 with a terminal phase and the number of tasks done. */
 void fk_pending_request_reply_terminal(FkController *c, FkPendingRequest *request, FkPhase phase,
                                        guint32 tasks);
-/* Replies with the job's state as shown by the view. */
+/* Replies 200 with the job's state as shown by the view. */
 void fk_pending_request_reply_from_view(FkController *c, FkPendingRequest *request, const FkJob *job);
-/* Replies if the view has the job's terminal state. Otherwise returns FALSE and leaves the request
- * pending. */
+/* Replies if the view has the job's terminal state. Otherwise returns FALSE without changing the request. */
 gboolean fk_pending_request_reply_if_terminal(FkController *c, FkPendingRequest *request);
 
 /* job_reads.c */
 
-/* Handles a request for a job that is terminal or cancelled in the view. Both states are permanent, so that
- * the store need not be read. Returns FALSE, without changing the request, if the job is in neither state. */
+/* Handles a request for a job that is terminal or cancelled in the view: replies, or, for a cancelled job,
+ * waits for the cancellation barrier. Both states are permanent, so that the store need not be read. Returns
+ * FALSE, without changing the request, if the job is in neither state. */
 gboolean fk_job_reads_handle_permanent_state(FkController *c, FkPendingRequest *request);
-/* Handles a request that arrives while the store is unreachable or this controller has no view. Returns
- * FALSE, without changing the request, if neither is the case. */
+/* Handles a request while the store is unreachable (replies 503) or the view isn't ready (reads the job's
+ * record from the store, if not too many requests do so already). Returns FALSE, without changing the
+ * request, if neither is the case. */
 gboolean fk_job_reads_handle_unavailable(FkController *c, FkPendingRequest *request);
 /* Reads the job's record from the store, or its terminal record if there is none, and goes on with the
  * request according to the result. */
 void fk_job_reads_read_record(FkController *c, FkPendingRequest *request);
-/* Queues the request for the next batch of read checks. */
+/* Queues the request for a read check. Replies 503 if the queue is full. If the store is unreachable or the
+ * view isn't ready, calls fk_job_reads_handle_unavailable() instead. */
 void fk_job_reads_queue_check(FkController *c, FkPendingRequest *request);
-/* Queues the request until the view has reached `rev`, and then performs `action`. */
+/* Queues the request until the view has reached `rev`, and then performs `action`. Replies 503 if the view
+ * isn't ready, the queue is full, or the request has taken FK_REQUEST_STEPS_MAX steps. */
 void fk_job_reads_await_view(FkController *c, FkPendingRequest *request, FkRev rev, FkBarrierAction action);
 
 /* submissions.c */
 
-/* Looks up the job's dependencies, in the store if necessary, and then commits the submission. */
+/* Looks up the job's dependencies, in the store if necessary, and then commits the submission. If the view
+ * has the job already, queues the request for a read check instead. */
 void fk_submissions_accept(FkController *c, FkPendingRequest *request);
 
 /* cancellations.c */
 
 /* Commits the cancellation of a job whose record has the content `spec` and the revision `rev`. */
 void fk_cancellations_commit(FkController *c, FkPendingRequest *request, FkSpec *spec, FkRev rev);
-/* Queues the request until the cancellation barrier is passed, and then replies. Replies 503 if the view
+/* Queues the request until the cancellation barrier is passed, and then replies. Replies at once if the
+ * barrier is disabled by the settings. Replies 503 if the view
  * isn't ready, the queue is full, or the wait exceeds FK_REQUEST_WAIT_MAX_S. The cancellation must already be
  * committed to the store. */
 void fk_cancellations_await_barrier(FkController *c, FkPendingRequest *request);
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -7,14 +7,16 @@
 
 #define HTTP_CREATED 201
 #define HTTP_UNPROCESSABLE 422
-#define VIEW_FRESH_S 5.0           /* much shorter than the deadline for cancellations */
-#define COMPARISON_GUARDS_FACTOR 4 /* guards per comparison / operations per transaction */
+/* A view confirmed within this time, which is much shorter than the deadline for cancellations, is fresh. */
+#define VIEW_FRESH_S 5.0
+/* Guards per check whether dependencies exist / operations per transaction. */
+#define COMPARISON_GUARDS_FACTOR 4
 
 /* The state of a dependency of a submitted job, according to the view. */
 typedef enum {
   DEPENDENCY_DONE,       /* done, which is permanent: the dependency can be omitted from the job's record */
   DEPENDENCY_ACCEPTED,   /* live or cancelled: the dependency was accepted, which is permanent */
-  DEPENDENCY_UNKNOWN,    /* not in the view: the store must be asked */
+  DEPENDENCY_UNKNOWN,    /* neither live nor terminal in the view: the store must be read */
   DEPENDENCY_IMPOSSIBLE, /* the submitted job itself, or a service, which never ends */
 } DependencyStatus;
 
@@ -24,7 +26,8 @@
   gboolean stale =
       request->ancestor_unknown || fk_time_between(c->store_session.confirmed_at, c->now) > VIEW_FRESH_S;
   if (outcome == FK_OUTCOME_OK && request->spec->dependencies && stale) {
-    /* the view may be too old to show that a dependency was cancelled, even long ago */
+    /* the view may be stale or lack an ancestor's terminal state: wait until the view shows whether a
+     * dependency is cancelled */
     fk_job_reads_await_view(c, request, epoch, FK_BARRIER_REPLY);
   } else if (outcome == FK_OUTCOME_OK) {
     FkPhase phase = request->dependency_cancelled ? FK_PHASE_CANCELLED : FK_PHASE_QUEUED;
@@ -36,8 +39,9 @@
   }
 }
 
-/* Returns whether the job's team doesn't exist, the job exceeds the team's limits, or it fits no instance
- * type. Only called for jobs that have not been accepted yet. */
+/* Returns whether the job's team doesn't exist, the team's limits are lower than what one task of an array,
+ * or all tasks of another job, require, or a task fits no instance type. Only called for jobs that have not
+ * been accepted yet. */
 static gboolean can_never_run(FkController *c, const FkSpec *spec) {
   FkTeam *team = fk_settings_find_team(c->settings, spec->team);
   double tasks = spec->shape != FK_SHAPE_ARRAY ? spec->tasks : 1;
@@ -98,15 +102,16 @@
   fk_submissions_accept(c, request);
 }
 
-/* Handles the store's reply to the check that neither the job nor its unknown dependencies exist. The reply
- * names the records that do exist. A dependency that is live is missing from the view only because the view
- * is behind. Terminal dependencies are read one after another; the view keeps the terminal states, which are
- * then also known to a retry of the same submission. */
+/* Handles the store's reply to the check that neither the job nor the dependencies that the view lacks exist.
+ * `failed` has the paths of the records that do exist. If the job exists, its record is read. If a dependency
+ * doesn't exist, the submission is rejected. Terminal states are read one after another and added to the
+ * view, so that a retry of the same submission finds them there. A live dependency is missing from the view
+ * only because the view is behind: the request waits for the view. */
 static void dependencies_compared(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                                   GPtrArray *failed) {
   FkPendingRequest *request = data;
   if (outcome == FK_OUTCOME_OK) {
-    /* neither the job nor any of these dependencies existed at the same revision of the store */
+    /* at one revision of the store, neither the job nor any of these dependencies existed */
     fk_pending_request_reply_status(c, request, HTTP_UNPROCESSABLE);
     return;
   }
@@ -183,7 +188,7 @@
       guard_absence(comparison, request->job_id);
     }
     if (comparison->guards->len + 2 > COMPARISON_GUARDS_FACTOR * c->settings->transaction_ops_max)
-      break; /* the other dependencies are in the next comparison */
+      break; /* the other dependencies are checked after the reply */
     guard_absence(comparison, dependencies[i]);
     request->compared_count++;
   }
@@ -205,7 +210,7 @@
     return;
   }
   if (spec->dependencies && !fk_job_dependencies_are_supported(c)) {
-    /* a controller whose version doesn't support dependencies would start the job at once */
+    /* a controller of a version without support for dependencies would start the job at once */
     fk_pending_request_reply_unavailable(c, request);
     return;
   }
