--- a/src/core/leader/job_finalization.c
+++ b/src/core/leader/job_finalization.c
@@ -2,7 +2,7 @@
  * Chunks of tasks that don't fit into this transaction are deleted by later transactions. */
 #include "core/leader/leader_internal.h"
 
-#define FREE_WRITES_MIN 3     /* least number of available writes for sending a transaction */
+#define FREE_WRITES_MIN 3     /* least available writes for sending a transaction, except for dependencies */
 #define JOB_WRITES_MIN 3      /* per job: its record, its terminal state, and at least one chunk */
 #define ORPHAN_DELETES_MAX 12 /* per transaction */
 #define FINALIZE_INTERVAL_S 0.3
@@ -20,15 +20,16 @@
   fk_transaction_send(c, transaction, on_finalized, NULL, NULL);
 }
 
-/* Adds the job to the transaction, with as many of its chunks as there are operations left. Returns FALSE if
- * it didn't fit. */
+/* Adds the job to the transaction, with as many of its chunks as there are operations left. Returns FALSE,
+ * without adding anything, if too few operations are left. */
 static gboolean add_job(FkController *c, FkOutput *transaction, FkJob *job) {
   guint operations_left = c->settings->transaction_ops_max - transaction->writes->len;
   return fk_transaction_finalize_job(c, transaction, job, operations_left);
 }
 
-/* Returns a transaction that finalizes complete jobs that others depend on, or NULL if there are none. It is
- * sent ahead of all others, because the dependents can't start until these terminal states are written. */
+/* Returns a transaction that finalizes complete jobs that others depend on, or NULL if there are none. This
+ * transaction is sent before those of other jobs and isn't rate-limited, because the dependents can't start
+ * until the terminal states are written. */
 static FkOutput *finalize_dependencies(FkController *c) {
   if (!fk_dependency_graph_size(c->view->dependencies))
     return NULL;
@@ -50,8 +51,8 @@
   return transaction;
 }
 
-/* Returns a transaction that finalizes as many ended jobs as fit into `writes_max` writes, or NULL if there
- * are none. */
+/* Returns a transaction that finalizes ended jobs, or NULL if there are none. Jobs are added while at least
+ * JOB_WRITES_MIN of `writes_max` writes are left: the last one may exceed `writes_max`. */
 static FkOutput *finalize_jobs(FkController *c, guint writes_max) {
   FkOutput *transaction = NULL;
   GHashTableIter it;
@@ -59,7 +60,8 @@
   g_hash_table_iter_init(&it, c->view->jobs);
   while (g_hash_table_iter_next(&it, NULL, &value)) {
     FkJob *job = value;
-    /* A cancelled job's record already shows the cancellation: its terminal state can be written later. */
+    /* While services have priority for the store's writes, cancelled jobs are skipped: their records already
+     * show the cancellation, so that their terminal states can be written later. */
     if (job->allocated || !(job->cancelled ? !fk_services_have_priority(c) : fk_job_is_complete(job)))
       continue;
     if (!transaction)
@@ -70,7 +72,8 @@
   return transaction;
 }
 
-/* Returns a transaction that deletes chunks whose job has no record any more, or NULL if there are none. */
+/* Returns a transaction that deletes up to ORPHAN_DELETES_MAX chunks whose job has no live record, or NULL if
+ * there are none. */
 static FkOutput *delete_orphan_chunks(FkController *c) {
   if (!g_hash_table_size(c->view->orphan_chunks))
     return NULL;
@@ -84,9 +87,9 @@
     guint32 chunk;
     fk_key_parse(path, &job_id, &chunk);
     fk_transaction_guard(transaction, g_strdup(path), *(FkRev *)rev);
-    /* The guard makes the store confirm that the job doesn't exist. The view isn't enough: it is listed page
-     * by page, and a job that is accepted during the listing can be missing although its first chunk is
-     * listed. Deleting that chunk would start the job's tasks a second time. */
+    /* This guard makes the store confirm that the job has no live record. The view isn't enough: the store is
+     * listed page by page, and a job that is accepted during the listing can be missing from the view
+     * although its first chunk is listed. Deleting that chunk would start the job's tasks a second time. */
     fk_transaction_guard(transaction, fk_key_path(FK_KEY_JOB, job_id), (FkRev){0});
     fk_transaction_delete(transaction, g_strdup(path));
   }
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -1,11 +1,12 @@
 /* Leader election and the leader's periodic work.
  *
  * A key in the store, attached to a controller's lease, names the leader. The leader places long jobs, sizes
- * the short partition and runs the autoscaler. Safety doesn't depend on having a single leader: every
- * transaction has its own guards, so that two leaders at the same time are harmless. */
+ * the short partition, finalizes jobs, preempts tasks and runs the autoscaler. Safety doesn't depend on
+ * having a single leader: every transaction has its own guards, so that two leaders at the same time are
+ * harmless. */
 #include "core/leader/leader_internal.h"
 
-#define CAMPAIGN_RETRY_S 0.1 /* delay after a reply from the store: the view will soon show the leader */
+#define CAMPAIGN_RETRY_S 0.1 /* delay after a success or conflict: the view will soon show the leader */
 #define CAMPAIGN_FAILED_RETRY_S 0.5 /* delay after a failed or unanswered transaction */
 
 static void on_leader_key_written(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
@@ -16,8 +17,9 @@
   c->leader.wait_rev = epoch;
 }
 
-/* Returns whether there is no leader, or the leader's process has restarted. A new incarnation isn't the
- * leader, although the lease of the old one may last for several more seconds. */
+/* Returns whether the view shows no leader, or a leader whose process has restarted since. The new
+ * incarnation of the process isn't the leader, although the lease of the old one may last for several more
+ * seconds. */
 static gboolean leader_is_absent(FkController *c) {
   if (!c->view->leader)
     return TRUE;
@@ -51,7 +53,8 @@
          g_strcmp0(c->view->leader_incarnation, c->incarnation) == 0;
 }
 
-/* Resets the leader's state, which is out of date after a change of leadership. */
+/* Records the change of leadership, and resets the sizing of the short partition, its blacklist and the
+ * autoscaler, whose state is out of date. */
 static void leadership_changed(FkController *c, gboolean is_leader) {
   g_message("leadership %s", is_leader ? "acquired" : "lost");
   c->leader.is_leader = is_leader;
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -11,7 +11,7 @@
 typedef struct {
   guint64 index;
   FkTime end;
-  FkWaitTimes waits; /* of the short tasks that this controller has started in this window */
+  FkWaitTimes waits; /* wait times of the short tasks that this controller launched in the window */
 } FkWindow;
 
 /* The state of leader election on this controller, and the state that it keeps as the leader. */
@@ -26,20 +26,23 @@
   FkCapacityIndex *capacity_index;
   FkBackfillReservations *backfill_reservations;
   FkTime starvation_checked_at;
-  gboolean starving; /* whether some class or team was starving at the last check */
-  FkTime next_finalization_at;
-  gboolean preempting;    /* whether a transaction that stops tasks is in flight */
-  FkRev preempt_wait_rev; /* the view must reach this revision before tasks are stopped again */
-  FkTime preempt_after;   /* tasks aren't stopped again before this time */
-  FkTime preempt_checked_at, quota_reclaimed_at;
-  gboolean finalizing;     /* whether a transaction that finalizes jobs is in flight */
-  FkRev finalize_wait_rev; /* the view must reach this revision before jobs are finalized again */
+  gboolean starving;              /* whether some class or team was starving at `starvation_checked_at` */
+  FkTime next_finalization_at;    /* ended jobs wait until then, except those that others depend on */
+  gboolean preempting;            /* whether a transaction that stops tasks is in flight */
+  FkRev preempt_wait_rev;         /* the view must reach this revision before tasks are stopped again */
+  FkTime preempt_after;           /* tasks aren't stopped again before this time */
+  FkTime next_preemption_scan_at; /* time of the next scan for tasks to stop */
+  FkTime quota_reclaimed_at;      /* when capacity was last reclaimed for a blocked job */
+  gboolean finalizing;            /* whether a transaction that finalizes jobs is in flight */
+  FkRev finalize_wait_rev;        /* the view must reach this revision before jobs are finalized again */
 } FkLeadership;
 
-/* Preempts tasks if necessary after a change of the view. Called after a scheduling cycle. */
+/* Calls fk_leader_preemption_tick() if this controller is the leader. Called when the view has changed, after
+ * the scheduling cycle. */
 void fk_leader_view_changed(FkController *c);
-/* Tries to acquire leadership if there is no leader. Does the periodic work that is due if this controller is
- * the leader. */
+/* Tries to acquire leadership if there is no leader. If this controller is the leader, does the leader's
+ * periodic work that is due. */
 void fk_leader_tick(FkController *c);
-/* Starts a new window of Elastic Sizing when the current one is over. */
+/* When the current window is over, writes its wait times to the store, logs statistics, and starts a new
+ * window. The leader also sizes the short partition. */
 void fk_windows_tick(FkController *c);
--- a/src/core/leader/leader_internal.h
+++ b/src/core/leader/leader_internal.h
@@ -11,9 +11,9 @@
 
 /* leader_preemption.c */
 
-/* Stops tasks that must leave their machine although their job isn't finished: those on machines that are
- * drained or about to be reclaimed by the cloud, the tasks of gangs that have lost a member, and those
- * preempted for services that fit on no machine. */
+/* Stops running tasks so that they are restarted later: tasks on machines that are drained or about to be
+ * reclaimed by the cloud, all tasks of gangs that have lost a member, tasks preempted for services that fit
+ * on no machine, and tasks whose capacity is reclaimed for a blocked job (core/scheduling/preemption.h). */
 void fk_leader_preemption_tick(FkController *c);
 
 /* window.c */
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -1,5 +1,6 @@
-/* Stops tasks whose job isn't finished: evacuation of machines, broken gangs, and preemption for services.
- * The tasks are restarted on other machines. */
+/* Stops running tasks so that they are restarted later: tasks on machines to be evacuated, the tasks of gangs
+ * that have lost a member, tasks preempted for services, and tasks whose capacity is reclaimed for a blocked
+ * job (core/scheduling/preemption.h). */
 #include "core/leader/leader_internal.h"
 #include "core/scheduling/long_path.h"
 #include "core/scheduling/preemption.h"
@@ -10,13 +11,15 @@
 #include "core/scheduling/launch_batch.h"
 #include "core/scheduling/stop_transaction.h"
 
-#define PREEMPTION_INTERVAL_S 4.0        /* between two preemptions for the same job */
-#define SCAN_INTERVAL_S 0.1              /* between two scans of all jobs */
+#define PREEMPTION_INTERVAL_S 4.0        /* least time between two preemptions for the same job */
+#define SCAN_INTERVAL_S 0.1              /* between two scans of all machines and jobs */
 #define SCAN_INTERVAL_PER_MACHINE_S 1e-4 /* added to the interval for each machine */
-#define PREEMPTION_ATTEMPTS_MAX 8        /* attempts per scan, because each attempt looks at all machines */
-#define GANG_GRACE_S 2.0                 /* time for the launches of all members to appear in the view */
-/* A task is not stopped if its expected remaining run time is at most this multiple of the remaining
- * termination notice. */
+/* Services per scan for which preemption is attempted, because each attempt looks at all machines. */
+#define PREEMPTION_ATTEMPTS_MAX 8
+/* Time after FkJob.gang_until for the launches of all members to appear in the view. */
+#define GANG_GRACE_S 2.0
+/* An evacuation doesn't stop a task of an array if its expected remaining run time is at most this multiple
+ * of the rest of the machine's termination notice. */
 #define NOTICE_RUN_RATIO 1.5
 
 /* Reserves the capacity that preempted tasks will release, so that it isn't planned for a second service. */
@@ -29,9 +32,10 @@
   g_array_append_val(c->launches.reservations, reservation);
 }
 
-/* Preempts tasks to make room for a service that fits on no machine. Chooses the machine where preemption
- * loses the least work, and prefers machines that have the service's image cached. Does nothing if the team's
- * quota is used up, or if tasks were preempted for the job less than PREEMPTION_INTERVAL_S ago. */
+/* Preempts tasks to make room for a service. Chooses the machine where preemption loses the least work, and
+ * prefers machines that have the service's image cached. Does nothing if the service fits on a machine
+ * without preemption, if its team's quota is used up, or if tasks were preempted for the job less than
+ * PREEMPTION_INTERVAL_S ago. */
 static void preempt_for_service(FkController *c, FkStopTransaction *stops, FkJob *job, GPtrArray *machines) {
   if (!fk_team_quota_allows_task(c, job->spec) ||
       fk_time_between(job->preempted_for_at, c->now) < PREEMPTION_INTERVAL_S ||
@@ -51,16 +55,18 @@
   reserve_capacity(c, machine, job->spec);
 }
 
-/* Returns whether the tasks of the machine must leave it: it is drained by request or by consolidation, or
- * the cloud is about to reclaim it. */
+/* Returns whether the machine's tasks must be stopped: the machine is drained by request or by consolidation,
+ * or the cloud is about to reclaim it. */
 static gboolean needs_evacuation(const FkMachine *machine) {
   return machine->record && (g_strcmp0(machine->drain_reason, FK_DRAIN_REASON_DRAIN) == 0 ||
                              g_strcmp0(machine->drain_reason, "notice") == 0);
 }
 
-/* Stops the tasks that can't end within the machine's termination notice: the work that they would still do
- * during the notice would be lost. A stopped task saves its progress if it can. Tasks that will end in time
- * keep running. */
+/* Stops the machine's services, and the tasks of arrays that probably can't end within the rest of the
+ * termination notice (NOTICE_RUN_RATIO): the work that they would do during the notice would be lost. A
+ * stopped task saves its progress if it can. On a machine that is drained without a notice, all tasks of
+ * arrays are stopped, overdue ones only after some time. The tasks of gangs and of cancelled jobs are left
+ * out. */
 static void evacuate(FkController *c, FkStopTransaction *stops, const FkMachine *machine) {
   double notice_s = machine->notice_s - fk_time_between(machine->drain_reason_since, c->now);
   for (guint i = 0; i < machine->allocations->len; i++) {
@@ -91,8 +97,9 @@
          fk_time_between(job->preempted_for_at, c->now) >= PREEMPTION_INTERVAL_S;
 }
 
-/* Returns whether the job is a gang that has lost a member. Such a gang can't continue: all its tasks are
- * stopped, and later restarted together. */
+/* Returns whether the job is a gang that has lost a member: some of its tasks are allocated and others wait,
+ * although the time for its launch is over. Such a gang can't continue: all its tasks are stopped, and later
+ * restarted together. */
 static gboolean gang_is_broken(FkController *c, const FkJob *job) {
   return job->spec->shape == FK_SHAPE_GANG && !job->cancelled && job->allocated &&
          fk_job_waiting_tasks(job) && fk_time_reached(c->now, fk_time_add(job->gang_until, GANG_GRACE_S));
@@ -117,10 +124,10 @@
 }
 
 void fk_leader_preemption_tick(FkController *c) {
-  if (!fk_time_reached(c->now, c->leader.preempt_checked_at))
+  if (!fk_time_reached(c->now, c->leader.next_preemption_scan_at))
     return;
   guint machine_count = g_hash_table_size(c->view->machines);
-  c->leader.preempt_checked_at =
+  c->leader.next_preemption_scan_at =
       fk_time_add(c->now, SCAN_INTERVAL_S + SCAN_INTERVAL_PER_MACHINE_S * machine_count);
   if (c->leader.preempting || c->view->applied.n < c->leader.preempt_wait_rev.n ||
       !fk_time_reached(c->now, c->leader.preempt_after))
--- a/src/core/leader/window.c
+++ b/src/core/leader/window.c
@@ -18,7 +18,7 @@
 
 /* ------------------------------------------------------------------ sizing */
 
-/* Orders machines by the CPUs of long tasks, fewest first; among equals, spot machines come first. */
+/* Orders machines by the allocated CPUs of long tasks, fewest first, then spot machines first, then by id. */
 static int compare_by_long_work(gconstpointer a, gconstpointer b) {
   const FkMachine *x = *(FkMachine *const *)a, *y = *(FkMachine *const *)b;
   if (x->allocated_long_cpus != y->allocated_long_cpus)
@@ -50,9 +50,9 @@
   return machines;
 }
 
-/* Adds the CPUs of waiting tasks to `demand`. If only allocated tasks counted, a minimum size of the short
- * partition that excludes long jobs from all machines would never be lowered, because no long task could be
- * allocated. */
+/* Adds the CPUs of waiting tasks to `demand`. A short partition that covers all machines keeps long tasks
+ * from being allocated: if only allocated tasks counted, the partition's minimum size would never be lowered
+ * again. */
 static void add_waiting(FkController *c, Demand *demand) {
   GHashTableIter it;
   gpointer value;
@@ -138,8 +138,8 @@
   view->finished_count = 0;
 }
 
-/* Logs the CPU time of the window by purpose: milliseconds, and how often each purpose was entered. The
- * simulation's `slopes` reads this line. */
+/* Logs the CPU time of the window by purpose: milliseconds, and how often each purpose was entered. This
+ * line is parsed by src/simulation/scale/slopes.c. */
 static void log_cpu_profile(FkController *c) {
   FkCpuProfile *profile = &c->cpu_profile;
   if (!profile->clock_ns)
@@ -159,7 +159,7 @@
   g_info("cpu profile total_ms=%.0f, ms and entries by purpose:%s", total_ms, line->str);
 }
 
-/* Logs the sizes of the tables that grow with the load or with time. */
+/* Logs the sizes of the tables that grow with the load or with time, and the rejected heartbeats. */
 static void log_table_sizes(FkController *c) {
   FkView *view = c->view;
   guint owned = 0, allocations = 0, probes = 0;
@@ -187,7 +187,7 @@
   c->workers.duplicate_heartbeats = c->workers.impossible_tokens = 0;
 }
 
-/* Logs why scheduling cycles launched nothing, and the outcomes of launches. */
+/* Logs how many scheduling cycles launched nothing, by reason, and the outcomes of launches. */
 static void log_launches(FkController *c) {
   g_autoptr(GString) reasons = g_string_new(NULL);
   GHashTableIter it;
@@ -202,7 +202,7 @@
   c->launches.launched = c->launches.conflicts = c->launches.failures = 0;
 }
 
-/* Logs the number of transactions and of their writes, by priority. */
+/* Logs the number of transactions and of their writes in this window, by priority. */
 static void log_store_use(FkController *c) {
   const guint *transactions = c->calls.transactions, *writes = c->calls.transaction_writes;
   g_info("store transactions/writes lease=%u/%u user=%u/%u shard=%u/%u launch=%u/%u result=%u/%u resent=%u "
@@ -218,11 +218,12 @@
 
 /* ------------------------------------------------------------------ windows */
 
-/* Ignores the outcome: a failed write loses the sample of a single window, and isn't retried. */
+/* Ignores the outcome: a failed write isn't retried, and loses the wait times of a single window. */
 static void on_waits_written(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                              GPtrArray *failed) {}
 
-/* Writes the sums of the window, unless both these and the last ones written are zero. */
+/* Writes the window's wait times to the store, unless neither this window nor the last one written has any,
+ * or this controller has no lease. */
 static void write_wait_times(FkController *c) {
   const FkWaitTimes *written = g_hash_table_lookup(c->view->wait_times, c->settings->node);
   if (!c->store_session.lease.n || (!c->window.waits.count && !(written && written->count)))
