--- a/src/core/autoscaler/arrival_rates.c
+++ b/src/core/autoscaler/arrival_rates.c
@@ -1,12 +1,14 @@
-/* Estimates the arrival rate of services of each class. The autoscaler provisions headroom for the arrivals
- * that it expects. */
+/* Estimates the arrival rate of the services of each class. The autoscaler provisions headroom for the
+ * expected arrivals. */
 #include "core/autoscaler/autoscaler_internal.h"
 
 #define TIME_CONSTANT_S 30.0
 #define INITIAL_PER_S 0.02
-#define GROWTH_MAX 2.0 /* largest factor per update, so that an initial burst doesn't dominate the rate */
-/* Services first seen within this time after a change of leadership aren't counted: they arrived before
- * it. */
+/* Before smoothing, the measured rate is limited to this multiple of the estimate, plus one per second, so
+ * that an initial burst doesn't dominate the estimate. */
+#define GROWTH_MAX 2.0
+/* Services first seen within this time after a change of leadership aren't counted: they probably arrived
+ * before the change. */
 #define LEADER_STABLE_S 1
 
 static FkArrivalRate *rate_of_class(FkAutoscaler *a, const FkJob *job) {
--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -3,11 +3,11 @@
 #include "core/scheduling/placement.h"
 
 #define PLAN_INTERVAL_S 0.5
-/* Interval of idle checks while services have priority for the store's writes: with fewer checks, each write
- * drains more machines. */
+/* Interval of idle checks while services have priority for the store's writes. Less frequent checks drain
+ * more machines per write, and so need fewer writes. */
 #define IDLE_CHECK_INTERVAL_S 2.0
 #define REQUESTS_PER_TICK_MAX 3
-/* After this time, a new leader plans even if it hasn't received the cloud's list of machines. */
+/* After this time, a new leader plans even if it hasn't received the cloud's whole list of machines. */
 #define FIRST_LIST_TIMEOUT_S 5.0
 
 static void booting_instance_free(gpointer data) {
@@ -119,7 +119,7 @@
 
 static void list_machines(FkController *c) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
-  if (a->list_pending || !fk_time_reached(c->now, a->next_list))
+  if (a->list_pending || !fk_time_reached(c->now, a->next_list_at))
     return;
   FkOutput *output = fk_output_new(c, FK_OUTPUT_LIST_MACHINES);
   output->after = g_strdup(a->list_cursor ? a->list_cursor : "");
@@ -140,13 +140,13 @@
   }
 }
 
-/* Returns whether a plan is due and can be made. A new leader doesn't plan until it has received the cloud's
- * list of machines or has waited for FIRST_LIST_TIMEOUT_S. */
+/* Returns whether a plan is due and can be made. The instance types must be known. A new leader doesn't plan
+ * until it has received the cloud's list of machines or has waited for FIRST_LIST_TIMEOUT_S. */
 static gboolean can_plan(FkController *c) {
   const FkAutoscaler *a = c->autoscaling.autoscaler;
   gboolean knows_machines =
       a->listed_once || fk_time_between(c->leader.since, c->now) >= FIRST_LIST_TIMEOUT_S;
-  return knows_machines && fk_time_reached(c->now, a->next_plan) &&
+  return knows_machines && fk_time_reached(c->now, a->next_plan_at) &&
          g_hash_table_size(c->autoscaling.instance_types);
 }
 
@@ -157,13 +157,13 @@
   fk_autoscaler_retry_requests(c);
   if (!can_plan(c))
     return;
-  a->next_plan = fk_time_add(c->now, PLAN_INTERVAL_S);
+  a->next_plan_at = fk_time_add(c->now, PLAN_INTERVAL_S);
   fk_autoscaler_update_arrival_rates(c, PLAN_INTERVAL_S);
   g_autoptr(FkCapacityPlan) plan = fk_capacity_plan_new();
   fk_autoscaler_plan_demand(c, plan);
   provision_planned(c, plan);
-  if (!fk_services_have_priority(c) || fk_time_reached(c->now, a->next_idle_check)) {
-    a->next_idle_check = fk_time_add(c->now, IDLE_CHECK_INTERVAL_S);
+  if (!fk_services_have_priority(c) || fk_time_reached(c->now, a->next_idle_check_at)) {
+    a->next_idle_check_at = fk_time_add(c->now, IDLE_CHECK_INTERVAL_S);
     fk_autoscaler_scale_in_idle(c, plan);
   }
   fk_autoscaler_consolidate(c);
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -16,18 +16,19 @@
 
 FkAutoscaler *fk_autoscaler_new(FkTime now);
 void fk_autoscaler_free(FkAutoscaler *autoscaler);
-/* Runs the autoscaler's round. Called on the leader only. */
+/* Does the autoscaler's periodic work that is due. Called on the leader only. */
 void fk_autoscaler_tick(FkController *c);
 /* Discards the autoscaler's state. Called when this controller acquires or loses leadership. */
 void fk_autoscaler_reset(FkController *c);
 /* Returns whether the machine is being terminated or the cloud has confirmed its termination. */
 gboolean fk_autoscaler_is_terminating(FkController *c, const FkMachine *machine);
-/* Returns the lowest price per hour of the capacity for one task; G_MAXDOUBLE if the task fits no type. */
+/* Returns the lowest price per hour for one task on an instance that is filled with tasks of this spec, at
+ * spot prices if the task may run on spot machines; G_MAXDOUBLE if the task fits no instance type. */
 double fk_autoscaler_cheapest_price(FkController *c, const FkSpec *spec);
-/* Returns the price per hour of all instances that are booting. */
+/* Returns the price per hour of all booting instances together. */
 double fk_autoscaler_booting_price(FkController *c);
-/* Returns the factor, at least 1, by which the configured idle time of spot machines, or of on-demand
- * machines, is multiplied (see instance_models/idle_retention.h). */
+/* Returns the factor, at least 1, by which the configured idle time is multiplied: for spot machines if
+ * `spot` is set, else for on-demand machines (instance_models/idle_retention.h). */
 double fk_autoscaler_retention_factor(FkController *c, gboolean spot);
 
 FkCostAccounting *fk_cost_accounting_new(void);
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -17,47 +17,48 @@
   FkTime requested_at;         /* estimated from the listed age if this leader didn't request the instance */
   gboolean request_time_exact; /* whether this leader requested the instance */
   gboolean listed;             /* whether the instance has appeared in the cloud's list */
-  gboolean failed, running;    /* whether the list shows it as failed or running */
-  FkTime listed_at, running_since;
+  gboolean failed, running;    /* whether the list shows the instance as failed; whether as running */
+  FkTime listed_at;            /* when the instance was last listed */
+  FkTime running_since;        /* when the instance was first listed as running; valid if `running` */
 } FkBootingInstance;
 
 /* A request for machines that has no definite reply yet. */
 typedef struct {
-  char *name; /* idempotency key: a request that is repeated under its name gets the same machines */
+  char *name; /* idempotency key: the cloud returns the same machines for the same name */
   char *type, *zone;
   gboolean spot;
   guint count;
   guint64 call; /* id of the call; valid while `in_flight` */
   gboolean in_flight;
-  FkTime retry_at;
+  FkTime retry_at; /* when to send the request again; valid unless `in_flight` */
 } FkProvisionRequest;
 
-/* Backoff for an offer that the cloud had no capacity for. */
+/* Backoff for an offer for which the cloud had too little capacity. */
 typedef struct {
   FkTime until;   /* the offer isn't requested again before this time */
-  guint refusals; /* consecutive replies that no capacity is available */
+  guint refusals; /* consecutive replies that there is no capacity at all */
 } FkCapacityShortage;
 
 /* The arrival rate of the services of a class. */
 typedef struct {
-  FkSpec *spec;   /* of the latest service; owned */
+  FkSpec *spec;   /* of the latest service counted, or the first one seen; owned */
   double per_s;   /* smoothed arrivals per second */
-  guint arrivals; /* since the last update of the rate */
+  guint arrivals; /* services counted since the last update of the rate */
 } FkArrivalRate;
 
 struct FkAutoscaler {
   GHashTable *booting;         /* id -> FkBootingInstance */
   GPtrArray *requests;         /* FkProvisionRequest */
   GHashTable *shortages;       /* fk_autoscaler_offer_key() -> FkCapacityShortage */
-  GHashTable *terminating;     /* set of the ids in `terminate_calls` */
+  GHashTable *terminating;     /* set of the machine ids in `terminate_calls` */
   GHashTable *terminate_calls; /* id of a call in flight -> GPtrArray of machine ids */
   GHashTable *terminated;      /* id -> FkTime*: when the cloud confirmed the termination */
   guint64 request_counter;
-  FkTime next_plan, next_list, next_termination, next_consolidation, next_idle_check;
+  FkTime next_plan_at, next_list_at, next_termination_at, next_consolidation_at, next_idle_check_at;
   gboolean list_pending, listed_once;
   char *list_cursor;          /* the last id of the previous page; NULL to list from the start */
   GHashTable *arrival_rates;  /* class -> FkArrivalRate */
-  FkTime arrivals_counted_at; /* services first seen up to this time have been counted */
+  FkTime arrivals_counted_at; /* services first seen up to this time aren't counted again */
   FkBootTimeModel boot_times;
   FkIdleRetention retention[2]; /* by purchase option: on-demand, spot */
 };
@@ -72,26 +73,27 @@
 
 /* provisioning.c */
 
-/* Requests up to FK_PROVISION_MACHINES_MAX machines from the cloud. */
+/* Requests `count` machines of the offer from the cloud, but at most FK_PROVISION_MACHINES_MAX. */
 void fk_autoscaler_provision(FkController *c, const FkOffer *offer, guint count);
 
-/* Retries requests without a definite reply, under the same names. */
+/* Sends requests without a definite reply again, under the same names, when their `retry_at` is reached. */
 void fk_autoscaler_retry_requests(FkController *c);
 
 /* arrival_rates.c */
 
-/* Updates the arrival rates with the services that have arrived in the last `interval_s` seconds. */
+/* Updates the arrival rates with the services first seen since the last update, `interval_s` seconds ago. */
 void fk_autoscaler_update_arrival_rates(FkController *c, double interval_s);
 
 /* scale_out_plan.c */
 
-/* Simulates the placement of all waiting tasks on capacity that is free now or will be, and adds to `plan`
- * the machines to provision for tasks that would otherwise wait for too long. */
+/* Simulates the placement of services on silent machines, of expected services and of waiting tasks on
+ * capacity that is free now or will be, and adds to `plan` the machines to provision for tasks that would
+ * otherwise wait for too long. */
 void fk_autoscaler_plan_demand(FkController *c, FkCapacityPlan *plan);
 
 /* termination.c */
 
-/* Terminates machines that are drained or lost, and instances that failed to boot. */
+/* Terminates machines that are lost, or drained and empty, and instances that failed to boot. */
 void fk_autoscaler_terminate_machines(FkController *c);
 
 /* scale_in.c */
@@ -101,5 +103,6 @@
 
 /* consolidation.c */
 
-/* Drains the machine whose price is highest relative to the needs of its tasks, if these fit elsewhere. */
+/* Drains the machine whose price is highest relative to the needs of its tasks, if the ratio is high enough,
+ * no task waits, and the machine's tasks fit on cheaper machines in use. */
 void fk_autoscaler_consolidate(FkController *c);
--- a/src/core/autoscaler/capacity_plan.c
+++ b/src/core/autoscaler/capacity_plan.c
@@ -7,10 +7,11 @@
 
 #include "core/controller_internal.h"
 
-#define CPU_STEPS 4.0 /* per CPU or GPU */
-#define MEM_STEPS 2.0 /* per GB */
+#define CPU_STEPS 4.0 /* steps per CPU or GPU in a bin's key */
+#define MEM_STEPS 2.0 /* steps per GB in a bin's key */
 #define TIME_STEP_S 2.0
-/* Smaller amounts fit no task and are omitted. The first limit holds for CPUs and GPUs. */
+/* Free capacity is omitted from the plan if it has less than BIN_CPUS_MIN CPUs and less than BIN_CPUS_MIN
+ * GPUs, or less than BIN_MEM_GB_MIN GB of memory: it is treated as too small for any task. */
 #define BIN_CPUS_MIN 0.25
 #define BIN_MEM_GB_MIN 0.25
 #define ROUND_UP_OFFSET 0.9999 /* added before rounding down, which thereby rounds up */
@@ -49,8 +50,8 @@
   return (gint64)floor(amount * steps + rounding);
 }
 
-/* Free capacity is rounded down. Capacity that will be released is rounded up, so that a task like the one
- * that releases it fits into it. */
+/* Returns the key of a bin. Free capacity is rounded down to whole steps. Capacity that a running task will
+ * release is rounded up, so that another task with the same spec fits into it. */
 static FkCapacityBinKey bin_key(FkCapacityBinKind kind, const FkOffer *offer, FkCapacity free,
                                 double available_s) {
   double rounding = kind == FK_CAPACITY_BIN_RELEASED ? ROUND_UP_OFFSET : ROUND_DOWN_OFFSET;
@@ -136,7 +137,7 @@
   guint slots = bin_task_slots(&bin, spec);
   guint allocated = (guint)MIN((guint64)tasks, (guint64)slots * bin.count);
   guint full_machines = allocated / slots;
-  guint rest = allocated % slots; /* tasks on one further machine that isn't filled */
+  guint rest = allocated % slots; /* tasks on one further machine, which isn't filled */
   FkCapacityBinKind kind = bin.key.kind == FK_CAPACITY_BIN_IDLE ? FK_CAPACITY_BIN_IN_USE : bin.key.kind;
   FkOffer offer = {bin.key.type, bin.key.zone, (gboolean)bin.key.spot};
   g_array_index(plan->bins, FkCapacityBin, bin_index).count -= full_machines + (rest > 0);
@@ -150,7 +151,7 @@
   return allocated;
 }
 
-static gboolean bin_is_of_offer(const FkCapacityBin *bin, const FkOffer *offer) {
+static gboolean bin_matches_offer(const FkCapacityBin *bin, const FkOffer *offer) {
   return bin->key.type == offer->type && bin->key.spot == (guint32)offer->spot &&
          g_str_equal(bin->key.zone, offer->zone);
 }
@@ -161,7 +162,7 @@
                        (FkCapacity){type->cpus, type->gpus, type->mem_gb}, ready_s);
   for (guint i = 0; i < plan->to_provision->len; i++) {
     FkCapacityBin *planned = &g_array_index(plan->to_provision, FkCapacityBin, i);
-    if (bin_is_of_offer(planned, offer)) {
+    if (bin_matches_offer(planned, offer)) {
       planned->count += count;
       return;
     }
--- a/src/core/autoscaler/capacity_plan.h
+++ b/src/core/autoscaler/capacity_plan.h
@@ -1,7 +1,7 @@
 /* The autoscaler's plan: capacity that is free now or will be, and the machines to provision.
  *
- * Many machines are alike, and so are the resources that running tasks will release. Those that are alike
- * share a bin with a count, so that a plan for thousands of machines stays small. */
+ * Machines with the same offer, free capacity and time of availability share a bin with a count, so that a
+ * plan for thousands of machines stays small. So do the resources that running tasks will release. */
 #pragma once
 #include "core/messages.h"
 #include "core/state/job.h"
@@ -20,13 +20,14 @@
 
 /* What a bin consists of. */
 typedef enum {
-  FK_CAPACITY_BIN_IDLE,    /* machines without allocated tasks */
-  FK_CAPACITY_BIN_IN_USE,  /* free capacity on machines with tasks */
+  FK_CAPACITY_BIN_IDLE,    /* machines without allocated or planned tasks */
+  FK_CAPACITY_BIN_IN_USE,  /* free capacity on machines with allocated or planned tasks */
   FK_CAPACITY_BIN_BOOTING, /* machines that are requested or booting */
   FK_CAPACITY_BIN_RELEASED /* capacity that running tasks will release */
 } FkCapacityBinKind;
 
-/* Identifies a bin. Compared byte by byte, padding included: only fk_capacity_plan_add() creates keys. */
+/* Identifies a bin. Keys are compared byte by byte, padding included: keys for lookups are created only by
+ * fk_capacity_plan_add(), which clears the padding. */
 typedef struct {
   const FkInstanceType *type;
   const char *zone; /* interned */
@@ -42,31 +43,32 @@
   double available_s; /* seconds from now */
 } FkCapacityBin;
 
-/* A plan. Owns all members. */
+/* Capacity in bins, and the machines to provision. Owns all members. */
 typedef struct {
   GArray *bins;         /* FkCapacityBin */
   GHashTable *index;    /* FkCapacityBinKey -> index of the bin + 1 */
-  GArray *to_provision; /* FkCapacityBin: only the offer and the count are set */
+  GArray *to_provision; /* FkCapacityBin: only type, zone and spot of the key, and the count, are set */
 } FkCapacityPlan;
 
 FkCapacityPlan *fk_capacity_plan_new(void);
 void fk_capacity_plan_free(FkCapacityPlan *plan);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkCapacityPlan, fk_capacity_plan_free)
 
-/* Returns how many tasks with this spec fit into `free`. */
+/* Returns how many tasks with this spec fit into `free` at the same time, at most 100,000. */
 guint fk_capacity_task_slots(FkCapacity free, const FkSpec *spec);
 
 /* Adds `count` machines, or parts of machines, each with `free` capacity from `available_s` seconds on.
- * Capacity that is too small for any task is omitted. */
+ * Capacity below the limits in capacity_plan.c is omitted: it is treated as too small for any task. */
 void fk_capacity_plan_add(FkCapacityPlan *plan, FkCapacityBinKind kind, const FkOffer *offer, guint count,
                           FkCapacity free, double available_s);
 
-/* Returns the index of the bin that is available earliest and has room for a task, preferring machines in use
- * over idle ones; -1 if no bin has room. */
+/* Returns the index of the earliest available bin that has room for a task; -1 if no bin has room. Among bins
+ * available at the same time, machines in use are preferred. */
 int fk_capacity_plan_earliest_bin(const FkCapacityPlan *plan, const FkSpec *spec);
 
-/* Allocates up to `tasks` tasks in the bin, filling one machine after another. The capacity of tasks that
- * aren't services is available again after `run_s`. Returns the number of tasks allocated. */
+/* Allocates up to `tasks` tasks in the bin, filling one machine after another. Unless the tasks are of a
+ * service, their capacity is added to the plan again, available `run_s` seconds after the bin. Returns the
+ * number of tasks allocated. */
 guint fk_capacity_plan_allocate(FkCapacityPlan *plan, int bin_index, const FkSpec *spec, guint tasks,
                                 double run_s);
 
--- a/src/core/autoscaler/consolidation.c
+++ b/src/core/autoscaler/consolidation.c
@@ -1,12 +1,12 @@
-/* Consolidation drains a machine that costs far more than its tasks need. Machines are drained one at a time,
- * only while no task waits, and only if the machine's tasks fit on cheaper machines that are in use. The
- * tasks lose the work done so far, which costs less than keeping the machine for them. */
+/* Consolidation drains a machine that costs far more than its tasks need. At most one machine is drained
+ * per CONSOLIDATION_INTERVAL_S, only while no task waits, and only if the machine's tasks fit on cheaper
+ * machines that are in use. The restarted tasks lose work, which costs less than keeping the machine. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
 #define PRICE_RATIO_MIN 4.0 /* price of the machine / price of the cheapest capacity for its tasks */
 #define CONSOLIDATION_INTERVAL_S 0.5
-#define ROOM_RATIO 2            /* required slots on other machines / tasks on the machine */
+#define ROOM_RATIO 2            /* required slots on cheaper machines / tasks on the machine */
 #define RESTART_MARGIN_S 5.0    /* time for restarting a task */
 #define RUN_TIME_MAX_RATIO 1.6  /* longest assumed run time / expected run time */
 #define REMAINING_MIN_RATIO 0.6 /* shortest assumed remaining run time / expected remaining run time */
@@ -14,13 +14,13 @@
 
 /* The progress of a task, in seconds. */
 typedef struct {
-  double waited_s; /* since the task became startable */
+  double waited_s; /* time since the job became startable */
   double run_s;    /* expected total run time */
   double left_s;   /* expected remaining run time */
 } TaskProgress;
 
-/* Returns whether a restart of the task makes no difference to the deadline: the deadline is missed even
- * without a restart, or met even with one. */
+/* Returns whether a restart of the task makes no difference to the deadline: the deadline is missed without a
+ * restart even with the shortest assumed run time, or met after a restart even with the longest one. */
 static gboolean deadline_allows_restart(double deadline_s, const TaskProgress *task) {
   return deadline_s < task->waited_s + REMAINING_MIN_RATIO * task->left_s ||
          deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s + RESTART_MARGIN_S;
@@ -50,7 +50,8 @@
 }
 
 /* Returns whether the task can be restarted on another machine without harm: a service that has run for
- * SERVICE_STABLE_S, or a task of an array whose deadlines leave enough time. */
+ * SERVICE_STABLE_S, or a task of an array whose deadlines allow a restart. Tasks of gangs and of cancelled
+ * jobs, and tasks that are being stopped, can't. */
 static gboolean task_can_move(FkController *c, const FkAllocationRef *allocation) {
   const FkJob *job = allocation->job;
   if (allocation->stop_requested || job->cancelled || job->spec->shape == FK_SHAPE_GANG)
@@ -65,7 +66,7 @@
 }
 
 /* Returns the machine's price divided by the price of its tasks on the cheapest machines; 0 if the machine
- * must not be drained. */
+ * has no tasks or no known type, is drained already, or has a task that can't be restarted elsewhere. */
 static double price_ratio(FkController *c, const FkMachine *machine) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   if (!type || machine->drain_reason || !machine->allocations->len)
@@ -90,8 +91,8 @@
   return FALSE;
 }
 
-/* Returns the machine with the highest price ratio; NULL if none is above PRICE_RATIO_MIN. Stores the highest
- * ratio in `ratio`. */
+/* Returns the machine with the highest price ratio, and stores the ratio in `ratio`; NULL if no ratio is
+ * above PRICE_RATIO_MIN. */
 static FkMachine *most_overpriced_machine(FkController *c, double *ratio) {
   FkMachine *worst = NULL;
   *ratio = PRICE_RATIO_MIN;
@@ -109,8 +110,9 @@
   return worst;
 }
 
-/* Returns the spec of the machine's task that is hardest to place. The check for room on other machines
- * assumes it for all tasks of the machine. */
+/* Returns the spec of the machine's task that is hardest to place: the one with the most CPUs and, among
+ * equals, one that may not run on spot machines. The check for room on other machines assumes this spec for
+ * all tasks of the machine. */
 static const FkSpec *hardest_to_place(const FkMachine *machine) {
   const FkSpec *hardest = g_array_index(machine->allocations, FkAllocationRef, 0).job->spec;
   for (guint i = 1; i < machine->allocations->len; i++) {
@@ -121,7 +123,8 @@
   return hardest;
 }
 
-/* Returns how many tasks with this spec fit on machines that are in use and cheaper than `drained`. */
+/* Returns how many tasks with this spec fit on machines that are in use, not drained, and cheaper than
+ * `drained`. */
 static guint slots_elsewhere(FkController *c, const FkMachine *drained, const FkSpec *spec) {
   double price = fk_instance_type_price(drained->type, drained->record->spot);
   guint slots = 0;
@@ -144,9 +147,9 @@
 
 void fk_autoscaler_consolidate(FkController *c) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
-  if (!fk_time_reached(c->now, a->next_consolidation))
+  if (!fk_time_reached(c->now, a->next_consolidation_at))
     return;
-  a->next_consolidation = fk_time_add(c->now, CONSOLIDATION_INTERVAL_S);
+  a->next_consolidation_at = fk_time_add(c->now, CONSOLIDATION_INTERVAL_S);
   if (any_task_waits(c))
     return;
   double ratio;
--- a/src/core/autoscaler/cost_accounting.c
+++ b/src/core/autoscaler/cost_accounting.c
@@ -9,11 +9,12 @@
 /* Costs since the last log line, in the unit of prices (money per hour) times seconds. */
 struct FkCostAccounting {
   double booting;     /* machines that are requested or booting */
-  double terminating; /* machines that are drained or lost, with the tasks that still run there */
+  double terminating; /* machines that are drained or lost, including tasks that still run there */
   double idle;        /* machines without allocations */
   double unused;      /* the free part of machines with allocations */
-  double needed;      /* the cost of the allocated tasks on the cheapest machines that they may run on */
-  double overpriced;  /* the cost of the allocated tasks beyond `needed` */
+  double needed; /* cost of the allocated tasks on the cheapest machines they may run on, at most their actual
+                    cost */
+  double overpriced; /* the actual cost of the allocated tasks beyond `needed` */
   FkTime sampled_at;
 };
 
@@ -21,7 +22,7 @@
 
 void fk_cost_accounting_free(FkCostAccounting *accounting) { g_free(accounting); }
 
-/* Divides the machine's cost for `interval_s` seconds among its tasks and its unused part. */
+/* Divides the machine's cost for `interval_s` seconds among its tasks and its unused part, by CPUs. */
 static void account_tasks(FkController *c, const FkMachine *machine, double price, double interval_s) {
   FkCostAccounting *accounting = c->autoscaling.cost_accounting;
   const FkInstanceType *type = machine->type;
@@ -66,7 +67,7 @@
   if (interval_s < SAMPLE_INTERVAL_S)
     return;
   accounting->sampled_at = c->now;
-  /* after a longer interval, this controller wasn't the leader during all of it */
+  /* a longer interval includes time in which this controller wasn't the leader: it isn't sampled */
   if (interval_s < 2 * SAMPLE_INTERVAL_S)
     take_sample(c, interval_s);
 }
--- a/src/core/autoscaler/machine_listing.c
+++ b/src/core/autoscaler/machine_listing.c
@@ -6,7 +6,8 @@
 #define LIST_RETRY_MIN_S 1.0
 #define LIST_RETRY_MAX_S 2.0
 #define LIST_INTERVAL_MIN_S 3.0
-#define RECORD_STABLE_S 1.0 /* a younger record may be more recent than the list */
+/* A machine's record that was first seen within this time may be newer than the cloud's list. */
+#define RECORD_STABLE_S 1.0
 
 /* Adds a listed instance that this leader doesn't know yet. Its request time is estimated from the listed
  * age. */
@@ -21,7 +22,8 @@
   return instance;
 }
 
-/* Marks a joined machine as silent if the cloud lists it as failed. */
+/* Marks a joined machine as silent if the cloud lists it as failed, unless the machine is drained already or
+ * its record may be newer than the list. */
 static void check_joined_machine(FkController *c, FkMachine *machine, const FkCloudMachine *listed) {
   if (listed->state == FK_CLOUD_MACHINE_FAILED && !machine->drain_reason &&
       fk_time_between(machine->record_seen, c->now) > RECORD_STABLE_S)
@@ -55,7 +57,7 @@
   FkAutoscaler *a = c->autoscaling.autoscaler;
   a->list_pending = FALSE;
   if (outcome != FK_OUTCOME_OK) {
-    a->next_list = fk_time_add(now, g_rand_double_range(c->rand, LIST_RETRY_MIN_S, LIST_RETRY_MAX_S));
+    a->next_list_at = fk_time_add(now, g_rand_double_range(c->rand, LIST_RETRY_MIN_S, LIST_RETRY_MAX_S));
     g_clear_pointer(&a->list_cursor, g_free);
     return;
   }
@@ -65,9 +67,9 @@
   if (more && listed->len) {
     const FkCloudMachine *last = listed->pdata[listed->len - 1];
     a->list_cursor = g_strdup(last->id);
-    a->next_list = now;
+    a->next_list_at = now;
   } else {
-    a->next_list = fk_time_add(now, MAX(LIST_INTERVAL_MIN_S, c->settings->cloud_list_lag_s / 2));
+    a->next_list_at = fk_time_add(now, MAX(LIST_INTERVAL_MIN_S, c->settings->cloud_list_lag_s / 2));
     a->listed_once = TRUE;
   }
 }
--- a/src/core/autoscaler/provisioning.c
+++ b/src/core/autoscaler/provisioning.c
@@ -1,12 +1,12 @@
-/* Provisions machines. A request is retried under the same name until its reply is definite; for a repeated
- * name the cloud returns the same machines. */
+/* Provisions machines. A request is retried under the same name until its reply is definite: granted, refused
+ * for lack of capacity, or rejected. For a repeated name the cloud returns the same machines. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/controller.h"
 
 #define REQUEST_RETRY_S 1.5
 #define REJECTED_PLAN_DELAY_S 1.0
 #define PARTIAL_SHORTAGE_S 15.0 /* backoff after a reply with fewer machines than requested */
-#define SHORTAGE_STEP_S 5.0     /* backoff for each consecutive refusal */
+#define SHORTAGE_STEP_S 5.0     /* backoff per consecutive refusal */
 #define SHORTAGE_MAX_S 30.0     /* longest backoff */
 
 static void send_request(FkController *c, FkProvisionRequest *request) {
@@ -22,7 +22,7 @@
 }
 
 /* Returns a name that no other request ever has: the store never issues a lease's number twice, and the
- * counter is unique within this controller. Owned by the caller. */
+ * counter numbers the requests sent under that lease. Owned by the caller. */
 static char *request_name(FkController *c) {
   return g_strdup_printf("r-%" G_GUINT64_FORMAT "-%s-%" G_GUINT64_FORMAT, c->store_session.lease.n,
                          c->incarnation, ++c->autoscaling.autoscaler->request_counter);
@@ -76,7 +76,7 @@
 }
 
 /* Adds the machines of the reply as booting. If there are fewer than requested, the cloud has no more
- * capacity for now, and requests for the offer are suspended for a backoff time. */
+ * capacity for the offer at present, and requests for the offer are suspended for PARTIAL_SHORTAGE_S. */
 static void request_granted(FkController *c, const FkProvisionRequest *request, const GPtrArray *ids) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
   g_autofree char *key = request_offer_key(request);
@@ -91,7 +91,8 @@
   g_hash_table_replace(a->shortages, g_steal_pointer(&key), shortage);
 }
 
-/* Suspends requests for the offer for a backoff time, after the cloud has replied that it has no capacity. */
+/* Suspends requests for the offer after the cloud has replied that it has no capacity. The backoff grows with
+ * each consecutive refusal, up to SHORTAGE_MAX_S. */
 static void request_refused(FkController *c, const FkProvisionRequest *request) {
   GHashTable *shortages = c->autoscaling.autoscaler->shortages;
   g_autofree char *key = request_offer_key(request);
@@ -133,7 +134,7 @@
   case FK_OUTCOME_INVALID:
   case FK_OUTCOME_REFUSED:
     g_ptr_array_remove_index(a->requests, (guint)index);
-    a->next_plan = fk_time_add(c->now, REJECTED_PLAN_DELAY_S);
+    a->next_plan_at = fk_time_add(c->now, REJECTED_PLAN_DELAY_S);
     break;
   case FK_OUTCOME_GONE:
   case FK_OUTCOME_UNKNOWN:
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -2,10 +2,12 @@
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
-#define SMALL_CLUSTER_MACHINES 50.0 /* in larger clusters, demand is smoother and idle limits are shorter */
-#define IDLE_BASE_SHARE 0.5         /* share of the idle time that doesn't depend on the cluster's size */
-#define SPOT_IDLE_RATIO 1.5         /* idle limit of spot machines / that of on-demand machines */
-/* Added to SPOT_IDLE_RATIO in a small cluster, where a boot costs more than idle spot capacity. */
+/* Idle limits are shorter in clusters with more machines than this, because their demand is smoother. */
+#define SMALL_CLUSTER_MACHINES 50.0
+#define IDLE_BASE_SHARE 0.5 /* share of the idle limit that doesn't depend on the cluster's size */
+#define SPOT_IDLE_RATIO 1.5 /* idle limit of spot / of on-demand machines, in a very large cluster */
+/* Added to SPOT_IDLE_RATIO in a small cluster, where a boot costs more than idle spot capacity; in a larger
+ * cluster, only a part of it is added. */
 #define SPOT_IDLE_RATIO_SMALL 2.5
 /* Least idle time of a spot machine while on-demand machines run tasks that could run on spot machines. */
 #define SPOT_IDLE_MIN_S 60.0
@@ -16,8 +18,8 @@
   return x->idle_since.us < y->idle_since.us ? -1 : x->idle_since.us > y->idle_since.us;
 }
 
-/* Returns the seconds that the machine may be idle. `retention` holds the factors for on-demand and spot
- * machines. */
+/* Returns the seconds that the machine may be idle before it is drained. `retention` holds the factors of
+ * fk_autoscaler_retention_factor() for on-demand and spot machines. */
 static double idle_limit_s(FkController *c, const FkMachine *machine, const double retention[2]) {
   double small_cluster_weight = MIN(1, SMALL_CLUSTER_MACHINES / MAX(1, g_hash_table_size(c->view->machines)));
   double spot_ratio =
@@ -50,9 +52,9 @@
   return idle;
 }
 
-/* Returns the CPUs of tasks that run on on-demand machines but could run on spot machines. While there are
- * any, an idle spot machine is kept for the next tasks, so that the on-demand machines, which cost several
- * times as much, become idle instead. */
+/* Returns the CPUs of array tasks that run on on-demand machines but could run on spot machines. Spot
+ * machines with as many CPUs are kept for the next tasks even if they are idle, until they have been idle for
+ * SPOT_IDLE_MIN_S, so that the on-demand machines, which cost several times as much, become idle instead. */
 static double spot_capable_cpus_on_demand(FkController *c) {
   double cpus = 0;
   GHashTableIter it;
@@ -70,7 +72,7 @@
   return cpus;
 }
 
-static gboolean machine_is_of_bin_offer(const FkMachine *machine, const FkCapacityBin *bin) {
+static gboolean machine_matches_bin(const FkMachine *machine, const FkCapacityBin *bin) {
   return machine->type == bin->key.type && machine->record->spot == (gboolean)bin->key.spot &&
          g_str_equal(machine->record->zone, bin->key.zone);
 }
@@ -81,14 +83,15 @@
   fk_idle_retention_terminated(retention, machine->type->cpus, c->now);
 }
 
-/* Drains as many of the idle machines of the bin's offer as the plan leaves idle. Machines that have been
- * handled are set to NULL in `idle`. `movable_cpus` are the CPUs of tasks that could move from on-demand to
- * spot machines and that no kept spot machine covers yet. */
+/* Drains as many of the idle machines of the bin's offer as the plan leaves idle, except for spot machines
+ * that are kept. Machines that have been handled are set to NULL in `idle`. `movable_cpus` holds the CPUs of
+ * tasks that could run on spot instead of on-demand machines; the CPUs of each kept spot machine are
+ * subtracted. */
 static void scale_in_bin(FkController *c, const FkCapacityBin *bin, GPtrArray *idle, double *movable_cpus) {
   guint spare = bin->count;
   for (guint i = 0; i < idle->len && spare; i++) {
     FkMachine *machine = idle->pdata[i];
-    if (!machine || !machine_is_of_bin_offer(machine, bin))
+    if (!machine || !machine_matches_bin(machine, bin))
       continue;
     idle->pdata[i] = NULL;
     spare--;
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -1,6 +1,7 @@
-/* Plans what to provision. The plan simulates the placement of all waiting tasks on capacity that is free
- * now, will be released by running tasks, or is booting. Machines are provisioned only for tasks that would
- * otherwise wait for longer than their allowed wait time, which is derived from their deadlines. */
+/* Plans what to provision. The plan simulates the placement of services on silent machines, of expected
+ * services and of waiting tasks on capacity that is free now, will be released by running tasks, or is
+ * booting. For waiting tasks, machines are provisioned only if the tasks would otherwise wait for longer than
+ * their allowed wait time, which is derived from their deadlines; spot machines also for shorter waits. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
@@ -8,29 +9,32 @@
 
 #include "fair_share/quota.h"
 
-/* Lower bound of the limit on jobs per plan; further jobs wait for a later plan. */
+/* A plan considers at least this many jobs with waiting tasks, if there are as many. */
 #define PLANNED_JOBS_MIN 2000
-/* A replacement is planned for an instance that is less likely than this to join within one boot time. */
+/* A booting instance that is less likely than this to join within one boot time isn't counted as capacity. */
 #define PLANNED_BOOT_PROBABILITY 0.3
 #define AMOUNT_EPSILON 1e-6
 
 #define BOOT_COST_SERVICE_RUN_S 200.0 /* a service's assumed run time, to weigh the cost of booting */
 #define BOOT_COST_TASK_RUN_MIN_S 5.0  /* least run time assumed for a task, to weigh the cost of booting */
 #define FETCH_GB_PER_S_MIN 0.01
-#define UNKNOWN_READY_S 60.0 /* time until ready, assumed if there is no offer */
+#define UNKNOWN_READY_S 60.0 /* assumed time until a new machine is ready if there is no offer */
 
-#define LATE_JOB_ALLOWED_WAIT_S 45.0 /* of jobs that would miss all deadlines even on a new machine */
+/* Allowed wait time of jobs that would miss all deadlines even on a new machine. */
+#define LATE_JOB_ALLOWED_WAIT_S 45.0
 /* The deadline assumed for work without one is NO_DEADLINE_RUNS run times plus NO_DEADLINE_S. */
 #define NO_DEADLINE_RUNS 3.0
 #define NO_DEADLINE_S 30.0
 
-#define OVERDUE_TASK_MIN_S 2.0  /* least remaining run time assumed for a task */
-#define OVERDUE_TASK_MAX_S 60.0 /* longest overdue time that is added to OVERDUE_TASK_MIN_S */
-#define CANCELLED_TASK_S 1.0    /* until a cancelled task releases its capacity */
-#define BOOTING_MIN_S 2.0       /* least remaining boot time assumed */
+/* A task with less of its expected run time left counts as overdue. */
+#define OVERDUE_TASK_MIN_S 2.0
+/* Most that the time beyond an overdue task's expected run time adds to its estimate. */
+#define OVERDUE_TASK_MAX_S 60.0
+#define CANCELLED_TASK_S 1.0 /* assumed time until a cancelled task releases its capacity */
+#define BOOTING_MIN_S 2.0    /* least remaining boot time assumed */
 
 #define HEADROOM_ARRIVALS_MAX 2000
-#define HEADROOM_TASKS_MAX 8 /* tasks per expected service for which headroom is planned */
+#define HEADROOM_TASKS_MAX 8 /* most tasks per expected service for which headroom is planned */
 
 /* ------------------------------------------------------------------ capacity */
 
@@ -40,7 +44,9 @@
   double left_s = job->cancelled ? CANCELLED_TASK_S
                                  : fk_view_expected_run_s(c->view, job->spec) -
                                        fk_time_between(allocation->first_seen_at, c->now);
-  /* The remaining run time of an overdue task is estimated as the time by which it is overdue. */
+  /* A task with less than OVERDUE_TASK_MIN_S left counts as overdue: it is expected to run for another
+   * OVERDUE_TASK_MIN_S plus the time by which it has exceeded its expected run time, at most
+   * OVERDUE_TASK_MAX_S (that time is negative if the task hasn't reached its expected run time). */
   return left_s < OVERDUE_TASK_MIN_S ? OVERDUE_TASK_MIN_S + MIN(OVERDUE_TASK_MAX_S, -left_s) : left_s;
 }
 
@@ -77,9 +83,10 @@
   return (FkCapacity){type->cpus, type->gpus, type->mem_gb};
 }
 
-/* Adds instances that will probably join soon. The plan expects a new instance after one nominal boot time,
- * although the model's estimate may be longer. The remaining boot time of a booting instance is scaled in the
- * same proportion: otherwise the booting instance would seem to become ready later than a new one. */
+/* Adds booting instances, except those that have failed, are being terminated, or will probably not join
+ * within one boot time (PLANNED_BOOT_PROBABILITY). The plan expects a new instance after one nominal boot
+ * time, although the model's estimate may be longer. The remaining boot time of a booting instance is scaled
+ * in the same proportion: otherwise the booting instance would seem to become ready later than a new one. */
 static void add_booting_instances(FkController *c, FkCapacityPlan *plan) {
   const FkAutoscaler *a = c->autoscaling.autoscaler;
   GHashTableIter it;
@@ -120,17 +127,18 @@
   FkOffer offer;
   guint slots;    /* tasks per machine */
   double ready_s; /* seconds to boot the machine and fetch the image */
-  double cost;    /* relative cost per task */
+  double cost;    /* price per hour and task, raised for the boot time; only for comparisons */
 } RankedOffer;
 
-static gboolean offer_is_backed_off(FkController *c, const FkOffer *offer) {
+static gboolean offer_in_backoff(FkController *c, const FkOffer *offer) {
   g_autofree char *key = fk_autoscaler_offer_key(offer);
   const FkCapacityShortage *shortage = g_hash_table_lookup(c->autoscaling.autoscaler->shortages, key);
   return shortage && !fk_time_reached(c->now, shortage->until);
 }
 
-/* Rates the offer by its price per task, with up to `tasks` tasks on a machine. The price includes a share
- * for the time until the machine is ready. */
+/* Rates the offer by its price per task, assuming as many of the `tasks` tasks on one machine as fit. The
+ * price is raised by the factor 1 + ready_s / (2 * run_s), which charges half of the time until the machine
+ * is ready. */
 static RankedOffer rank_offer(const FkOffer *offer, const FkSpec *spec, guint tasks, double run_s) {
   const FkInstanceType *type = offer->type;
   RankedOffer ranked = {.offer = *offer};
@@ -142,12 +150,13 @@
   return ranked;
 }
 
-/* Replaces `best` if the type's on-demand or spot offer in the zone is cheaper. */
+/* Replaces `best` if the type's on-demand or spot offer in the zone is cheaper. Skips offers in backoff, spot
+ * offers unless the spec allows them, and on-demand offers if `spot_only` is set. */
 static void consider_zone(FkController *c, const FkSpec *spec, guint tasks, double run_s, gboolean spot_only,
                           FkOffer offer, RankedOffer *best) {
   for (int spot = spot_only; spot <= (spec->spot ? 1 : 0); spot++) {
     offer.spot = spot;
-    if (offer_is_backed_off(c, &offer))
+    if (offer_in_backoff(c, &offer))
       continue;
     RankedOffer ranked = rank_offer(&offer, spec, tasks, run_s);
     if (ranked.slots && ranked.cost < best->cost)
@@ -155,7 +164,8 @@
   }
 }
 
-/* Finds the cheapest offer for up to `tasks` tasks with this spec. Returns FALSE if there is none. */
+/* Stores in `best` the offer with the lowest cost per task for `tasks` tasks with this spec, as rated by
+ * rank_offer(). Returns FALSE if there is none. */
 static gboolean cheapest_offer(FkController *c, const FkSpec *spec, guint tasks, gboolean spot_only,
                                RankedOffer *best) {
   double run_s = spec->shape == FK_SHAPE_SERVICE
@@ -177,7 +187,7 @@
   return best->cost < G_MAXDOUBLE;
 }
 
-/* Plans to provision enough machines for `tasks` tasks. */
+/* Adds enough machines of the offer for `tasks` tasks to those to provision. */
 static void plan_provision(FkCapacityPlan *plan, const RankedOffer *ranked, guint tasks) {
   guint machines = (tasks + ranked->slots - 1) / ranked->slots;
   fk_capacity_plan_provision(plan, &ranked->offer, machines, ranked->ready_s);
@@ -185,8 +195,9 @@
 
 /* ------------------------------------------------------------------ allowed wait time */
 
-/* Returns the tightest deadline that a task can meet if it starts at `start_s`, both in seconds since the job
- * became startable; G_MAXDOUBLE if it can meet none. Sets `has_deadline` if the job has any deadline. */
+/* Returns the tightest deadline that a task of the job is expected to meet if it starts at `start_s`, both in
+ * seconds since the job became startable; G_MAXDOUBLE if it meets none. Sets `has_deadline` to whether the
+ * job has any deadline. */
 static double tightest_deadline_s(FkController *c, const FkJob *job, double start_s, gboolean *has_deadline) {
   double run_s = fk_view_expected_run_s(c->view, job->spec);
   double deadline_s = G_MAXDOUBLE;
@@ -206,8 +217,9 @@
   return deadline_s;
 }
 
-/* Returns the allowed wait time of the job's tasks: the seconds from now that they may wait before a machine
- * is provisioned for them. `ready_s` is the time until a machine provisioned now is ready. */
+/* Returns the allowed wait time of the job's tasks in seconds from now: machines are provisioned for tasks
+ * that would otherwise wait for longer. The time is 0 for a service. `ready_s` is the time until a machine
+ * provisioned now is ready. */
 static double allowed_wait_s(FkController *c, const FkJob *job, double ready_s) {
   if (job->spec->shape == FK_SHAPE_SERVICE)
     return 0;
@@ -225,7 +237,8 @@
 
 /* ------------------------------------------------------------------ demand */
 
-/* Plans capacity for `tasks` tasks that run at the same time, and provisions what is missing. */
+/* Plans capacity for `tasks` tasks of services, and adds machines to provision for what is missing. Stops if
+ * there is no offer. */
 static void plan_tasks(FkController *c, FkCapacityPlan *plan, const FkSpec *spec, guint tasks) {
   while (tasks) {
     int bin = fk_capacity_plan_earliest_bin(plan, spec);
@@ -242,7 +255,7 @@
   }
 }
 
-/* Plans capacity for the services that run on lost machines. */
+/* Plans capacity for the services on silent machines, to restart them. */
 static void plan_failover(FkController *c, FkCapacityPlan *plan) {
   g_autoptr(GPtrArray) jobs = fk_service_failover_demand(c);
   for (guint i = 0; i < jobs->len; i++)
@@ -262,7 +275,8 @@
   }
 }
 
-/* Returns how many of the job's waiting tasks the team's quota allows if the team uses `used_cpus` CPUs. */
+/* Returns how many of the job's waiting tasks the team's limit of CPUs allows if the team uses `used_cpus`
+ * CPUs. */
 static guint32 allowed_tasks(FkController *c, const FkJob *job, double used_cpus) {
   const FkSpec *spec = job->spec;
   guint32 waiting = fk_job_waiting_tasks(job);
@@ -273,7 +287,8 @@
   return (guint32)MIN((double)waiting, allowed);
 }
 
-/* Plans the job's waiting tasks, and adds their CPUs to `used_cpus`, those of its team. */
+/* Plans the job's waiting tasks as far as its team's quota allows. `used_cpus` holds the CPUs that the team
+ * uses in the plan; those of the planned tasks are added to it. */
 static void plan_job(FkController *c, FkCapacityPlan *plan, FkJob *job, double *used_cpus) {
   const FkSpec *spec = job->spec;
   guint32 waiting = allowed_tasks(c, job, *used_cpus);
@@ -302,7 +317,8 @@
   }
 }
 
-/* Orders jobs by priority, then by the time at which they became startable, earliest first. */
+/* Orders jobs by priority, highest (lowest number) first, then by the time at which they became startable,
+ * earliest first. */
 static int compare_by_priority(gconstpointer a, gconstpointer b) {
   const FkJob *x = *(FkJob *const *)a, *y = *(FkJob *const *)b;
   if (x->inherited_priority != y->inherited_priority)
@@ -310,7 +326,8 @@
   return x->startable_us < y->startable_us ? -1 : 1;
 }
 
-/* Returns the jobs with waiting tasks in the order in which they are planned (FkJob, borrowed). */
+/* Returns the jobs with waiting tasks whose team exists, in the order in which they are planned (FkJob,
+ * borrowed). */
 static GPtrArray *waiting_jobs(FkController *c) {
   GPtrArray *jobs = g_ptr_array_new();
   GHashTableIter it;
@@ -325,8 +342,8 @@
   return jobs;
 }
 
-/* Returns the limit of the jobs in one plan, which is at least the number of machines, including booting
- * ones: each job may need a machine of its own, and a machine without planned jobs would count as idle. */
+/* Returns the highest number of jobs in one plan. It is at least the number of machines, including booting
+ * ones: each job may occupy a whole machine, and a machine without planned tasks counts as idle. */
 static guint planned_jobs_max(FkController *c) {
   guint machines =
       g_hash_table_size(c->view->machines) + g_hash_table_size(c->autoscaling.autoscaler->booting);
--- a/src/core/autoscaler/termination.c
+++ b/src/core/autoscaler/termination.c
@@ -5,17 +5,18 @@
 #define TERMINATE_NAMES_MAX 100 /* per call: the cloud's limit */
 #define TERMINATION_INTERVAL_S 0.7
 #define TERMINATION_RETRY_S 1.0
-/* How long confirmations of terminations are kept: much longer than the cloud's list lags behind. */
+/* How long confirmed terminations are remembered: much longer than the lag of the cloud's list. */
 #define TERMINATED_RETENTION_S 300.0
-/* Wait between drain and termination: a task may have been launched on the idle machine just before the
- * drain. */
+/* Least time between the drain of a machine and its termination: a task may have been launched on the machine
+ * just before the drain. */
 #define DRAIN_STABLE_S 0.5
 
 #define MIN_BILLED_S 60.0   /* the shortest time billed: terminating an instance earlier saves nothing */
-#define JOIN_TIMEOUT_S 45.0 /* counted from when the cloud lists the instance as running */
-#define BOOT_AGE_MAX 4.0    /* age at which an instance is terminated, in boot times of its type */
-#define BOOT_PROBABILITY_WITHIN 2.0 /* horizon of the probability of joining, in boot times from now */
-/* An instance whose probability of joining within that horizon is lower is terminated. */
+#define JOIN_TIMEOUT_S 45.0 /* for joining, counted from when the instance is first listed as running */
+#define BOOT_AGE_MAX 4.0    /* age at which an instance that isn't running is terminated, in boot times */
+/* An instance that isn't running yet is terminated if the probability that it joins within the next
+ * BOOT_PROBABILITY_WITHIN boot times is less than BOOT_PROBABILITY_TERMINATE. */
+#define BOOT_PROBABILITY_WITHIN 2.0
 #define BOOT_PROBABILITY_TERMINATE 0.1
 
 /* ------------------------------------------------------------------ answers */
@@ -58,7 +59,7 @@
       termination_confirmed(c, ids->pdata[i]);
   }
   if (outcome != FK_OUTCOME_OK)
-    a->next_termination = fk_time_add(now, TERMINATION_RETRY_S);
+    a->next_termination_at = fk_time_add(now, TERMINATION_RETRY_S);
 }
 
 /* ------------------------------------------------------------------ what to terminate */
@@ -67,14 +68,16 @@
   return fk_time_between(*(FkTime *)confirmed_at, *(FkTime *)now) > TERMINATED_RETENTION_S;
 }
 
-/* Returns whether the machine is terminated only once it has no allocations. */
+/* Returns whether the drained or lost machine is terminated only once it has no allocations. */
 static gboolean terminates_when_empty(const FkMachine *machine) {
   return g_str_equal(machine->drain_reason, FK_DRAIN_REASON_IDLE) ||
          g_str_equal(machine->drain_reason, FK_DRAIN_REASON_DRAIN);
 }
 
-/* Returns whether the machine may be terminated now. The cloud itself terminates machines for which it has
- * given a termination notice. */
+/* Returns whether the drained or lost machine may be terminated now. A machine drained as idle, by request or
+ * by consolidation must be empty, and DRAIN_STABLE_S must have passed since the drain. A machine that is
+ * being terminated already, or for which the cloud has given a termination notice, isn't terminated: the
+ * cloud terminates the latter itself. */
 static gboolean can_terminate(FkController *c, const FkMachine *machine) {
   if (g_hash_table_contains(c->autoscaling.autoscaler->terminating, machine->id) ||
       g_str_equal(machine->drain_reason, "notice"))
@@ -84,8 +87,9 @@
           fk_time_between(machine->drain_reason_since, c->now) >= DRAIN_STABLE_S);
 }
 
-/* Adds the ids of the machines to terminate to `ids`. Silent machines with services are passed to the
- * failover, which limits the rate at which they are terminated. */
+/* Adds the ids of the machines to terminate to `ids`, and releases the allocations of machines whose
+ * termination the cloud has confirmed. Silent machines with services are passed to
+ * fk_service_failover_select(), which limits the rate at which they are terminated. */
 static void select_machines(FkController *c, GPtrArray *ids) {
   const FkAutoscaler *a = c->autoscaling.autoscaler;
   g_autoptr(GPtrArray) silent_with_services = g_ptr_array_new();
@@ -108,9 +112,10 @@
   fk_service_failover_select(c, silent_with_services, ids, TERMINATE_NAMES_MAX);
 }
 
-/* Returns whether the instance has failed to boot in time. For an instance that the cloud lists as running,
- * the time since then counts rather than its age, because thousands of machines that boot at once take longer
- * to join. */
+/* Returns whether the instance has failed to boot in time; FALSE until MIN_BILLED_S after its request, and
+ * TRUE from then on if its type is unknown. For an instance that the cloud lists as running, the time since
+ * it was first listed as running counts rather than its age, because thousands of machines that boot at once
+ * take longer to join. */
 static gboolean boot_timed_out(FkController *c, const FkBootingInstance *instance,
                                const FkInstanceType *type) {
   if (fk_time_between(instance->requested_at, c->now) < MIN_BILLED_S)
@@ -126,7 +131,8 @@
 }
 
 /* Adds the ids of instances that failed to boot to `ids`, and removes those that have joined or are
- * terminated from `booting`. Updates the model of boot times with instances that joined or failed to boot. */
+ * terminated from `booting`. Updates the model of boot times with the instances that joined or failed to boot
+ * and that this leader requested. */
 static void select_booting_instances(FkController *c, GPtrArray *ids) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
   GHashTableIter it;
@@ -153,7 +159,7 @@
   }
 }
 
-/* Sends a call that terminates the machines. Takes ownership of `ids`. */
+/* Sends a call to the cloud that terminates the machines. Takes ownership of `ids`. */
 static void send_termination(FkController *c, GPtrArray *ids) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
   FkOutput *output = fk_output_new(c, FK_OUTPUT_TERMINATE);
@@ -164,13 +170,13 @@
     g_hash_table_add(a->terminating, g_strdup(ids->pdata[i]));
   }
   g_hash_table_insert(a->terminate_calls, g_memdup2(&output->call, sizeof output->call), ids);
-  a->next_termination = fk_time_add(c->now, TERMINATION_INTERVAL_S);
+  a->next_termination_at = fk_time_add(c->now, TERMINATION_INTERVAL_S);
 }
 
 void fk_autoscaler_terminate_machines(FkController *c) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
   g_hash_table_foreach_remove(a->terminated, terminated_entry_expired, &c->now);
-  if (!fk_time_reached(c->now, a->next_termination))
+  if (!fk_time_reached(c->now, a->next_termination_at))
     return;
   g_autoptr(GPtrArray) ids = g_ptr_array_new_with_free_func(g_free);
   select_machines(c, ids);
