--- a/src/instance_models/boot_time.c
+++ b/src/instance_models/boot_time.c
@@ -3,9 +3,9 @@
 
 #include <math.h>
 
-#define BIN_WIDTH 0.25         /* in boot times; the last bin also has all higher ages */
+#define BIN_WIDTH 0.25         /* in boot times; the last bin also holds all higher ages */
 #define DECAY_FACTOR 0.995     /* per observed instance: the last few hundred determine the estimate */
-#define PRIOR_WEIGHT 20.0      /* in instances */
+#define PRIOR_WEIGHT 20.0      /* number of observed instances that the prior stands for */
 #define PRIOR_LATE_SHARE 0.1   /* share of instances that join late */
 #define PRIOR_NEVER_SHARE 0.02 /* share of instances that never join */
 #define WEIGHT_EPSILON 1e-9
@@ -14,7 +14,7 @@
 
 static double bin_start(guint bin) { return bin * BIN_WIDTH; }
 
-/* Adds an observation. An instance that didn't join is censored: it counts as at risk up to its age. */
+/* Adds an observation. An instance that didn't join is censored: it counts only as at risk, up to its age. */
 static void observe(FkBootTimeModel *model, double age, gboolean joined, double weight) {
   guint last = bin_index(age);
   for (guint i = 0; i <= last; i++)
@@ -24,8 +24,8 @@
 }
 
 void fk_boot_time_init(FkBootTimeModel *model) {
-  /* The prior includes late instances. Without them, an instance that takes three boot times would always be
-   * given up earlier, and the model would never observe that such instances join. */
+  /* The prior includes late instances. Otherwise, every instance would be given up before three boot times,
+   * and the model would never observe that some instances join as late as that. */
   static const double usual[] = {0.7, 0.8, 0.9, 1.0, 1.1, 1.2, 1.3, 1.4};
   static const double late[] = {2.0, 2.5, 3.0, 3.7};
   *model = (FkBootTimeModel){0};
--- a/src/instance_models/boot_time.h
+++ b/src/instance_models/boot_time.h
@@ -9,8 +9,9 @@
 
 #define FK_BOOT_TIME_BINS 16
 
-/* Weights of observed instances by age: those that joined at that age, and those that had reached that age
- * before joining. Both decay with each observation. */
+/* Weights of observed instances by age. The bin of an age has in `joined` the instances that joined at that
+ * age, and in `at_risk` all instances that reached that age without having joined earlier. The weights decay
+ * with each observation. */
 typedef struct {
   double joined[FK_BOOT_TIME_BINS];
   double at_risk[FK_BOOT_TIME_BINS];
@@ -26,8 +27,11 @@
 /* Records that an instance that hadn't joined was given up at the age of `age` boot times. */
 void fk_boot_time_observe_given_up(FkBootTimeModel *model, double age);
 
-/* Returns the probability that an instance of this age joins within `within` further boot times. */
+/* Returns the probability that an instance that hasn't joined at the age of `age` boot times joins within
+ * `within` further boot times. */
 double fk_boot_time_probability(const FkBootTimeModel *model, double age, double within);
 
-/* Returns the expected remaining boot time of an instance of this age, in boot times, given that it joins. */
+/* Returns the expected remaining time, in boot times, until an instance of the age of `age` boot times joins,
+ * given that it joins at all; the width of all bins if the model has no instance that joined at that age or
+ * later. */
 double fk_boot_time_remaining(const FkBootTimeModel *model, double age);
--- a/src/instance_models/idle_retention.c
+++ b/src/instance_models/idle_retention.c
@@ -3,15 +3,18 @@
 
 #include <math.h>
 
-/* If capacity is provisioned within this time of a termination, the machine should have been kept. */
+/* If capacity is provisioned within this time after a machine's termination, the machine should have been
+ * kept. */
 #define REPROVISION_WINDOW_S 90.0
 #define DECAY_TIME_CONSTANT_S 120.0
 #define DECAY_INTERVAL_S 1.0
-#define TERMINATION_MERGE_S 1.0 /* terminations within this time share an entry, which bounds the array */
+/* A termination within this time after an entry is added to that entry, which bounds the array. */
+#define TERMINATION_MERGE_S 1.0
 #define SATURATION_SHARE 0.5 /* share of terminated CPUs provisioned again at which the factor is highest */
-#define SAMPLE_CPUS_MIN 16.0 /* with fewer terminated CPUs the factor stays 1 */
+#define SAMPLE_CPUS_MIN 16.0 /* with fewer terminated CPUs, the factor is 1 */
 
-/* Terminated CPUs that have not been matched with provisioned ones yet. */
+/* Machines terminated within TERMINATION_MERGE_S after `at`, and how many of their CPUs have not been matched
+ * with provisioned CPUs yet. */
 typedef struct {
   FkTime at;
   double cpus;
@@ -62,7 +65,7 @@
   g_array_append_val(retention->recent, termination);
 }
 
-/* Matches the provisioned CPUs with the latest terminations first. */
+/* Matches the provisioned CPUs with terminated ones, the latest terminations first. */
 void fk_idle_retention_provisioned(FkIdleRetention *retention, double cpus, FkTime now) {
   decay(retention, now);
   Termination *latest;
--- a/src/instance_models/idle_retention.h
+++ b/src/instance_models/idle_retention.h
@@ -10,8 +10,8 @@
 /* The state of the model, for machines of one purchase option. */
 typedef struct {
   double terminated_cpus;    /* CPUs of terminated machines, with exponential decay */
-  double reprovisioned_cpus; /* the part of `terminated_cpus` that was provisioned again soon */
-  GArray *recent;            /* terminations without matching provisioning so far, oldest first; owned */
+  double reprovisioned_cpus; /* the part of `terminated_cpus` that was soon provisioned again */
+  GArray *recent;            /* recent terminations that aren't fully matched yet, oldest first; owned */
   FkTime decayed_at;         /* time of the last decay */
 } FkIdleRetention;
 
