--- a/test/test_core.c
+++ b/test/test_core.c
@@ -71,9 +71,9 @@
   rig_free(r);
 }
 
-/* The previous owner of a machine may renew its lease for as long as it trusts its unconfirmed view. Until
- * the machine has echoed this controller's token, its allocations may therefore be ended only after that time
- * plus the length of a lease. */
+/* The previous owner of a machine may renew the lease of the machine's worker for as long as it trusts its
+ * unconfirmed view (fk_stale_view_trust_s). Until the worker has echoed this controller's token, the
+ * machine's allocations may be ended only after that time plus the length of a lease. */
 static void test_previous_owner_trust(void) {
   Rig *r = rig_new(FALSE);
   const char *chunk[] = {"fk/l/t/run-1/00000", ONE_ALLOCATION, NULL};
@@ -142,14 +142,15 @@
   return g_string_free(page, FALSE);
 }
 
-/* A controller acquires another controller's shard if a sufficient share of the shard's workers were
- * redirected to that owner and returned. It must not do so if only a few of many returned, or if it has only
- * just lost the shard: two busy controllers once took the same shards from each other for 25 s. */
+/* A controller acquires another controller's shard if a sufficient share of the shard's workers return to it
+ * after it has redirected them to the owner. It must not do so if only a few of many return, or if it has
+ * only just lost the shard: two busy controllers once took the same shards from each other for 25 s. */
 static void test_redirected_workers_return(void) {
   static const struct {
     guint machines, returned;
     gboolean just_lost, acquired;
-    /* seconds between returns; workers that never received the redirect take longer, and aren't counted */
+    /* seconds between two returns of a worker; a worker that never received the redirect takes longer, and
+     * isn't counted */
     double interval_s;
   } cases[] = {{2, 2, FALSE, TRUE, 5},     {20, 2, FALSE, FALSE, 5}, {20, 3, FALSE, TRUE, 5},
                {40, 5, FALSE, FALSE, 5},   {40, 6, FALSE, TRUE, 5},  {20, 3, TRUE, FALSE, 5},
@@ -283,8 +284,9 @@
 }
 
 /* An owner that loses contact with all its workers must detect the partition before it marks any of them as
- * silent. The worker with a service stops first and is probed just after the partition begins. The probe
- * times out while the others' last heartbeats are still recent. If only that worker is lost, it is marked. */
+ * silent. The worker with a service is the first to stop sending heartbeats, and is probed just after the
+ * partition begins. The probe times out while the others' last heartbeats are still recent. If only that
+ * worker is lost, it is marked as silent. */
 static void test_owner_partitioned(void) {
   for (guint all_lost = 0; all_lost < 2; all_lost++) {
     Rig *r = rig_new(TRUE);
@@ -308,16 +310,18 @@
   }
 }
 
-/* A cancellation is committed and acted on at once, and acknowledged when no owner that doesn't know of it
- * may still renew the leases of the job's tasks: see core/api/cancellation_barrier.c. Machine i-1 is owned by
- * c-1 unless `owned` is set, and run-1 has an allocation there if `allocated` is set. */
+/* A cancellation is committed and acted on at once, and acknowledged once no owner that hasn't seen the
+ * cancellation can renew leases of the job's workers beyond the deadline: see
+ * core/api/cancellation_barrier.c. Machine i-1 is owned by c-1 unless `owned` is set, and run-1 has an
+ * allocation there if `allocated` is set. */
 static void test_cancellation_barrier(void) {
   static const struct {
     const char *what;
     gboolean owned, token_echoed, allocated;
     guint64 applied[2];    /* revisions reported by c-1 and c-2; 0 if none */
-    double barrier_s;      /* the setting tell_after_s */
-    double acknowledged_s; /* earliest expected time, the latest is 1 s later; -1 if not within 20 s */
+    double barrier_s;      /* the setting tell_after_s, in seconds; 0 disables the barrier */
+    double acknowledged_s; /* earliest expected time of the acknowledgement; the latest is 1 s later; -1: not
+                              within 20 s */
   } cases[] = {
       {"no controller has reported its revision", FALSE, FALSE, TRUE, {0, 0}, 30, -1},
       {"only one controller has applied the revision", FALSE, FALSE, TRUE, {1000, 0}, 30, -1},
@@ -414,7 +418,7 @@
       g_autofree char *job = g_strdup_printf("fk/l/j/run-6%u", i);
       watched(r, (const char *const[]){job, SERVICE, NULL});
     }
-    /* allows four services without a machine, which half a second's writes can start */
+    /* limits services without a machine to four, as many as the writes of half a second can start */
     r->s->store_write_rps = 8;
     guint terminated = 0, provisioned = 0;
     for (guint s = 0; s < 7; s++)
@@ -425,13 +429,15 @@
       provisioned += o->kind == FK_OUTPUT_PROVISION ? o->count : 0;
     }
     g_assert_cmpuint(terminated, ==, cases[k].terminated);
-    /* of eight CPUs each: ten or more for services of one CPU, and two for headroom */
+    /* machines of eight CPUs each, for at least 19 CPUs: ten or more for services of one CPU each, one for
+     * headroom, and eight for the tasks of run-1 */
     g_assert_cmpuint(provisioned, >=, 3);
     rig_free(r);
   }
 }
 
-/* Completions in a controller's page apply to a chunk's allocations until the chunk's record has them. */
+/* Completions in a controller's page apply to a chunk's allocations until the chunk's record includes the
+ * completions. */
 static void test_completions(void) {
   static const struct {
     const char *completions;
@@ -464,8 +470,8 @@
     }
 }
 
-/* One controller has written that the task is done, another that the same attempt was released. The result
- * counts, in whatever order the records are read. */
+/* If one controller has written that a task is done, and another that the same attempt was released, the task
+ * counts as done, in whatever order the records are read. */
 static void test_result_and_release(void) {
   const char *chunk[] = {"fk/l/t/run-1/00000", "{\"f\":0,\"n\":4,\"a\":3,\"b\":[[0,1,\"i-1\",\"c-0\"]]}",
                          NULL},
@@ -553,7 +559,7 @@
   rig_free(r);
 }
 
-/* If a team's quota is partitioned among the controllers, allocations by other controllers don't count
+/* If a team's quota is partitioned among the controllers, tasks launched by other controllers don't count
  * against this controller's share. While the partition is being changed, no controller has a share. */
 static void test_partitioned_quota(void) {
   static const struct {
@@ -591,16 +597,16 @@
   return fk_rate_limiter_new(&options, count_sent, count_shed, sent);
 }
 
-/* Background writes are limited to the available tokens of the rate limiter. Urgent writes, for which users
- * wait, may overdraw them. */
+/* Background writes are sent only while the rate limiter has tokens left; the last of them may overdraw the
+ * tokens. Urgent writes, for which users wait, may overdraw the tokens further. */
 static void test_write_budget(void) {
   guint sent = 0;
   FkRateLimiter *limiter = new_limiter(100, 10, &sent);
   for (guint i = 0; i < 4; i++)
-    /* of 10 tokens: two are sent, the third overdraws the tokens, the fourth waits */
+    /* 10 tokens, and 4 writes per request: two are sent, the third overdraws the tokens, the fourth waits */
     fk_rate_limiter_submit(limiter, 2, 4, &sent);
   g_assert_cmpuint(sent, ==, 3);
-  /* none available, because a request of this level waits already */
+  /* no writes are available to a level with a waiting request */
   g_assert_cmpfloat(fk_rate_limiter_available_writes(limiter, 2), ==, 0);
   for (guint i = 0; i < 5; i++)
     fk_rate_limiter_submit(limiter, 0, 1, &sent);
@@ -789,7 +795,7 @@
 
 /* Machines that are already running when the first controller starts get time to join, however old they are:
  * without that time, 1,166 of 3,040 were terminated within 25 s. A machine that is still booting after four
- * boot times is terminated soon, because it will never join. */
+ * boot times is terminated soon, because it isn't expected to join any more. */
 static void test_join_timeout(void) {
   static const struct {
     gboolean running;
