--- a/src/core/api/cancellation_barrier.c
+++ b/src/core/api/cancellation_barrier.c
@@ -7,8 +7,8 @@
  * confirmed. If that time were only the deadline minus the length of a lease, every cancellation could be
  * acknowledged at once, but all tasks would be lost in a zone that is cut off from the store for longer. The
  * commit and the acknowledgement are therefore separate: the cancellation is committed at once, and every
- * controller that sees it acts on it at once. The cancellation is acknowledged as soon as one of these
- * conditions holds:
+ * controller acts on the cancellation as soon as its view shows the job as cancelled. The cancellation is
+ * acknowledged as soon as one of these conditions holds:
  *
  * - No task of the job is allocated any more. An allocation is ended only on proof that its task has ended,
  *   and launches are guarded by the job's record, so that no further task can start.
@@ -65,8 +65,8 @@
   return known && known->n >= rev.n;
 }
 
-/* Returns whether this controller owns all machines with allocations of the job, and each of them has echoed
- * the current fencing token. */
+/* Returns whether this controller owns all machines with allocations of the job, and each of these machines
+ * has echoed the current fencing token. */
 static gboolean all_allocations_confirmed(FkController *c, const FkJob *job) {
   for (guint32 i = 0; i < job->chunk_count; i++)
     for (guint k = 0; job->chunks[i] && k < job->chunks[i]->allocations->len; k++) {
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -3,11 +3,12 @@
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
-/* After this many commit conflicts the reply is 503: a job's record changes rarely. */
+/* A cancellation is retried after at most this many commit conflicts; then the reply is 503. More conflicts
+ * are unlikely, because a job's record changes rarely. */
 #define COMMIT_CONFLICTS_MAX 4
 
-static void cancellation_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
-                                   GPtrArray *failed) {
+static void on_cancellation_commit_reply(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                                         GPtrArray *failed) {
   FkPendingRequest *request = data;
   if (outcome == FK_OUTCOME_OK)
     fk_cancellations_await_barrier(c, request);
@@ -24,7 +25,7 @@
   record->cancelled = TRUE;
   fk_transaction_guard(transaction, fk_key_path(FK_KEY_JOB, request->job_id), rev);
   fk_transaction_put(transaction, fk_key_path(FK_KEY_JOB, request->job_id), record, (FkRev){0});
-  fk_transaction_send(c, transaction, cancellation_committed, request, NULL);
+  fk_transaction_send(c, transaction, on_cancellation_commit_reply, request, NULL);
 }
 
 void fk_controller_cancellation_received(FkController *c, FkTime now, FkRequestId request_id,
--- a/src/core/api/job_reads.c
+++ b/src/core/api/job_reads.c
@@ -3,18 +3,19 @@
  * those in the store, so that a stale state is never reported. If the revisions of the job differ, its record
  * is read from the store.
  *
- * The record of a job with dependencies doesn't show that one of its ancestors is cancelled, which cancels
- * the job too. The state of a job with unfinished dependencies is therefore reported from a view that has
- * reached the store's revision at the time of the read (read barrier). */
+ * If an ancestor of a job is cancelled, the job is cancelled too, but the job's record doesn't show that. The
+ * state of a job with unfinished dependencies is therefore reported from a view that has reached the store's
+ * revision at the time of the read (read barrier). */
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
 #define HTTP_OK 200
 #define HTTP_NOT_FOUND 404
-#define READ_CHECK_REQUEST_SHARE 0.15 /* share of the store's request rate, for all controllers together */
-#define READ_CHECK_GUARDS_FACTOR 4    /* guards per read check / settings' operations per transaction */
-#define READ_CHECK_GUARDS_MAX 400     /* guards per read check, whatever the settings */
-#define READS_WITHOUT_VIEW_MAX 16     /* concurrent reads of records while the view isn't ready */
+/* Share of the store's request rate for the read checks of all controllers together. */
+#define READ_CHECK_REQUEST_SHARE 0.15
+#define READ_CHECK_GUARDS_FACTOR 4 /* most guards per read check, as a multiple of `transaction_ops_max` */
+#define READ_CHECK_GUARDS_MAX 400  /* most guards per read check, whatever the settings */
+#define READS_WITHOUT_VIEW_MAX 16  /* most concurrent reads of records while the view isn't ready */
 /* The store counts as unreachable if it hasn't replied to any request for this long. Requests are sent to the
  * store continually. */
 #define STORE_UNREACHABLE_S 3.0
@@ -86,8 +87,9 @@
 }
 
 /* Reads the job's record from the store while the view isn't ready, so that polls and cancellations need not
- * wait until the view has been listed. Replies 503 if READS_WITHOUT_VIEW_MAX such reads are in flight. A new
- * job isn't accepted in this way, because that requires the teams' quotas and the instance types. */
+ * wait until the view has been listed. Replies 503 if READS_WITHOUT_VIEW_MAX requests are being handled in
+ * this way already. A submission is answered in this way only if the job exists already: accepting a new job
+ * requires the teams' quotas and the instance types. */
 static void read_without_view(FkController *c, FkPendingRequest *request) {
   if (c->requests.store_reads >= READS_WITHOUT_VIEW_MAX) {
     fk_pending_request_reply_unavailable(c, request);
@@ -110,8 +112,8 @@
 
 /* ------------------------------------------------------------------ read checks */
 
-/* Returns the ids of the jobs whose revisions in the store differ from those that the read check compared, as
- * a set owned by the caller. */
+/* Returns the ids of the jobs whose revisions in the store differ from the guards of the read check, as a set
+ * owned by the caller. The set is empty unless the outcome is a conflict. */
 static GHashTable *changed_job_ids(FkOutcome outcome, const GPtrArray *failed) {
   GHashTable *changed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; outcome == FK_OUTCOME_CONFLICT && failed && i < failed->len; i++) {
@@ -134,11 +136,11 @@
   else if (job)
     fk_pending_request_reply_from_view(c, request, job);
   else if (request->shown_by_view)
-    /* The job was in the view when the read check was sent, and the view has been cleared since: that the job
-     * is missing from the view doesn't show that it is missing from the store. */
+    /* The job was in the view when the read check was sent, and the view has been cleared since. The job may
+     * still be in the store. */
     fk_job_reads_read_record(c, request);
   else
-    /* The store had neither a live nor a terminal record of the job when it compared the revisions. */
+    /* At the time of the read check, the store had neither a live nor a terminal record of the job. */
     fk_pending_request_reply_status(c, request, HTTP_NOT_FOUND);
 }
 
--- a/src/core/api/pending_request.c
+++ b/src/core/api/pending_request.c
@@ -26,7 +26,7 @@
   return request;
 }
 
-/* Removes the request from the controller's table, which frees it. */
+/* Removes the request from the controller's table, which frees the request. */
 static void remove_request(FkPendingRequest *request) {
   FkController *c = request->controller;
   c->requests.store_reads -= request->store_reads;
--- a/src/core/api/requests.h
+++ b/src/core/api/requests.h
@@ -3,16 +3,17 @@
 #include "core/api/cancellation_barrier.h"
 #include "core/messages.h"
 
-/* Users' requests that have not been answered yet. `pending` owns them; the queues borrow them. */
+/* Users' requests that have not been answered yet. `pending` owns the requests, and the queues borrow
+ * them. */
 typedef struct {
-  GHashTable *pending; /* set of FkPendingRequest: all of them; owned */
-  GQueue *to_verify;   /* FkPendingRequest: those waiting for a read check */
+  GHashTable *pending; /* set of FkPendingRequest: all requests; owned */
+  GQueue *to_verify;   /* FkPendingRequest: requests waiting for a read check */
   gboolean verifying;  /* whether a read check is in flight */
   FkTime verify_after; /* the next read check isn't sent before this time */
-  guint store_reads;   /* number of requests that read the store because the view isn't ready */
+  guint store_reads;   /* number of requests that read the store because the view wasn't ready */
   FkCancellationBarrier *cancellation_barrier;
-  GQueue *awaiting_cancellation; /* FkPendingRequest: those waiting for the cancellation barrier */
-  GQueue *awaiting_view; /* FkPendingRequest: those waiting for the view to reach their `barrier_rev` */
+  GQueue *awaiting_cancellation; /* FkPendingRequest: requests waiting for the cancellation barrier */
+  GQueue *awaiting_view;         /* FkPendingRequest: requests waiting for the view to reach `barrier_rev` */
   /* set of ids of jobs that other jobs depend on and whose terminal states are being read from the store */
   GHashTable *terminal_states_requested;
   FkTime inherited_at; /* when inherited priorities and deadlines were last computed */
@@ -28,8 +29,9 @@
  * passed. Replies 503 to requests that have waited for longer than FK_REQUEST_WAIT_MAX_S, and to all that
  * remain if the view isn't ready. */
 void fk_requests_reply_cancelled(FkController *c);
-/* Resumes the requests in `awaiting_view` whose `barrier_rev` the view has reached. Replies 503 to requests
- * that have waited for longer than FK_REQUEST_WAIT_MAX_S, and to all if the view isn't ready. */
+/* Resumes the requests in `awaiting_view` whose `barrier_rev` the view has reached. Replies 503 to the other
+ * requests if they have waited for longer than FK_REQUEST_WAIT_MAX_S, and to all requests if the view isn't
+ * ready. */
 void fk_requests_pass_read_barrier(FkController *c);
 /* Returns the highest revision of the jobs in the view whose cancellations wait to be acknowledged; 0 if
  * there is none. Once every other controller has applied this revision, all of these cancellations can be
--- a/src/core/api/requests_internal.h
+++ b/src/core/api/requests_internal.h
@@ -3,9 +3,9 @@
 #pragma once
 #include "core/controller_internal.h"
 
-#define FK_REQUESTS_QUEUED_MAX 2000 /* requests in each queue; further ones are answered with 503 */
-#define FK_REQUEST_WAIT_MAX_S 0.7   /* longest wait for the view or other controllers; then 503 */
-#define FK_REQUEST_STEPS_MAX 64     /* highest value of FkPendingRequest.steps; then the reply is 503 */
+#define FK_REQUESTS_QUEUED_MAX 2000 /* most requests in each queue; then the reply is 503 */
+#define FK_REQUEST_WAIT_MAX_S 0.7   /* longest wait for a barrier; then the reply is 503 */
+#define FK_REQUEST_STEPS_MAX 64     /* limit of FkPendingRequest.steps; then the reply is 503 */
 
 typedef enum { FK_REQUEST_POLL, FK_REQUEST_SUBMIT, FK_REQUEST_CANCEL } FkRequestKind;
 
@@ -19,22 +19,22 @@
   FkRequestKind kind;
   FkRequestId request_id;
   char *job_id;
-  FkSpec *spec;                  /* owned; NULL unless `kind` is FK_REQUEST_SUBMIT */
-  FkTime waiting_since;          /* when the request arrived or last began to wait for a barrier */
-  guint steps;                   /* commit conflicts, reads of dependencies and read barriers so far */
-  guint store_reads;             /* 1 if the request is counted in FkPendingRequests.store_reads, else 0 */
-  gboolean shown_by_view;        /* whether the view had the job when the read check was sent */
+  FkSpec *spec;           /* owned; NULL unless `kind` is FK_REQUEST_SUBMIT */
+  FkTime waiting_since;   /* when the request arrived or last began to wait for a barrier */
+  guint steps;            /* number of commit conflicts, reads of dependencies and read barriers so far */
+  guint store_reads;      /* 1 if the request is counted in FkPendingRequests.store_reads, else 0 */
+  gboolean shown_by_view; /* whether the view had the job when the latest read check was sent */
   FkBarrierAction after_barrier; /* the action once the view has reached `barrier_rev` */
   FkRev barrier_rev;             /* the view must reach this revision before `after_barrier` is performed */
   gboolean dependency_cancelled; /* SUBMIT: whether a dependency of the job is cancelled in the view */
   gboolean ancestor_unknown;     /* SUBMIT: whether the view lacks an ancestor's terminal state */
-  guint compared_count;          /* SUBMIT: number of dependencies whose existence the store checks */
+  guint compared_count;          /* SUBMIT: number of dependencies in the latest check for existence */
 } FkPendingRequest;
 
 /* pending_request.c */
 
-/* Adds a request to the controller's table, which owns it. Takes ownership of `spec`, which is NULL except
- * for submissions. */
+/* Adds a request to the controller's table, which owns the request. Takes ownership of `spec`, which is NULL
+ * except for submissions. */
 FkPendingRequest *fk_pending_request_new(FkController *c, FkRequestKind kind, FkRequestId request_id,
                                          const char *job_id, FkSpec *spec);
 /* Replies with an HTTP status only. */
@@ -48,7 +48,8 @@
                                        guint32 tasks);
 /* Replies 200 with the job's state as shown by the view. */
 void fk_pending_request_reply_from_view(FkController *c, FkPendingRequest *request, const FkJob *job);
-/* Replies if the view has the job's terminal state. Otherwise returns FALSE without changing the request. */
+/* Replies and returns TRUE if the view has the job's terminal state. Otherwise returns FALSE without changing
+ * the request. */
 gboolean fk_pending_request_reply_if_terminal(FkController *c, FkPendingRequest *request);
 
 /* job_reads.c */
@@ -61,8 +62,8 @@
  * record from the store, if not too many requests do so already). Returns FALSE, without changing the
  * request, if neither is the case. */
 gboolean fk_job_reads_handle_unavailable(FkController *c, FkPendingRequest *request);
-/* Reads the job's record from the store, or its terminal record if there is none, and goes on with the
- * request according to the result. */
+/* Reads the job's live record from the store, or the terminal record if there is no live one, and goes on
+ * with the request according to the result. */
 void fk_job_reads_read_record(FkController *c, FkPendingRequest *request);
 /* Queues the request for a read check. Replies 503 if the queue is full. If the store is unreachable or the
  * view isn't ready, calls fk_job_reads_handle_unavailable() instead. */
@@ -82,7 +83,6 @@
 /* Commits the cancellation of a job whose record has the content `spec` and the revision `rev`. */
 void fk_cancellations_commit(FkController *c, FkPendingRequest *request, FkSpec *spec, FkRev rev);
 /* Queues the request until the cancellation barrier is passed, and then replies. Replies at once if the
- * barrier is disabled by the settings. Replies 503 if the view
- * isn't ready, the queue is full, or the wait exceeds FK_REQUEST_WAIT_MAX_S. The cancellation must already be
- * committed to the store. */
+ * barrier is disabled by the settings. Replies 503 if the view isn't ready, the queue is full, or the wait
+ * exceeds FK_REQUEST_WAIT_MAX_S. The cancellation must already be committed to the store. */
 void fk_cancellations_await_barrier(FkController *c, FkPendingRequest *request);
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -7,21 +7,23 @@
 
 #define HTTP_CREATED 201
 #define HTTP_UNPROCESSABLE 422
-/* A view confirmed within this time, which is much shorter than the deadline for cancellations, is fresh. */
+/* The view counts as fresh if it was confirmed within this time, which is much shorter than the deadline for
+ * cancellations. */
 #define VIEW_FRESH_S 5.0
-/* Guards per check whether dependencies exist / operations per transaction. */
+/* Most guards of a transaction that checks whether dependencies exist, as a multiple of the setting
+ * `transaction_ops_max`. */
 #define COMPARISON_GUARDS_FACTOR 4
 
 /* The state of a dependency of a submitted job, according to the view. */
 typedef enum {
-  DEPENDENCY_DONE,       /* done, which is permanent: the dependency can be omitted from the job's record */
-  DEPENDENCY_ACCEPTED,   /* live or cancelled: the dependency was accepted, which is permanent */
+  DEPENDENCY_DONE,       /* done, which is permanent: omitted from the job's record */
+  DEPENDENCY_ACCEPTED,   /* live, or ended without being done: kept in the job's record */
   DEPENDENCY_UNKNOWN,    /* neither live nor terminal in the view: the store must be read */
   DEPENDENCY_IMPOSSIBLE, /* the submitted job itself, or a service, which never ends */
 } DependencyStatus;
 
-static void submission_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
-                                 GPtrArray *failed) {
+static void on_submission_commit_reply(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                                       GPtrArray *failed) {
   FkPendingRequest *request = data;
   gboolean stale =
       request->ancestor_unknown || fk_time_between(c->store_session.confirmed_at, c->now) > VIEW_FRESH_S;
@@ -39,9 +41,9 @@
   }
 }
 
-/* Returns whether the job's team doesn't exist, the team's limits are lower than what one task of an array,
- * or all tasks of another job, require, or a task fits no instance type. Only called for jobs that have not
- * been accepted yet. */
+/* Returns whether the job can never run: its team doesn't exist, a task fits no instance type, or the team's
+ * limits are too low. An array needs room for one task at a time, any other job for all its tasks. Only
+ * called for jobs that the view doesn't have. */
 static gboolean can_never_run(FkController *c, const FkSpec *spec) {
   FkTeam *team = fk_settings_find_team(c->settings, spec->team);
   double tasks = spec->shape != FK_SHAPE_ARRAY ? spec->tasks : 1;
@@ -102,7 +104,7 @@
   fk_submissions_accept(c, request);
 }
 
-/* Handles the store's reply to the check that neither the job nor the dependencies that the view lacks exist.
+/* Handles the store's reply to the check whether the job, and the dependencies that the view lacks, exist.
  * `failed` has the paths of the records that do exist. If the job exists, its record is read. If a dependency
  * doesn't exist, the submission is rejected. Terminal states are read one after another and added to the
  * view, so that a retry of the same submission finds them there. A live dependency is missing from the view
@@ -226,5 +228,5 @@
   FkRecord *record = fk_record_new(FK_KEY_JOB);
   record->spec = fk_spec_ref(spec);
   fk_transaction_put(transaction, fk_key_path(FK_KEY_JOB, spec->id), record, (FkRev){0});
-  fk_transaction_send(c, transaction, submission_committed, request, NULL);
+  fk_transaction_send(c, transaction, on_submission_commit_reply, request, NULL);
 }
