--- a/src/core/leader/job_finalization.c
+++ b/src/core/leader/job_finalization.c
@@ -2,14 +2,16 @@
  * Chunks of tasks that don't fit into this transaction are deleted by later transactions. */
 #include "core/leader/leader_internal.h"
 
-#define FREE_WRITES_MIN 3     /* least available writes for sending a transaction, except for dependencies */
-#define JOB_WRITES_MIN 3      /* per job: its record, its terminal state, and at least one chunk */
-#define ORPHAN_DELETES_MAX 12 /* per transaction */
-#define FINALIZE_INTERVAL_S 0.3
-#define FINALIZE_INTERVAL_MAX_S 2.0
-#define FINALIZE_WRITE_SHARE 0.4 /* share of the store's write rate */
+#define FREE_WRITES_MIN 3       /* with fewer available writes, only jobs with dependents are finalized */
+#define JOB_WRITES_MIN 3        /* least writes for a job: its record, its terminal state, and one chunk */
+#define ORPHAN_DELETES_MAX 12   /* most orphan chunks deleted by one transaction */
+#define FINALIZE_INTERVAL_S 0.3 /* delay after a scan that found nothing to do */
 
-static void on_finalized(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch, GPtrArray *failed) {
+#define FINALIZE_INTERVAL_MAX_S 2.0 /* longest delay after a transaction */
+#define FINALIZE_WRITE_SHARE 0.4    /* share of the store's write rate for finalization */
+
+static void on_finalization_reply(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                                  GPtrArray *failed) {
   c->leader.finalizing = FALSE;
   if (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT)
     c->leader.finalize_wait_rev = epoch;
@@ -17,7 +19,7 @@
 
 static void send_transaction(FkController *c, FkOutput *transaction) {
   c->leader.finalizing = TRUE;
-  fk_transaction_send(c, transaction, on_finalized, NULL, NULL);
+  fk_transaction_send(c, transaction, on_finalization_reply, NULL, NULL);
 }
 
 /* Adds the job to the transaction, with as many of its chunks as there are operations left. Returns FALSE,
@@ -27,9 +29,9 @@
   return fk_transaction_finalize_job(c, transaction, job, operations_left);
 }
 
-/* Returns a transaction that finalizes complete jobs that others depend on, or NULL if there are none. This
- * transaction is sent before those of other jobs and isn't rate-limited, because the dependents can't start
- * until the terminal states are written. */
+/* Returns a transaction that finalizes complete jobs that other jobs depend on, or NULL if there are none.
+ * This transaction is sent first, without waiting for the finalization interval or for available writes,
+ * because the dependents can't start until the terminal states are written. */
 static FkOutput *finalize_dependencies(FkController *c) {
   if (!fk_dependency_graph_size(c->view->dependencies))
     return NULL;
@@ -52,7 +54,7 @@
 }
 
 /* Returns a transaction that finalizes ended jobs, or NULL if there are none. Jobs are added while at least
- * JOB_WRITES_MIN of `writes_max` writes are left: the last one may exceed `writes_max`. */
+ * JOB_WRITES_MIN of `writes_max` writes are left. The last job's writes may exceed `writes_max`. */
 static FkOutput *finalize_jobs(FkController *c, guint writes_max) {
   FkOutput *transaction = NULL;
   GHashTableIter it;
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -9,17 +9,16 @@
 #define CAMPAIGN_RETRY_S 0.1 /* delay after a success or conflict: the view will soon show the leader */
 #define CAMPAIGN_FAILED_RETRY_S 0.5 /* delay after a failed or unanswered transaction */
 
-static void on_leader_key_written(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
-                                  GPtrArray *failed) {
+static void on_leader_key_write_reply(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                                      GPtrArray *failed) {
   gboolean answered = outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT;
   c->leader.write_pending = FALSE;
   c->leader.retry_at = fk_time_add(c->now, answered ? CAMPAIGN_RETRY_S : CAMPAIGN_FAILED_RETRY_S);
   c->leader.wait_rev = epoch;
 }
 
-/* Returns whether the view shows no leader, or a leader whose process has restarted since. The new
- * incarnation of the process isn't the leader, although the lease of the old one may last for several more
- * seconds. */
+/* Returns whether the view shows no leader, or an earlier incarnation of a controller as the leader. The new
+ * incarnation isn't the leader, although the lease of the earlier one may last for several more seconds. */
 static gboolean leader_is_absent(FkController *c) {
   if (!c->view->leader)
     return TRUE;
@@ -44,7 +43,7 @@
   fk_transaction_guard(transaction, fk_key_path(FK_KEY_LEADER, ""), c->view->leader_rev);
   fk_transaction_put(transaction, fk_key_path(FK_KEY_LEADER, ""), record, c->store_session.lease);
   c->leader.write_pending = TRUE;
-  fk_transaction_send(c, transaction, on_leader_key_written, NULL, NULL);
+  fk_transaction_send(c, transaction, on_leader_key_write_reply, NULL, NULL);
 }
 
 /* Returns whether the leader key names this incarnation of this controller. */
@@ -53,8 +52,8 @@
          g_strcmp0(c->view->leader_incarnation, c->incarnation) == 0;
 }
 
-/* Records the change of leadership, and resets the sizing of the short partition, its blacklist and the
- * autoscaler, whose state is out of date. */
+/* Records that this controller has gained or lost leadership. Resets the sizing of the short partition, the
+ * blacklist and the autoscaler, because their state is out of date. */
 static void leadership_changed(FkController *c, gboolean is_leader) {
   g_message("leadership %s", is_leader ? "acquired" : "lost");
   c->leader.is_leader = is_leader;
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -14,7 +14,7 @@
   FkWaitTimes waits; /* wait times of the short tasks that this controller launched in the window */
 } FkWindow;
 
-/* The state of leader election on this controller, and the state that it keeps as the leader. */
+/* The state of leader election on this controller, and the state that the controller needs as the leader. */
 typedef struct {
   gboolean write_pending; /* whether a write of the leader key is in flight */
   FkTime retry_at;        /* the leader key isn't written again before this time */
@@ -27,7 +27,7 @@
   FkBackfillReservations *backfill_reservations;
   FkTime starvation_checked_at;
   gboolean starving;              /* whether some class or team was starving at `starvation_checked_at` */
-  FkTime next_finalization_at;    /* ended jobs wait until then, except those that others depend on */
+  FkTime next_finalization_at;    /* before this time, only jobs that other jobs depend on are finalized */
   gboolean preempting;            /* whether a transaction that stops tasks is in flight */
   FkRev preempt_wait_rev;         /* the view must reach this revision before tasks are stopped again */
   FkTime preempt_after;           /* tasks aren't stopped again before this time */
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -14,15 +14,16 @@
 #define PREEMPTION_INTERVAL_S 4.0        /* least time between two preemptions for the same job */
 #define SCAN_INTERVAL_S 0.1              /* between two scans of all machines and jobs */
 #define SCAN_INTERVAL_PER_MACHINE_S 1e-4 /* added to the interval for each machine */
-/* Services per scan for which preemption is attempted, because each attempt looks at all machines. */
+/* Most services per scan for which preemption is attempted: each attempt examines all machines. */
 #define PREEMPTION_ATTEMPTS_MAX 8
 /* Time after FkJob.gang_until for the launches of all members to appear in the view. */
 #define GANG_GRACE_S 2.0
-/* An evacuation doesn't stop a task of an array if its expected remaining run time is at most this multiple
- * of the rest of the machine's termination notice. */
+/* An evacuation doesn't stop a task of an array if the task's expected remaining run time is at most this
+ * multiple of the remaining notice time of its machine. */
 #define NOTICE_RUN_RATIO 1.5
 
-/* Reserves the capacity that preempted tasks will release, so that it isn't planned for a second service. */
+/* Reserves capacity on the machine for the service for which tasks are preempted, so that the capacity isn't
+ * given to another job in the meantime. */
 static void reserve_capacity(FkController *c, FkMachine *machine, const FkSpec *spec) {
   machine->reserved_cpus += spec->cpus;
   machine->reserved_gpus += spec->gpus;
@@ -32,8 +33,8 @@
   g_array_append_val(c->launches.reservations, reservation);
 }
 
-/* Preempts tasks to make room for a service. Chooses the machine where preemption loses the least work, and
- * prefers machines that have the service's image cached. Does nothing if the service fits on a machine
+/* Preempts tasks to make room for a service. Chooses the machine where preemption costs least: the lost work,
+ * plus a fixed cost if the service's image isn't cached. Does nothing if the service fits on a machine
  * without preemption, if its team's quota is used up, or if tasks were preempted for the job less than
  * PREEMPTION_INTERVAL_S ago. */
 static void preempt_for_service(FkController *c, FkStopTransaction *stops, FkJob *job, GPtrArray *machines) {
@@ -62,11 +63,12 @@
                              g_strcmp0(machine->drain_reason, "notice") == 0);
 }
 
-/* Stops the machine's services, and the tasks of arrays that probably can't end within the rest of the
- * termination notice (NOTICE_RUN_RATIO): the work that they would do during the notice would be lost. A
- * stopped task saves its progress if it can. On a machine that is drained without a notice, all tasks of
- * arrays are stopped, overdue ones only after some time. The tasks of gangs and of cancelled jobs are left
- * out. */
+/* Stops the machine's services, and the tasks of arrays that probably can't end within the remaining notice
+ * time (NOTICE_RUN_RATIO), whose work during that time would be lost. A stopped task saves its progress if it
+ * can. A drain without a termination notice counts as a notice of -1 s: tasks that haven't reached their
+ * expected run time are stopped at once, and a task that has exceeded this time by x seconds is stopped once
+ * x is less than NOTICE_RUN_RATIO * (1 s + the time since the drain). Tasks of gangs and of cancelled jobs
+ * aren't stopped. */
 static void evacuate(FkController *c, FkStopTransaction *stops, const FkMachine *machine) {
   double notice_s = machine->notice_s - fk_time_between(machine->drain_reason_since, c->now);
   for (guint i = 0; i < machine->allocations->len; i++) {
--- a/src/core/leader/window.c
+++ b/src/core/leader/window.c
@@ -28,7 +28,7 @@
   return g_strcmp0(x->id, y->id);
 }
 
-/* CPUs of short and long tasks, both allocated and waiting. */
+/* CPUs of the allocated and waiting tasks: of short tasks, and of long tasks. */
 typedef struct {
   double short_cpus, long_cpus;
 } Demand;
@@ -100,7 +100,7 @@
 
 /* ------------------------------------------------------------------ logs */
 
-/* Logs the machines of one type and purchase option, and the CPUs allocated on them. */
+/* Logs the number of machines of one type and purchase option, and the CPUs allocated on these machines. */
 static void log_machine_type(FkController *c, const FkInstanceType *type, gboolean spot) {
   guint machines = 0;
   double allocated_cpus = 0, long_cpus = 0;
@@ -138,8 +138,8 @@
   view->finished_count = 0;
 }
 
-/* Logs the CPU time of the window by purpose: milliseconds, and how often each purpose was entered. This
- * line is parsed by src/simulation/scale/slopes.c. */
+/* Logs the CPU time of the window by purpose: milliseconds, and how often each purpose was entered. This line
+ * is parsed by src/simulation/scale/slopes.c. */
 static void log_cpu_profile(FkController *c) {
   FkCpuProfile *profile = &c->cpu_profile;
   if (!profile->clock_ns)
@@ -159,7 +159,7 @@
   g_info("cpu profile total_ms=%.0f, ms and entries by purpose:%s", total_ms, line->str);
 }
 
-/* Logs the sizes of the tables that grow with the load or with time, and the rejected heartbeats. */
+/* Logs the sizes of the tables that grow with the load or with time, and counts of rejected heartbeats. */
 static void log_table_sizes(FkController *c) {
   FkView *view = c->view;
   guint owned = 0, allocations = 0, probes = 0;
@@ -219,11 +219,11 @@
 /* ------------------------------------------------------------------ windows */
 
 /* Ignores the outcome: a failed write isn't retried, and loses the wait times of a single window. */
-static void on_waits_written(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
-                             GPtrArray *failed) {}
+static void on_wait_times_write_reply(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                                      GPtrArray *failed) {}
 
-/* Writes the window's wait times to the store, unless neither this window nor the last one written has any,
- * or this controller has no lease. */
+/* Writes the window's wait times to the store. Does nothing if this controller has no lease, or if both this
+ * window and the one in the store have no wait times. */
 static void write_wait_times(FkController *c) {
   const FkWaitTimes *written = g_hash_table_lookup(c->view->wait_times, c->settings->node);
   if (!c->store_session.lease.n || (!c->window.waits.count && !(written && written->count)))
@@ -234,7 +234,7 @@
   record->wait_times.window = c->window.index;
   fk_transaction_put(transaction, fk_key_path(FK_KEY_WAIT_TIMES, c->settings->node), record,
                      c->store_session.lease);
-  fk_transaction_send(c, transaction, on_waits_written, NULL, NULL);
+  fk_transaction_send(c, transaction, on_wait_times_write_reply, NULL, NULL);
 }
 
 void fk_windows_tick(FkController *c) {
