--- a/src/core/autoscaler/arrival_rates.c
+++ b/src/core/autoscaler/arrival_rates.c
@@ -2,13 +2,13 @@
  * expected arrivals. */
 #include "core/autoscaler/autoscaler_internal.h"
 
-#define TIME_CONSTANT_S 30.0
-#define INITIAL_PER_S 0.02
+#define TIME_CONSTANT_S 30.0 /* time constant of the smoothing of the rates */
+#define INITIAL_PER_S 0.02   /* first estimate of a class's rate */
 /* Before smoothing, the measured rate is limited to this multiple of the estimate, plus one per second, so
  * that an initial burst doesn't dominate the estimate. */
 #define GROWTH_MAX 2.0
-/* Services first seen within this time after a change of leadership aren't counted: they probably arrived
- * before the change. */
+/* Services first seen before a change of leadership, or within this time after it, aren't counted: they
+ * probably arrived before the change. */
 #define LEADER_STABLE_S 1
 
 static FkArrivalRate *rate_of_class(FkAutoscaler *a, const FkJob *job) {
--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -1,4 +1,5 @@
-/* The autoscaler's state, and its periodic round: list, terminate and provision machines, and scale in. */
+/* The autoscaler's state, and its periodic work: to list, terminate and provision machines, to drain idle
+ * machines, and to consolidate. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
@@ -115,7 +116,7 @@
   return fk_time_between(instance->requested_at, c->now) / MAX(1, type->boot_s);
 }
 
-/* ------------------------------------------------------------------ the round */
+/* ------------------------------------------------------------------ periodic work */
 
 static void list_machines(FkController *c) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
@@ -141,7 +142,7 @@
 }
 
 /* Returns whether a plan is due and can be made. The instance types must be known. A new leader doesn't plan
- * until it has received the cloud's list of machines or has waited for FIRST_LIST_TIMEOUT_S. */
+ * until it has received the cloud's whole list of machines or has waited for FIRST_LIST_TIMEOUT_S. */
 static gboolean can_plan(FkController *c) {
   const FkAutoscaler *a = c->autoscaling.autoscaler;
   gboolean knows_machines =
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -10,8 +10,8 @@
   FkAutoscaler *autoscaler;
   FkCostAccounting *cost_accounting;
   GHashTable *instance_types; /* name -> FkInstanceType */
-  gboolean types_pending;     /* whether a request for the types is in flight */
-  FkTime next_types_query;
+  gboolean types_pending;     /* whether a request for the instance types is in flight */
+  FkTime next_types_query;    /* the instance types aren't requested again before this time */
 } FkAutoscaling;
 
 FkAutoscaler *fk_autoscaler_new(FkTime now);
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -1,6 +1,7 @@
 /* Shared by the modules of the autoscaler: the machines that are requested, booting and terminating, and the
- * steps of a round. The autoscaler runs on the leader. It provisions machines for waiting tasks and for
- * headroom, and terminates machines that are idle, have failed, or are too expensive for their tasks. */
+ * functions for the periodic work. The autoscaler runs on the leader. It provisions machines for waiting
+ * tasks and for headroom, and terminates machines that are idle, have failed, or are too expensive for their
+ * tasks. */
 #pragma once
 #include "core/autoscaler/capacity_plan.h"
 #include "core/controller_internal.h"
@@ -8,16 +9,18 @@
 #include "instance_models/boot_time.h"
 #include "instance_models/idle_retention.h"
 
-#define FK_PROVISION_MACHINES_MAX 50 /* per request: the cloud's limit */
+#define FK_PROVISION_MACHINES_MAX 50 /* most machines per request: the cloud's limit */
 
 /* A machine that exists in the cloud and whose worker hasn't joined yet. */
 typedef struct {
   char *id, *type, *zone;
   gboolean spot;
-  FkTime requested_at;         /* estimated from the listed age if this leader didn't request the instance */
-  gboolean request_time_exact; /* whether this leader requested the instance */
+  FkTime requested_at;         /* when the instance was requested; estimated from the cloud's list unless
+                                  `request_time_exact` */
+  gboolean request_time_exact; /* whether `requested_at` is when the cloud replied to this leader's request */
   gboolean listed;             /* whether the instance has appeared in the cloud's list */
-  gboolean failed, running;    /* whether the list shows the instance as failed; whether as running */
+  gboolean failed;             /* whether the instance was last listed as failed */
+  gboolean running;            /* whether the instance has been listed as running */
   FkTime listed_at;            /* when the instance was last listed */
   FkTime running_since;        /* when the instance was first listed as running; valid if `running` */
 } FkBootingInstance;
@@ -41,7 +44,7 @@
 
 /* The arrival rate of the services of a class. */
 typedef struct {
-  FkSpec *spec;   /* of the latest service counted, or the first one seen; owned */
+  FkSpec *spec;   /* spec of the latest service counted, or of the first one seen if none is counted; owned */
   double per_s;   /* smoothed arrivals per second */
   guint arrivals; /* services counted since the last update of the rate */
 } FkArrivalRate;
@@ -68,7 +71,8 @@
 /* Returns "type/zone/spot". Owned by the caller. */
 char *fk_autoscaler_offer_key(const FkOffer *offer);
 
-/* Returns the time since the instance was requested, in multiples of its type's boot time. */
+/* Returns the instance's age (the time since `requested_at`) in multiples of its type's boot time, which
+ * counts as 1 s if it is shorter. */
 double fk_autoscaler_boot_age(FkController *c, const FkBootingInstance *instance, const FkInstanceType *type);
 
 /* provisioning.c */
@@ -81,7 +85,8 @@
 
 /* arrival_rates.c */
 
-/* Updates the arrival rates with the services first seen since the last update, `interval_s` seconds ago. */
+/* Updates the arrival rates with the services first seen since the last update, which was about `interval_s`
+ * seconds ago. */
 void fk_autoscaler_update_arrival_rates(FkController *c, double interval_s);
 
 /* scale_out_plan.c */
@@ -93,7 +98,8 @@
 
 /* termination.c */
 
-/* Terminates machines that are lost, or drained and empty, and instances that failed to boot. */
+/* Terminates machines that are silent or faulty, drained machines that are empty, and instances that failed
+ * to boot. */
 void fk_autoscaler_terminate_machines(FkController *c);
 
 /* scale_in.c */
--- a/src/core/autoscaler/capacity_plan.c
+++ b/src/core/autoscaler/capacity_plan.c
@@ -7,17 +7,17 @@
 
 #include "core/controller_internal.h"
 
-#define CPU_STEPS 4.0 /* steps per CPU or GPU in a bin's key */
-#define MEM_STEPS 2.0 /* steps per GB in a bin's key */
-#define TIME_STEP_S 2.0
-/* Free capacity is omitted from the plan if it has less than BIN_CPUS_MIN CPUs and less than BIN_CPUS_MIN
- * GPUs, or less than BIN_MEM_GB_MIN GB of memory: it is treated as too small for any task. */
+#define CPU_STEPS 4.0   /* steps per CPU or GPU in a bin's key */
+#define MEM_STEPS 2.0   /* steps per GB in a bin's key */
+#define TIME_STEP_S 2.0 /* step of the time of availability in a bin's key */
+/* Capacity is omitted from the plan, as too small for any task, if both its CPUs and its GPUs are less than
+ * BIN_CPUS_MIN, or if its memory is less than BIN_MEM_GB_MIN. */
 #define BIN_CPUS_MIN 0.25
 #define BIN_MEM_GB_MIN 0.25
 #define ROUND_UP_OFFSET 0.9999 /* added before rounding down, which thereby rounds up */
 #define ROUND_DOWN_OFFSET 1e-6 /* added before rounding down; tolerates rounding errors */
 #define AMOUNT_EPSILON 1e-6    /* tolerates rounding errors in sums of fractions */
-#define SLOTS_MAX 100000
+#define SLOTS_MAX 100000       /* limit of fk_capacity_task_slots() */
 
 static guint bin_key_hash(gconstpointer key) { /* FNV-1a */
   const guint8 *bytes = key;
@@ -50,8 +50,8 @@
   return (gint64)floor(amount * steps + rounding);
 }
 
-/* Returns the key of a bin. Free capacity is rounded down to whole steps. Capacity that a running task will
- * release is rounded up, so that another task with the same spec fits into it. */
+/* Returns the key of a bin. Free capacity is rounded down to whole steps. Capacity that a task will release
+ * is rounded up, so that another task with the same spec fits into it. */
 static FkCapacityBinKey bin_key(FkCapacityBinKind kind, const FkOffer *offer, FkCapacity free,
                                 double available_s) {
   double rounding = kind == FK_CAPACITY_BIN_RELEASED ? ROUND_UP_OFFSET : ROUND_DOWN_OFFSET;
@@ -96,7 +96,8 @@
   return (guint)CLAMP(slots, 0, SLOTS_MAX);
 }
 
-/* Returns how many tasks with this spec fit on one machine of the bin. */
+/* Returns how many tasks with this spec fit into each machine, or part of a machine, of the bin; 0 if the
+ * spec excludes the bin's offer. */
 static guint bin_task_slots(const FkCapacityBin *bin, const FkSpec *spec) {
   if ((bin->key.spot && !spec->spot) || (spec->zone && !g_str_equal(spec->zone, bin->key.zone)) ||
       !fk_placement_fits_type(spec, bin->key.type))
@@ -104,8 +105,8 @@
   return fk_capacity_task_slots(bin->free, spec);
 }
 
-/* Returns whether the bin is available earlier than `best`. If both are available at the same time, machines
- * in use are preferred to others. */
+/* Returns whether `bin` is better than `best`: available earlier, or at the same time and on machines in use
+ * while `best` isn't. */
 static gboolean is_preferred(const FkCapacityBin *bin, const FkCapacityBin *best) {
   if (bin->available_s != best->available_s)
     return bin->available_s < best->available_s;
@@ -124,7 +125,7 @@
   return best;
 }
 
-/* Returns `free` minus the needs of `tasks` tasks. */
+/* Returns `free` minus the needs of `tasks` tasks with this spec. */
 static FkCapacity capacity_after_tasks(FkCapacity free, guint tasks, const FkSpec *spec) {
   return (FkCapacity){free.cpus - tasks * spec->cpus, free.gpus - tasks * spec->gpus,
                       free.mem_gb - tasks * spec->mem_gb};
--- a/src/core/autoscaler/consolidation.c
+++ b/src/core/autoscaler/consolidation.c
@@ -1,10 +1,11 @@
-/* Consolidation drains a machine that costs far more than its tasks need. At most one machine is drained
- * per CONSOLIDATION_INTERVAL_S, only while no task waits, and only if the machine's tasks fit on cheaper
- * machines that are in use. The restarted tasks lose work, which costs less than keeping the machine. */
+/* Consolidation drains a machine that costs far more than its tasks need. At most one machine is drained per
+ * CONSOLIDATION_INTERVAL_S, only while no task waits, and only if the machine's tasks fit on cheaper machines
+ * that are in use. The restarted tasks lose work, which costs less than keeping the machine. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
-#define PRICE_RATIO_MIN 4.0 /* price of the machine / price of the cheapest capacity for its tasks */
+/* Least ratio of a drained machine's price to the price of the cheapest capacity for the machine's tasks. */
+#define PRICE_RATIO_MIN 4.0
 #define CONSOLIDATION_INTERVAL_S 0.5
 #define ROOM_RATIO 2            /* required slots on cheaper machines / tasks on the machine */
 #define RESTART_MARGIN_S 5.0    /* time for restarting a task */
@@ -19,8 +20,9 @@
   double left_s;   /* expected remaining run time */
 } TaskProgress;
 
-/* Returns whether a restart of the task makes no difference to the deadline: the deadline is missed without a
- * restart even with the shortest assumed run time, or met after a restart even with the longest one. */
+/* Returns whether a restart of the task doesn't change whether the deadline is met. Either the deadline will
+ * be missed anyway, even with the shortest assumed remaining run time, or the deadline will still be met
+ * after a restart, even with the longest assumed run time. */
 static gboolean deadline_allows_restart(double deadline_s, const TaskProgress *task) {
   return deadline_s < task->waited_s + REMAINING_MIN_RATIO * task->left_s ||
          deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s + RESTART_MARGIN_S;
@@ -30,8 +32,8 @@
   return deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s;
 }
 
-/* Returns whether all deadlines of the job allow a restart, and at least one of them is met with the task's
- * longest assumed run time. */
+/* Returns whether all deadlines of the job allow a restart, and at least one of these deadlines is met even
+ * with the task's longest assumed run time. */
 static gboolean deadlines_allow_restart(FkController *c, const FkJob *job, const TaskProgress *task) {
   double own_s = fk_job_allowed_s(job);
   if (own_s >= 0 && !deadline_allows_restart(own_s, task))
@@ -51,7 +53,7 @@
 
 /* Returns whether the task can be restarted on another machine without harm: a service that has run for
  * SERVICE_STABLE_S, or a task of an array whose deadlines allow a restart. Tasks of gangs and of cancelled
- * jobs, and tasks that are being stopped, can't. */
+ * jobs, and tasks that are being stopped, can't be moved. */
 static gboolean task_can_move(FkController *c, const FkAllocationRef *allocation) {
   const FkJob *job = allocation->job;
   if (allocation->stop_requested || job->cancelled || job->spec->shape == FK_SHAPE_GANG)
@@ -91,8 +93,8 @@
   return FALSE;
 }
 
-/* Returns the machine with the highest price ratio, and stores the ratio in `ratio`; NULL if no ratio is
- * above PRICE_RATIO_MIN. */
+/* Returns the machine with the highest price ratio, and stores this ratio in `ratio`. Returns NULL if no
+ * machine's ratio is above PRICE_RATIO_MIN. */
 static FkMachine *most_overpriced_machine(FkController *c, double *ratio) {
   FkMachine *worst = NULL;
   *ratio = PRICE_RATIO_MIN;
--- a/src/core/autoscaler/cost_accounting.c
+++ b/src/core/autoscaler/cost_accounting.c
@@ -6,14 +6,14 @@
 #define SAMPLE_INTERVAL_S 2.0
 #define S_PER_HOUR 3600
 
-/* Costs since the last log line, in the unit of prices (money per hour) times seconds. */
+/* Costs since the last log line, in money per hour (the unit of prices) times seconds. */
 struct FkCostAccounting {
-  double booting;     /* machines that are requested or booting */
-  double terminating; /* machines that are drained or lost, including tasks that still run there */
+  double booting;     /* booting machines */
+  double terminating; /* machines to be terminated, including tasks that still run there */
   double idle;        /* machines without allocations */
   double unused;      /* the free part of machines with allocations */
-  double needed; /* cost of the allocated tasks on the cheapest machines they may run on, at most their actual
-                    cost */
+  /* cost that the allocated tasks would have on the cheapest machines, at most their actual cost */
+  double needed;
   double overpriced; /* the actual cost of the allocated tasks beyond `needed` */
   FkTime sampled_at;
 };
@@ -67,7 +67,8 @@
   if (interval_s < SAMPLE_INTERVAL_S)
     return;
   accounting->sampled_at = c->now;
-  /* a longer interval includes time in which this controller wasn't the leader: it isn't sampled */
+  /* an interval of 2 * SAMPLE_INTERVAL_S or more includes time in which this controller wasn't the leader:
+   * the interval isn't accounted */
   if (interval_s < 2 * SAMPLE_INTERVAL_S)
     take_sample(c, interval_s);
 }
--- a/src/core/autoscaler/provisioning.c
+++ b/src/core/autoscaler/provisioning.c
@@ -3,11 +3,11 @@
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/controller.h"
 
-#define REQUEST_RETRY_S 1.5
-#define REJECTED_PLAN_DELAY_S 1.0
-#define PARTIAL_SHORTAGE_S 15.0 /* backoff after a reply with fewer machines than requested */
-#define SHORTAGE_STEP_S 5.0     /* backoff per consecutive refusal */
-#define SHORTAGE_MAX_S 30.0     /* longest backoff */
+#define REQUEST_RETRY_S 1.5       /* delay until a request without a definite reply is retried */
+#define REJECTED_PLAN_DELAY_S 1.0 /* delay of the next plan after a rejected request */
+#define PARTIAL_SHORTAGE_S 15.0   /* backoff after a reply with fewer machines than requested */
+#define SHORTAGE_STEP_S 5.0       /* backoff per consecutive refusal */
+#define SHORTAGE_MAX_S 30.0       /* longest backoff */
 
 static void send_request(FkController *c, FkProvisionRequest *request) {
   FkOutput *output = fk_output_new(c, FK_OUTPUT_PROVISION);
@@ -21,8 +21,8 @@
   request->call = output->call;
 }
 
-/* Returns a name that no other request ever has: the store never issues a lease's number twice, and the
- * counter numbers the requests sent under that lease. Owned by the caller. */
+/* Returns a name that no other request has: it contains the number of the lease, which the store never issues
+ * twice, this controller's incarnation, and a counter. Owned by the caller. */
 static char *request_name(FkController *c) {
   return g_strdup_printf("r-%" G_GUINT64_FORMAT "-%s-%" G_GUINT64_FORMAT, c->store_session.lease.n,
                          c->incarnation, ++c->autoscaling.autoscaler->request_counter);
@@ -52,7 +52,7 @@
   }
 }
 
-/* ------------------------------------------------------------------ answers */
+/* ------------------------------------------------------------------ replies */
 
 static char *request_offer_key(const FkProvisionRequest *request) {
   const FkInstanceType type = {.name = request->type};
@@ -75,8 +75,8 @@
   g_hash_table_insert(a->booting, instance->id, instance);
 }
 
-/* Adds the machines of the reply as booting. If there are fewer than requested, the cloud has no more
- * capacity for the offer at present, and requests for the offer are suspended for PARTIAL_SHORTAGE_S. */
+/* Adds the machines of the reply as booting. If there are fewer machines than requested, the cloud has no
+ * more capacity for the offer at present, and requests for the offer are suspended for PARTIAL_SHORTAGE_S. */
 static void request_granted(FkController *c, const FkProvisionRequest *request, const GPtrArray *ids) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
   g_autofree char *key = request_offer_key(request);
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -7,9 +7,10 @@
 #define IDLE_BASE_SHARE 0.5 /* share of the idle limit that doesn't depend on the cluster's size */
 #define SPOT_IDLE_RATIO 1.5 /* idle limit of spot / of on-demand machines, in a very large cluster */
 /* Added to SPOT_IDLE_RATIO in a small cluster, where a boot costs more than idle spot capacity; in a larger
- * cluster, only a part of it is added. */
+ * cluster, only a part of this is added. */
 #define SPOT_IDLE_RATIO_SMALL 2.5
-/* Least idle time of a spot machine while on-demand machines run tasks that could run on spot machines. */
+/* Least idle time before a spot machine is drained while on-demand machines run tasks that could run on spot
+ * machines. */
 #define SPOT_IDLE_MIN_S 60.0
 
 /* Orders machines by idle time, longest first. */
@@ -52,9 +53,9 @@
   return idle;
 }
 
-/* Returns the CPUs of array tasks that run on on-demand machines but could run on spot machines. Spot
- * machines with as many CPUs are kept for the next tasks even if they are idle, until they have been idle for
- * SPOT_IDLE_MIN_S, so that the on-demand machines, which cost several times as much, become idle instead. */
+/* Returns the CPUs of array tasks that run on on-demand machines but could run on spot machines. Idle spot
+ * machines with as many CPUs are kept for SPOT_IDLE_MIN_S, so that the next tasks run on these machines, and
+ * on-demand machines, which cost several times as much, become idle instead. */
 static double spot_capable_cpus_on_demand(FkController *c) {
   double cpus = 0;
   GHashTableIter it;
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -1,7 +1,8 @@
 /* Plans what to provision. The plan simulates the placement of services on silent machines, of expected
  * services and of waiting tasks on capacity that is free now, will be released by running tasks, or is
  * booting. For waiting tasks, machines are provisioned only if the tasks would otherwise wait for longer than
- * their allowed wait time, which is derived from their deadlines; spot machines also for shorter waits. */
+ * their allowed wait time, which is derived from their deadlines. Spot machines are provisioned for shorter
+ * waits too. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
@@ -22,19 +23,20 @@
 
 /* Allowed wait time of jobs that would miss all deadlines even on a new machine. */
 #define LATE_JOB_ALLOWED_WAIT_S 45.0
-/* The deadline assumed for work without one is NO_DEADLINE_RUNS run times plus NO_DEADLINE_S. */
+/* The deadline assumed for a job that has none is NO_DEADLINE_RUNS expected run times plus NO_DEADLINE_S. */
 #define NO_DEADLINE_RUNS 3.0
 #define NO_DEADLINE_S 30.0
 
-/* A task with less of its expected run time left counts as overdue. */
+/* A task counts as overdue if less than this is left of its expected run time. */
 #define OVERDUE_TASK_MIN_S 2.0
-/* Most that the time beyond an overdue task's expected run time adds to its estimate. */
+/* Upper limit on the time by which the estimate for an overdue task is extended because the task has exceeded
+ * its expected run time. */
 #define OVERDUE_TASK_MAX_S 60.0
 #define CANCELLED_TASK_S 1.0 /* assumed time until a cancelled task releases its capacity */
 #define BOOTING_MIN_S 2.0    /* least remaining boot time assumed */
 
-#define HEADROOM_ARRIVALS_MAX 2000
-#define HEADROOM_TASKS_MAX 8 /* most tasks per expected service for which headroom is planned */
+#define HEADROOM_ARRIVALS_MAX 2000 /* most expected services per class for which headroom is planned */
+#define HEADROOM_TASKS_MAX 8       /* most tasks per expected service for which headroom is planned */
 
 /* ------------------------------------------------------------------ capacity */
 
@@ -44,9 +46,8 @@
   double left_s = job->cancelled ? CANCELLED_TASK_S
                                  : fk_view_expected_run_s(c->view, job->spec) -
                                        fk_time_between(allocation->first_seen_at, c->now);
-  /* A task with less than OVERDUE_TASK_MIN_S left counts as overdue: it is expected to run for another
-   * OVERDUE_TASK_MIN_S plus the time by which it has exceeded its expected run time, at most
-   * OVERDUE_TASK_MAX_S (that time is negative if the task hasn't reached its expected run time). */
+  /* An overdue task is expected to run for OVERDUE_TASK_MIN_S plus `-left_s`, the time by which the task has
+   * exceeded its expected run time, limited to OVERDUE_TASK_MAX_S. */
   return left_s < OVERDUE_TASK_MIN_S ? OVERDUE_TASK_MIN_S + MIN(OVERDUE_TASK_MAX_S, -left_s) : left_s;
 }
 
@@ -165,7 +166,7 @@
 }
 
 /* Stores in `best` the offer with the lowest cost per task for `tasks` tasks with this spec, as rated by
- * rank_offer(). Returns FALSE if there is none. */
+ * rank_offer(). Returns FALSE if there is no offer. */
 static gboolean cheapest_offer(FkController *c, const FkSpec *spec, guint tasks, gboolean spot_only,
                                RankedOffer *best) {
   double run_s = spec->shape == FK_SHAPE_SERVICE
@@ -196,8 +197,8 @@
 /* ------------------------------------------------------------------ allowed wait time */
 
 /* Returns the tightest deadline that a task of the job is expected to meet if it starts at `start_s`, both in
- * seconds since the job became startable; G_MAXDOUBLE if it meets none. Sets `has_deadline` to whether the
- * job has any deadline. */
+ * seconds since the job became startable; G_MAXDOUBLE if the task is expected to meet none. Sets
+ * `has_deadline` to whether the job has any deadline. */
 static double tightest_deadline_s(FkController *c, const FkJob *job, double start_s, gboolean *has_deadline) {
   double run_s = fk_view_expected_run_s(c->view, job->spec);
   double deadline_s = G_MAXDOUBLE;
@@ -237,8 +238,8 @@
 
 /* ------------------------------------------------------------------ demand */
 
-/* Plans capacity for `tasks` tasks of services, and adds machines to provision for what is missing. Stops if
- * there is no offer. */
+/* Plans capacity for `tasks` tasks of a service with this spec. If the plan has no room, adds machines to
+ * provision. Stops if there is no offer. */
 static void plan_tasks(FkController *c, FkCapacityPlan *plan, const FkSpec *spec, guint tasks) {
   while (tasks) {
     int bin = fk_capacity_plan_earliest_bin(plan, spec);
@@ -288,7 +289,7 @@
 }
 
 /* Plans the job's waiting tasks as far as its team's quota allows. `used_cpus` holds the CPUs that the team
- * uses in the plan; those of the planned tasks are added to it. */
+ * uses in the plan; the CPUs of the planned tasks are added to `used_cpus`. */
 static void plan_job(FkController *c, FkCapacityPlan *plan, FkJob *job, double *used_cpus) {
   const FkSpec *spec = job->spec;
   guint32 waiting = allowed_tasks(c, job, *used_cpus);
@@ -342,15 +343,16 @@
   return jobs;
 }
 
-/* Returns the highest number of jobs in one plan. It is at least the number of machines, including booting
- * ones: each job may occupy a whole machine, and a machine without planned tasks counts as idle. */
+/* Returns the highest number of jobs in one plan. This is at least the number of machines, including booting
+ * machines: each job may occupy a whole machine, and a machine without planned tasks counts as idle. */
 static guint planned_jobs_max(FkController *c) {
   guint machines =
       g_hash_table_size(c->view->machines) + g_hash_table_size(c->autoscaling.autoscaler->booting);
   return MAX(PLANNED_JOBS_MIN, machines);
 }
 
-/* Returns the entry in `by_team` for the CPUs of the team's running and planned tasks. The table owns it. */
+/* Returns the entry of the team in `by_team`, which counts the CPUs of running and planned tasks. Owned by
+ * `by_team`. */
 static double *planned_team_cpus(FkController *c, GHashTable *by_team, const char *team) {
   double *cpus = g_hash_table_lookup(by_team, team);
   if (!cpus) {
--- a/src/core/autoscaler/termination.c
+++ b/src/core/autoscaler/termination.c
@@ -2,29 +2,29 @@
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/controller.h"
 
-#define TERMINATE_NAMES_MAX 100 /* per call: the cloud's limit */
+#define TERMINATE_NAMES_MAX 100 /* most machines per call: the cloud's limit */
 #define TERMINATION_INTERVAL_S 0.7
 #define TERMINATION_RETRY_S 1.0
 /* How long confirmed terminations are remembered: much longer than the lag of the cloud's list. */
 #define TERMINATED_RETENTION_S 300.0
-/* Least time between the drain of a machine and its termination: a task may have been launched on the machine
- * just before the drain. */
+/* Least time between the drain of an empty machine and its termination: the view may not show a task yet that
+ * was launched on the machine just before the drain. */
 #define DRAIN_STABLE_S 0.5
 
 #define MIN_BILLED_S 60.0   /* the shortest time billed: terminating an instance earlier saves nothing */
-#define JOIN_TIMEOUT_S 45.0 /* for joining, counted from when the instance is first listed as running */
-#define BOOT_AGE_MAX 4.0    /* age at which an instance that isn't running is terminated, in boot times */
-/* An instance that isn't running yet is terminated if the probability that it joins within the next
- * BOOT_PROBABILITY_WITHIN boot times is less than BOOT_PROBABILITY_TERMINATE. */
+#define JOIN_TIMEOUT_S 45.0 /* time allowed for joining once the cloud lists the instance as running */
+#define BOOT_AGE_MAX 4.0    /* highest age of an instance that isn't listed as running, in boot times */
+/* An instance that the cloud doesn't list as running is terminated if the probability that it joins within
+ * the next BOOT_PROBABILITY_WITHIN boot times is less than BOOT_PROBABILITY_TERMINATE. */
 #define BOOT_PROBABILITY_WITHIN 2.0
 #define BOOT_PROBABILITY_TERMINATE 0.1
 
-/* ------------------------------------------------------------------ answers */
+/* ------------------------------------------------------------------ replies */
 
-/* Releases the allocations of a terminated machine, and removes the machine's record once it has none. The
- * cloud's confirmation proves that the machine and all its tasks have ended, whichever controller owns the
- * shard. All allocations are therefore released at once, hundreds in one write. If this controller ends
- * before that write, the next leader terminates the machine again and gets the same reply. */
+/* Releases the allocations of a terminated machine, and removes the machine's record once the machine has no
+ * allocations. The cloud's confirmation proves that the machine and all its tasks have ended, whichever
+ * controller owns the shard. All allocations are therefore released at once, hundreds in one write. If this
+ * controller ends before that write, the next leader terminates the machine again and gets the same reply. */
 static void release_terminated_machine(FkController *c, FkMachine *machine) {
   for (guint i = 0; i < machine->allocations->len; i++) {
     const FkAllocationRef *allocation = &g_array_index(machine->allocations, FkAllocationRef, i);
@@ -68,16 +68,16 @@
   return fk_time_between(*(FkTime *)confirmed_at, *(FkTime *)now) > TERMINATED_RETENTION_S;
 }
 
-/* Returns whether the drained or lost machine is terminated only once it has no allocations. */
+/* Returns whether the machine, which has a drain reason, is terminated only once it has no allocations. */
 static gboolean terminates_when_empty(const FkMachine *machine) {
   return g_str_equal(machine->drain_reason, FK_DRAIN_REASON_IDLE) ||
          g_str_equal(machine->drain_reason, FK_DRAIN_REASON_DRAIN);
 }
 
-/* Returns whether the drained or lost machine may be terminated now. A machine drained as idle, by request or
- * by consolidation must be empty, and DRAIN_STABLE_S must have passed since the drain. A machine that is
- * being terminated already, or for which the cloud has given a termination notice, isn't terminated: the
- * cloud terminates the latter itself. */
+/* Returns whether the machine, which has a drain reason, may be terminated now. A machine drained as idle, by
+ * request or by consolidation must be empty, and DRAIN_STABLE_S must have passed since the drain. A machine
+ * with a termination notice isn't terminated here, because the cloud itself terminates it. A machine whose
+ * termination is in flight isn't terminated again. */
 static gboolean can_terminate(FkController *c, const FkMachine *machine) {
   if (g_hash_table_contains(c->autoscaling.autoscaler->terminating, machine->id) ||
       g_str_equal(machine->drain_reason, "notice"))
@@ -89,7 +89,7 @@
 
 /* Adds the ids of the machines to terminate to `ids`, and releases the allocations of machines whose
  * termination the cloud has confirmed. Silent machines with services are passed to
- * fk_service_failover_select(), which limits the rate at which they are terminated. */
+ * fk_service_failover_select(), which limits how fast these machines are terminated. */
 static void select_machines(FkController *c, GPtrArray *ids) {
   const FkAutoscaler *a = c->autoscaling.autoscaler;
   g_autoptr(GPtrArray) silent_with_services = g_ptr_array_new();
@@ -112,10 +112,10 @@
   fk_service_failover_select(c, silent_with_services, ids, TERMINATE_NAMES_MAX);
 }
 
-/* Returns whether the instance has failed to boot in time; FALSE until MIN_BILLED_S after its request, and
- * TRUE from then on if its type is unknown. For an instance that the cloud lists as running, the time since
- * it was first listed as running counts rather than its age, because thousands of machines that boot at once
- * take longer to join. */
+/* Returns whether the instance has failed to boot in time. Returns FALSE for an instance requested less than
+ * MIN_BILLED_S ago, and TRUE for any other instance of unknown type. For an instance that the cloud has
+ * listed as running, the time since then counts rather than the age, because thousands of machines that boot
+ * at once take longer to join. */
 static gboolean boot_timed_out(FkController *c, const FkBootingInstance *instance,
                                const FkInstanceType *type) {
   if (fk_time_between(instance->requested_at, c->now) < MIN_BILLED_S)
@@ -131,8 +131,8 @@
 }
 
 /* Adds the ids of instances that failed to boot to `ids`, and removes those that have joined or are
- * terminated from `booting`. Updates the model of boot times with the instances that joined or failed to boot
- * and that this leader requested. */
+ * terminated from `booting`. Updates the model of boot times with the instances that joined or failed to
+ * boot, unless their request times are only estimated. */
 static void select_booting_instances(FkController *c, GPtrArray *ids) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
   GHashTableIter it;
