--- a/src/instance_models/boot_time.c
+++ b/src/instance_models/boot_time.c
@@ -54,7 +54,8 @@
   observe(model, age, FALSE, 1);
 }
 
-/* Returns the probability that an instance that hasn't joined at the start of the bin joins in the bin. */
+/* Returns the probability that an instance that hasn't joined by the start of the bin joins in this bin; 0 if
+ * the model has no instance at risk. */
 static double hazard(const FkBootTimeModel *model, guint bin) {
   return model->at_risk[bin] > WEIGHT_EPSILON ? MIN(1, model->joined[bin] / model->at_risk[bin]) : 0;
 }
--- a/src/instance_models/idle_retention.h
+++ b/src/instance_models/idle_retention.h
@@ -18,10 +18,10 @@
 void fk_idle_retention_init(FkIdleRetention *retention, FkTime now);
 void fk_idle_retention_clear(FkIdleRetention *retention);
 
-/* Records that idle machines with `cpus` CPUs were terminated. */
+/* Records that idle machines with `cpus` CPUs are being terminated. */
 void fk_idle_retention_terminated(FkIdleRetention *retention, double cpus, FkTime now);
 
-/* Records that machines with `cpus` CPUs were provisioned. */
+/* Records that machines with `cpus` CPUs are being provisioned. */
 void fk_idle_retention_provisioned(FkIdleRetention *retention, double cpus, FkTime now);
 
 /* Returns the factor by which the configured idle time is multiplied: 1 to FK_IDLE_RETENTION_FACTOR_MAX. */
