--- a/test/test_core.c
+++ b/test/test_core.c
@@ -1,6 +1,6 @@
-/* Tests of a single controller core, whose inputs the tests provide and whose outputs they check: the guards
- * of its transactions, when it takes over or gives up shards and machines, and how it applies records from
- * the store. */
+/* Tests of a single controller core: each test provides the core's inputs and checks its outputs. Covered are
+ * the guards of transactions, when the controller takes over or gives up shards and machines, and how records
+ * from the store are applied. */
 #include <string.h>
 
 #include "core/scheduling/preemption.h"
@@ -13,8 +13,8 @@
 #include "wire/settings.h"
 #include "wire/store.h"
 
-/* A launch must be guarded by every record that the decision was based on, so that it fails if one of them
- * has changed. */
+/* A launch must be guarded by every record that the decision was based on, so that the launch fails if one of
+ * these records has changed. */
 static void test_launch_guards(void) {
   static const char *const expected_guards[] = {"fk/l/f/c-0", "fk/l/g/north.", "fk/l/j/run-1", "fk/l/q/red",
                                                 "fk/l/t/run-1/"};
@@ -45,7 +45,7 @@
 #define ONE_ALLOCATION "{\"f\":0,\"n\":4,\"a\":2,\"b\":[[0,1,\"i-1\",\"c-0\"]]}"
 
 /* An attempt whose completion was sent to the store must not be started again, even if the view still shows
- * it as allocated. */
+ * the attempt as allocated. */
 static void test_completion_is_final(void) {
   Rig *r = rig_new(TRUE);
   const char *chunk[] = {"fk/l/t/run-1/00000", ONE_ALLOCATION, NULL};
@@ -57,7 +57,8 @@
   g_assert_nonnull(t);
   g_assert_true(guarded(t, "fk/l/g/north."));
   g_assert_true(guarded(t, "fk/l/r/c-0/"));
-  /* The worker's lease expires, and it reconnects without tasks while the completion has no reply yet. */
+  /* The worker's lease expires, and the worker reconnects without tasks while the completion has no reply
+   * yet. */
   fk_controller_commit_received(r->c, r->now, t->call, FK_OUTCOME_UNKNOWN, (FkRev){0}, NULL);
   g_ptr_array_set_size(r->outs, 0);
   report(r, 2, 3, 11, NULL, FK_EXIT_NONE);
@@ -93,8 +94,9 @@
   rig_free(r);
 }
 
-/* A shard's fencing token doesn't change when its machines are marked as drained. A machine that is missing
- * from its shard's page is removed from the view. */
+/* A shard's machines are listed in a record of the store, the shard's page. Marking a machine as drained in
+ * the page doesn't change the shard's fencing token. A machine that is missing from the page is removed from
+ * the view. */
 static void test_shards(void) {
   static const struct {
     const char *zone, *machine, *shard;
@@ -116,15 +118,15 @@
   watched(r, marked);
   g_assert_cmpstr(m->drain_reason, ==, "idle");
   g_assert_cmpuint(m->shard->rev.n, ==, token);
-  const char *emptied[] = {page, "{\"m\":[]}", NULL};
-  watched(r, emptied);
+  const char *empty_page[] = {page, "{\"m\":[]}", NULL};
+  watched(r, empty_page);
   m = fk_view_find_machine(v, "i-1");
   g_assert_true(!m || !m->record);
   rig_free(r);
 }
 
-/* Returns a page with `n` machines of the zone, all in the shard of the first one, and adds their ids to
- * `ids`. */
+/* Returns the content of a shard's page with `n` machines of the zone, all in the shard of the first machine.
+ * Adds their ids to `ids`. */
 static char *machine_page(const char *zone, const char *name, guint n, GPtrArray *ids) {
   g_autofree char *first_id = g_strconcat(name, "-1", NULL),
                   *first_shard = fk_shard_id_for_machine(zone, first_id);
@@ -143,8 +145,9 @@
 }
 
 /* A controller acquires another controller's shard if a sufficient share of the shard's workers return to it
- * after it has redirected them to the owner. It must not do so if only a few of many return, or if it has
- * only just lost the shard: two busy controllers once took the same shards from each other for 25 s. */
+ * after it has redirected them to the owner. The controller must not acquire the shard if only a few of many
+ * workers return, or if the controller has only just lost the shard: two busy controllers once took the same
+ * shards from each other for 25 s. */
 static void test_redirected_workers_return(void) {
   static const struct {
     guint machines, returned;
@@ -186,7 +189,7 @@
 
 /* Replies to all commands that were sent: with success for the machines in `responding`, which is then
  * cleared, and with an unknown outcome for the others. Returns whether the controller has sent a commit of
- * the page `page`, which is how a machine is marked as silent. */
+ * the shard's page `page`: a machine is marked as silent by such a commit. */
 static gboolean reply_to_commands(Rig *r, const char *page, GHashTable *responding) {
   gboolean marked = find(r, FK_OUTPUT_COMMIT, page) != NULL;
   g_autoptr(GPtrArray) outs = g_steal_pointer(&r->outs);
@@ -213,16 +216,18 @@
 
 /* An owner that receives heartbeats from its own zone and none from another zone is partitioned from that
  * zone. It must not mark that zone's machines as silent, because they would all be terminated together with
- * their tasks. A single machine without heartbeats among others that send them is marked as silent. */
+ * their tasks. If only one machine of a zone sends no heartbeats, this machine is marked as silent. */
 static void test_zone_partition_is_not_silence(void) {
   /* The scenarios differ in which machines of zone north respond:
    *
    * - 0: all but one.
    * - 1: none.
-   * - 2: all up to some step, none afterwards. One of them runs a service and is therefore probed before
-   *   the next heartbeat of the others is due.
-   * - 3: as 2, but later all of them respond again, the one with the service a little after the others.
-   * - 4: as 3, but the one with the service never responds again. */
+   * - 2: all up to some step, none afterwards.
+   * - 3: as 2, but later all machines respond again, the one with the service a little after the others.
+   * - 4: as 3, but the one with the service never responds again.
+   *
+   * In scenarios 2 to 4, the first machine runs a service, and is therefore probed before the next heartbeats
+   * of the other machines are due. */
   for (guint scenario = 0; scenario < 5; scenario++) {
     Rig *r = rig_new(TRUE);
     r->s->heartbeat_interval_s = scenario >= 2 ? 10 : r->s->heartbeat_interval_s;
@@ -257,9 +262,9 @@
   }
 }
 
-/* A shard that another controller took over while this one couldn't reach the store is taken back soon. A
- * shard that was taken over while this controller was healthy is left with its new owner, because its workers
- * can't reach this controller. */
+/* A shard that another controller took over while this controller couldn't reach the store is taken back
+ * soon. A shard that was taken over while this controller was healthy is left with its new owner, because its
+ * workers can't reach this controller. */
 static void test_handback(void) {
   for (guint outage = 0; outage < 2; outage++) {
     Rig *r = rig_new(TRUE);
@@ -318,10 +323,10 @@
   static const struct {
     const char *what;
     gboolean owned, token_echoed, allocated;
-    guint64 applied[2];    /* revisions reported by c-1 and c-2; 0 if none */
-    double barrier_s;      /* the setting tell_after_s, in seconds; 0 disables the barrier */
-    double acknowledged_s; /* earliest expected time of the acknowledgement; the latest is 1 s later; -1: not
-                              within 20 s */
+    guint64 applied[2]; /* revisions reported by c-1 and c-2; 0 if none */
+    double barrier_s;   /* the setting tell_after_s, in seconds; 0 disables the barrier */
+    /* expected time of the acknowledgement in seconds, or up to 1 s later; -1 if not within 20 s */
+    double acknowledged_s;
   } cases[] = {
       {"no controller has reported its revision", FALSE, FALSE, TRUE, {0, 0}, 30, -1},
       {"only one controller has applied the revision", FALSE, FALSE, TRUE, {1000, 0}, 30, -1},
@@ -386,8 +391,9 @@
 }
 
 /* Silent machines with services are terminated no faster than their services can be restarted on other
- * machines. This also holds for a machine with many services. Capacity for all of these services is
- * provisioned at once. The two machines without services are terminated at once. */
+ * machines. A machine with many services is terminated too, but no other machine with services at the same
+ * time. Capacity for the services of all silent machines is provisioned at once. The two machines without
+ * services are terminated at once. */
 static void test_service_failover_pacing(void) {
   static const struct {
     guint services_on_first, waiting, terminated;
@@ -418,7 +424,7 @@
       g_autofree char *job = g_strdup_printf("fk/l/j/run-6%u", i);
       watched(r, (const char *const[]){job, SERVICE, NULL});
     }
-    /* limits services without a machine to four, as many as the writes of half a second can start */
+    /* at 8 writes/s, at most four services may be without a machine: the writes of half a second */
     r->s->store_write_rps = 8;
     guint terminated = 0, provisioned = 0;
     for (guint s = 0; s < 7; s++)
@@ -436,8 +442,8 @@
   }
 }
 
-/* Completions in a controller's page apply to a chunk's allocations until the chunk's record includes the
- * completions. */
+/* Each controller writes completions to records of its own, its pages of completions. The completions in a
+ * page apply to a chunk's allocations until the chunk's record includes these completions. */
 static void test_completions(void) {
   static const struct {
     const char *completions;
@@ -520,8 +526,8 @@
   }
 }
 
-/* The work of applying a change depends on the number of changed allocations, not on the size of the chunk or
- * the page. */
+/* The work of applying a change depends on the number of changed allocations, not on the size of the chunk's
+ * record or of the page of completions. */
 static void test_incremental_work(void) {
   Rig *r = rig_new(FALSE);
   FkView *v = fk_controller_view(r->c);
@@ -597,8 +603,8 @@
   return fk_rate_limiter_new(&options, count_sent, count_shed, sent);
 }
 
-/* Background writes are sent only while the rate limiter has tokens left; the last of them may overdraw the
- * tokens. Urgent writes, for which users wait, may overdraw the tokens further. */
+/* Background requests are sent only while the rate limiter has write tokens left; the last request may
+ * overdraw the tokens. Urgent requests, for which users wait, may overdraw the tokens further. */
 static void test_write_budget(void) {
   guint sent = 0;
   FkRateLimiter *limiter = new_limiter(100, 10, &sent);
@@ -611,7 +617,8 @@
   for (guint i = 0; i < 5; i++)
     fk_rate_limiter_submit(limiter, 0, 1, &sent);
   g_assert_cmpuint(sent, ==, 8);
-  /* A large request needn't wait until the bucket is full, which other requests might keep from happening. */
+  /* A request with more writes than there are tokens is sent while a few tokens (LARGE_REQUEST_WRITES) are
+   * left. If such a request waited for a full bucket of tokens, smaller requests could delay it forever. */
   FkRateLimiter *partly_used = new_limiter(100, 10, &sent);
   fk_rate_limiter_submit(partly_used, 1, 7, &sent);
   fk_rate_limiter_submit(partly_used, 2, 24, &sent);
@@ -744,8 +751,8 @@
   }
 }
 
-/* The pages with the most pending changes are written first, whatever the order of the hash tables. A page's
- * priority also grows with the age of its pending changes. */
+/* The pages of the shards with the most pending changes are written first, whatever the order of the hash
+ * tables. A page's priority also grows with the age of its pending changes. */
 static void test_registry_page_order(void) {
   Rig *r = rig_new(TRUE);
   const guint shards = 8;
