--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -19,7 +19,7 @@
                                   `request_time_exact` */
   gboolean request_time_exact; /* whether `requested_at` is when the cloud replied to this leader's request */
   gboolean listed;             /* whether the instance has appeared in the cloud's list */
-  gboolean failed;             /* whether the instance was last listed as failed */
+  gboolean failed;             /* whether the instance was listed as failed at `listed_at` */
   gboolean running;            /* whether the instance has been listed as running */
   FkTime listed_at;            /* when the instance was last listed */
   FkTime running_since;        /* when the instance was first listed as running; valid if `running` */
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -318,8 +318,8 @@
   }
 }
 
-/* Orders jobs by priority, highest (lowest number) first, then by the time at which they became startable,
- * earliest first. */
+/* Orders jobs by inherited priority, highest (lowest number) first, then by the time at which they became
+ * startable, earliest first. */
 static int compare_by_priority(gconstpointer a, gconstpointer b) {
   const FkJob *x = *(FkJob *const *)a, *y = *(FkJob *const *)b;
   if (x->inherited_priority != y->inherited_priority)
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -64,11 +64,10 @@
 }
 
 /* Stops the machine's services, and the tasks of arrays that probably can't end within the remaining notice
- * time (NOTICE_RUN_RATIO), whose work during that time would be lost. A stopped task saves its progress if it
- * can. A drain without a termination notice counts as a notice of -1 s: tasks that haven't reached their
- * expected run time are stopped at once, and a task that has exceeded this time by x seconds is stopped once
- * x is less than NOTICE_RUN_RATIO * (1 s + the time since the drain). Tasks of gangs and of cancelled jobs
- * aren't stopped. */
+ * time (NOTICE_RUN_RATIO): their work during that time would be lost. A stopped task saves its progress if it
+ * can. Without a termination notice, `notice_s` starts at -1 s and falls. Tasks that aren't overdue are then
+ * stopped at once, and tasks overdue by more than NOTICE_RUN_RATIO seconds later, the most overdue last.
+ * Tasks of gangs and of cancelled jobs aren't stopped. */
 static void evacuate(FkController *c, FkStopTransaction *stops, const FkMachine *machine) {
   double notice_s = machine->notice_s - fk_time_between(machine->drain_reason_since, c->now);
   for (guint i = 0; i < machine->allocations->len; i++) {
