--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -1,13 +1,14 @@
-/* Cancellations: the commit, and the reply once the cancellation barrier is passed. */
+/* Cancels jobs: commits the cancellation to the store, and replies to the user once the cancellation barrier
+ * is passed. */
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
-#define COMMIT_CONFLICTS_MAX                                                                                 \
-  4 /* a job's record changes seldom: after so many conflicts the client retries                             \
-     */
+/* A cancellation is retried after at most this many commit conflicts; then the reply is 503. More conflicts
+ * are unlikely, because a job's record changes rarely. */
+#define COMMIT_CONFLICTS_MAX 4
 
-static void cancellation_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
-                                   GPtrArray *failed) {
+static void on_cancellation_commit_reply(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                                         GPtrArray *failed) {
   FkPendingRequest *request = data;
   if (outcome == FK_OUTCOME_OK)
     fk_cancellations_await_barrier(c, request);
@@ -24,16 +25,16 @@
   record->cancelled = TRUE;
   fk_transaction_guard(transaction, fk_key_path(FK_KEY_JOB, request->job_id), rev);
   fk_transaction_put(transaction, fk_key_path(FK_KEY_JOB, request->job_id), record, (FkRev){0});
-  fk_transaction_send(c, transaction, cancellation_committed, request, NULL);
+  fk_transaction_send(c, transaction, on_cancellation_commit_reply, request, NULL);
 }
 
 void fk_controller_cancellation_received(FkController *c, FkTime now, FkRequestId request_id,
                                          const char *job_id) {
   c->now = now;
   FkPendingRequest *request = fk_pending_request_new(c, FK_REQUEST_CANCEL, request_id, job_id, NULL);
-  if (fk_job_reads_reply_from_memory(c, request))
+  if (fk_job_reads_handle_permanent_state(c, request))
     return;
-  if (fk_job_reads_handle_without_view(c, request))
+  if (fk_job_reads_handle_unavailable(c, request))
     return;
   FkJob *job = fk_view_find_job(c->view, job_id);
   if (job)
--- a/src/core/api/job_reads.c
+++ b/src/core/api/job_reads.c
@@ -1,19 +1,26 @@
-/* Reads of a job's state. A poll is answered from the view only after a read check: a transaction without
- * writes, which compares the revisions that the view has with the store's. What a check cannot decide is read
- * from the store. A job with dependencies is cancelled by the record of an ancestor, not by its own: its
- * state is told by a view that has reached the revision at which the store was asked (read barrier). */
+/* Reads a job's state. A poll for a job that is neither terminal nor cancelled in the view is answered from
+ * the view only after a read check: a transaction without writes that compares the revisions in the view with
+ * those in the store, so that a stale state is never reported. If the revisions of the job differ, its record
+ * is read from the store.
+ *
+ * If an ancestor of a job is cancelled, the job is cancelled too, but the job's record doesn't show that. The
+ * state of a job with unfinished dependencies is therefore reported from a view that has reached the store's
+ * revision at the time of the read (read barrier). */
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
 #define HTTP_OK 200
 #define HTTP_NOT_FOUND 404
-#define READ_CHECK_REQUEST_SHARE 0.15 /* of the store's requests, all controllers together */
-#define READ_CHECK_GUARDS_FACTOR 4    /* guards of a check, times the operations of a transaction */
-#define READ_CHECK_GUARDS_MAX 400
-#define READS_WITHOUT_VIEW_MAX 16 /* at a time */
-#define STORE_UNREACHABLE_S 3.0   /* the store is asked all the time: no answer for so long is an outage */
+/* Share of the store's request rate for the read checks of all controllers together. */
+#define READ_CHECK_REQUEST_SHARE 0.15
+#define READ_CHECK_GUARDS_FACTOR 4 /* most guards per read check, as a multiple of `transaction_ops_max` */
+#define READ_CHECK_GUARDS_MAX 400  /* most guards per read check, whatever the settings */
+#define READS_WITHOUT_VIEW_MAX 16  /* most concurrent reads of records while the view isn't ready */
+/* The store counts as unreachable if it hasn't replied to any request for this long. Requests are sent to the
+ * store continually. */
+#define STORE_UNREACHABLE_S 3.0
 
-gboolean fk_job_reads_reply_from_memory(FkController *c, FkPendingRequest *request) {
+gboolean fk_job_reads_handle_permanent_state(FkController *c, FkPendingRequest *request) {
   if (fk_pending_request_reply_if_terminal(c, request))
     return TRUE;
   const FkJob *job = fk_view_find_job(c->view, request->job_id);
@@ -41,7 +48,8 @@
 static void job_record_received(FkController *c, gpointer data, FkOutcome outcome, FkStoreEvent *event) {
   FkPendingRequest *request = data;
   if (outcome == FK_OUTCOME_GONE) {
-    /* a job goes from live to terminal, never back: so the terminal record is read after the live one */
+    /* The terminal record is read after the live one, because a job changes from live to terminal, never
+     * back. */
     char *path = fk_key_path(FK_KEY_TERMINAL_JOB, request->job_id);
     fk_read_send(c, path, terminal_record_received, request, NULL);
     return;
@@ -59,7 +67,7 @@
     fk_cancellations_commit(c, request, record->spec, event->rev);
     return;
   }
-  if (fk_job_reads_reply_from_memory(c, request))
+  if (fk_job_reads_handle_permanent_state(c, request))
     return;
   const FkJob *job = fk_view_find_job(c->view, request->job_id);
   if (record->spec->dependencies && (!job || job->blocked))
@@ -78,8 +86,10 @@
   return fk_time_between(c->store_session.store_answered_at, c->now) > STORE_UNREACHABLE_S;
 }
 
-/* Without a view the store itself is read, for a few requests at a time, so that none waits for as long as
- * the list takes. Submissions are not accepted this way: that needs to know who may run, and where. */
+/* Reads the job's record from the store while the view isn't ready, so that polls and cancellations need not
+ * wait until the view has been listed. Replies 503 if READS_WITHOUT_VIEW_MAX requests are being handled in
+ * this way already. A submission is answered in this way only if the job exists already: accepting a new job
+ * requires the teams' quotas and the instance types. */
 static void read_without_view(FkController *c, FkPendingRequest *request) {
   if (c->requests.store_reads >= READS_WITHOUT_VIEW_MAX) {
     fk_pending_request_reply_unavailable(c, request);
@@ -90,7 +100,7 @@
   fk_job_reads_read_record(c, request);
 }
 
-gboolean fk_job_reads_handle_without_view(FkController *c, FkPendingRequest *request) {
+gboolean fk_job_reads_handle_unavailable(FkController *c, FkPendingRequest *request) {
   if (is_store_unreachable(c))
     fk_pending_request_reply_unavailable(c, request);
   else if (!fk_controller_is_ready(c))
@@ -102,7 +112,8 @@
 
 /* ------------------------------------------------------------------ read checks */
 
-/* The ids of the jobs whose records have changed since the view. */
+/* Returns the ids of the jobs whose revisions in the store differ from the guards of the read check, as a set
+ * owned by the caller. The set is empty unless the outcome is a conflict. */
 static GHashTable *changed_job_ids(FkOutcome outcome, const GPtrArray *failed) {
   GHashTable *changed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; outcome == FK_OUTCOME_CONFLICT && failed && i < failed->len; i++) {
@@ -114,8 +125,8 @@
   return changed;
 }
 
-static void finish_check(FkController *c, FkPendingRequest *request, GHashTable *changed, FkRev epoch) {
-  if (fk_job_reads_reply_from_memory(c, request))
+static void finish_read_check(FkController *c, FkPendingRequest *request, GHashTable *changed, FkRev epoch) {
+  if (fk_job_reads_handle_permanent_state(c, request))
     return;
   const FkJob *job = fk_view_find_job(c->view, request->job_id);
   if (g_hash_table_contains(changed, request->job_id))
@@ -125,10 +136,11 @@
   else if (job)
     fk_pending_request_reply_from_view(c, request, job);
   else if (request->shown_by_view)
-    /* it existed when the store compared, and the view has been cleared since: its absence proves nothing */
+    /* The job was in the view when the read check was sent, and the view has been cleared since. The job may
+     * still be in the store. */
     fk_job_reads_read_record(c, request);
   else
-    /* neither live nor terminal when the store compared */
+    /* At the time of the read check, the store had neither a live nor a terminal record of the job. */
     fk_pending_request_reply_status(c, request, HTTP_NOT_FOUND);
 }
 
@@ -141,7 +153,7 @@
       outcome == FK_OUTCOME_OK || (outcome == FK_OUTCOME_CONFLICT && g_hash_table_size(changed));
   for (guint i = 0; i < batch->len; i++) {
     if (compared)
-      finish_check(c, batch->pdata[i], changed, epoch);
+      finish_read_check(c, batch->pdata[i], changed, epoch);
     else
       fk_pending_request_reply_unavailable(c, batch->pdata[i]);
   }
@@ -173,7 +185,7 @@
 }
 
 void fk_job_reads_queue_check(FkController *c, FkPendingRequest *request) {
-  if (fk_job_reads_handle_without_view(c, request))
+  if (fk_job_reads_handle_unavailable(c, request))
     return;
   if (c->requests.to_verify->length >= FK_REQUESTS_QUEUED_MAX) {
     fk_pending_request_reply_unavailable(c, request);
@@ -186,7 +198,7 @@
 void fk_controller_poll_received(FkController *c, FkTime now, FkRequestId request_id, const char *job_id) {
   c->now = now;
   FkPendingRequest *request = fk_pending_request_new(c, FK_REQUEST_POLL, request_id, job_id, NULL);
-  if (!fk_job_reads_reply_from_memory(c, request))
+  if (!fk_job_reads_handle_permanent_state(c, request))
     fk_job_reads_queue_check(c, request);
 }
 
@@ -204,15 +216,17 @@
   g_queue_push_tail(c->requests.awaiting_view, request);
 }
 
-/* The view has what the store had when the state was asked for. */
+/* Replies with the state of a job that has dependencies. Called once the view has reached the store's
+ * revision at the time of the read check, or of the commit of the submission. */
 static void reply_for_blocked_job(FkController *c, FkPendingRequest *request) {
-  if (fk_job_reads_reply_from_memory(c, request))
+  if (fk_job_reads_handle_permanent_state(c, request))
     return;
   const FkJob *job = fk_view_find_job(c->view, request->job_id);
   if (!job)
     fk_job_reads_read_record(c, request);
   else if (!fk_dependency_graph_is_known(c->view->dependencies, request->job_id))
-    fk_pending_request_reply_unavailable(c, request); /* the terminal state of an ancestor is being read */
+    /* the terminal state of an ancestor is still being read from the store */
+    fk_pending_request_reply_unavailable(c, request);
   else
     fk_pending_request_reply_from_view(c, request, job);
 }
@@ -235,8 +249,8 @@
   for (guint n = c->requests.awaiting_view->length; n; n--) {
     FkPendingRequest *request = g_queue_pop_head(c->requests.awaiting_view);
     gboolean reached = c->view->applied.n >= request->barrier_rev.n;
-    gboolean late = fk_time_between(request->waiting_since, c->now) > FK_REQUEST_WAIT_MAX_S;
-    if (!fk_controller_is_ready(c) || (!reached && late))
+    gboolean timed_out = fk_time_between(request->waiting_since, c->now) > FK_REQUEST_WAIT_MAX_S;
+    if (!fk_controller_is_ready(c) || (!reached && timed_out))
       fk_pending_request_reply_unavailable(c, request);
     else if (reached)
       pass_barrier(c, request);
--- a/src/core/api/requests.h
+++ b/src/core/api/requests.h
@@ -1,31 +1,39 @@
-/* Users' requests that wait for a reply. */
+/* The queues of users' requests that have not been answered yet. */
 #pragma once
 #include "core/api/cancellation_barrier.h"
 #include "core/messages.h"
 
-/* Users' requests that aren't answered yet. */
+/* Users' requests that have not been answered yet. `pending` owns the requests, and the queues borrow
+ * them. */
 typedef struct {
-  GHashTable *pending; /* FkPendingRequest: all of them */
-  GQueue *to_verify;   /* FkPendingRequest: waiting for a read check */
-  gboolean verifying;
-  FkTime verify_after;
-  guint store_reads; /* reads from the store under way while there is no view */
+  GHashTable *pending; /* set of FkPendingRequest: all requests; owned */
+  GQueue *to_verify;   /* FkPendingRequest: requests waiting for a read check */
+  gboolean verifying;  /* whether a read check is in flight */
+  FkTime verify_after; /* the next read check isn't sent before this time */
+  guint store_reads;   /* number of requests that read the store because the view wasn't ready */
   FkCancellationBarrier *cancellation_barrier;
-  GQueue *awaiting_cancellation; /* FkPendingRequest: of a cancelled job, not past the barrier yet */
-  GQueue *awaiting_view;         /* FkPendingRequest: until the view has reached a revision */
-  GHashTable *
-      terminal_states_requested; /* ids of jobs that others depend on, whose terminal states are being read */
-  FkTime inherited_at;           /* when inherited priorities and deadlines were computed last ... */
-  gboolean inheriting;           /* ... and whether there were any */
+  GQueue *awaiting_cancellation; /* FkPendingRequest: requests waiting for the cancellation barrier */
+  GQueue *awaiting_view;         /* FkPendingRequest: requests waiting for the view to reach `barrier_rev` */
+  /* set of ids of jobs that other jobs depend on and whose terminal states are being read from the store */
+  GHashTable *terminal_states_requested;
+  FkTime inherited_at; /* when inherited priorities and deadlines were last computed */
+  gboolean inheriting; /* whether any job inherited a priority or deadline at `inherited_at` */
 } FkPendingRequests;
 
-/* GDestroyNotify of the table of pending requests. */
+/* Frees a request. GDestroyNotify of the table of pending requests. */
 void fk_pending_request_free(gpointer request);
-/* Sends the queued read checks as one transaction, if none is under way and the request budget allows it. */
+/* Sends a read check for the oldest queued requests, as many as fit into one transaction, if no read check is
+ * in flight and the rate limit of read checks allows it. */
 void fk_requests_send_read_checks(FkController *c);
-/* Replies to those whose job is cancelled and past the cancellation barrier, or who have waited too long. */
+/* Replies to the requests in `awaiting_cancellation` whose job is terminal or whose cancellation barrier is
+ * passed. Replies 503 to requests that have waited for longer than FK_REQUEST_WAIT_MAX_S, and to all that
+ * remain if the view isn't ready. */
 void fk_requests_reply_cancelled(FkController *c);
-/* Goes on with those whose revision the view has reached, or who have waited too long. */
+/* Resumes the requests in `awaiting_view` whose `barrier_rev` the view has reached. Replies 503 to the other
+ * requests if they have waited for longer than FK_REQUEST_WAIT_MAX_S, and to all requests if the view isn't
+ * ready. */
 void fk_requests_pass_read_barrier(FkController *c);
-/* The latest revision that a pending cancellation needs all controllers to have applied; 0: none. */
+/* Returns the highest revision of the jobs in the view whose cancellations wait to be acknowledged; 0 if
+ * there is none. Once every other controller has applied this revision, all of these cancellations can be
+ * acknowledged. */
 FkRev fk_requests_awaited_rev(FkController *c);
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -1,4 +1,5 @@
-/* Submissions: whether a job can ever run, what is known of its dependencies, and the commit. */
+/* Accepts submissions: checks whether the job can ever run, looks up its dependencies, and commits its
+ * record. */
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 #include "core/scheduling/placement.h"
@@ -6,24 +7,29 @@
 
 #define HTTP_CREATED 201
 #define HTTP_UNPROCESSABLE 422
-#define VIEW_FRESH_S 5.0           /* far less than the deadline of cancellations */
-#define COMPARISON_GUARDS_FACTOR 4 /* guards of a comparison, times the operations of a transaction */
+/* The view counts as fresh if it was confirmed within this time, which is much shorter than the deadline for
+ * cancellations. */
+#define VIEW_FRESH_S 5.0
+/* Most guards of a transaction that checks whether dependencies exist, as a multiple of the setting
+ * `transaction_ops_max`. */
+#define COMPARISON_GUARDS_FACTOR 4
 
-/* What the view knows of a job that a submission depends on. */
+/* The state of a dependency of a submitted job, according to the view. */
 typedef enum {
-  DEPENDENCY_DONE,       /* permanent: it need not be written down */
-  DEPENDENCY_ACCEPTED,   /* it is live or cancelled: it was accepted, and that is permanent */
-  DEPENDENCY_UNKNOWN,    /* not in the view: the store is asked */
-  DEPENDENCY_IMPOSSIBLE, /* the job itself, or a service, which never ends */
+  DEPENDENCY_DONE,       /* done, which is permanent: omitted from the job's record */
+  DEPENDENCY_ACCEPTED,   /* live, or ended without being done: kept in the job's record */
+  DEPENDENCY_UNKNOWN,    /* neither live nor terminal in the view: the store must be read */
+  DEPENDENCY_IMPOSSIBLE, /* the submitted job itself, or a service, which never ends */
 } DependencyStatus;
 
-static void submission_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
-                                 GPtrArray *failed) {
+static void on_submission_commit_reply(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                                       GPtrArray *failed) {
   FkPendingRequest *request = data;
   gboolean stale =
       request->ancestor_unknown || fk_time_between(c->store_session.confirmed_at, c->now) > VIEW_FRESH_S;
   if (outcome == FK_OUTCOME_OK && request->spec->dependencies && stale) {
-    /* a dependency may have been cancelled long ago without this view showing it */
+    /* the view may be stale or lack an ancestor's terminal state: wait until the view shows whether a
+     * dependency is cancelled */
     fk_job_reads_await_view(c, request, epoch, FK_BARRIER_REPLY);
   } else if (outcome == FK_OUTCOME_OK) {
     FkPhase phase = request->dependency_cancelled ? FK_PHASE_CANCELLED : FK_PHASE_QUEUED;
@@ -35,7 +41,9 @@
   }
 }
 
-/* Whether no fleet could run the job. Only asked of jobs that are not accepted yet. */
+/* Returns whether the job can never run: its team doesn't exist, a task fits no instance type, or the team's
+ * limits are too low. An array needs room for one task at a time, any other job for all its tasks. Only
+ * called for jobs that the view doesn't have. */
 static gboolean can_never_run(FkController *c, const FkSpec *spec) {
   FkTeam *team = fk_settings_find_team(c->settings, spec->team);
   double tasks = spec->shape != FK_SHAPE_ARRAY ? spec->tasks : 1;
@@ -54,16 +62,16 @@
 void fk_controller_submission_received(FkController *c, FkTime now, FkRequestId request_id, FkSpec *spec) {
   c->now = now;
   FkPendingRequest *request = fk_pending_request_new(c, FK_REQUEST_SUBMIT, request_id, spec->id, spec);
-  if (fk_job_reads_reply_from_memory(c, request))
+  if (fk_job_reads_handle_permanent_state(c, request))
     return;
-  if (fk_job_reads_handle_without_view(c, request))
+  if (fk_job_reads_handle_unavailable(c, request))
     return;
   if (fk_view_find_job(c->view, request->job_id)) {
     fk_job_reads_queue_check(c, request);
     return;
   }
   if (!g_hash_table_size(c->autoscaling.instance_types)) {
-    /* without the instance types nobody can say whether it could run */
+    /* the instance types are needed to decide whether the job can ever run */
     fk_pending_request_reply_unavailable(c, request);
     return;
   }
@@ -96,14 +104,16 @@
   fk_submissions_accept(c, request);
 }
 
-/* The store has compared the absence of the job and of those that it depends on. Of the ones that it does
- * have, some are live and the view is behind, others are terminal and read one after another: the view keeps
- * each, also for a repeat of the same submission. */
+/* Handles the store's reply to the check whether the job, and the dependencies that the view lacks, exist.
+ * `failed` has the paths of the records that do exist. If the job exists, its record is read. If a dependency
+ * doesn't exist, the submission is rejected. Terminal states are read one after another and added to the
+ * view, so that a retry of the same submission finds them there. A live dependency is missing from the view
+ * only because the view is behind: the request waits for the view. */
 static void dependencies_compared(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                                   GPtrArray *failed) {
   FkPendingRequest *request = data;
   if (outcome == FK_OUTCOME_OK) {
-    /* at one moment neither the job nor any of them existed */
+    /* at one revision of the store, neither the job nor any of these dependencies existed */
     fk_pending_request_reply_status(c, request, HTTP_UNPROCESSABLE);
     return;
   }
@@ -123,7 +133,8 @@
   }
   if (!found)
     fk_pending_request_reply_unavailable(c, request);
-  else if (found < request->compared_count) /* the others didn't exist, and neither did the job */
+  else if (found < request->compared_count)
+    /* at least one dependency doesn't exist, and neither does the job */
     fk_pending_request_reply_status(c, request, HTTP_UNPROCESSABLE);
   else if (terminal_path && request->steps++ < FK_REQUEST_STEPS_MAX)
     fk_read_send(c, g_strdup(terminal_path), dependency_record_received, request, NULL);
@@ -131,7 +142,8 @@
     fk_job_reads_await_view(c, request, epoch, FK_BARRIER_ACCEPT);
 }
 
-/* Notes in the request whether the dependency is cancelled, or an ancestor of it unknown. */
+/* Returns the status of the dependency `id`. Sets `dependency_cancelled` in the request if the dependency is
+ * cancelled, and `ancestor_unknown` if the terminal state of one of the dependency's ancestors is unknown. */
 static DependencyStatus dependency_status(FkController *c, FkPendingRequest *request, const char *id) {
   FkPhase phase;
   guint32 tasks;
@@ -149,9 +161,10 @@
   return DEPENDENCY_ACCEPTED;
 }
 
-/* Reduces the dependencies to those that are not done. FALSE: the store was asked about some, or the request
- * has been answered. None of this needs a guard: that a job was accepted never changes, and what becomes of
- * it is seen by whoever has it in its view. */
+/* Removes the dependencies that are done from the job's spec. Returns FALSE if a query to the store is in
+ * flight or the request has been answered. The submission isn't guarded by the records of its dependencies:
+ * the acceptance of a job is permanent, and each controller follows later changes of the dependencies through
+ * its own view. */
 static gboolean resolve_dependencies(FkController *c, FkPendingRequest *request) {
   char **dependencies = request->spec->dependencies;
   g_autoptr(GStrvBuilder) unfinished = g_strv_builder_new();
@@ -177,7 +190,7 @@
       guard_absence(comparison, request->job_id);
     }
     if (comparison->guards->len + 2 > COMPARISON_GUARDS_FACTOR * c->settings->transaction_ops_max)
-      break; /* the next comparison has the others */
+      break; /* the other dependencies are checked after the reply */
     guard_absence(comparison, dependencies[i]);
     request->compared_count++;
   }
@@ -199,7 +212,7 @@
     return;
   }
   if (spec->dependencies && !fk_job_dependencies_are_supported(c)) {
-    /* a controller of a version without dependencies would start it at once */
+    /* a controller of a version without support for dependencies would start the job at once */
     fk_pending_request_reply_unavailable(c, request);
     return;
   }
@@ -208,12 +221,12 @@
   g_free(spec->owner);
   spec->owner = g_strdup(c->settings->node);
   spec->submitted_ms = (c->now.us + c->view->wall_offset_us) / 1000;
-  /* a chunk with every task allocated stays within the limit of a value */
+  /* a chunk's record must stay within the store's limit for a value even if every task is allocated */
   spec->chunk_tasks = fk_chunk_max_tasks(c->settings->value_kb, c->settings->node);
   FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_USER);
   guard_absence(transaction, spec->id);
   FkRecord *record = fk_record_new(FK_KEY_JOB);
   record->spec = fk_spec_ref(spec);
   fk_transaction_put(transaction, fk_key_path(FK_KEY_JOB, spec->id), record, (FkRev){0});
-  fk_transaction_send(c, transaction, submission_committed, request, NULL);
+  fk_transaction_send(c, transaction, on_submission_commit_reply, request, NULL);
 }
--- a/src/core/autoscaler/arrival_rates.c
+++ b/src/core/autoscaler/arrival_rates.c
@@ -1,10 +1,15 @@
-/* How often services of each class arrive: headroom is provisioned for those that are expected. */
+/* Estimates the arrival rate of the services of each class. The autoscaler provisions headroom for the
+ * expected arrivals. */
 #include "core/autoscaler/autoscaler_internal.h"
 
-#define TIME_CONSTANT_S 30.0
-#define INITIAL_PER_S 0.02
-#define GROWTH_MAX 2.0    /* an update: a burst at the start isn't taken for the rate to come */
-#define LEADER_STABLE_S 1 /* what a new leader sees until then has waited for long: no arrivals */
+#define TIME_CONSTANT_S 30.0 /* time constant of the smoothing of the rates */
+#define INITIAL_PER_S 0.02   /* first estimate of a class's rate */
+/* Before smoothing, the measured rate is limited to this multiple of the estimate, plus one per second, so
+ * that an initial burst doesn't dominate the estimate. */
+#define GROWTH_MAX 2.0
+/* Services first seen before a change of leadership, or within this time after it, aren't counted: they
+ * probably arrived before the change. */
+#define LEADER_STABLE_S 1
 
 static FkArrivalRate *rate_of_class(FkAutoscaler *a, const FkJob *job) {
   FkArrivalRate *rate = g_hash_table_lookup(a->arrival_rates, job->spec->class_name);
--- a/src/core/autoscaler/capacity_plan.c
+++ b/src/core/autoscaler/capacity_plan.c
@@ -1,3 +1,4 @@
+/* Capacity plans: keeps bins of equal capacity in a hash table, with rounded amounts in the key. */
 #include "core/autoscaler/capacity_plan.h"
 #include "core/scheduling/placement.h"
 
@@ -6,15 +7,17 @@
 
 #include "core/controller_internal.h"
 
-#define CPU_STEPS 4.0 /* a CPU or GPU */
-#define MEM_STEPS 2.0 /* a GB */
-#define TIME_STEP_S 2.0
-#define SMALLEST_CPUS 0.25
-#define SMALLEST_MEM_GB 0.25
-#define ROUND_UP 0.9999 /* added before rounding down */
-#define ROUND_DOWN 1e-6
-#define AMOUNT_EPSILON 1e-6 /* amounts are sums of fractions */
-#define SLOTS_MAX 100000
+#define CPU_STEPS 4.0   /* steps per CPU or GPU in a bin's key */
+#define MEM_STEPS 2.0   /* steps per GB in a bin's key */
+#define TIME_STEP_S 2.0 /* step of the time of availability in a bin's key */
+/* Capacity is omitted from the plan, as too small for any task, if both its CPUs and its GPUs are less than
+ * BIN_CPUS_MIN, or if its memory is less than BIN_MEM_GB_MIN. */
+#define BIN_CPUS_MIN 0.25
+#define BIN_MEM_GB_MIN 0.25
+#define ROUND_UP_OFFSET 0.9999 /* added before rounding down, which thereby rounds up */
+#define ROUND_DOWN_OFFSET 1e-6 /* added before rounding down; tolerates rounding errors */
+#define AMOUNT_EPSILON 1e-6    /* tolerates rounding errors in sums of fractions */
+#define SLOTS_MAX 100000       /* limit of fk_capacity_task_slots() */
 
 static guint bin_key_hash(gconstpointer key) { /* FNV-1a */
   const guint8 *bytes = key;
@@ -47,12 +50,13 @@
   return (gint64)floor(amount * steps + rounding);
 }
 
-/* Free capacity is rounded down, capacity that will be released up: whatever releases it fits in again. */
+/* Returns the key of a bin. Free capacity is rounded down to whole steps. Capacity that a task will release
+ * is rounded up, so that another task with the same spec fits into it. */
 static FkCapacityBinKey bin_key(FkCapacityBinKind kind, const FkOffer *offer, FkCapacity free,
                                 double available_s) {
-  double rounding = kind == FK_CAPACITY_BIN_RELEASED ? ROUND_UP : ROUND_DOWN;
+  double rounding = kind == FK_CAPACITY_BIN_RELEASED ? ROUND_UP_OFFSET : ROUND_DOWN_OFFSET;
   FkCapacityBinKey key;
-  memset(&key, 0, sizeof key); /* padding is compared as well */
+  memset(&key, 0, sizeof key); /* the padding is hashed and compared too */
   key.type = offer->type;
   key.zone = g_intern_string(offer->zone);
   key.spot = (guint32)offer->spot;
@@ -66,7 +70,7 @@
 
 void fk_capacity_plan_add(FkCapacityPlan *plan, FkCapacityBinKind kind, const FkOffer *offer, guint count,
                           FkCapacity free, double available_s) {
-  if (!count || (free.cpus < SMALLEST_CPUS && free.gpus < SMALLEST_CPUS) || free.mem_gb < SMALLEST_MEM_GB)
+  if (!count || (free.cpus < BIN_CPUS_MIN && free.gpus < BIN_CPUS_MIN) || free.mem_gb < BIN_MEM_GB_MIN)
     return;
   FkCapacityBinKey key = bin_key(kind, offer, free, available_s);
   guint place = GPOINTER_TO_UINT(g_hash_table_lookup(plan->index, &key));
@@ -92,7 +96,8 @@
   return (guint)CLAMP(slots, 0, SLOTS_MAX);
 }
 
-/* How many tasks like this one machine of the bin has room for. */
+/* Returns how many tasks with this spec fit into each machine, or part of a machine, of the bin; 0 if the
+ * spec excludes the bin's offer. */
 static guint bin_task_slots(const FkCapacityBin *bin, const FkSpec *spec) {
   if ((bin->key.spot && !spec->spot) || (spec->zone && !g_str_equal(spec->zone, bin->key.zone)) ||
       !fk_placement_fits_type(spec, bin->key.type))
@@ -100,14 +105,15 @@
   return fk_capacity_task_slots(bin->free, spec);
 }
 
-/* Available earlier than `best`, or at the same time on machines in use where `best` isn't. */
+/* Returns whether `bin` is better than `best`: available earlier, or at the same time and on machines in use
+ * while `best` isn't. */
 static gboolean is_preferred(const FkCapacityBin *bin, const FkCapacityBin *best) {
   if (bin->available_s != best->available_s)
     return bin->available_s < best->available_s;
   return bin->key.kind == FK_CAPACITY_BIN_IN_USE && best->key.kind != FK_CAPACITY_BIN_IN_USE;
 }
 
-int fk_capacity_plan_earliest(const FkCapacityPlan *plan, const FkSpec *spec) {
+int fk_capacity_plan_earliest_bin(const FkCapacityPlan *plan, const FkSpec *spec) {
   int best = -1;
   for (guint i = 0; i < plan->bins->len; i++) {
     const FkCapacityBin *bin = &g_array_index(plan->bins, FkCapacityBin, i);
@@ -119,31 +125,34 @@
   return best;
 }
 
-/* What `tasks` tasks leave of it. */
-static FkCapacity less_tasks(FkCapacity free, guint tasks, const FkSpec *spec) {
+/* Returns `free` minus the needs of `tasks` tasks with this spec. */
+static FkCapacity capacity_after_tasks(FkCapacity free, guint tasks, const FkSpec *spec) {
   return (FkCapacity){free.cpus - tasks * spec->cpus, free.gpus - tasks * spec->gpus,
                       free.mem_gb - tasks * spec->mem_gb};
 }
 
 guint fk_capacity_plan_allocate(FkCapacityPlan *plan, int bin_index, const FkSpec *spec, guint tasks,
                                 double run_s) {
-  FkCapacityBin bin = g_array_index(plan->bins, FkCapacityBin, bin_index); /* a copy: the array may move */
+  FkCapacityBin bin =
+      g_array_index(plan->bins, FkCapacityBin, bin_index); /* a copy: the array may be reallocated */
   guint slots = bin_task_slots(&bin, spec);
   guint allocated = (guint)MIN((guint64)tasks, (guint64)slots * bin.count);
   guint full_machines = allocated / slots;
-  guint rest = allocated % slots; /* tasks on one machine more */
+  guint rest = allocated % slots; /* tasks on one further machine, which isn't filled */
   FkCapacityBinKind kind = bin.key.kind == FK_CAPACITY_BIN_IDLE ? FK_CAPACITY_BIN_IN_USE : bin.key.kind;
   FkOffer offer = {bin.key.type, bin.key.zone, (gboolean)bin.key.spot};
   g_array_index(plan->bins, FkCapacityBin, bin_index).count -= full_machines + (rest > 0);
-  fk_capacity_plan_add(plan, kind, &offer, full_machines, less_tasks(bin.free, slots, spec), bin.available_s);
-  fk_capacity_plan_add(plan, kind, &offer, rest > 0, less_tasks(bin.free, rest, spec), bin.available_s);
+  fk_capacity_plan_add(plan, kind, &offer, full_machines, capacity_after_tasks(bin.free, slots, spec),
+                       bin.available_s);
+  fk_capacity_plan_add(plan, kind, &offer, rest > 0, capacity_after_tasks(bin.free, rest, spec),
+                       bin.available_s);
   if (spec->shape != FK_SHAPE_SERVICE)
     fk_capacity_plan_add(plan, FK_CAPACITY_BIN_RELEASED, &offer, allocated,
                          (FkCapacity){spec->cpus, spec->gpus, spec->mem_gb}, bin.available_s + run_s);
   return allocated;
 }
 
-static gboolean bin_is_of_offer(const FkCapacityBin *bin, const FkOffer *offer) {
+static gboolean bin_matches_offer(const FkCapacityBin *bin, const FkOffer *offer) {
   return bin->key.type == offer->type && bin->key.spot == (guint32)offer->spot &&
          g_str_equal(bin->key.zone, offer->zone);
 }
@@ -154,7 +163,7 @@
                        (FkCapacity){type->cpus, type->gpus, type->mem_gb}, ready_s);
   for (guint i = 0; i < plan->to_provision->len; i++) {
     FkCapacityBin *planned = &g_array_index(plan->to_provision, FkCapacityBin, i);
-    if (bin_is_of_offer(planned, offer)) {
+    if (bin_matches_offer(planned, offer)) {
       planned->count += count;
       return;
     }
--- a/src/core/autoscaler/consolidation.c
+++ b/src/core/autoscaler/consolidation.c
@@ -1,25 +1,28 @@
-/* Consolidation: a machine that costs far more than what runs there needs is drained, one at a time, when
- * nothing waits and its tasks fit on cheaper machines that are in use. What its tasks have done is lost,
- * which costs less than keeping the machine for them. */
+/* Consolidation drains a machine that costs far more than its tasks need. At most one machine is drained per
+ * CONSOLIDATION_INTERVAL_S, only while no task waits, and only if the machine's tasks fit on cheaper machines
+ * that are in use. The restarted tasks lose work, which costs less than keeping the machine. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
-#define PRICE_RATIO_MIN 4.0 /* of the machine to the cheapest machines that its tasks could have */
+/* Least ratio of a drained machine's price to the price of the cheapest capacity for the machine's tasks. */
+#define PRICE_RATIO_MIN 4.0
 #define CONSOLIDATION_INTERVAL_S 0.5
-#define ROOM_RATIO 2            /* room elsewhere, in times the machine's tasks */
-#define RESTART_MARGIN_S 5.0    /* for a task to start again */
-#define RUN_TIME_MAX_RATIO 1.6  /* of its expected run time, that a task may take */
-#define REMAINING_MIN_RATIO 0.6 /* of its expected remaining time, that a task may end after */
-#define SERVICE_STABLE_S 30.0
+#define ROOM_RATIO 2            /* required slots on cheaper machines / tasks on the machine */
+#define RESTART_MARGIN_S 5.0    /* time for restarting a task */
+#define RUN_TIME_MAX_RATIO 1.6  /* longest assumed run time / expected run time */
+#define REMAINING_MIN_RATIO 0.6 /* shortest assumed remaining run time / expected remaining run time */
+#define SERVICE_STABLE_S 30.0   /* run time from which a service may be moved */
 
-/* Where a task stands, in seconds. */
+/* The progress of a task, in seconds. */
 typedef struct {
-  double waited_s; /* since it could start */
-  double run_s;    /* expected, in all */
-  double left_s;   /* expected, from now */
+  double waited_s; /* time since the job became startable */
+  double run_s;    /* expected total run time */
+  double left_s;   /* expected remaining run time */
 } TaskProgress;
 
-/* Whether a deadline that may be met where the task is will be met as well if it starts again. */
+/* Returns whether a restart of the task doesn't change whether the deadline is met. Either the deadline will
+ * be missed anyway, even with the shortest assumed remaining run time, or the deadline will still be met
+ * after a restart, even with the longest assumed run time. */
 static gboolean deadline_allows_restart(double deadline_s, const TaskProgress *task) {
   return deadline_s < task->waited_s + REMAINING_MIN_RATIO * task->left_s ||
          deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s + RESTART_MARGIN_S;
@@ -29,7 +32,8 @@
   return deadline_s >= task->waited_s + RUN_TIME_MAX_RATIO * task->run_s;
 }
 
-/* All deadlines allow a restart, and at least one of them is far off. */
+/* Returns whether all deadlines of the job allow a restart, and at least one of these deadlines is met even
+ * with the task's longest assumed run time. */
 static gboolean deadlines_allow_restart(FkController *c, const FkJob *job, const TaskProgress *task) {
   double own_s = fk_job_allowed_s(job);
   if (own_s >= 0 && !deadline_allows_restart(own_s, task))
@@ -47,8 +51,9 @@
   return has_slack;
 }
 
-/* Whether the task can start again elsewhere without harm: a service that has settled, or a task of an array
- * with time to spare. */
+/* Returns whether the task can be restarted on another machine without harm: a service that has run for
+ * SERVICE_STABLE_S, or a task of an array whose deadlines allow a restart. Tasks of gangs and of cancelled
+ * jobs, and tasks that are being stopped, can't be moved. */
 static gboolean task_can_move(FkController *c, const FkAllocationRef *allocation) {
   const FkJob *job = allocation->job;
   if (allocation->stop_requested || job->cancelled || job->spec->shape == FK_SHAPE_GANG)
@@ -62,8 +67,8 @@
   return deadlines_allow_restart(c, job, &task);
 }
 
-/* The machine's price in times what its tasks would cost on the cheapest machines; 0: it must not be drained.
- */
+/* Returns the machine's price divided by the price of its tasks on the cheapest machines; 0 if the machine
+ * has no tasks or no known type, is drained already, or has a task that can't be restarted elsewhere. */
 static double price_ratio(FkController *c, const FkMachine *machine) {
   const FkInstanceType *type = fk_machine_type(c, machine);
   if (!type || machine->drain_reason || !machine->allocations->len)
@@ -88,7 +93,8 @@
   return FALSE;
 }
 
-/* The machine with the highest price ratio; NULL: all are below the least. */
+/* Returns the machine with the highest price ratio, and stores this ratio in `ratio`. Returns NULL if no
+ * machine's ratio is above PRICE_RATIO_MIN. */
 static FkMachine *most_overpriced_machine(FkController *c, double *ratio) {
   FkMachine *worst = NULL;
   *ratio = PRICE_RATIO_MIN;
@@ -106,7 +112,9 @@
   return worst;
 }
 
-/* The task that is hardest to place stands for all of them. */
+/* Returns the spec of the machine's task that is hardest to place: the one with the most CPUs and, among
+ * equals, one that may not run on spot machines. The check for room on other machines assumes this spec for
+ * all tasks of the machine. */
 static const FkSpec *hardest_to_place(const FkMachine *machine) {
   const FkSpec *hardest = g_array_index(machine->allocations, FkAllocationRef, 0).job->spec;
   for (guint i = 1; i < machine->allocations->len; i++) {
@@ -117,9 +125,10 @@
   return hardest;
 }
 
-/* Slots for such tasks on cheaper machines that are in use. */
-static guint slots_elsewhere(FkController *c, const FkMachine *left, const FkSpec *spec) {
-  double price = fk_instance_type_price(left->type, left->record->spot);
+/* Returns how many tasks with this spec fit on machines that are in use, not drained, and cheaper than
+ * `drained`. */
+static guint slots_elsewhere(FkController *c, const FkMachine *drained, const FkSpec *spec) {
+  double price = fk_instance_type_price(drained->type, drained->record->spot);
   guint slots = 0;
   GHashTableIter it;
   gpointer value;
@@ -127,7 +136,7 @@
   while (g_hash_table_iter_next(&it, NULL, &value)) {
     FkMachine *machine = value;
     const FkInstanceType *type = fk_machine_type(c, machine);
-    if (!type || machine == left || machine->drain_reason || !machine->allocations->len ||
+    if (!type || machine == drained || machine->drain_reason || !machine->allocations->len ||
         (machine->record->spot && !spec->spot) || !fk_placement_fits_type(spec, type) ||
         fk_instance_type_price(type, machine->record->spot) >= price)
       continue;
@@ -140,9 +149,9 @@
 
 void fk_autoscaler_consolidate(FkController *c) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
-  if (!fk_time_reached(c->now, a->next_consolidation))
+  if (!fk_time_reached(c->now, a->next_consolidation_at))
     return;
-  a->next_consolidation = fk_time_add(c->now, CONSOLIDATION_INTERVAL_S);
+  a->next_consolidation_at = fk_time_add(c->now, CONSOLIDATION_INTERVAL_S);
   if (any_task_waits(c))
     return;
   double ratio;
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -1,23 +1,24 @@
 /* Leader election and the leader's periodic work.
  *
- * A key of the store that is attached to a controller's lease names the leader. The leader places long jobs,
- * sizes the short partition and runs the autoscaler. Safety doesn't depend on there being only one: every
- * transaction is guarded by itself, so that two controllers that both believe to lead do no harm. */
+ * A key in the store, attached to a controller's lease, names the leader. The leader places long jobs, sizes
+ * the short partition, finalizes jobs, preempts tasks and runs the autoscaler. Safety doesn't depend on
+ * having a single leader: every transaction has its own guards, so that two leaders at the same time are
+ * harmless. */
 #include "core/leader/leader_internal.h"
 
-#define CAMPAIGN_RETRY_S 0.1        /* after an answer: the view shows soon who leads */
-#define CAMPAIGN_FAILED_RETRY_S 0.5 /* after a failed or unanswered transaction */
+#define CAMPAIGN_RETRY_S 0.1 /* delay after a success or conflict: the view will soon show the leader */
+#define CAMPAIGN_FAILED_RETRY_S 0.5 /* delay after a failed or unanswered transaction */
 
-static void on_leader_key_written(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
-                                  GPtrArray *failed) {
+static void on_leader_key_write_reply(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
+                                      GPtrArray *failed) {
   gboolean answered = outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT;
   c->leader.write_pending = FALSE;
   c->leader.retry_at = fk_time_add(c->now, answered ? CAMPAIGN_RETRY_S : CAMPAIGN_FAILED_RETRY_S);
   c->leader.wait_rev = epoch;
 }
 
-/* Nobody leads, or the leader has restarted: its new incarnation isn't the leader, although the lease of the
- * old one may last for seconds yet. */
+/* Returns whether the view shows no leader, or an earlier incarnation of a controller as the leader. The new
+ * incarnation isn't the leader, although the lease of the earlier one may last for several more seconds. */
 static gboolean leader_is_absent(FkController *c) {
   if (!c->view->leader)
     return TRUE;
@@ -31,7 +32,7 @@
          fk_controller_can_serve(c, c->now);
 }
 
-/* Claims the leader key, guarded by its revision in our view. */
+/* Writes this controller's name into the leader key, guarded by the key's revision in the view. */
 static void campaign(FkController *c) {
   if (!can_campaign(c))
     return;
@@ -42,16 +43,17 @@
   fk_transaction_guard(transaction, fk_key_path(FK_KEY_LEADER, ""), c->view->leader_rev);
   fk_transaction_put(transaction, fk_key_path(FK_KEY_LEADER, ""), record, c->store_session.lease);
   c->leader.write_pending = TRUE;
-  fk_transaction_send(c, transaction, on_leader_key_written, NULL, NULL);
+  fk_transaction_send(c, transaction, on_leader_key_write_reply, NULL, NULL);
 }
 
-/* Whether the leader key names this incarnation of this controller. */
-static gboolean view_names_us(FkController *c) {
+/* Returns whether the leader key names this incarnation of this controller. */
+static gboolean is_named_leader(FkController *c) {
   return c->view->leader && g_str_equal(c->view->leader, c->settings->node) &&
          g_strcmp0(c->view->leader_incarnation, c->incarnation) == 0;
 }
 
-/* What a leader has learnt about the cluster is void when leadership changes. */
+/* Records that this controller has gained or lost leadership. Resets the sizing of the short partition, the
+ * blacklist and the autoscaler, because their state is out of date. */
 static void leadership_changed(FkController *c, gboolean is_leader) {
   g_message("leadership %s", is_leader ? "acquired" : "lost");
   c->leader.is_leader = is_leader;
@@ -68,7 +70,7 @@
 
 void fk_leader_tick(FkController *c) {
   campaign(c);
-  gboolean is_leader = view_names_us(c);
+  gboolean is_leader = is_named_leader(c);
   if (is_leader != c->leader.is_leader)
     leadership_changed(c, is_leader);
   if (!is_leader)
--- a/src/core/leader/leader_internal.h
+++ b/src/core/leader/leader_internal.h
@@ -1,21 +1,21 @@
-/* What the modules of the leader share. Each is called from leader.c (or window.c) only. */
+/* Functions of the leader's modules that only leader.c and window.c call. */
 #pragma once
 #include "core/controller_internal.h"
 
 /* job_finalization.c */
 
-/* Writes the terminal states of jobs that have ended and deletes their live records; then deletes chunks that
- * deleted jobs left behind. One transaction is in flight at a time. */
+/* Writes the terminal states of jobs that have ended, and deletes their live records. If no job can be
+ * finalized, deletes chunks whose job has no live record. One transaction is in flight at a time. */
 void fk_job_finalization_tick(FkController *c);
 
 /* leader_preemption.c */
 
-/* Stops tasks that must leave their machine although their job goes on: on machines that are drained or about
- * to be reclaimed by the cloud, in gangs that have lost a member, and the victims of services that fit
- * nowhere. */
+/* Stops running tasks so that they are restarted later: tasks on machines to be evacuated, all tasks of gangs
+ * that have lost a member, tasks preempted for services that fit on no machine, and tasks whose capacity is
+ * reclaimed for a blocked job (core/scheduling/preemption.h). */
 void fk_leader_preemption_tick(FkController *c);
 
 /* window.c */
 
-/* Opens all machines of the short partition to long jobs again. */
+/* Clears the blacklist, so that long jobs may use all machines of the short partition again. */
 void fk_window_clear_blacklist(FkController *c);
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -1,4 +1,6 @@
-/* Tasks that the leader stops although their job goes on. They are started again elsewhere. */
+/* Stops running tasks so that they are restarted later: tasks on machines to be evacuated, the tasks of gangs
+ * that have lost a member, tasks preempted for services, and tasks whose capacity is reclaimed for a blocked
+ * job (core/scheduling/preemption.h). */
 #include "core/leader/leader_internal.h"
 #include "core/scheduling/long_path.h"
 #include "core/scheduling/preemption.h"
@@ -9,14 +11,19 @@
 #include "core/scheduling/launch_batch.h"
 #include "core/scheduling/stop_transaction.h"
 
-#define PREEMPTION_INTERVAL_S 4.0        /* between two attempts for one job */
-#define SCAN_INTERVAL_S 0.1              /* between two scans of all jobs, ... */
-#define SCAN_INTERVAL_PER_MACHINE_S 1e-4 /* ... and as much more for each machine */
-#define PREEMPTION_ATTEMPTS_MAX 8        /* a scan: each looks at all machines */
-#define GANG_GRACE_S 2.0                 /* for members whose launch the view doesn't show yet */
-#define NOTICE_RUN_RATIO 1.5 /* a task stays if what is left of it fits into the notice so often */
+#define PREEMPTION_INTERVAL_S 4.0        /* least time between two preemptions for the same job */
+#define SCAN_INTERVAL_S 0.1              /* between two scans of all machines and jobs */
+#define SCAN_INTERVAL_PER_MACHINE_S 1e-4 /* added to the interval for each machine */
+/* Most services per scan for which preemption is attempted: each attempt examines all machines. */
+#define PREEMPTION_ATTEMPTS_MAX 8
+/* Time after FkJob.gang_until for the launches of all members to appear in the view. */
+#define GANG_GRACE_S 2.0
+/* An evacuation doesn't stop a task of an array if the task's expected remaining run time is at most this
+ * multiple of the remaining notice time of its machine. */
+#define NOTICE_RUN_RATIO 1.5
 
-/* Capacity that victims leave must not be counted on by a second service. */
+/* Reserves capacity on the machine for the service for which tasks are preempted, so that the capacity isn't
+ * given to another job in the meantime. */
 static void reserve_capacity(FkController *c, FkMachine *machine, const FkSpec *spec) {
   machine->reserved_cpus += spec->cpus;
   machine->reserved_gpus += spec->gpus;
@@ -26,8 +33,11 @@
   g_array_append_val(c->launches.reservations, reservation);
 }
 
-/* Makes room for a service that fits nowhere, where the least work is lost and the image is cached. */
-static void preempt_for(FkController *c, FkStopTransaction *stops, FkJob *job, GPtrArray *machines) {
+/* Preempts tasks to make room for a service. Chooses the machine where preemption costs least: the lost work,
+ * plus a fixed cost if the service's image isn't cached. Does nothing if the service fits on a machine
+ * without preemption, if its team's quota is used up, or if tasks were preempted for the job less than
+ * PREEMPTION_INTERVAL_S ago. */
+static void preempt_for_service(FkController *c, FkStopTransaction *stops, FkJob *job, GPtrArray *machines) {
   if (!fk_team_quota_allows_task(c, job->spec) ||
       fk_time_between(job->preempted_for_at, c->now) < PREEMPTION_INTERVAL_S ||
       fk_long_path_best_machine(c, job, machines, NULL))
@@ -46,14 +56,18 @@
   reserve_capacity(c, machine, job->spec);
 }
 
-/* Whether the machine is drained, or the cloud will take it back. */
-static gboolean is_evacuated(const FkMachine *machine) {
+/* Returns whether the machine's tasks must be stopped: the machine is drained by request or by consolidation,
+ * or the cloud is about to reclaim it. */
+static gboolean needs_evacuation(const FkMachine *machine) {
   return machine->record && (g_strcmp0(machine->drain_reason, FK_DRAIN_REASON_DRAIN) == 0 ||
                              g_strcmp0(machine->drain_reason, "notice") == 0);
 }
 
-/* Stops what can't end within the machine's notice, so that the rest of the notice isn't lost as well. A task
- * that can save its progress does so. What is about to end in time stays. */
+/* Stops the machine's services, and the tasks of arrays that probably can't end within the remaining notice
+ * time (NOTICE_RUN_RATIO): their work during that time would be lost. A stopped task saves its progress if it
+ * can. Without a termination notice, `notice_s` starts at -1 s and falls. Tasks that aren't overdue are then
+ * stopped at once, and tasks overdue by more than NOTICE_RUN_RATIO seconds later, the most overdue last.
+ * Tasks of gangs and of cancelled jobs aren't stopped. */
 static void evacuate(FkController *c, FkStopTransaction *stops, const FkMachine *machine) {
   double notice_s = machine->notice_s - fk_time_between(machine->drain_reason_since, c->now);
   for (guint i = 0; i < machine->allocations->len; i++) {
@@ -73,7 +87,7 @@
   gpointer machine;
   g_hash_table_iter_init(&it, c->view->machines);
   while (g_hash_table_iter_next(&it, NULL, &machine))
-    if (is_evacuated(machine))
+    if (needs_evacuation(machine))
       evacuate(c, stops, machine);
 }
 
@@ -84,7 +98,9 @@
          fk_time_between(job->preempted_for_at, c->now) >= PREEMPTION_INTERVAL_S;
 }
 
-/* A gang that lost a member can't go on: all its tasks start again together. */
+/* Returns whether the job is a gang that has lost a member: some of its tasks are allocated and others wait,
+ * although the time for its launch is over. Such a gang can't continue: all its tasks are stopped, and later
+ * restarted together. */
 static gboolean gang_is_broken(FkController *c, const FkJob *job) {
   return job->spec->shape == FK_SHAPE_GANG && !job->cancelled && job->allocated &&
          fk_job_waiting_tasks(job) && fk_time_reached(c->now, fk_time_add(job->gang_until, GANG_GRACE_S));
@@ -101,7 +117,7 @@
     FkJob *job = value;
     if (attempts_left && service_needs_preemption(c, job)) {
       attempts_left--;
-      preempt_for(c, stops, job, machines);
+      preempt_for_service(c, stops, job, machines);
     }
     if (gang_is_broken(c, job))
       fk_stop_transaction_add_job(c, stops, job);
@@ -109,10 +125,10 @@
 }
 
 void fk_leader_preemption_tick(FkController *c) {
-  if (!fk_time_reached(c->now, c->leader.preempt_checked_at))
+  if (!fk_time_reached(c->now, c->leader.next_preemption_scan_at))
     return;
   guint machine_count = g_hash_table_size(c->view->machines);
-  c->leader.preempt_checked_at =
+  c->leader.next_preemption_scan_at =
       fk_time_add(c->now, SCAN_INTERVAL_S + SCAN_INTERVAL_PER_MACHINE_S * machine_count);
   if (c->leader.preempting || c->view->applied.n < c->leader.preempt_wait_rev.n ||
       !fk_time_reached(c->now, c->leader.preempt_after))
