--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -140,12 +140,12 @@
   return fk_json_print(json);
 }
 
-char *fk_cloud_print_machines(const GPtrArray *listed, gboolean more) {
+char *fk_cloud_print_machines(const GPtrArray *machines, gboolean more) {
   static const char *const phases[] = {"starting", "running", "failed"};
   g_autoptr(cJSON) json = cJSON_CreateObject();
   cJSON *list = cJSON_AddArrayToObject(json, "knotters");
-  for (guint i = 0; i < listed->len; i++) {
-    const FkCloudMachine *machine = listed->pdata[i];
+  for (guint i = 0; i < machines->len; i++) {
+    const FkCloudMachine *machine = machines->pdata[i];
     cJSON *item = cJSON_CreateObject();
     cJSON_AddStringToObject(item, "ref", machine->id);
     cJSON_AddStringToObject(item, "address", machine->addr);
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -3,8 +3,10 @@
 #include <math.h>
 #include <string.h>
 
-#define LONG_DIGITS 16                      /* a number with so many may not fit a double */
-#define DOUBLE_EXACT_MAX 9007199254740992.0 /* 2^53 */
+/* Whole numbers with at least this many digits may exceed DOUBLE_EXACT_MAX and are kept as strings. */
+#define QUOTED_NUMBER_DIGITS_MIN 16
+/* 2^53: a double holds every whole number up to it. */
+#define DOUBLE_EXACT_MAX 9007199254740992.0
 
 static gsize digits_end(const char *text, gsize start, gsize len) {
   gsize end = start;
@@ -13,12 +15,13 @@
   return end;
 }
 
-/* Whether the digits from `start` to `end` are a number without sign, fraction and exponent. */
+/* Returns whether the digits from `start` to `end` are a number without sign, fraction and exponent. */
 static gboolean is_whole_number(const char *text, gsize start, gsize end, gsize len) {
   return (end >= len || !strchr(".eE", text[end])) && (start == 0 || !strchr("-+.eE", text[start - 1]));
 }
 
-/* The text with long whole numbers in quotes, so that cJSON keeps their digits; NULL: there are none. */
+/* Returns the text with long whole numbers in quotes, so that cJSON keeps all their digits; NULL if there are
+ * no such numbers. */
 static GString *quote_long_numbers(const char *text, gsize len) {
   GString *quoted = NULL;
   gboolean in_string = FALSE;
@@ -34,9 +37,9 @@
       in_string = TRUE;
     } else if (g_ascii_isdigit(c)) {
       gsize end = digits_end(text, i, len);
-      if (end - i >= LONG_DIGITS && is_whole_number(text, i, end, len)) {
+      if (end - i >= QUOTED_NUMBER_DIGITS_MIN && is_whole_number(text, i, end, len)) {
         if (!quoted)
-          quoted = g_string_sized_new(len + LONG_DIGITS);
+          quoted = g_string_sized_new(len + QUOTED_NUMBER_DIGITS_MIN);
         g_string_append_len(quoted, text + copied, (gssize)(i - copied));
         g_string_append_printf(quoted, "\"%.*s\"", (int)(end - i), text + i);
         copied = end;
@@ -49,7 +52,7 @@
   return quoted;
 }
 
-/* Only white space follows. */
+/* Returns whether only white space remains up to `end`. */
 static gboolean is_blank(const char *text, const char *end) {
   for (; text < end; text++)
     if (!g_ascii_isspace(*text))
@@ -87,14 +90,14 @@
   return TRUE;
 }
 
-double fk_json_num_or(const cJSON *object, const char *name, double other) {
+double fk_json_num_or(const cJSON *object, const char *name, double default_value) {
   double number;
-  return fk_json_num(object, name, &number) ? number : other;
+  return fk_json_num(object, name, &number) ? number : default_value;
 }
 
 gboolean fk_json_item_u64(const cJSON *item, guint64 *out) {
   if (cJSON_IsString(item))
-    return strlen(item->valuestring) >= LONG_DIGITS &&
+    return strlen(item->valuestring) >= QUOTED_NUMBER_DIGITS_MIN &&
            g_ascii_string_to_unsigned(item->valuestring, 10, 0, G_MAXUINT64, out, NULL);
   if (!cJSON_IsNumber(item) || item->valuedouble < 0 || item->valuedouble > DOUBLE_EXACT_MAX ||
       item->valuedouble != floor(item->valuedouble))
--- a/src/wire/peer.c
+++ b/src/wire/peer.c
@@ -1,12 +1,12 @@
 #include "wire/peer.h"
 
-#define STORE_AGE_UNKNOWN_S 1e6
+#define STORE_AGE_UNKNOWN_S 1e6 /* store age of a peer that doesn't report it */
 
 gboolean fk_peer_parse_progress(const cJSON *json, FkPeerProgress *out) {
   *out = (FkPeerProgress){.incarnation = json ? fk_json_str(json, "life") : NULL};
   if (!out->incarnation || !fk_json_u64(json, "seen", &out->seen.n))
     return FALSE;
-  fk_json_u64(json, "applied", &out->applied.n); /* missing from earlier versions */
+  fk_json_u64(json, "applied", &out->applied.n); /* missing in responses of earlier versions */
   out->store_age_s = fk_json_num_or(json, "store_age_s", STORE_AGE_UNKNOWN_S);
   return TRUE;
 }
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -1,19 +1,21 @@
-/* The interface between controllers: how far each has seen the store's changes. */
+/* Wire format of the API between controllers: how far each controller has followed the store's changes. */
 #pragma once
 #include "common/types.h"
 #include "wire/json.h"
 
 #define FK_PEER_PROGRESS_PATH "/seen"
 
-/* What a controller has seen of the store. */
+/* How far a controller has followed the store's changes. */
 typedef struct {
-  const char *incarnation; /* of the controller's process; borrowed */
-  FkRev seen;              /* the latest revision that it knows to be committed */
-  FkRev applied;           /* the revision that its view has reached; 0: it has no view, or doesn't say */
-  double store_age_s;      /* since the store last answered it */
+  const char *incarnation; /* incarnation of the controller's process; borrowed */
+  FkRev seen;              /* latest revision that the controller knows to be committed */
+  /* Revision that the controller's view has reached; 0 if it has no view or doesn't report it. */
+  FkRev applied;
+  double store_age_s; /* seconds since the store last responded to the controller */
 } FkPeerProgress;
 
-/* FALSE: not a progress. The incarnation in `out` is `json`'s, which may be NULL. */
+/* Returns FALSE if `json` (may be NULL) isn't a valid progress report. The incarnation in `out` belongs to
+ * `json`. */
 gboolean fk_peer_parse_progress(const cJSON *json, FkPeerProgress *out);
-/* To be freed. */
+/* Prints a response body, freed by the caller. */
 char *fk_peer_print_progress(const FkPeerProgress *progress);
--- a/src/wire/route.c
+++ b/src/wire/route.c
@@ -7,25 +7,25 @@
 #define JOBS_PATH "/submissions"
 #define CANCEL_SUFFIX "/withdraw"
 
-static FkRoute by_method(const char *method, const char *needed, FkRoute route) {
-  return g_str_equal(method, needed) ? route : FK_ROUTE_WRONG_METHOD;
+static FkRoute route_if_method(const char *method, const char *required_method, FkRoute route) {
+  return g_str_equal(method, required_method) ? route : FK_ROUTE_WRONG_METHOD;
 }
 
-static gboolean equals(const char *path, gsize len, const char *other) {
-  return len == strlen(other) && strncmp(path, other, len) == 0;
+static gboolean path_equals(const char *path, gsize len, const char *expected) {
+  return len == strlen(expected) && strncmp(path, expected, len) == 0;
 }
 
 FkRoute fk_route_match(const char *method, const char *path, const char **job, gsize *job_len) {
   gsize len = strcspn(path, "?#");
   gsize jobs = strlen(JOBS_PATH), cancel = strlen(CANCEL_SUFFIX);
-  if (equals(path, len, HEALTH_PATH))
-    return by_method(method, "GET", FK_ROUTE_HEALTH);
-  if (equals(path, len, HEARTBEAT_PATH))
-    return by_method(method, "POST", FK_ROUTE_HEARTBEAT);
+  if (path_equals(path, len, HEALTH_PATH))
+    return route_if_method(method, "GET", FK_ROUTE_HEALTH);
+  if (path_equals(path, len, HEARTBEAT_PATH))
+    return route_if_method(method, "POST", FK_ROUTE_HEARTBEAT);
   if (len < jobs || strncmp(path, JOBS_PATH, jobs) != 0)
     return FK_ROUTE_NONE;
   if (len == jobs)
-    return by_method(method, "POST", FK_ROUTE_SUBMIT);
+    return route_if_method(method, "POST", FK_ROUTE_SUBMIT);
   if (path[jobs] != '/')
     return FK_ROUTE_NONE;
   const char *name = path + jobs + 1, *end = path + len;
@@ -37,7 +37,8 @@
     *job = name;
     *job_len = (gsize)((slash ? slash : end) - name);
   }
-  return is_cancel ? by_method(method, "POST", FK_ROUTE_CANCEL) : by_method(method, "GET", FK_ROUTE_POLL);
+  return is_cancel ? route_if_method(method, "POST", FK_ROUTE_CANCEL)
+                   : route_if_method(method, "GET", FK_ROUTE_POLL);
 }
 
 FkRequestClass fk_route_request_class(FkRoute route) {
--- a/src/wire/route.h
+++ b/src/wire/route.h
@@ -1,5 +1,5 @@
-/* What a request asks, by its method and path: one table for admission control, which classifies requests by
- * it, and for the daemon, which serves them. */
+/* Routing of API requests by method and path. Admission control, which classifies requests, and the daemon,
+ * which serves them, share this one table, so that they can't disagree. */
 #pragma once
 #include "admission/limits.h"
 
@@ -13,7 +13,8 @@
   FK_ROUTE_CANCEL
 } FkRoute;
 
-/* `job`, of POLL and CANCEL: the part of the path that names the job, `job_len` bytes, not zero-terminated.
- * Both may be NULL. */
+/* Returns the route of a request. For POLL and CANCEL, sets `job` to the part of the path that names the job,
+ * `job_len` bytes without a terminating zero. `job` and `job_len` may both be NULL. */
 FkRoute fk_route_match(const char *method, const char *path, const char **job, gsize *job_len);
+/* Returns the class by which admission control orders requests of this route. */
 FkRequestClass fk_route_request_class(FkRoute route);
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -32,7 +32,9 @@
   return TRUE;
 }
 
-#define NUMBER_MAX 1e9 /* no resource, rate or time of ours is larger; all whole types hold it */
+/* Upper bound of every resource, rate and time in the settings; all integer types that hold a setting can
+ * hold it. */
+#define NUMBER_MAX 1e9
 
 static gboolean parse_number(const cJSON *json, const char *field, double min, double *out, GError **error) {
   if (!fk_json_num(json, field, out) || !(*out >= min && *out <= NUMBER_MAX)) {
@@ -43,10 +45,10 @@
   return TRUE;
 }
 
-/* One that may be missing. */
-static gboolean parse_number_or(const cJSON *json, const char *field, double min, double other, double *out,
-                                GError **error) {
-  *out = other;
+/* Like parse_number(), for an optional field: `out` is set to `default_value` if the field is missing. */
+static gboolean parse_number_or(const cJSON *json, const char *field, double min, double default_value,
+                                double *out, GError **error) {
+  *out = default_value;
   return !fk_json_get(json, field) || parse_number(json, field, min, out, error);
 }
 
@@ -83,7 +85,8 @@
   return TRUE;
 }
 
-/* The announced next limits: what is written must fit them as well as the present ones. */
+/* Parses the announced next limits of the store. Records and transactions written now must fit the next
+ * limits as well as the present ones, so the lower of both applies. */
 static gboolean parse_next_limits(FkSettings *settings, const cJSON *store, GError **error) {
   const cJSON *next = fk_json_get(store, "next");
   double ops = settings->transaction_ops_max, value_kb = settings->value_kb;
@@ -119,7 +122,7 @@
   return TRUE;
 }
 
-/* What isn't understood is left out. */
+/* Parses the service-level objectives. Fields that are missing or have another type become NULL or 0. */
 static void parse_objectives(FkSettings *settings, const cJSON *list) {
   const cJSON *item;
   cJSON_ArrayForEach(item, list) {
@@ -195,7 +198,7 @@
   return g_steal_pointer(&settings);
 }
 
-static const FkTuningField fields[] = {
+static const FkTuningField tuning_fields[] = {
     {"window_s", offsetof(FkTuning, window_s), 1, 600},
     {"max_wait_s", offsetof(FkTuning, max_wait_s), 0.1, 10000},
     {"span", offsetof(FkTuning, short_partition_span), 0, 1},
@@ -217,8 +220,8 @@
 };
 
 const FkTuningField *fk_tuning_fields(guint *n) {
-  *n = G_N_ELEMENTS(fields);
-  return fields;
+  *n = G_N_ELEMENTS(tuning_fields);
+  return tuning_fields;
 }
 
 gboolean fk_tuning_parse(FkTuning *tuning, const char *body, gsize len, GError **error) {
@@ -228,9 +231,9 @@
   const cJSON *item;
   cJSON_ArrayForEach(item, json) {
     const FkTuningField *field = NULL;
-    for (guint i = 0; i < G_N_ELEMENTS(fields); i++)
-      if (g_str_equal(fields[i].name, item->string))
-        field = &fields[i];
+    for (guint i = 0; i < G_N_ELEMENTS(tuning_fields); i++)
+      if (g_str_equal(tuning_fields[i].name, item->string))
+        field = &tuning_fields[i];
     if (!field)
       return fail(error, item->string, "no such setting");
     if (!cJSON_IsNumber(item) || item->valuedouble < field->min || item->valuedouble > field->max) {
--- a/src/wire/store.c
+++ b/src/wire/store.c
@@ -24,9 +24,9 @@
 }
 
 FkRev fk_store_parse_epoch(const cJSON *json) {
-  FkRev epoch = {0};
-  fk_json_u64(json, "epoch", &epoch.n);
-  return epoch;
+  FkRev revision = {0};
+  fk_json_u64(json, "epoch", &revision.n);
+  return revision;
 }
 
 GPtrArray *fk_store_parse_failed(const cJSON *json) {
@@ -37,7 +37,7 @@
   return failed;
 }
 
-/* Not ours, or of a version that we don't know. */
+/* Warns of a record that another program wrote, or a version of this one with an unknown format. */
 static void warn_malformed(const char *path) { g_warning("store record malformed path=%s", path); }
 
 static FkStoreEvent *event_from_json(const cJSON *item, const char *path) {
@@ -58,14 +58,14 @@
   return event;
 }
 
-GPtrArray *fk_store_parse_list(const char *body, gsize len, gboolean *more, FkRev *epoch) {
+GPtrArray *fk_store_parse_list(const char *body, gsize len, gboolean *more, FkRev *revision) {
   g_autoptr(cJSON) json = fk_json_parse(body, len);
   const cJSON *list = fk_json_get(json, "pairs"), *item;
   if (!cJSON_IsArray(list))
     return NULL;
   *more = FALSE;
   fk_json_bool(json, "truncated", more);
-  *epoch = fk_store_parse_epoch(json);
+  *revision = fk_store_parse_epoch(json);
   GPtrArray *events = g_ptr_array_new_with_free_func((GDestroyNotify)fk_store_event_free);
   cJSON_ArrayForEach(item, list) {
     FkStoreEvent *event = fk_store_parse_item(item);
@@ -75,12 +75,12 @@
   return events;
 }
 
-GPtrArray *fk_store_parse_watch(const char *body, gsize len, FkRev *epoch) {
+GPtrArray *fk_store_parse_watch(const char *body, gsize len, FkRev *revision) {
   g_autoptr(cJSON) json = fk_json_parse(body, len);
   const cJSON *list = fk_json_get(json, "events"), *item;
   if (!cJSON_IsArray(list))
     return NULL;
-  *epoch = fk_store_parse_epoch(json);
+  *revision = fk_store_parse_epoch(json);
   GPtrArray *events = g_ptr_array_new_with_free_func((GDestroyNotify)fk_store_event_free);
   cJSON_ArrayForEach(item, list) {
     const char *put_path = fk_json_str(item, "put"), *deleted_path = fk_json_str(item, "delete");
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -1,26 +1,28 @@
-/* The state service's interface: our requests, and what it answers. */
+/* Wire format of the key-value store's API, on the controller's side: request bodies and responses. */
 #pragma once
 #include "core/messages.h"
 #include "wire/json.h"
 #include "wire/store_records.h"
 
-/* ---- requests: to be freed ---- */
-/* A transaction's body, from an FK_OUTPUT_COMMIT. */
+/* ---- request bodies, freed by the caller ---- */
+/* Prints a transaction for an FK_OUTPUT_COMMIT. */
 char *fk_store_print_commit(const FkOutput *output);
-/* The body of a lease's request. */
+/* Prints a request for a lease with a time to live of `ttl_s` seconds. */
 char *fk_store_print_ttl(double ttl_s);
 
 /* ---- responses; `json` may be NULL ---- */
-/* The revision that the response tells of; 0: none. */
+/* Returns the store's revision as of the response; 0 if the response has none. */
 FkRev fk_store_parse_epoch(const cJSON *json);
-/* The paths whose guards failed, char*, owned. */
+/* Returns the paths (char*) whose guards failed, an array that the caller owns; empty if there are none. */
 GPtrArray *fk_store_parse_failed(const cJSON *json);
-/* FALSE: there is no lease in it. */
+/* Returns FALSE if the response has no lease id. */
 gboolean fk_store_parse_lease(const cJSON *json, FkRev *lease);
-/* One item of a list, or what a read returns; NULL: it isn't one. The record is NULL, and that is logged,
- * when it isn't one of ours. */
+/* Parses one item of a list, or the response to a read; returns NULL if `item` is neither. If the value isn't
+ * a valid record, the event's record is NULL and a warning is logged. */
 FkStoreEvent *fk_store_parse_item(const cJSON *item);
-/* FkStoreEvent, owned; NULL: malformed. `more`: the list goes on. */
-GPtrArray *fk_store_parse_list(const char *body, gsize len, gboolean *more, FkRev *epoch);
-/* Likewise; a record that isn't one of ours is logged and left out. */
-GPtrArray *fk_store_parse_watch(const char *body, gsize len, FkRev *epoch);
+/* Parses one page of a list into FkStoreEvents, an array that the caller owns; returns NULL if the body is
+ * malformed. Sets `more` to whether another page follows, and `revision` to the store's revision. */
+GPtrArray *fk_store_parse_list(const char *body, gsize len, gboolean *more, FkRev *revision);
+/* Parses the response to a watch in the same way; an event whose value isn't a valid record is logged and
+ * left out. */
+GPtrArray *fk_store_parse_watch(const char *body, gsize len, FkRev *revision);
--- a/src/wire/store_records.c
+++ b/src/wire/store_records.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define TASKS_MAX 100000 /* of a job */
+#define TASKS_MAX 100000 /* tasks of a job at most */
 #define BITS_PER_DIGIT 4
 
 static cJSON *strings_to_json(char **strings) {
@@ -39,12 +39,13 @@
   cJSON_AddNumberToObject(json, "submitted", (double)spec->submitted_ms);
   cJSON_AddStringToObject(json, "owner", spec->owner ? spec->owner : "");
   cJSON_AddNumberToObject(json, "chunk", spec->chunk_tasks);
-  if (spec->dependencies) /* a job without any has the same bytes as before there were dependencies */
+  /* Omitted if empty, so that jobs without dependencies keep the record format of versions without them. */
+  if (spec->dependencies)
     cJSON_AddItemToObject(json, "needs", strings_to_json(spec->dependencies));
   return json;
 }
 
-/* The strings of a list. FALSE: it holds something else too, which is left out. */
+/* Reads the strings of a list. Returns FALSE if it also holds other items, which are left out of `out`. */
 static gboolean strings_from_json(const cJSON *list, char ***out) {
   g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
   gboolean all_strings = TRUE;
@@ -94,11 +95,11 @@
   spec->owner = g_strdup(fk_json_str(json, "owner"));
   const cJSON *needs = fk_json_get(json, "needs");
   if (needs && cJSON_GetArraySize(needs) && !strings_from_json(needs, &spec->dependencies))
-    return NULL; /* it must not start as if it had fewer dependencies */
+    return NULL; /* a job that lost a dependency here could start too early */
   return g_steal_pointer(&spec);
 }
 
-/* Adds a string of hexadecimal digits, a digit for four tasks. */
+/* Adds a bit set as a string of hexadecimal digits, each of which holds the bits of four tasks. */
 static void add_bits(cJSON *json, const char *name, const guint8 *set, guint32 count) {
   g_autoptr(GString) bits = g_string_new(NULL);
   for (guint32 i = 0; i < count; i += BITS_PER_DIGIT) {
@@ -167,8 +168,8 @@
     if (completion->done->len)
       add_bits(item, "d", completion->done->data, completion->done->len);
     cJSON *list = completion->released->len ? cJSON_AddArrayToObject(item, "r") : NULL;
-    cJSON *failed =
-        NULL; /* the failed attempts once more: versions that don't know the field still release them */
+    /* Failed attempts are listed in "r" as well: versions that don't know "f" still release them. */
+    cJSON *failed = NULL;
     for (guint r = 0; r < completion->released->len; r++) {
       const FkReleasedAttempt *released = &g_array_index(completion->released, FkReleasedAttempt, r);
       cJSON_AddItemToArray(list, cJSON_CreateNumber(released->task));
--- a/src/wire/store_records.h
+++ b/src/wire/store_records.h
@@ -1,9 +1,11 @@
-/* What our records look like in the store. Their keys, and what they mean: core/state/keys. */
+/* JSON format of the records that controllers keep in the store. The keys and the meaning of the records:
+ * core/state/store_keys.h and core/state/records.h. */
 #pragma once
 #include "core/messages.h"
 #include "wire/json.h"
 
-/* To be deleted. */
+/* Returns the record's value as JSON; the caller deletes it. */
 cJSON *fk_store_record_to_json(const FkRecord *record);
-/* The record at that path, to be freed; NULL: the value isn't one of ours. */
+/* Parses the value stored at `path`; the caller frees the record. Returns NULL if the value isn't a valid
+ * record for that path. */
 FkRecord *fk_store_record_from_json(const char *path, const cJSON *value);
--- a/src/wire/store_service.c
+++ b/src/wire/store_service.c
@@ -3,9 +3,9 @@
 #define TTL_MIN_MS 100
 #define TTL_MAX_MS 600000
 
-static void condition_clear(gpointer data) { g_free(((FkStoreCondition *)data)->path); }
+static void clear_condition(gpointer data) { g_free(((FkStoreCondition *)data)->path); }
 
-static void change_clear(gpointer data) {
+static void clear_change(gpointer data) {
   FkTransactionWrite *change = data;
   g_free(change->path);
   g_free(change->value);
@@ -46,9 +46,9 @@
   g_autoptr(cJSON) json = fk_json_parse(body, len);
   g_autoptr(FkStoreTransaction) transaction = g_new0(FkStoreTransaction, 1);
   transaction->conditions = g_array_new(FALSE, FALSE, sizeof(FkStoreCondition));
-  g_array_set_clear_func(transaction->conditions, condition_clear);
+  g_array_set_clear_func(transaction->conditions, clear_condition);
   transaction->changes = g_array_new(FALSE, FALSE, sizeof(FkTransactionWrite));
-  g_array_set_clear_func(transaction->changes, change_clear);
+  g_array_set_clear_func(transaction->changes, clear_change);
   if (!cJSON_IsObject(json))
     return NULL;
   const cJSON *item;
@@ -78,33 +78,33 @@
   return json;
 }
 
-char *fk_store_print_items(cJSON *items, gboolean more, guint64 epoch) {
+char *fk_store_print_items(cJSON *items, gboolean more, guint64 revision) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
   cJSON_AddItemToObject(json, "pairs", items);
   cJSON_AddBoolToObject(json, "truncated", more);
-  fk_json_add_u64(json, "epoch", epoch);
+  fk_json_add_u64(json, "epoch", revision);
   return fk_json_print(json);
 }
 
-char *fk_store_print_events(cJSON *events, guint64 epoch) {
+char *fk_store_print_events(cJSON *events, guint64 revision) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
-  fk_json_add_u64(json, "epoch", epoch);
+  fk_json_add_u64(json, "epoch", revision);
   cJSON_AddItemToObject(json, "events", events);
   return fk_json_print(json);
 }
 
-char *fk_store_print_epoch(guint64 epoch) {
+char *fk_store_print_epoch(guint64 revision) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
-  fk_json_add_u64(json, "epoch", epoch);
+  fk_json_add_u64(json, "epoch", revision);
   return fk_json_print(json);
 }
 
-char *fk_store_print_conflict(const GPtrArray *failed, guint64 epoch) {
+char *fk_store_print_conflict(const GPtrArray *failed, guint64 revision) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
   cJSON *list = cJSON_AddArrayToObject(json, "failed");
   for (guint i = 0; i < failed->len; i++)
     cJSON_AddItemToArray(list, cJSON_CreateString(failed->pdata[i]));
-  fk_json_add_u64(json, "epoch", epoch);
+  fk_json_add_u64(json, "epoch", revision);
   return fk_json_print(json);
 }
 
--- a/src/wire/store_service.h
+++ b/src/wire/store_service.h
@@ -1,14 +1,15 @@
-/* The state service's side of its interface, for the simulated one. Values pass through as JSON text. */
+/* Wire format of the key-value store's API, on the store's side; used by the simulated store. Values are
+ * passed through as JSON text. */
 #pragma once
 #include "wire/json.h"
 
 typedef struct {
   char *path;
-  guint64 revision; /* 0: there must be no such key */
+  guint64 revision; /* revision that the key must have; 0 if the key must not exist */
 } FkStoreCondition;
 typedef struct {
-  char *path, *value; /* `value` NULL: delete */
-  guint64 lease;      /* 0: none */
+  char *path, *value; /* `value` is JSON text; NULL to delete the key */
+  guint64 lease;      /* lease to which the key is attached; 0 if none */
 } FkTransactionWrite;
 typedef struct {
   GArray *conditions; /* FkStoreCondition */
@@ -17,20 +18,21 @@
 void fk_store_transaction_free(FkStoreTransaction *transaction);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkStoreTransaction, fk_store_transaction_free)
 
-/* NULL: malformed. */
+/* Returns NULL if the body is malformed. The caller frees the transaction. */
 FkStoreTransaction *fk_store_parse_transaction(const char *body, gsize len);
-/* FALSE: malformed, or out of bounds. */
+/* Parses the time to live of a requested lease. Returns FALSE if it is malformed or out of bounds. */
 gboolean fk_store_parse_ttl_s(const char *body, gsize len, double *out);
 
-/* One item of a list, or what a read returns. */
+/* Returns one item of a list, or the response to a read. `lease` is 0 if the key has none. */
 cJSON *fk_store_item_to_json(const char *path, const char *value, guint64 revision, guint64 lease);
-/* One event of a watch; `value` NULL: deleted. */
+/* Returns one event of a watch; `value` is NULL if the key was deleted. */
 cJSON *fk_store_event_to_json(const char *path, const char *value, guint64 revision);
 
-/* Responses, to be freed. */
-char *fk_store_print_items(cJSON *items /* taken */, gboolean more, guint64 epoch);
-char *fk_store_print_events(cJSON *events /* taken */, guint64 epoch);
-char *fk_store_print_epoch(guint64 epoch);
-/* `failed`: char*, the paths of the conditions that don't hold. */
-char *fk_store_print_conflict(const GPtrArray *failed, guint64 epoch);
+/* Response bodies, freed by the caller. `revision` is the store's revision. */
+char *fk_store_print_items(cJSON *items /* taken */, gboolean more, guint64 revision);
+char *fk_store_print_events(cJSON *events /* taken */, guint64 revision);
+char *fk_store_print_epoch(guint64 revision);
+/* Prints the response to a transaction that wasn't committed; `failed` holds the paths (char*) of the
+ * conditions that don't hold. */
+char *fk_store_print_conflict(const GPtrArray *failed, guint64 revision);
 char *fk_store_print_lease(guint64 lease);
--- a/src/wire/user.c
+++ b/src/wire/user.c
@@ -7,7 +7,7 @@
 #define NAME_BYTES_MAX 128
 #define TASKS_MAX 100000
 #define TYPES_MAX 100
-#define AMOUNT_MAX 1e9 /* no resource, size or time of a job is larger */
+#define AMOUNT_MAX 1e9 /* upper bound of every resource, size and time of a job */
 
 static const char *shapes[] = {"sweep", "daemon", "group"};
 static const char *priorities[] = {"production", "high", "normal", "best_effort"};
@@ -21,14 +21,15 @@
   return digits >= 1 && digits <= ID_DIGITS_MAX && strspn(number, "0123456789") == digits;
 }
 
-static int index_of_word(const char *const *words, guint n, const char *word) {
-  for (guint i = 0; word && i < n; i++)
-    if (g_str_equal(words[i], word))
+static int index_of_value(const char *const *values, guint n, const char *value) {
+  for (guint i = 0; value && i < n; i++)
+    if (g_str_equal(values[i], value))
       return (int)i;
   return -1;
 }
 
-/* Names go into the store and into paths: UTF-8 without control characters, of bounded length. */
+/* Returns whether a name may be stored and used in paths: UTF-8 without control characters, of bounded
+ * length. */
 static gboolean name_is_valid(const char *name) {
   gsize len = name ? strlen(name) : 0;
   if (len < 1 || len > NAME_BYTES_MAX || !g_utf8_validate(name, len, NULL))
@@ -69,7 +70,8 @@
   return TRUE;
 }
 
-/* Missing, null and empty mean none; a name given twice counts once. */
+/* Parses the ids of the jobs that must finish first. A missing field, null and an empty list mean no
+ * dependencies; an id given twice counts once. */
 static gboolean parse_dependencies(const cJSON *json, char ***out) {
   const cJSON *list = fk_json_get(json, "awaits"), *item;
   if (!list)
@@ -93,35 +95,35 @@
   g_autoptr(FkSpec) spec = fk_spec_new();
   guint64 tasks = 0;
   int shape, priority;
-#define NEED(ok, field)                                                                                      \
+#define REQUIRE(ok, field)                                                                                   \
   if (!(ok)) {                                                                                               \
     *reason = field;                                                                                         \
     return NULL;                                                                                             \
   }
-  NEED(cJSON_IsObject(json), "not a JSON object")
-  NEED(parse_name(json, "ref", &spec->id) && fk_user_id_is_valid(spec->id), "ref")
-  NEED(parse_name(json, "lane", &spec->class_name), "lane")
-  NEED(parse_name(json, "crew", &spec->team), "crew")
-  NEED((shape = index_of_word(shapes, G_N_ELEMENTS(shapes), fk_json_str(json, "shape"))) >= 0, "shape")
-  NEED((priority = index_of_word(priorities, G_N_ELEMENTS(priorities), fk_json_str(json, "rank"))) >= 0,
-       "rank")
-  NEED(fk_json_u64(json, "strands", &tasks) && tasks >= 1 && tasks <= TASKS_MAX, "strands")
-  NEED(parse_amount(json, "cores", &spec->cpus), "cores")
-  NEED(parse_amount(json, "cards", &spec->gpus), "cards")
-  NEED(parse_amount(json, "mem_gb", &spec->mem_gb), "mem_gb")
-  NEED(parse_name(json, "bundle", &spec->image), "bundle")
-  NEED(parse_amount(json, "size_gb", &spec->image_gb), "size_gb")
-  NEED(parse_types(json, &spec->types), "builds")
-  NEED(!fk_json_get(json, "yard") || parse_name(json, "yard", &spec->zone), "yard")
-  NEED(fk_json_bool(json, "together", &spec->one_zone), "together")
-  NEED(fk_json_bool(json, "spread", &spec->spread), "spread")
-  NEED(fk_json_bool(json, "loaners", &spec->spot), "loaners")
-  NEED(parse_amount(json, "guess_s", &spec->estimate_s), "guess_s")
-  NEED(parse_amount(json, "knot_s", &spec->checkpoint_s), "knot_s")
-  NEED(parse_amount(json, "stow_s", &spec->save_s), "stow_s")
-  NEED(!fk_json_get(json, "due_s") || parse_amount(json, "due_s", &spec->deadline_s), "due_s")
-  NEED(parse_dependencies(json, &spec->dependencies), "awaits")
-#undef NEED
+  REQUIRE(cJSON_IsObject(json), "not a JSON object")
+  REQUIRE(parse_name(json, "ref", &spec->id) && fk_user_id_is_valid(spec->id), "ref")
+  REQUIRE(parse_name(json, "lane", &spec->class_name), "lane")
+  REQUIRE(parse_name(json, "crew", &spec->team), "crew")
+  REQUIRE((shape = index_of_value(shapes, G_N_ELEMENTS(shapes), fk_json_str(json, "shape"))) >= 0, "shape")
+  REQUIRE((priority = index_of_value(priorities, G_N_ELEMENTS(priorities), fk_json_str(json, "rank"))) >= 0,
+          "rank")
+  REQUIRE(fk_json_u64(json, "strands", &tasks) && tasks >= 1 && tasks <= TASKS_MAX, "strands")
+  REQUIRE(parse_amount(json, "cores", &spec->cpus), "cores")
+  REQUIRE(parse_amount(json, "cards", &spec->gpus), "cards")
+  REQUIRE(parse_amount(json, "mem_gb", &spec->mem_gb), "mem_gb")
+  REQUIRE(parse_name(json, "bundle", &spec->image), "bundle")
+  REQUIRE(parse_amount(json, "size_gb", &spec->image_gb), "size_gb")
+  REQUIRE(parse_types(json, &spec->types), "builds")
+  REQUIRE(!fk_json_get(json, "yard") || parse_name(json, "yard", &spec->zone), "yard")
+  REQUIRE(fk_json_bool(json, "together", &spec->one_zone), "together")
+  REQUIRE(fk_json_bool(json, "spread", &spec->spread), "spread")
+  REQUIRE(fk_json_bool(json, "loaners", &spec->spot), "loaners")
+  REQUIRE(parse_amount(json, "guess_s", &spec->estimate_s), "guess_s")
+  REQUIRE(parse_amount(json, "knot_s", &spec->checkpoint_s), "knot_s")
+  REQUIRE(parse_amount(json, "stow_s", &spec->save_s), "stow_s")
+  REQUIRE(!fk_json_get(json, "due_s") || parse_amount(json, "due_s", &spec->deadline_s), "due_s")
+  REQUIRE(parse_dependencies(json, &spec->dependencies), "awaits")
+#undef REQUIRE
   spec->shape = (FkShape)shape;
   spec->priority = (FkJobPriority)priority;
   spec->tasks = (guint32)tasks;
@@ -153,7 +155,7 @@
   return g_strdup(is_serving ? "{\"up\":true}" : "{\"up\":false}");
 }
 
-/* ------------------------------------------------------------------ the user's side */
+/* ------------------------------------------------------------------ the client's side */
 
 char *fk_user_print_submission(const FkSpec *spec) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
@@ -183,7 +185,7 @@
 
 gboolean fk_user_parse_state(const char *body, gsize len, FkJobState *out) {
   g_autoptr(cJSON) json = fk_json_parse(body, len);
-  int phase = index_of_word(phases, G_N_ELEMENTS(phases), fk_json_str(json, "phase"));
+  int phase = index_of_value(phases, G_N_ELEMENTS(phases), fk_json_str(json, "phase"));
   guint64 done = 0, running = 0;
   if (phase < 0)
     return FALSE;
--- a/src/wire/worker.c
+++ b/src/wire/worker.c
@@ -4,19 +4,19 @@
 
 #define MACHINE_BYTES_MAX 100
 
-/* By FkCommandKind. */
-static const char *command_words[] = {"launch", "stop", "forget"};
+/* Indexed by FkCommandKind. */
+static const char *command_names[] = {"launch", "stop", "forget"};
 
 static const struct {
-  const char *word;
+  const char *text;
   FkTaskState state;
-} states[] = {{"fetching", FK_TASK_FETCHING},
-              {"running", FK_TASK_RUNNING},
-              {"flushing", FK_TASK_SAVING},
-              {"exited", FK_TASK_EXITED}};
+} task_states[] = {{"fetching", FK_TASK_FETCHING},
+                   {"running", FK_TASK_RUNNING},
+                   {"flushing", FK_TASK_SAVING},
+                   {"exited", FK_TASK_EXITED}};
 
 static const struct {
-  const char *word;
+  const char *text;
   FkExitReason reason;
 } exit_reasons[] = {{"done", FK_EXIT_DONE}, {"halted", FK_EXIT_STOPPED}, {"error", FK_EXIT_ERROR},
                     {"full", FK_EXIT_FULL}, {"busy", FK_EXIT_BUSY},      {"unknown", FK_EXIT_UNKNOWN}};
@@ -34,11 +34,11 @@
   status->task = (guint32)task;
   status->attempt.n = attempt;
   status->state = FK_TASK_OTHER;
-  for (guint i = 0; i < G_N_ELEMENTS(states); i++)
-    if (g_str_equal(states[i].word, phase))
-      status->state = states[i].state;
+  for (guint i = 0; i < G_N_ELEMENTS(task_states); i++)
+    if (g_str_equal(task_states[i].text, phase))
+      status->state = task_states[i].state;
   for (guint i = 0; cause && i < G_N_ELEMENTS(exit_reasons); i++)
-    if (g_str_equal(exit_reasons[i].word, cause))
+    if (g_str_equal(exit_reasons[i].text, cause))
       status->exit_reason = exit_reasons[i].reason;
   return status;
 }
@@ -66,7 +66,7 @@
   cJSON_ArrayForEach(item, tasks) {
     FkTaskStatus *status = parse_task(item);
     if (!status)
-      return NULL; /* an incomplete list proves nothing about what is missing */
+      return NULL; /* a task missing from an incomplete list may still be running */
     g_ptr_array_add(heartbeat->tasks, status);
   }
   return g_steal_pointer(&heartbeat);
@@ -78,7 +78,7 @@
     const FkCommand *command = commands->pdata[i];
     cJSON *item = cJSON_CreateObject();
     g_autofree char *task = g_strdup_printf("%s/%u", command->job, command->task);
-    cJSON_AddStringToObject(item, "verb", command_words[command->kind]);
+    cJSON_AddStringToObject(item, "verb", command_names[command->kind]);
     cJSON_AddStringToObject(item, "strand", task);
     fk_json_add_u64(item, "try", command->attempt.n);
     if (command->kind == FK_COMMAND_STOP)
@@ -108,17 +108,17 @@
 
 /* ------------------------------------------------------------------ the worker's side */
 
-static const char *state_word(FkTaskState state) {
-  for (guint i = 0; i < G_N_ELEMENTS(states); i++)
-    if (states[i].state == state)
-      return states[i].word;
+static const char *state_name(FkTaskState state) {
+  for (guint i = 0; i < G_N_ELEMENTS(task_states); i++)
+    if (task_states[i].state == state)
+      return task_states[i].text;
   return "unknown";
 }
 
-static const char *exit_reason_word(FkExitReason reason) {
+static const char *exit_reason_name(FkExitReason reason) {
   for (guint i = 0; i < G_N_ELEMENTS(exit_reasons); i++)
     if (exit_reasons[i].reason == reason)
-      return exit_reasons[i].word;
+      return exit_reasons[i].text;
   return NULL;
 }
 
@@ -127,8 +127,8 @@
   g_autofree char *name = g_strdup_printf("%s/%u", status->job, status->task);
   cJSON_AddStringToObject(json, "strand", name);
   fk_json_add_u64(json, "try", status->attempt.n);
-  cJSON_AddStringToObject(json, "phase", state_word(status->state));
-  const char *cause = status->state == FK_TASK_EXITED ? exit_reason_word(status->exit_reason) : NULL;
+  cJSON_AddStringToObject(json, "phase", state_name(status->state));
+  const char *cause = status->state == FK_TASK_EXITED ? exit_reason_name(status->exit_reason) : NULL;
   if (cause)
     cJSON_AddStringToObject(json, "cause", cause);
   return json;
@@ -168,8 +168,8 @@
   if (!verb || !slash || !fk_json_u64(json, "try", &attempt) ||
       !g_ascii_string_to_unsigned(slash + 1, 10, 0, G_MAXUINT32, &task, NULL))
     return NULL;
-  for (guint i = 0; i < G_N_ELEMENTS(command_words); i++) {
-    if (!g_str_equal(command_words[i], verb))
+  for (guint i = 0; i < G_N_ELEMENTS(command_names); i++) {
+    if (!g_str_equal(command_names[i], verb))
       continue;
     FkCommand *command = g_new0(FkCommand, 1);
     *command = (FkCommand){(FkCommandKind)i,
--- a/src/wire/worker.h
+++ b/src/wire/worker.h
@@ -1,25 +1,27 @@
-/* The workers' interface: heartbeats, replies and commands. */
+/* Wire format of the workers' API: heartbeats, the replies to them, and commands. */
 #pragma once
 #include "core/messages.h"
 #include "wire/json.h"
 
-/* To be freed; NULL: malformed. */
+/* Parses a heartbeat, freed by the caller; returns NULL if the body is malformed. */
 FkHeartbeat *fk_worker_parse_heartbeat(const char *body, gsize len);
-/* To be freed; from an FK_OUTPUT_HEARTBEAT_REPLY and an FK_OUTPUT_COMMANDS. */
+/* Print an FK_OUTPUT_HEARTBEAT_REPLY and an FK_OUTPUT_COMMANDS; the caller frees the result. */
 char *fk_worker_print_reply(const FkOutput *output);
 char *fk_worker_print_commands(const FkOutput *output);
 
-/* ---- the worker's side, for the simulated one ---- */
+/* ---- the worker's side, used by the simulated workers ---- */
 typedef struct {
   FkFencingToken fencing_token;
-  guint64 incarnation; /* of direct commands: whom they are for */
+  /* Worker incarnation that direct commands are addressed to; 0 in the reply to a heartbeat. */
+  guint64 incarnation;
   GPtrArray *commands; /* FkCommand, owned */
-  char *redirect;      /* the controller's address that a 421 names, or NULL */
+  char *redirect;      /* address of the controller that a 421 redirects to; NULL if none */
 } FkWorkerCommands;
 void fk_worker_commands_free(FkWorkerCommands *commands);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkWorkerCommands, fk_worker_commands_free)
-/* To be freed. */
+/* Prints a heartbeat, freed by the caller. */
 char *fk_worker_print_heartbeat(const FkHeartbeat *heartbeat);
-/* The reply to a heartbeat, and direct commands; NULL: malformed, or without a token where one is needed. */
+/* Parse the reply to a heartbeat, and direct commands; the caller frees the result. Return NULL if the body
+ * is malformed, or has no fencing token where one is required. */
 FkWorkerCommands *fk_worker_parse_reply(guint status, const char *body, gsize len);
 FkWorkerCommands *fk_worker_parse_commands(const char *body, gsize len);
