--- a/src/daemon/api_requests.c
+++ b/src/daemon/api_requests.c
@@ -1,5 +1,5 @@
-/* Requests of users, workers and health checks: each is decoded, given to the core and answered, at once or
- * when the core's reply comes. */
+/* Serves the API requests of users, workers and health checks. Each request is decoded and passed to the
+ * core; the response is sent either immediately or once the core produces its reply. */
 #include <string.h>
 
 #include "daemon/daemon_internal.h"
@@ -10,7 +10,8 @@
 
 #define HEALTH_RETRY_AFTER_S 1
 #define LOGGED_BODY_BYTES 200
-#define REQUEST_ID_KEY "fk-request" /* of a paused message's GObject data: guint64 */
+/* Key under which a paused message's GObject data holds its request id (guint64). */
+#define REQUEST_ID_KEY "fk-request"
 
 /* ------------------------------------------------------------------ responses */
 
@@ -38,7 +39,8 @@
   gboolean to_worker = output->kind == FK_OUTPUT_HEARTBEAT_REPLY;
   char *body = to_worker ? fk_worker_print_reply(output) : fk_user_print_reply(output);
   fk_daemon_respond(message, (guint)output->status, body, output->retry_s);
-  /* Each of many workers sends seldom: open connections would only make the main loop's iterations longer. */
+  /* There are many workers, and each sends a heartbeat only now and then: keeping their connections open
+   * would only lengthen each iteration of the main loop, which polls them all. */
   if (to_worker)
     soup_message_headers_replace(soup_server_message_get_response_headers(message), "Connection", "close");
   if (is_current) {
@@ -82,7 +84,8 @@
   soup_server_message_pause(message);
 }
 
-/* The core has the request. Most are answered by now; only one that must wait is kept, and paused. */
+/* Carries out the outputs of the core after it was given a request. Most requests have their response now;
+ * one that must wait for the core's reply is paused. */
 static void finish_handling(FkDaemon *daemon) {
   fk_daemon_run_outputs(daemon);
   if (daemon->requests.current)
@@ -99,7 +102,7 @@
 
 static void on_submission(FkDaemon *daemon, SoupServerMessage *message, const char *body, gsize len) {
   const char *reason = NULL;
-  FkCpuPurpose before = fk_daemon_profile_enter(daemon, FK_CPU_USER_REQUESTS);
+  FkCpuPurpose previous = fk_daemon_profile_enter(daemon, FK_CPU_USER_REQUESTS);
   FkSpec *spec = fk_user_parse_submission(body, len, &reason);
   if (spec) {
     FkRequestId request = open_request(daemon, message);
@@ -108,12 +111,12 @@
     g_autofree char *text = g_strdup_printf("malformed: %s", reason);
     respond_error(message, 400, text);
   }
-  fk_daemon_profile_leave(daemon, before);
+  fk_daemon_profile_leave(daemon, previous);
   finish_handling(daemon);
 }
 
 static void on_heartbeat(FkDaemon *daemon, SoupServerMessage *message, const char *body, gsize len) {
-  FkCpuPurpose before = fk_daemon_profile_enter(daemon, FK_CPU_HEARTBEATS);
+  FkCpuPurpose previous = fk_daemon_profile_enter(daemon, FK_CPU_HEARTBEATS);
   FkHeartbeat *heartbeat = fk_worker_parse_heartbeat(body, len);
   if (heartbeat) {
     FkRequestId request = open_request(daemon, message);
@@ -122,7 +125,7 @@
     g_warning(FK_LOG_MALFORMED_HEARTBEAT "%.*s", (int)MIN(len, LOGGED_BODY_BYTES), body);
     respond_error(message, 400, "malformed report");
   }
-  fk_daemon_profile_leave(daemon, before);
+  fk_daemon_profile_leave(daemon, previous);
   finish_handling(daemon);
 }
 
@@ -131,13 +134,13 @@
     respond_error(message, 404, "no such job");
     return;
   }
-  FkCpuPurpose before = fk_daemon_profile_enter(daemon, FK_CPU_USER_REQUESTS);
+  FkCpuPurpose previous = fk_daemon_profile_enter(daemon, FK_CPU_USER_REQUESTS);
   FkRequestId request = open_request(daemon, message);
   if (route == FK_ROUTE_CANCEL)
     fk_controller_cancellation_received(daemon->core, fk_daemon_now(), request, id);
   else
     fk_controller_poll_received(daemon->core, fk_daemon_now(), request, id);
-  fk_daemon_profile_leave(daemon, before);
+  fk_daemon_profile_leave(daemon, previous);
   finish_handling(daemon);
 }
 
--- a/src/daemon/cloud_client.c
+++ b/src/daemon/cloud_client.c
@@ -1,4 +1,5 @@
-/* Calls to the cloud provider: instance types, machines, provisioning and termination, within its rate. */
+/* Calls to the cloud provider: listing instance types and machines, provisioning and termination, within the
+ * provider's rate limit. */
 #include "daemon/daemon_internal.h"
 #include "wire/cloud.h"
 
@@ -6,11 +7,11 @@
 #define LIST_PAGE_MACHINES 500
 #define IDLE_CONNECTION_S 60
 
-#define RATE_PART 0.7 /* of the cloud's rate that one controller uses at most */
+#define RATE_SHARE 0.7 /* largest share of the cloud's rate limit that one controller uses */
 #define BURST_S 1.0
 #define QUEUE_MAX 50
 
-/* The rate limiter's levels: lists of machines wait for all else. */
+/* Priority levels of the rate limiter: lists of machines are sent after all other calls. */
 enum { LEVEL_DEFAULT, LEVEL_LIST_MACHINES, LEVELS };
 
 /* ------------------------------------------------------------------ results */
@@ -18,7 +19,7 @@
 static void on_instance_types_result(FkDaemon *daemon, FkOutcome outcome, const char *body, gsize len) {
   g_autoptr(GPtrArray) types = outcome == FK_OUTCOME_OK ? fk_cloud_parse_types(body, len) : NULL;
   if (types)
-    g_ptr_array_set_free_func(types, NULL); /* the core takes them */
+    g_ptr_array_set_free_func(types, NULL); /* the core takes ownership of the types */
   fk_controller_instance_types_received(daemon->core, fk_daemon_now(), types ? outcome : FK_OUTCOME_UNKNOWN,
                                         types);
 }
@@ -39,7 +40,7 @@
   g_autoptr(GPtrArray) names = outcome == FK_OUTCOME_OK ? fk_cloud_parse_names(body, len) : NULL;
   if (outcome == FK_OUTCOME_OK && !names)
     outcome = FK_OUTCOME_UNKNOWN;
-  /* the provider has no such machines now, which isn't a failure of its interface */
+  /* A lack of capacity isn't a failure of the provider's API. */
   if (is_out_of_capacity(status, body, len))
     outcome = FK_OUTCOME_CONFLICT;
   fk_controller_provision_received(call->daemon->core, fk_daemon_now(), call->output->call, outcome, names);
@@ -70,7 +71,7 @@
   case FK_OUTPUT_LEASE_KEEPALIVE:
   case FK_OUTPUT_COMMANDS:
   case FK_OUTPUT_PEER_QUERY:
-    g_assert_not_reached(); /* not the cloud's */
+    g_assert_not_reached(); /* not an output for the cloud */
   }
   fk_pending_call_finish(call);
 }
@@ -87,7 +88,7 @@
 
 typedef struct {
   const char *method;
-  char *path, *body; /* body NULL: none */
+  char *path, *body; /* `body` is NULL if the request has none */
 } CloudRequest;
 
 static void cloud_request_clear(CloudRequest *request) {
@@ -124,7 +125,7 @@
   case FK_OUTPUT_PEER_QUERY:
     break;
   }
-  g_assert_not_reached(); /* not the cloud's */
+  g_assert_not_reached(); /* not an output for the cloud */
 }
 
 /* An FkRateLimiterCallback. */
@@ -141,7 +142,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* The queue is full: as if the cloud had refused, but not within the core's own call. An
+/* Fails a call because the queue is full, with the status of a call that the cloud refused. The result is
+ * delivered from the main loop, because the core is still in the function that issued the call. An
  * FkRateLimiterCallback. */
 static void shed(gpointer data, gpointer item) { g_idle_add(deliver_shed, fk_pending_call_new(data, item)); }
 
@@ -155,8 +157,9 @@
 void fk_cloud_client_init(FkDaemon *daemon, const FkAdmissionLimits *limits) {
   daemon->cloud.http = fk_http_client_new(limits->cloud_connections, limits->cloud_connections,
                                           IDLE_CONNECTION_S, limits->response_bytes);
-  const FkRateLimiterOptions options = {.requests_per_s = daemon->settings->cloud_rps * RATE_PART,
-                                        .writes_per_s = 1, /* no call of the cloud's counts as a write */
+  const FkRateLimiterOptions options = {.requests_per_s = daemon->settings->cloud_rps * RATE_SHARE,
+                                        /* Unused: no call to the cloud counts as a write. */
+                                        .writes_per_s = 1,
                                         .burst_s = BURST_S,
                                         .levels = LEVELS,
                                         .queue_max = QUEUE_MAX};
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -1,4 +1,4 @@
-/* Puts the daemon together, runs its main loop and its timer. */
+/* Constructs the daemon, and runs its main loop and its timer. */
 #include "daemon/daemon_internal.h"
 
 #include <sys/resource.h>
@@ -30,17 +30,18 @@
                                FK_CONNECTION_CLASS_PEER, classify_peer_request, fk_user_print_error, error);
 }
 
-/* Raises the limit of file descriptors to `wanted` where the system allows it, and returns the limit: above
- * it accepts and calls would fail. */
+/* Raises the limit of file descriptors to `wanted` if the system allows it, and returns the resulting limit.
+ * Admission control must stay within it: above the limit, accepting connections and opening outbound ones
+ * would fail. */
 static double raise_descriptor_limit(rlim_t wanted) {
   struct rlimit limit;
   if (getrlimit(RLIMIT_NOFILE, &limit) < 0)
     return (double)wanted;
   if (limit.rlim_cur < wanted) {
-    rlim_t before = limit.rlim_cur;
+    rlim_t previous = limit.rlim_cur;
     limit.rlim_cur = MIN(wanted, limit.rlim_max);
     if (setrlimit(RLIMIT_NOFILE, &limit) < 0)
-      limit.rlim_cur = before;
+      limit.rlim_cur = previous;
     if (limit.rlim_cur < wanted)
       g_warning("descriptor limit too low limit=%.0f sockets=%.0f", (double)limit.rlim_cur, (double)wanted);
   }
@@ -58,7 +59,8 @@
 
 /* ------------------------------------------------------------------ the timer */
 
-/* Once a window; a warning when a connection or request was rejected. */
+/* Logs the counters of admission control once per window, as a warning if a connection or request was
+ * rejected. */
 static void log_admission(FkDaemon *daemon, gint64 now_us) {
   gint64 window_us = (gint64)(daemon->settings->tuning.window_s * G_USEC_PER_SEC);
   if (now_us < daemon->admission_logged_us + window_us)
@@ -97,7 +99,7 @@
 
 static FkController *new_core(const FkSettings *settings) {
   guint32 seed = (guint32)g_get_real_time() ^ g_str_hash(settings->node) ^ g_random_int();
-  /* distinct for each start of the process: the owner of a shard is a controller's incarnation */
+  /* Unique to each start of the process, because the owner of a shard is identified by its incarnation. */
   g_autofree char *incarnation =
       g_strdup_printf("%" G_GINT64_MODIFIER "x%04x", g_get_real_time() / 1000, seed & 0xffff);
   return fk_controller_new(settings, incarnation, seed, fk_daemon_now());
@@ -165,21 +167,23 @@
 
 /* ------------------------------------------------------------------ the main loop */
 
-static FkDaemon *running; /* a poll function has no argument of its own */
+/* The daemon that measured_poll() measures; a GPollFunc has no user data argument. */
+static FkDaemon *running_daemon;
 
-/* Waiting is charged to no purpose; an iteration of the main loop is what lies between two waits. */
+/* Polls the main loop's descriptors and updates the metrics. The time of the poll itself is charged to
+ * FK_CPU_IDLE; an iteration of the main loop lasts from the end of one poll to the start of the next. */
 static gint measured_poll(GPollFD *fds, guint n, gint timeout) {
-  FkCpuProfile *profile = fk_controller_cpu_profile(running->core);
-  FkCpuPurpose before = fk_daemon_profile_enter(running, FK_CPU_IDLE);
-  fk_process_metrics_iteration_end(running->metrics, profile->last_ns, n);
+  FkCpuProfile *profile = fk_controller_cpu_profile(running_daemon->core);
+  FkCpuPurpose previous = fk_daemon_profile_enter(running_daemon, FK_CPU_IDLE);
+  fk_process_metrics_iteration_end(running_daemon->metrics, profile->last_ns, n);
   gint ready = g_poll(fds, n, timeout);
-  fk_daemon_profile_leave(running, before);
-  fk_process_metrics_iteration_begin(running->metrics, profile->last_ns);
+  fk_daemon_profile_leave(running_daemon, previous);
+  fk_process_metrics_iteration_begin(running_daemon->metrics, profile->last_ns);
   return ready;
 }
 
 void fk_daemon_run(FkDaemon *daemon) {
-  running = daemon;
+  running_daemon = daemon;
   g_main_context_set_poll_func(NULL, measured_poll);
   g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
   g_main_loop_run(loop);
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,14 +1,14 @@
-/* The controller as a process: the core's inputs come from sockets, timers and clocks, and its outputs go to
- * the other services. */
+/* The controller as a process: feeds the core with input from sockets, timers and clocks, and sends the
+ * core's outputs to the other services. */
 #pragma once
 #include "core/controller.h"
 
 typedef struct FkDaemon FkDaemon;
 
-/* Listens and runs the core's first tick. `settings` is kept by reference. NULL: an address can't be listened
- * on, and `error` says which. */
+/* Opens the listening sockets and runs the core's first tick. `settings` is borrowed and must outlive the
+ * daemon. Returns NULL and an error that names the address if an address can't be listened on. */
 FkDaemon *fk_daemon_new(const FkSettings *settings, GError **error);
-/* Runs the main loop until the process is killed. One daemon a process. */
+/* Runs the main loop until the process is killed. A process may have only one daemon. */
 void fk_daemon_run(FkDaemon *daemon);
-/* NULL is fine. */
+/* Frees the daemon; `daemon` may be NULL. */
 void fk_daemon_free(FkDaemon *daemon);
--- a/src/daemon/daemon_internal.h
+++ b/src/daemon/daemon_internal.h
@@ -1,5 +1,5 @@
-/* What the files of the daemon share: its state, and the calls to other services that are under way. Private
- * to src/daemon. */
+/* Internals shared by the files of src/daemon and private to them: the daemon's state, and calls to other
+ * services that are in progress. */
 #pragma once
 #include <libsoup/soup.h>
 
@@ -10,40 +10,43 @@
 #include "net/http_client.h"
 #include "net/server.h"
 
-/* Calls to the key-value store. */
+/* Client of the key-value store. */
 typedef struct {
   FkHttpClient *http;
   FkRateLimiter *limiter;
-  guint dependency;            /* its index in FkDaemon.dependency_health */
-  double recent_rejections;    /* transactions refused as over the store's rate, decaying with each tick */
-  gint64 next_limits_until_us; /* until then the announced next rates are taken to be in force */
+  guint dependency; /* index of the store in FkDaemon.dependency_health */
+  /* Transactions that the store rejected because its rate was exceeded; decays with each tick. */
+  double recent_rejections;
+  /* Monotonic time until which the announced next rates are assumed to be in force. */
+  gint64 next_limits_until_us;
 } FkStoreClient;
 
-/* Calls to the cloud provider. */
+/* Client of the cloud provider. */
 typedef struct {
   FkHttpClient *http;
   FkRateLimiter *limiter;
-  guint dependency;
+  guint dependency; /* index of the cloud in FkDaemon.dependency_health */
 } FkCloudClient;
 
-/* Calls to the other controllers. */
+/* Client of the other controllers. */
 typedef struct {
   FkHttpClient *http;
-  GHashTable *dependencies; /* name (the settings') -> index in FkDaemon.dependency_health */
+  GHashTable *dependencies; /* peer's name in the settings -> index in FkDaemon.dependency_health */
 } FkPeerClient;
 
-/* Requests of users and workers that have no reply yet. */
+/* Requests of users and workers that haven't been responded to yet. */
 typedef struct {
-  guint64 last_id;
-  SoupServerMessage *current; /* the request whose handler runs now; its id is last_id; NULL: replied to */
-  GHashTable *paused;         /* id -> SoupServerMessage: those that the core answers later */
+  guint64 last_id; /* id of the latest request */
+  /* Request whose handler is running, with the id last_id; NULL once it has a response or is paused. */
+  SoupServerMessage *current;
+  GHashTable *paused; /* id -> SoupServerMessage: requests that the core replies to later */
 } FkOpenRequests;
 
 struct FkDaemon {
   const FkSettings *settings;
   FkController *core;
   FkServer *server;
-  /* These listen nowhere themselves: FkServer hands them the connections with a complete request. */
+  /* They have no listening sockets: FkServer passes them each connection that has sent a complete request. */
   SoupServer *api_server, *peer_server;
   FkOpenRequests requests;
   FkStoreClient store;
@@ -51,88 +54,92 @@
   FkPeerClient peers;
   FkHttpClient *workers;
   FkDependencyHealth *dependency_health;
-  FkAdmissionCounters admission_counters; /* as of the latest log line */
+  FkAdmissionCounters admission_counters; /* counters as of the latest log line */
   gint64 admission_logged_us;
   FkProcessMetrics *metrics;
   guint tick_source;
-  gint64 last_tick_us; /* 0: none yet */
+  gint64 last_tick_us; /* 0 before the first tick */
   gboolean running_outputs;
 };
 
 static inline FkTime fk_daemon_now(void) { return (FkTime){g_get_monotonic_time()}; }
 
-/* Charges CPU time from here on to `purpose`; the result is for fk_daemon_profile_leave(). */
+/* Charges CPU time from now on to `purpose`. Returns the previous purpose, to be passed to
+ * fk_daemon_profile_leave(). */
 static inline FkCpuPurpose fk_daemon_profile_enter(FkDaemon *daemon, FkCpuPurpose purpose) {
   return fk_cpu_profile_enter(fk_controller_cpu_profile(daemon->core), purpose);
 }
-static inline void fk_daemon_profile_leave(FkDaemon *daemon, FkCpuPurpose before) {
-  fk_cpu_profile_leave(fk_controller_cpu_profile(daemon->core), before);
+static inline void fk_daemon_profile_leave(FkDaemon *daemon, FkCpuPurpose previous) {
+  fk_cpu_profile_leave(fk_controller_cpu_profile(daemon->core), previous);
 }
 
 /* ---- outputs.c ---- */
-/* Carries out all that the core wants done. To be called after each input; reentrant calls do nothing, the
- * outer one goes on. */
+/* Carries out all outputs that the core has queued. Must be called after each input to the core. A reentrant
+ * call does nothing, since the outer call carries out the new outputs as well. */
 void fk_daemon_run_outputs(FkDaemon *daemon);
 
 /* ---- pending_call.c ---- */
-/* An HTTP call that carries out one output. */
+/* An HTTP call in progress that carries out one output of the core. */
 typedef struct {
   FkDaemon *daemon;
   FkOutput *output; /* owned */
   FkTime sent_at;
 } FkPendingCall;
 
-/* Takes `output`. */
+/* Takes ownership of `output`. */
 FkPendingCall *fk_pending_call_new(FkDaemon *daemon, FkOutput *output);
-/* Frees the call with its output and runs the outputs that its result has led to. */
+/* Frees the call and its output, and runs the outputs that the core has queued because of the call's result.
+ */
 void fk_pending_call_finish(FkPendingCall *call);
-/* Frees the call, and gives its output back to the caller. */
+/* Frees the call and returns its output, which the caller owns. */
 FkOutput *fk_pending_call_steal_output(FkPendingCall *call);
-/* What an HTTP status (0: no response) says about whether a call was carried out. */
+/* Returns what an HTTP status (0 if there was no response) says about whether the call was carried out. */
 FkOutcome fk_outcome_from_status(guint status);
 
 /* ---- dependencies.c ---- */
-/* Registers the store, the cloud and the peers. */
+/* Registers the store, the cloud and the peers as dependencies. */
 void fk_daemon_add_dependencies(FkDaemon *daemon);
-/* A dependency was called, with that HTTP status (0: no response). */
+/* Records the result of a call to a dependency: its HTTP status, or 0 if there was no response. */
 void fk_daemon_record_dependency(FkDaemon *daemon, guint dependency, guint status);
-/* Logs which dependencies became unreachable or recovered. */
+/* Logs which dependencies have become unreachable or have recovered. */
 void fk_daemon_log_dependencies(FkDaemon *daemon);
 
 /* ---- store_client.c ---- */
 void fk_store_client_init(FkDaemon *daemon, const FkAdmissionLimits *limits);
 void fk_store_client_clear(FkStoreClient *store);
-/* Takes `output`: a commit, read, list, watch or lease call. */
+/* Sends a commit, read, list, watch or lease call. Takes ownership of `output`. */
 void fk_store_client_send(FkDaemon *daemon, FkOutput *output);
-/* Tells the core how many writes it could have sent at once. */
+/* Tells the core how many writes could be sent without waiting. */
 void fk_store_client_update_write_capacity(FkDaemon *daemon);
-/* Adapts the rates to this controller's share, and to the limits that the store seems to enforce. */
+/* Updates the rate limits to this controller's share and to the limits that the store currently appears to
+ * enforce. */
 void fk_store_client_update_rates(FkDaemon *daemon);
 
 /* ---- cloud_client.c ---- */
 void fk_cloud_client_init(FkDaemon *daemon, const FkAdmissionLimits *limits);
 void fk_cloud_client_clear(FkCloudClient *cloud);
-/* Takes `output`: a list, provision or terminate call. */
+/* Sends a list, provision or terminate call. Takes ownership of `output`. */
 void fk_cloud_client_send(FkDaemon *daemon, FkOutput *output);
 
 /* ---- worker_client.c ---- */
-/* Takes `output`: commands for one worker. */
+/* Sends commands to one worker. Takes ownership of `output`. */
 void fk_worker_client_send(FkDaemon *daemon, FkOutput *output);
 
 /* ---- peers.c ---- */
-/* Takes `output`: a query of a peer's progress. */
+/* Queries the progress of a peer. Takes ownership of `output`. */
 void fk_peer_client_send(FkDaemon *daemon, FkOutput *output);
-/* Handles the requests of other controllers: a SoupServerCallback, `daemon` an FkDaemon. */
+/* Serves a request of another controller. A SoupServerCallback; `daemon` is an FkDaemon. */
 void fk_daemon_on_peer_request(SoupServer *server, SoupServerMessage *message, const char *path,
                                GHashTable *query, gpointer daemon);
 
 /* ---- api_requests.c ---- */
 void fk_open_requests_init(FkOpenRequests *requests);
 void fk_open_requests_clear(FkOpenRequests *requests);
-/* Handles the requests of users, workers and health checks: a SoupServerCallback, `daemon` an FkDaemon. */
+/* Serves a request of a user, a worker or a health check. A SoupServerCallback; `daemon` is an FkDaemon. */
 void fk_daemon_on_api_request(SoupServer *server, SoupServerMessage *message, const char *path,
                               GHashTable *query, gpointer daemon);
-/* Sends the core's reply to a user or worker. */
+/* Sends the core's reply to a user or worker; does nothing if the client has disconnected. */
 void fk_daemon_reply(FkDaemon *daemon, const FkOutput *output);
-/* Sets the response to a request. `body` (JSON) is taken; `retry_after_s` 0: no such header. */
+/* Sets the response to a request. Takes ownership of `body` (JSON). `retry_after_s` is 0 for no Retry-After
+ * header. */
 void fk_daemon_respond(SoupServerMessage *message, guint status, char *body, double retry_after_s);
--- a/src/daemon/dependencies.c
+++ b/src/daemon/dependencies.c
@@ -1,4 +1,4 @@
-/* Which of the services that a controller depends on can be reached, for the log. */
+/* Tracks and logs which of the services that the controller depends on are unreachable. */
 #include "daemon/daemon_internal.h"
 
 static void add_peers(FkDaemon *daemon) {
@@ -9,7 +9,8 @@
     g_autofree char *name = g_strdup_printf("controller %s at %s", peer->name, peer->addr);
     guint dependency =
         fk_dependency_health_add(daemon->dependency_health, name,
-                                 "it can't confirm our view: while the store is away too, leases run out");
+                                 "it can't confirm this controller's view: if the store is unreachable too, "
+                                 "leases expire");
     g_hash_table_insert(daemon->peers.dependencies, peer->name, GUINT_TO_POINTER(dependency));
   }
 }
@@ -21,7 +22,8 @@
   daemon->dependency_health = fk_dependency_health_new((gint64)(settings->tuning.window_s * G_USEC_PER_SEC));
   daemon->store.dependency = fk_dependency_health_add(
       daemon->dependency_health, store,
-      "no job is accepted and no task started or ended; running tasks go on while all controllers do");
+      "no job is accepted, no task starts and no completion is recorded; running tasks continue while all "
+      "controllers are reachable");
   daemon->cloud.dependency =
       fk_dependency_health_add(daemon->dependency_health, cloud, "no machine is provisioned or terminated");
   add_peers(daemon);
--- a/src/daemon/log.h
+++ b/src/daemon/log.h
@@ -1,7 +1,7 @@
-/* GLib's log, on standard error, at the level that the environment's LOG_LEVEL names (error, info, debug;
- * else warnings and errors). */
+/* Sets up GLib's log to write to standard error, at the level named by the environment variable LOG_LEVEL:
+ * error, info or debug; by default warnings and errors. */
 #pragma once
 void fk_log_init(void);
 
-/* How the line of a malformed heartbeat begins; scale runs of the simulation count these lines. */
+/* Start of the log line for a malformed heartbeat; scale runs of the simulation count these lines. */
 #define FK_LOG_MALFORMED_HEARTBEAT "heartbeat malformed body="
--- a/src/daemon/outputs.c
+++ b/src/daemon/outputs.c
@@ -1,5 +1,4 @@
-/* Carries out what the core wants done: each kind of output goes to the client of the service that it is for.
- */
+/* Dispatches each output of the core to the client of the service that it is for. */
 #include "daemon/daemon_internal.h"
 
 static void run_output(FkDaemon *daemon, FkOutput *output) {
--- a/src/daemon/peers.c
+++ b/src/daemon/peers.c
@@ -1,4 +1,4 @@
-/* What controllers ask each other: how far the other has seen the store's changes. */
+/* Queries between controllers: how far the other controller has followed the store's changes. */
 #include "daemon/daemon_internal.h"
 #include "wire/peer.h"
 #include "wire/user.h"
--- a/src/daemon/process_metrics.c
+++ b/src/daemon/process_metrics.c
@@ -5,7 +5,7 @@
 #include <math.h>
 #include <time.h>
 
-/* Lateness from 1 ms to 100 s, each bin a quarter wider than the one before. */
+/* Histogram of the timer's lateness, from 1 ms to 100 s; each bin is 25 % wider than the one before. */
 #define LATENESS_BINS 52
 #define LATENESS_BIN_RATIO 1.25
 #define LATENESS_MIN_S 0.001
@@ -13,7 +13,7 @@
 
 struct FkProcessMetrics {
   double window_s;
-  gint64 window_end_us; /* 0: no window has begun */
+  gint64 window_end_us; /* 0 before the first window */
   gsl_histogram *lateness;
   double worst_lateness_s;
   gint64 iteration_start_ns, longest_iteration_ns;
@@ -56,10 +56,10 @@
   metrics->iterations++;
 }
 
-/* The upper edge of the bin in which that part of the values ends. */
-static double quantile(const gsl_histogram *histogram, double part) {
+/* Returns the upper edge of the bin in which the `fraction` quantile lies. */
+static double quantile(const gsl_histogram *histogram, double fraction) {
   double total = gsl_histogram_sum(histogram), sum = 0, low = 0, high = 0;
-  for (gsize i = 0; i < gsl_histogram_bins(histogram) && sum < part * total; i++) {
+  for (gsize i = 0; i < gsl_histogram_bins(histogram) && sum < fraction * total; i++) {
     sum += gsl_histogram_get(histogram, i);
     gsl_histogram_get_range(histogram, i, &low, &high);
   }
--- a/src/daemon/rate_limiter.c
+++ b/src/daemon/rate_limiter.c
@@ -1,13 +1,15 @@
 #include "daemon/rate_limiter.h"
 
 #define QUEUE_INTERVAL_MS 15
-/* A request with more writes is sent when there are tokens for so many, and overdraws the bucket: if it
- * waited for all of them, smaller requests would keep it waiting for ever. */
+/* A request with more writes than this is sent as soon as there are tokens for this many, and overdraws the
+ * bucket. If it had to wait for tokens for all of its writes, smaller requests would starve it. */
 #define LARGE_REQUEST_WRITES 2.0
-/* The part of the write rate that is reserved for the levels that aren't urgent. Right after an outage one
- * controller may be sent the submissions of all, and what it has accepted has to start as well. */
-#define RESERVED_PART 0.35
-/* Urgent writes that would wait longer are shed at once: other controllers have more capacity. */
+/* Share of the write rate that is reserved for the levels that aren't urgent. Right after an outage, one
+ * controller may receive the submissions of all users, and the jobs that it has accepted must still be
+ * started. */
+#define RESERVED_SHARE 0.35
+/* Urgent writes that would wait longer than this are shed immediately, because other controllers may have
+ * spare capacity. */
 #define URGENT_WAIT_MAX_S 1.0
 
 typedef struct {
@@ -18,12 +20,14 @@
 struct FkRateLimiter {
   FkRateLimiterOptions options;
   double tokens;
-  double write_tokens;          /* for all levels */
-  double reserved_write_tokens; /* for the levels that aren't urgent; what they don't use is for all */
+  double write_tokens; /* write tokens for all levels */
+  /* Write tokens reserved for the levels that aren't urgent; those that don't fit the bucket go to
+   * write_tokens. */
+  double reserved_write_tokens;
   gint64 refilled_us;
-  GQueue *queues; /* QueuedRequest, by level */
+  GQueue *queues; /* QueuedRequest; one queue per level */
   guint queued, queued_urgent_writes;
-  guint timer; /* 0: nothing waits */
+  guint timer; /* source id; 0 while no request is queued */
   FkRateLimiterCallback send, shed;
   gpointer data;
 };
@@ -34,8 +38,8 @@
   *limiter =
       (FkRateLimiter){.options = *options,
                       .tokens = options->requests_per_s * options->burst_s,
-                      .write_tokens = (1 - RESERVED_PART) * options->writes_per_s * options->burst_s,
-                      .reserved_write_tokens = RESERVED_PART * options->writes_per_s * options->burst_s,
+                      .write_tokens = (1 - RESERVED_SHARE) * options->writes_per_s * options->burst_s,
+                      .reserved_write_tokens = RESERVED_SHARE * options->writes_per_s * options->burst_s,
                       .refilled_us = g_get_monotonic_time(),
                       .queues = g_new0(GQueue, options->levels),
                       .send = send,
@@ -71,17 +75,17 @@
   limiter->refilled_us = now_us;
   limiter->tokens = MIN(limiter->options.requests_per_s * limiter->options.burst_s,
                         limiter->tokens + elapsed_s * limiter->options.requests_per_s);
-  double reserved_max = RESERVED_PART * limiter->options.writes_per_s * limiter->options.burst_s;
+  double reserved_max = RESERVED_SHARE * limiter->options.writes_per_s * limiter->options.burst_s;
   double reserved =
-      limiter->reserved_write_tokens + elapsed_s * RESERVED_PART * limiter->options.writes_per_s;
+      limiter->reserved_write_tokens + elapsed_s * RESERVED_SHARE * limiter->options.writes_per_s;
   limiter->reserved_write_tokens = MIN(reserved_max, reserved);
   double overflow = reserved - limiter->reserved_write_tokens;
-  limiter->write_tokens =
-      MIN((1 - RESERVED_PART) * limiter->options.writes_per_s * limiter->options.burst_s,
-          limiter->write_tokens + elapsed_s * (1 - RESERVED_PART) * limiter->options.writes_per_s + overflow);
+  limiter->write_tokens = MIN(
+      (1 - RESERVED_SHARE) * limiter->options.writes_per_s * limiter->options.burst_s,
+      limiter->write_tokens + elapsed_s * (1 - RESERVED_SHARE) * limiter->options.writes_per_s + overflow);
 }
 
-/* Write tokens for a level that isn't urgent. */
+/* Returns the write tokens that a level that isn't urgent may spend. */
 static double spendable_writes(const FkRateLimiter *limiter) {
   return limiter->reserved_write_tokens + MAX(0, limiter->write_tokens);
 }
@@ -94,13 +98,14 @@
   }
   double from_reserved = MIN((double)writes, MAX(0, limiter->reserved_write_tokens));
   limiter->reserved_write_tokens -= from_reserved;
-  /* while the urgent levels have overdrawn the bucket, the others overdraw only their own */
+  /* While the urgent levels have overdrawn the shared bucket, the other levels overdraw only the reserved
+   * one. */
   double *rest_from = limiter->write_tokens < 0 ? &limiter->reserved_write_tokens : &limiter->write_tokens;
   *rest_from -= writes - from_reserved;
 }
 
-/* The urgent levels (leases, users) may use the next second's tokens: nobody who waits for them should wait
- * for work in the background. */
+/* Returns whether a request may be sent now. The urgent levels (leases, users) may overdraw the buckets by
+ * one second's tokens, so that they don't wait for background work. */
 static gboolean can_send(const FkRateLimiter *limiter, guint level, guint writes) {
   if (is_urgent(limiter, level))
     return limiter->tokens >= -limiter->options.requests_per_s &&
@@ -111,8 +116,8 @@
 
 /* ------------------------------------------------------------------ the queue */
 
-/* Whether anything waits that goes before a new request of that level. Urgent levels and others don't wait
- * for each other. */
+/* Returns whether a queued request must be sent before a new request of this level. The urgent levels and the
+ * others don't wait for each other. */
 static gboolean has_queued_before(const FkRateLimiter *limiter, guint level) {
   for (guint i = is_urgent(limiter, level) ? 0 : limiter->options.urgent_levels; i <= level; i++)
     if (!g_queue_is_empty(&limiter->queues[i]))
@@ -130,7 +135,7 @@
   g_free(request);
 }
 
-/* FALSE: something is left. */
+/* Sends the queued requests of a level as far as there are tokens. Returns FALSE if some remain queued. */
 static gboolean send_level(FkRateLimiter *limiter, guint level) {
   GQueue *queue = &limiter->queues[level];
   while (!g_queue_is_empty(queue)) {
@@ -146,7 +151,7 @@
   FkRateLimiter *limiter = data;
   refill(limiter);
   for (guint i = 0; i < limiter->options.levels; i++)
-    /* urgent requests that wait don't hold up the others, which have reserved tokens */
+    /* Queued urgent requests don't block the other levels, which have reserved tokens. */
     if (!send_level(limiter, i) && !is_urgent(limiter, i))
       return G_SOURCE_CONTINUE;
   if (limiter->queued)
--- a/src/daemon/rate_limiter.h
+++ b/src/daemon/rate_limiter.h
@@ -1,33 +1,36 @@
-/* A rate limiter with priorities, for requests of which some count as writes too: a token bucket each. What
- * has tokens is sent at once, the rest waits by level, and what finds the queue full is shed. */
+/* A rate limiter with priority levels and two token buckets: one for all requests, one for the writes that
+ * some of the requests contain. A request for which there are tokens is sent immediately, others are queued
+ * by level, and requests are shed when the queue is full. */
 #pragma once
 #include <glib.h>
 
 typedef struct FkRateLimiter FkRateLimiter;
-/* Takes `item`. */
+/* Sends or sheds a request. Takes ownership of `item`; `data` is the pointer given to fk_rate_limiter_new().
+ */
 typedef void (*FkRateLimiterCallback)(gpointer data, gpointer item);
 
 typedef struct {
   double requests_per_s, writes_per_s;
-  double burst_s;      /* the buckets hold the tokens of so many seconds */
-  guint levels;        /* of priority; 0 is the most urgent one */
-  guint urgent_levels; /* the first ones, which may overdraw the buckets by a second's tokens */
-  guint queue_max;     /* requests that may wait */
+  double burst_s; /* capacity of the buckets: the tokens of this many seconds */
+  guint levels;   /* number of priority levels; level 0 is the most urgent */
+  /* Number of levels, from level 0, that may overdraw the buckets by one second's tokens. */
+  guint urgent_levels;
+  guint queue_max; /* queued requests at most */
 } FkRateLimiterOptions;
 
-/* `send` and `shed` get `data`. */
+/* Creates a rate limiter that passes requests to `send` or `shed` along with `data`. */
 FkRateLimiter *fk_rate_limiter_new(const FkRateLimiterOptions *options, FkRateLimiterCallback send,
                                    FkRateLimiterCallback shed, gpointer data);
-/* Sheds what waits. NULL is fine. */
+/* Sheds all queued requests and frees the limiter; `limiter` may be NULL. */
 void fk_rate_limiter_free(FkRateLimiter *limiter);
-/* Sends, queues or sheds `item`, a request with that many writes (0: it only reads). */
+/* Sends, queues or sheds `item`, a request with `writes` writes (0 if it only reads). */
 void fk_rate_limiter_submit(FkRateLimiter *limiter, guint level, guint writes, gpointer item);
-/* A request was refused by the other side for exceeding its rate: all tokens are void, and it goes first
- * again in its level. */
+/* Puts a request that the server rejected for exceeding its rate back at the head of its level. Discards all
+ * tokens, because the server has reached its limit. */
 void fk_rate_limiter_requeue(FkRateLimiter *limiter, guint level, guint writes, gpointer item);
-/* Charges a request that was sent in any case. */
+/* Charges a token for a request that is sent without waiting for the limiter. */
 void fk_rate_limiter_charge(FkRateLimiter *limiter);
-/* Changes the rates from now on. */
+/* Sets the rates from now on. */
 void fk_rate_limiter_set_rates(FkRateLimiter *limiter, double requests_per_s, double writes_per_s);
-/* How many writes would be sent at once at this level. */
+/* Returns the number of writes that this level could send without waiting. */
 double fk_rate_limiter_available_writes(FkRateLimiter *limiter, guint level);
--- a/src/daemon/remote_execution.c
+++ b/src/daemon/remote_execution.c
@@ -9,7 +9,8 @@
 #define KEYS_CHECK_S 2
 #define BYTES_PER_GB 1073741824.0
 
-/* What admission control is told: connections are bounded by the settings, memory by the HTTP/2 limits. */
+/* Resources reported to admission control. They are larger than needed, because connections are limited by
+ * the settings and memory by the HTTP/2 limits instead. */
 #define SOCKETS_PER_CONNECTION 4
 #define SPARE_SOCKETS 100
 #define RAM_UNBOUNDED_MB 1e6
@@ -17,7 +18,7 @@
 struct FkRemoteExecution {
   const FkRemoteExecutionSettings *settings;
   GThread *thread;
-  /* all below belongs to the thread while it runs */
+  /* The fields below are used only by the thread while it runs. */
   GMainContext *context;
   GMainLoop *loop;
   FkServer *server;
@@ -53,7 +54,8 @@
 
 /* ------------------------------------------------------------------ keys */
 
-/* FALSE: the file isn't there, or can't be looked at. */
+/* Reads the modification time of the keys file. Returns FALSE if the file doesn't exist or can't be accessed.
+ */
 static gboolean keys_modified(const FkRemoteExecution *server, gint64 *modified_ns) {
   GStatBuf status;
   if (g_stat(server->settings->keys, &status) != 0)
@@ -74,7 +76,8 @@
   return keys;
 }
 
-/* Keys that can't be read leave the present ones in force. */
+/* Reloads the keys file if it has changed. If the new file can't be read or is malformed, the present keys
+ * stay in force. */
 static void reload_changed_keys(FkRemoteExecution *server) {
   gint64 modified_ns;
   if (!keys_modified(server, &modified_ns) || modified_ns == server->keys_modified_ns)
@@ -142,7 +145,8 @@
   const FkAdmissionLimits limits = admission_limits(server->settings);
   const FkListenerHandler handler = {
       .raw = TRUE, .connection_class = FK_CONNECTION_CLASS_CLIENT, .serve = on_connection, .data = server};
-  g_main_context_push_thread_default(server->context); /* whose sources the server makes */
+  /* FkServer attaches its sources to the thread-default context. */
+  g_main_context_push_thread_default(server->context);
   server->server = fk_server_new(&limits);
   server->service = open_service(server, error);
   gboolean listening =
--- a/src/daemon/remote_execution.h
+++ b/src/daemon/remote_execution.h
@@ -1,12 +1,13 @@
-/* Serves the build tools' cache (remote_execution/cache_service.h) in a thread of its own with a main context
- * of its own, so that the disk never holds up the scheduler. */
+/* Serves the build cache (remote_execution/cache_service.h) in a separate thread with its own main context,
+ * so that disk I/O never blocks the scheduler. */
 #pragma once
 #include "remote_execution/settings.h"
 
 typedef struct FkRemoteExecution FkRemoteExecution;
 
-/* Listens and serves from now on. NULL and an error when the directory, the keys or the address can't be had.
- * `settings` is kept by reference. */
+/* Starts the server. `settings` is borrowed and must outlive it. Returns NULL and an error if the directory,
+ * the keys file or the address can't be used. */
 FkRemoteExecution *fk_remote_execution_start(const FkRemoteExecutionSettings *settings, GError **error);
-/* Ends the thread and closes all connections; what is half done is given up. NULL is fine. */
+/* Ends the thread and closes all connections; calls and uploads in progress are aborted. `server` may be
+ * NULL. */
 void fk_remote_execution_stop(FkRemoteExecution *server);
--- a/src/daemon/store_client.c
+++ b/src/daemon/store_client.c
@@ -5,22 +5,24 @@
 
 #define CALL_DEADLINE_S 2.0
 #define LIST_DEADLINE_S 5.0
-#define WATCH_DEADLINE_MARGIN_S 3.0 /* past the time that the store may keep a watch open */
+#define WATCH_DEADLINE_MARGIN_S 3.0 /* added to the time for which the store may hold a watch open */
 #define LIST_PAGE_RECORDS 1000
 #define IDLE_CONNECTION_S 60
-#define RETRIES_MAX 6 /* times that a request over the store's rate is sent again */
+#define RETRIES_MAX 6 /* retries of a request that the store rejected for exceeding its rate */
 
 #define QUEUE_MAX 2000
 #define BURST_S 0.8
-#define INITIAL_SHARE 0.5 /* of the rates, until the core knows how many controllers there are */
-/* A controller may use somewhat more than its share of the requests, as not all need theirs at once. Writes
- * are what users wait for, and must find room. */
+#define INITIAL_SHARE 0.5 /* share of the rates until the core knows the number of controllers */
+/* A controller may use somewhat more than its share of the request rate, as not all controllers use theirs at
+ * the same time. The write rate isn't overcommitted: users wait for writes, which must not be rejected. */
 #define REQUEST_OVERCOMMIT 1.2
 #define WRITE_OVERCOMMIT 1.0
 
-#define REJECTION_DECAY 0.98     /* a tick: the count halves in 3.4 s */
-#define REJECTIONS_MAX 6         /* more, of a controller that keeps to its share: the limits have changed */
-#define NEXT_LIMITS_RECHECK_S 60 /* then the present limits are tried again */
+#define REJECTION_DECAY 0.98 /* factor per tick; the count halves in 3.4 s */
+/* With more recent rejections, although this controller keeps to its share, the store's limits must have
+ * changed. */
+#define REJECTIONS_MAX 6
+#define NEXT_LIMITS_RECHECK_S 60 /* the present limits are tried again after this time */
 
 #define LOGGED_BODY_BYTES 300
 
@@ -47,22 +49,22 @@
   FkDaemon *daemon = call->daemon;
   gboolean is_list = call->output->kind == FK_OUTPUT_LIST;
   gboolean more = FALSE;
-  FkRev epoch = {0};
+  FkRev revision = {0};
   g_autoptr(GPtrArray) events = NULL;
-  FkCpuPurpose before = fk_daemon_profile_enter(daemon, FK_CPU_DECODE);
+  FkCpuPurpose previous = fk_daemon_profile_enter(daemon, FK_CPU_DECODE);
   if (outcome == FK_OUTCOME_OK)
-    events =
-        is_list ? fk_store_parse_list(body, len, &more, &epoch) : fk_store_parse_watch(body, len, &epoch);
-  fk_daemon_profile_leave(daemon, before);
+    events = is_list ? fk_store_parse_list(body, len, &more, &revision)
+                     : fk_store_parse_watch(body, len, &revision);
+  fk_daemon_profile_leave(daemon, previous);
   if (!events) {
     if (outcome == FK_OUTCOME_OK)
       outcome = FK_OUTCOME_UNKNOWN;
     events = g_ptr_array_new();
   }
   if (is_list)
-    fk_controller_list_received(daemon->core, fk_daemon_now(), outcome, events, more, epoch);
+    fk_controller_list_received(daemon->core, fk_daemon_now(), outcome, events, more, revision);
   else
-    fk_controller_watch_received(daemon->core, fk_daemon_now(), outcome, events, epoch, call->sent_at);
+    fk_controller_watch_received(daemon->core, fk_daemon_now(), outcome, events, revision, call->sent_at);
 }
 
 static void on_lease_grant_result(FkPendingCall *call, FkOutcome outcome, const char *body, gsize len) {
@@ -99,7 +101,7 @@
   case FK_OUTPUT_PROVISION:
   case FK_OUTPUT_TERMINATE:
   case FK_OUTPUT_LIST_MACHINES:
-    g_assert_not_reached(); /* not the store's */
+    g_assert_not_reached(); /* not an output for the store */
   }
 }
 
@@ -111,7 +113,8 @@
   return output->kind == FK_OUTPUT_GET ? 0 : output->writes->len;
 }
 
-/* Only transactions and reads wait for the rate limiter, and may go through it again. */
+/* Returns whether the rejected request may be retried, and counts the retry. Only transactions and reads pass
+ * through the rate limiter and may be queued there again. */
 static gboolean may_retry(FkOutput *output) {
   return (output->kind == FK_OUTPUT_COMMIT || output->kind == FK_OUTPUT_GET) &&
          output->budget_refusals++ < RETRIES_MAX;
@@ -134,8 +137,8 @@
   fk_pending_call_finish(call);
 }
 
-/* An FkHttpCallback. Calls that our own rate limiter has refused don't come here: they say nothing about the
- * store. */
+/* Handles the store's response. Calls that this controller's own rate limiter has shed bypass this function,
+ * since they say nothing about the store's health. An FkHttpCallback. */
 static void on_response(gpointer data, guint status, const char *body, gsize len) {
   FkPendingCall *call = data;
   fk_daemon_record_dependency(call->daemon, call->daemon->store.dependency, status);
@@ -146,7 +149,7 @@
 
 typedef struct {
   const char *method;
-  char *path, *body; /* body NULL: none */
+  char *path, *body; /* `body` is NULL if the request has none */
   double deadline_s;
 } StoreRequest;
 
@@ -157,9 +160,9 @@
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(StoreRequest, store_request_clear)
 
 static char *print_commit(FkDaemon *daemon, const FkOutput *output) {
-  FkCpuPurpose before = fk_daemon_profile_enter(daemon, FK_CPU_ENCODE);
+  FkCpuPurpose previous = fk_daemon_profile_enter(daemon, FK_CPU_ENCODE);
   char *body = fk_store_print_commit(output);
-  fk_daemon_profile_leave(daemon, before);
+  fk_daemon_profile_leave(daemon, previous);
   return body;
 }
 
@@ -197,10 +200,10 @@
   case FK_OUTPUT_LIST_MACHINES:
     break;
   }
-  g_assert_not_reached(); /* not the store's */
+  g_assert_not_reached(); /* not an output for the store */
 }
 
-/* Sends the request now. An FkRateLimiterCallback. */
+/* Sends a request. An FkRateLimiterCallback. */
 static void send_now(gpointer data, gpointer item) {
   FkDaemon *daemon = data;
   FkOutput *output = item;
@@ -214,7 +217,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* The queue is full: as if the store had refused, but not within the core's own call. An
+/* Fails a call because the queue is full, with the status of a call that the store refused. The result is
+ * delivered from the main loop, because the core is still in the function that issued the call. An
  * FkRateLimiterCallback. */
 static void shed(gpointer data, gpointer item) { g_idle_add(deliver_shed, fk_pending_call_new(data, item)); }
 
@@ -232,7 +236,7 @@
     fk_rate_limiter_submit(store->limiter, priority_of(output), writes_of(output), output);
   } else if (output->kind == FK_OUTPUT_WATCH) {
     g_timeout_add((guint)(output->delay_s * 1000), send_delayed_watch, fk_pending_call_new(daemon, output));
-  } else { /* few, and nothing works without them */
+  } else { /* lists and lease calls are few and critical: they aren't queued */
     fk_rate_limiter_charge(store->limiter);
     send_now(daemon, output);
   }
@@ -245,9 +249,8 @@
       daemon->core, fk_rate_limiter_available_writes(daemon->store.limiter, FK_PRIORITY_LAUNCH));
 }
 
-/* The next limits hold from some moment on, without notice: rejections of writes within the present rate
- * tell.
- */
+/* Returns whether the announced next limits are assumed to be in force. The store switches to them without
+ * notice, which shows in rejections of writes that are within the present rate. */
 static gboolean next_limits_in_force(FkDaemon *daemon) {
   FkStoreClient *store = &daemon->store;
   const FkSettings *settings = daemon->settings;
--- a/src/daemon/worker_client.c
+++ b/src/daemon/worker_client.c
@@ -1,18 +1,19 @@
-/* Commands that are sent to workers directly, instead of with the reply to their next heartbeat. */
+/* Commands that are sent to a worker directly instead of with the reply to its next heartbeat. */
 #include "daemon/daemon_internal.h"
 #include "wire/worker.h"
 
 #define CALL_DEADLINE_S 2.0
 
-/* An FkHttpCallback. A worker answers with a heartbeat, also when it refuses the commands (409). */
+/* Handles a worker's response. It is a heartbeat, even if the worker rejected the commands (status 409). An
+ * FkHttpCallback. */
 static void on_response(gpointer data, guint status, const char *body, gsize len) {
   FkPendingCall *call = data;
   FkDaemon *daemon = call->daemon;
-  FkCpuPurpose before = fk_daemon_profile_enter(daemon, FK_CPU_HEARTBEATS);
+  FkCpuPurpose previous = fk_daemon_profile_enter(daemon, FK_CPU_HEARTBEATS);
   FkHeartbeat *heartbeat = status == 200 || status == 409 ? fk_worker_parse_heartbeat(body, len) : NULL;
   fk_controller_command_reply_received(daemon->core, fk_daemon_now(), call->output->call,
                                        fk_outcome_from_status(status), heartbeat);
-  fk_daemon_profile_leave(daemon, before);
+  fk_daemon_profile_leave(daemon, previous);
   fk_pending_call_finish(call);
 }
 
