--- a/src/cmd/check.c
+++ b/src/cmd/check.c
@@ -1,4 +1,4 @@
-/* flaxknot check: whether the settings can be read, and how each team's quota was. */
+/* flaxknot check: validates the settings files and prints how each team's quota was read. */
 #include <stdio.h>
 
 #include "cmd/commands.h"
@@ -33,7 +33,7 @@
     fprintf(stderr, "flaxknot: %s\n", error->message);
     return FK_EXIT_STATUS_FAILED;
   }
-  printf("the settings of %s are in order\n", settings->node);
+  printf("the settings of %s are valid\n", settings->node);
   print_teams(settings);
   return FK_EXIT_STATUS_OK;
 }
--- a/src/cmd/commands.h
+++ b/src/cmd/commands.h
@@ -1,24 +1,24 @@
-/* The program's subcommands, one file each. Each returns the process's exit status, and has said on standard
- * error what went wrong. */
+/* The program's subcommands, one file each. Each returns the exit status of the process; if it fails, it has
+ * printed the error to standard error. */
 #pragma once
 #include <glib.h>
 
 typedef enum {
   FK_EXIT_STATUS_OK = 0,
-  FK_EXIT_STATUS_FAILED = 1, /* settings, an address, a file */
-  FK_EXIT_STATUS_USAGE = 2   /* the command line */
+  FK_EXIT_STATUS_FAILED = 1, /* error in the settings, an address or a file */
+  FK_EXIT_STATUS_USAGE = 2   /* error in the command line */
 } FkExitStatus;
 
-/* Which files to read. Borrowed. */
+/* Paths of the files to read. The strings are borrowed. */
 typedef struct {
-  const char *config;           /* the platform's settings */
-  const char *operator_file;    /* the operators' own settings; NULL or "": none */
-  const char *remote_execution; /* switches the build tools' cache on; NULL: off */
+  const char *config;           /* platform's settings */
+  const char *operator_file;    /* operators' settings; NULL or "" if none */
+  const char *remote_execution; /* settings of the build cache; NULL if it is switched off */
 } FkSettingsFiles;
 
 /* `flaxknot serve`: runs a controller until it is killed. */
 FkExitStatus fk_cmd_serve(const FkSettingsFiles *files);
-/* `flaxknot check`: reads the settings, and prints how each team's quota was read. */
+/* `flaxknot check`: validates the settings files and prints how each team's quota was read. */
 FkExitStatus fk_cmd_check(const FkSettingsFiles *files);
-/* `flaxknot key TEAM`: makes a key for a team's build tools. */
+/* `flaxknot key TEAM`: generates a key for a team's build tools. */
 FkExitStatus fk_cmd_key(const char *team);
--- a/src/cmd/key.c
+++ b/src/cmd/key.c
@@ -1,5 +1,5 @@
-/* flaxknot key: a new key for a team's build tools, and the keys file's entry for it. The key itself is kept
- * nowhere. */
+/* flaxknot key: generates a key for a team's build tools, and prints it together with its entry for the keys
+ * file. The key itself is stored nowhere. */
 #include <openssl/rand.h>
 #include <stdio.h>
 
@@ -20,13 +20,13 @@
 FkExitStatus fk_cmd_key(const char *team) {
   guint8 bytes[KEY_BYTES];
   if (RAND_bytes(bytes, sizeof bytes) != 1) {
-    fprintf(stderr, "flaxknot: no random numbers are to be had\n");
+    fprintf(stderr, "flaxknot: OpenSSL could not provide random bytes for the key\n");
     return FK_EXIT_STATUS_FAILED;
   }
   g_autofree char *key = g_base64_encode(bytes, sizeof bytes);
   g_autofree char *entry = print_entry(team, key);
   printf("key, for the team's build tools (header \"authorization: Bearer KEY\"):\n  %s\n"
-         "entry, for the keys' file:\n  %s\n",
+         "entry, for the keys file:\n  %s\n",
          key, entry);
   return FK_EXIT_STATUS_OK;
 }
--- a/src/cmd/serve.c
+++ b/src/cmd/serve.c
@@ -1,4 +1,4 @@
-/* flaxknot serve: a controller, and the build tools' cache beside it. */
+/* flaxknot serve: runs a controller, and the build cache next to it if it is switched on. */
 #include <stdio.h>
 
 #include "cmd/commands.h"
--- a/src/cmd/settings_files.c
+++ b/src/cmd/settings_files.c
@@ -2,7 +2,8 @@
 
 #include "wire/settings.h"
 
-#define REMOTE_EXECUTION_SPARE_SOCKETS 16 /* its listener, and connections that are told to close */
+/* Sockets for the listener of remote execution, and for connections that are being closed. */
+#define REMOTE_EXECUTION_SPARE_SOCKETS 16
 #define SCHEDULER_SOCKETS_MIN 100
 
 static FkSettings *load_settings(const char *config, GError **error) {
@@ -16,7 +17,7 @@
   return settings;
 }
 
-/* The operators' own settings, over the defaults. */
+/* Reads the operators' settings, which replace the defaults in `tuning`. */
 static gboolean load_tuning(const char *file, FkTuning *tuning, GError **error) {
   g_autofree char *text = NULL;
   gsize len;
@@ -39,14 +40,17 @@
   return settings;
 }
 
-/* The scheduler has the sockets that the build tools' connections leave. */
+/* Reserves the sockets of remote execution; the scheduler may use the others. Returns FALSE if too few are
+ * left for the scheduler. */
 static gboolean split_sockets(FkSettings *settings, const FkRemoteExecutionSettings *remote_execution,
                               GError **error) {
   double left = settings->sockets - remote_execution->connections - REMOTE_EXECUTION_SPARE_SOCKETS;
   if (left < SCHEDULER_SOCKETS_MIN) {
-    g_set_error(error, fk_settings_error(), 1,
-                "connections: %g for remote execution leave %g of the platform's %g sockets",
-                remote_execution->connections, left, settings->sockets);
+    g_set_error(
+        error, fk_settings_error(), 1,
+        "connections: %g for remote execution leave %g of the platform's %g sockets; the scheduler needs at "
+        "least " G_STRINGIFY(SCHEDULER_SOCKETS_MIN),
+        remote_execution->connections, left, settings->sockets);
     return FALSE;
   }
   settings->sockets = left;
--- a/src/cmd/settings_files.h
+++ b/src/cmd/settings_files.h
@@ -1,10 +1,11 @@
-/* Reads all that the command line names. */
+/* Reads the settings files named on the command line. */
 #pragma once
 #include "cmd/commands.h"
 #include "core/settings.h"
 #include "remote_execution/settings.h"
 
-/* Both are the caller's. `remote_execution` is NULL when it is switched off. FALSE and an error that names
- * the file: one can't be read, or isn't right. */
+/* Reads and checks all files. The caller frees both results; `remote_execution` is set to NULL if it is
+ * switched off. Returns FALSE and an error if a file can't be read, a setting is invalid, or remote execution
+ * leaves too few sockets for the scheduler. */
 gboolean fk_settings_files_load(const FkSettingsFiles *files, FkSettings **settings,
                                 FkRemoteExecutionSettings **remote_execution, GError **error);
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-/* flaxknot serve|check --config FILE, flaxknot key TEAM, flaxknot --version: reads the command line, and runs
+/* flaxknot serve|check --config FILE, flaxknot key TEAM, flaxknot --version: parses the command line and runs
  * the subcommand. */
 #include <gio/gio.h>
 #include <stdio.h>
@@ -12,7 +12,7 @@
 typedef struct {
   char *config, *operator_file, *remote_execution;
   gboolean version;
-  char **arguments; /* the subcommand and its own */
+  char **arguments; /* the subcommand and its arguments; NULL if there are none */
 } CommandLine;
 
 static void command_line_clear(CommandLine *line) {
@@ -27,17 +27,17 @@
   const GOptionEntry entries[] = {
       {"config", 0, 0, G_OPTION_ARG_FILENAME, &line->config, "The platform's settings", "FILE"},
       {"operator", 0, 0, G_OPTION_ARG_FILENAME, &line->operator_file,
-       "The operators' own settings (default: the file that " OPERATOR_ENV " names, if any)", "FILE"},
+       "The operators' settings (default: the file that " OPERATOR_ENV " names, if any)", "FILE"},
       {"remote-execution", 0, 0, G_OPTION_ARG_FILENAME, &line->remote_execution,
-       "Serve build tools' caches as this file says (default: don't)", "FILE"},
+       "Serve a build cache with the settings in this file (default: off)", "FILE"},
       {"version", 0, 0, G_OPTION_ARG_NONE, &line->version, "Print the version", NULL},
       {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &line->arguments, NULL, NULL},
       G_OPTION_ENTRY_NULL};
   GOptionContext *context = g_option_context_new("serve|check|key TEAM");
-  g_option_context_set_summary(context, "flaxknot schedules jobs on a cluster of rented machines.\n\n"
+  g_option_context_set_summary(context, "flaxknot schedules jobs on a cluster of cloud machines.\n\n"
                                         "  serve   run a controller until it is killed\n"
-                                        "  check   read the settings, and say what is wrong with them\n"
-                                        "  key     make a key for a team's build tools");
+                                        "  check   read the settings and report errors in them\n"
+                                        "  key     generate a key for a team's build tools");
   g_option_context_add_main_entries(context, entries, NULL);
   return context;
 }
