--- a/src/keys/keys.c
+++ b/src/keys/keys.c
@@ -6,12 +6,13 @@
 
 #include "wire/json.h"
 
-#define KEY_BYTES_MAX 512 /* a longer key is none of ours */
+#define KEY_BYTES_MAX 512 /* longer strings are not valid keys */
 
 typedef struct {
   char *team;
   guint8 hash[SHA256_DIGEST_LENGTH];
-  gint64 until_s; /* since 1970; G_MAXINT64: it doesn't expire */
+  /* Time of expiry in seconds since 1970; G_MAXINT64 if the key doesn't expire. */
+  gint64 expires_at_s;
 } Key;
 
 struct FkKeys {
@@ -41,16 +42,16 @@
   return TRUE;
 }
 
-static gboolean parse_until(const cJSON *json, gint64 *out) {
+static gboolean parse_expiry(const cJSON *json, gint64 *out) {
   *out = G_MAXINT64;
   if (!fk_json_get(json, "until"))
     return TRUE;
   const char *text = fk_json_str(json, "until");
   g_autoptr(GTimeZone) utc = g_time_zone_new_utc();
-  g_autoptr(GDateTime) until = text ? g_date_time_new_from_iso8601(text, utc) : NULL;
-  if (!until)
+  g_autoptr(GDateTime) expiry = text ? g_date_time_new_from_iso8601(text, utc) : NULL;
+  if (!expiry)
     return FALSE;
-  *out = g_date_time_to_unix(until);
+  *out = g_date_time_to_unix(expiry);
   return TRUE;
 }
 
@@ -67,15 +68,15 @@
   cJSON_ArrayForEach(item, list) {
     Key key = {0};
     const char *team = fk_json_str(item, "team");
-    const char *wrong = NULL;
+    const char *problem = NULL;
     if (!team || !*team)
-      wrong = "team: a name is needed";
+      problem = "team: a name is needed";
     else if (!parse_hash(fk_json_str(item, "sha256"), key.hash))
-      wrong = "sha256: 64 hexadecimal digits are needed";
-    else if (!parse_until(item, &key.until_s))
-      wrong = "until: a time like 2027-01-01T00:00:00Z is needed";
-    if (wrong) {
-      g_set_error(error, keys_error(), 1, "keys[%u].%s", keys->keys->len, wrong);
+      problem = "sha256: 64 hexadecimal digits are needed";
+    else if (!parse_expiry(item, &key.expires_at_s))
+      problem = "until: a time like 2027-01-01T00:00:00Z is needed";
+    if (problem) {
+      g_set_error(error, keys_error(), 1, "keys[%u].%s", keys->keys->len, problem);
       return NULL;
     }
     key.team = g_strdup(team);
@@ -85,7 +86,6 @@
   return g_steal_pointer(&keys);
 }
 
-/* Takes the same time for a key that is nearly right as for one that isn't. */
 const char *fk_keys_find_team(const FkKeys *keys, const char *key, gint64 now_s) {
   guint8 hash[SHA256_DIGEST_LENGTH];
   gsize len = key ? strnlen(key, KEY_BYTES_MAX + 1) : 0;
@@ -94,7 +94,7 @@
   for (guint i = 0; i < keys->keys->len; i++) {
     const Key *entry = &g_array_index(keys->keys, Key, i);
     gboolean same = CRYPTO_memcmp(entry->hash, hash, sizeof hash) == 0;
-    if (same && len > 0 && len <= KEY_BYTES_MAX && now_s < entry->until_s)
+    if (same && len > 0 && len <= KEY_BYTES_MAX && now_s < entry->expires_at_s)
       team = entry->team;
   }
   return team;
--- a/src/keys/keys.h
+++ b/src/keys/keys.h
@@ -1,20 +1,23 @@
-/* Teams' keys: who may act for which team. The file holds hashes, never keys; a team may have several while
- * one is replaced by another. No I/O: the text of the file comes in. */
+/* Access keys of teams: a client that presents a team's key acts for that team. The keys file holds hashes,
+ * never keys; a team may have several keys, so that a key can be replaced without interruption. This module
+ * does no I/O: its caller reads the file. */
 #pragma once
 #include <glib.h>
 
 typedef struct FkKeys FkKeys;
 
-/* {"keys": [{"team": "red", "sha256": "<64 hex digits>", "until": "2027-01-01T00:00:00Z"}, ...]}; `until` may
- * be missing. NULL and an error that names the field: malformed. */
+/* Parses the text of a keys file: {"keys": [{"team": "red", "sha256": "<64 hex digits>", "until":
+ * "2027-01-01T00:00:00Z"}, ...]}; `until` is optional. Returns NULL and an error that names the field if the
+ * text is malformed. */
 FkKeys *fk_keys_parse(const char *text, gsize len, GError **error);
-/* NULL is fine. */
+/* Frees the keys; `keys` may be NULL. */
 void fk_keys_free(FkKeys *keys);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkKeys, fk_keys_free)
 
-/* The team that a key (NULL: none) stands for at that time (seconds since 1970), the keys' own string, or
- * NULL. Compares all hashes, each to its end, so that the time it takes tells nothing about the keys. */
+/* Returns the team for which `key` (may be NULL) is valid at `now_s` (seconds since 1970), a string that
+ * `keys` owns; NULL if there is none. Compares the key's hash with all stored hashes in constant time, so
+ * that the time taken reveals nothing about the keys. */
 const char *fk_keys_find_team(const FkKeys *keys, const char *key, gint64 now_s);
-/* A key's hash as the file has it; to be freed. */
+/* Returns a key's hash in the form used in the file, freed by the caller. */
 char *fk_keys_hash(const char *key);
 guint fk_keys_count(const FkKeys *keys);
