--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -5,7 +5,7 @@
 #include "wire/user.h"
 #include "wire/worker.h"
 
-#define GOOD                                                                                                 \
+#define VALID_SUBMISSION                                                                                     \
   "\"ref\":\"run-000412\",\"lane\":\"train\",\"crew\":\"red\",\"shape\":\"sweep\",\"rank\":\"high\","        \
   "\"strands\":16,"                                                                                          \
   "\"cores\":8.0,\"cards\":1.0,\"mem_gb\":64.0,\"bundle\":\"img-07\",\"size_gb\":6.2,\"together\":true,"     \
@@ -16,24 +16,25 @@
     const char *body;
     gboolean ok;
   } cases[] = {
-      {"{" GOOD "}", TRUE},
-      {"{" GOOD ",\"builds\":null,\"yard\":null,\"due_s\":null}", TRUE},
-      {"{" GOOD ",\"builds\":[\"g8\"],\"yard\":\"a\",\"due_s\":900.0,\"unknown\":{\"x\":[1]}}", TRUE},
-      {"{" GOOD ",\"builds\":[]}", FALSE},
-      {"{" GOOD ",\"builds\":\"g8\"}", FALSE},
-      {"{" GOOD ",\"builds\":[8]}", FALSE},
-      {"{" GOOD ",\"due_s\":-1}", FALSE},
-      {"{" GOOD ",\"due_s\":\"soon\"}", FALSE},
-      {"{" GOOD ",\"awaits\":null}", TRUE},
-      {"{" GOOD ",\"awaits\":[]}", TRUE},
-      {"{" GOOD ",\"awaits\":[\"run-1\",\"run-2\",\"run-1\"]}", TRUE},
-      {"{" GOOD ",\"awaits\":\"run-1\"}", FALSE},
-      {"{" GOOD ",\"awaits\":{}}", FALSE},
-      {"{" GOOD ",\"awaits\":[1]}", FALSE},
-      {"{" GOOD ",\"awaits\":[\"job-1\"]}", FALSE},
-      {"{" GOOD ",\"awaits\":[\"run-1\",null]}", FALSE},
-      {"{" GOOD "} trailing", FALSE},
-      {"{" GOOD, FALSE},
+      {"{" VALID_SUBMISSION "}", TRUE},
+      {"{" VALID_SUBMISSION ",\"builds\":null,\"yard\":null,\"due_s\":null}", TRUE},
+      {"{" VALID_SUBMISSION ",\"builds\":[\"g8\"],\"yard\":\"a\",\"due_s\":900.0,\"unknown\":{\"x\":[1]}}",
+       TRUE},
+      {"{" VALID_SUBMISSION ",\"builds\":[]}", FALSE},
+      {"{" VALID_SUBMISSION ",\"builds\":\"g8\"}", FALSE},
+      {"{" VALID_SUBMISSION ",\"builds\":[8]}", FALSE},
+      {"{" VALID_SUBMISSION ",\"due_s\":-1}", FALSE},
+      {"{" VALID_SUBMISSION ",\"due_s\":\"soon\"}", FALSE},
+      {"{" VALID_SUBMISSION ",\"awaits\":null}", TRUE},
+      {"{" VALID_SUBMISSION ",\"awaits\":[]}", TRUE},
+      {"{" VALID_SUBMISSION ",\"awaits\":[\"run-1\",\"run-2\",\"run-1\"]}", TRUE},
+      {"{" VALID_SUBMISSION ",\"awaits\":\"run-1\"}", FALSE},
+      {"{" VALID_SUBMISSION ",\"awaits\":{}}", FALSE},
+      {"{" VALID_SUBMISSION ",\"awaits\":[1]}", FALSE},
+      {"{" VALID_SUBMISSION ",\"awaits\":[\"job-1\"]}", FALSE},
+      {"{" VALID_SUBMISSION ",\"awaits\":[\"run-1\",null]}", FALSE},
+      {"{" VALID_SUBMISSION "} trailing", FALSE},
+      {"{" VALID_SUBMISSION, FALSE},
       {"", FALSE},
       {"[]", FALSE},
       {"7", FALSE},
@@ -41,10 +42,10 @@
       {"{\"ref\":\"run-1\"}", FALSE},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    const char *why = NULL;
-    g_autoptr(FkSpec) s = fk_user_parse_submission(cases[i].body, strlen(cases[i].body), &why);
-    g_assert_cmpint(s != NULL, ==, cases[i].ok);
-    g_assert_cmpint(why != NULL, ==, !cases[i].ok);
+    const char *reason = NULL;
+    g_autoptr(FkSpec) spec = fk_user_parse_submission(cases[i].body, strlen(cases[i].body), &reason);
+    g_assert_cmpint(spec != NULL, ==, cases[i].ok);
+    g_assert_cmpint(reason != NULL, ==, !cases[i].ok);
   }
   /* each field in turn: missing, and of a wrong type or range */
   static const char *fields[][2] = {
@@ -55,21 +56,22 @@
       {"together", "1"},    {"spread", "\"no\""},  {"loaners", "null"},    {"guess_s", "-0.1"},
       {"knot_s", "\"\""},   {"stow_s", "[]"}};
   for (guint i = 0; i < G_N_ELEMENTS(fields); i++) {
-    g_autoptr(cJSON) o = fk_json_parse("{" GOOD "}", strlen("{" GOOD "}"));
-    cJSON_DeleteItemFromObject(o, fields[i][0]);
-    const char *why = NULL;
-    char *missing = fk_json_print(o);
-    g_assert_null(fk_user_parse_submission(missing, strlen(missing), &why));
-    cJSON_AddItemToObject(o, fields[i][0], cJSON_CreateRaw(fields[i][1]));
-    char *wrong = fk_json_print(o);
-    g_assert_null(fk_user_parse_submission(wrong, strlen(wrong), &why));
-    g_assert_cmpstr(why, ==, fields[i][0]);
+    g_autoptr(cJSON) json = fk_json_parse("{" VALID_SUBMISSION "}", strlen("{" VALID_SUBMISSION "}"));
+    cJSON_DeleteItemFromObject(json, fields[i][0]);
+    const char *reason = NULL;
+    char *missing = fk_json_print(json);
+    g_assert_null(fk_user_parse_submission(missing, strlen(missing), &reason));
+    cJSON_AddItemToObject(json, fields[i][0], cJSON_CreateRaw(fields[i][1]));
+    char *wrong = fk_json_print(json);
+    g_assert_null(fk_user_parse_submission(wrong, strlen(wrong), &reason));
+    g_assert_cmpstr(reason, ==, fields[i][0]);
     cJSON_free(missing);
     cJSON_free(wrong);
   }
 }
 
-/* cJSON holds numbers as doubles; tokens, revisions and attempts are integers up to 2^64. */
+/* Fencing tokens, revisions and attempts are integers up to 2^64, which cJSON alone would round to doubles.
+ */
 static void test_integers(void) {
   static const struct {
     const char *text;
@@ -87,17 +89,17 @@
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     g_autofree char *text =
         g_strdup_printf("{\"s\":\"a \\\" 99999999999999999999\",\"n\":%s}", cases[i].text);
-    g_autoptr(cJSON) o = fk_json_parse(text, strlen(text));
-    guint64 n = 0;
-    g_assert_nonnull(o);
-    g_assert_cmpint(fk_json_u64(o, "n", &n), ==, cases[i].ok);
-    g_assert_cmpuint(n, ==, cases[i].value);
-    g_assert_cmpstr(fk_json_str(o, "s"), ==, "a \" 99999999999999999999");
-    g_autoptr(cJSON) out = cJSON_CreateObject();
-    fk_json_add_u64(out, "n", n);
-    char *printed = fk_json_print(out);
-    g_autofree char *want = g_strdup_printf("{\"n\":%" G_GUINT64_FORMAT "}", n);
-    g_assert_cmpstr(printed, ==, want);
+    g_autoptr(cJSON) json = fk_json_parse(text, strlen(text));
+    guint64 number = 0;
+    g_assert_nonnull(json);
+    g_assert_cmpint(fk_json_u64(json, "n", &number), ==, cases[i].ok);
+    g_assert_cmpuint(number, ==, cases[i].value);
+    g_assert_cmpstr(fk_json_str(json, "s"), ==, "a \" 99999999999999999999");
+    g_autoptr(cJSON) object = cJSON_CreateObject();
+    fk_json_add_u64(object, "n", number);
+    char *printed = fk_json_print(object);
+    g_autofree char *expected = g_strdup_printf("{\"n\":%" G_GUINT64_FORMAT "}", number);
+    g_assert_cmpstr(printed, ==, expected);
     cJSON_free(printed);
   }
 }
@@ -105,7 +107,7 @@
 static void test_heartbeat(void) {
   static const struct {
     const char *body;
-    int tasks; /* -1: refused */
+    int tasks; /* -1: the body must be rejected */
   } cases[] = {
       {"{\"knotter\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"build\":\"g8\",\"yard\":\"a\",\"loaners\":true,"
        "\"shift\":1,\"tally\":88,\"baton\":41,\"recall_s\":null,\"strands\":["
@@ -125,47 +127,50 @@
       {"", -1},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    g_autoptr(FkHeartbeat) r = fk_worker_parse_heartbeat(cases[i].body, strlen(cases[i].body));
-    g_assert_cmpint(r ? (int)r->tasks->len : -1, ==, cases[i].tasks);
+    g_autoptr(FkHeartbeat) heartbeat = fk_worker_parse_heartbeat(cases[i].body, strlen(cases[i].body));
+    g_assert_cmpint(heartbeat ? (int)heartbeat->tasks->len : -1, ==, cases[i].tasks);
   }
 }
 
-/* Named twice counts once; none is none, and its record has the form of before. A record whose list isn't one
- * isn't a job's at all: it must not start as if it needed nobody. */
+/* A dependency named twice counts once. A job without dependencies keeps the record format of versions
+ * without them. A record with a malformed list of dependencies must be rejected as a whole, or the job could
+ * start before its dependencies have finished. */
 static void test_dependencies(void) {
   static const struct {
-    const char *awaits, *needs; /* NULL: none */
+    const char *awaits, *needs; /* NULL if none */
   } cases[] = {{"null", NULL},
                {"[]", NULL},
                {"[\"run-2\"]", "run-2"},
                {"[\"run-2\",\"run-3\",\"run-2\"]", "run-2 run-3"}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    g_autofree char *body = g_strdup_printf("{" GOOD ",\"awaits\":%s}", cases[i].awaits);
-    const char *why;
-    FkRecord *r = fk_record_new(FK_KEY_JOB);
-    r->spec = fk_user_parse_submission(body, strlen(body), &why);
-    r->spec->chunk_tasks = 8;
-    g_autofree char *needs = r->spec->dependencies ? g_strjoinv(" ", r->spec->dependencies) : NULL;
+    g_autofree char *body = g_strdup_printf("{" VALID_SUBMISSION ",\"awaits\":%s}", cases[i].awaits);
+    const char *reason;
+    FkRecord *record = fk_record_new(FK_KEY_JOB);
+    record->spec = fk_user_parse_submission(body, strlen(body), &reason);
+    record->spec->chunk_tasks = 8;
+    g_autofree char *needs = record->spec->dependencies ? g_strjoinv(" ", record->spec->dependencies) : NULL;
     g_assert_cmpstr(needs, ==, cases[i].needs);
-    g_autoptr(cJSON) j = fk_store_record_to_json(r);
-    g_assert_cmpint(fk_json_get(j, "needs") != NULL, ==, cases[i].needs != NULL);
-    FkRecord *back = fk_store_record_from_json(FK_STORE_LIVE_ROOT "j/run-1", j);
-    g_autofree char *again = back->spec->dependencies ? g_strjoinv(" ", back->spec->dependencies) : NULL;
-    g_assert_cmpstr(again, ==, cases[i].needs);
-    fk_record_free(back);
-    fk_record_free(r);
-    cJSON_DeleteItemFromObject(j, "needs");
-    cJSON_AddItemToObject(j, "needs", cJSON_CreateRaw("[7]"));
-    g_autofree char *text = fk_json_print(j);
-    g_autoptr(cJSON) bad = fk_json_parse(text, strlen(text));
-    g_assert_null(fk_store_record_from_json(FK_STORE_LIVE_ROOT "j/run-1", bad));
+    g_autoptr(cJSON) json = fk_store_record_to_json(record);
+    g_assert_cmpint(fk_json_get(json, "needs") != NULL, ==, cases[i].needs != NULL);
+    FkRecord *parsed = fk_store_record_from_json(FK_STORE_LIVE_ROOT "j/run-1", json);
+    g_autofree char *parsed_needs =
+        parsed->spec->dependencies ? g_strjoinv(" ", parsed->spec->dependencies) : NULL;
+    g_assert_cmpstr(parsed_needs, ==, cases[i].needs);
+    fk_record_free(parsed);
+    fk_record_free(record);
+    cJSON_DeleteItemFromObject(json, "needs");
+    cJSON_AddItemToObject(json, "needs", cJSON_CreateRaw("[7]"));
+    g_autofree char *malformed_text = fk_json_print(json);
+    g_autoptr(cJSON) malformed_json = fk_json_parse(malformed_text, strlen(malformed_text));
+    g_assert_null(fk_store_record_from_json(FK_STORE_LIVE_ROOT "j/run-1", malformed_json));
   }
 }
 
-/* The limits to come: without them, with larger ones, with fields that nobody knows; nonsense is refused. */
+/* The announced next limits of the store: none, lower than the present ones, higher (which must have no
+ * effect) and with unknown fields; malformed values must be rejected. */
 static void test_next_limits(void) {
   static const struct {
-    const char *next; /* NULL: none */
+    const char *next; /* NULL if none */
     gboolean ok;
     double value_kb, write_rps;
     guint ops;
@@ -186,87 +191,89 @@
   gsize len;
   g_assert_true(g_file_get_contents(FK_SOURCE_DIR "/test/data/good.json", &text, &len, NULL));
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    g_autoptr(cJSON) o = fk_json_parse(text, len);
-    cJSON *state = cJSON_GetObjectItem(cJSON_GetObjectItem(o, "deployment"), "state");
+    g_autoptr(cJSON) json = fk_json_parse(text, len);
+    cJSON *state = cJSON_GetObjectItem(cJSON_GetObjectItem(json, "deployment"), "state");
     if (cases[i].next)
       cJSON_AddItemToObject(state, "next", cJSON_CreateRaw(cases[i].next));
-    g_autofree char *body = fk_json_print(o);
+    g_autofree char *body = fk_json_print(json);
     g_autoptr(GError) error = NULL;
-    g_autoptr(FkSettings) s = fk_settings_parse(body, strlen(body), &error);
-    g_assert_cmpint(s != NULL, ==, cases[i].ok);
+    g_autoptr(FkSettings) settings = fk_settings_parse(body, strlen(body), &error);
+    g_assert_cmpint(settings != NULL, ==, cases[i].ok);
     g_assert_cmpint(error != NULL, ==, !cases[i].ok);
-    if (!s)
+    if (!settings)
       continue;
-    g_assert_cmpfloat(s->value_kb, ==, cases[i].value_kb);
-    g_assert_cmpfloat(s->current_value_kb, ==, 2);
-    g_assert_cmpfloat(s->next_store_write_rps, ==, cases[i].write_rps);
-    g_assert_cmpuint(s->transaction_ops_max, ==, cases[i].ops);
+    g_assert_cmpfloat(settings->value_kb, ==, cases[i].value_kb);
+    g_assert_cmpfloat(settings->current_value_kb, ==, 2);
+    g_assert_cmpfloat(settings->next_store_write_rps, ==, cases[i].write_rps);
+    g_assert_cmpuint(settings->transaction_ops_max, ==, cases[i].ops);
   }
 }
 
 static void test_chunk_record(void) {
   for (guint32 count = 1; count <= 128; count += 13) {
-    FkRecord *r = fk_record_new(FK_KEY_CHUNK);
-    r->chunk = fk_chunk_new(64, count);
+    FkRecord *record = fk_record_new(FK_KEY_CHUNK);
+    record->chunk = fk_chunk_new(64, count);
     for (guint32 i = 0; i < count; i++) {
-      fk_chunk_allocate(r->chunk, 64 + i, "i-000000000231", "knotter-0");
+      fk_chunk_allocate(record->chunk, 64 + i, "i-000000000231", "knotter-0");
       if (i % 3 == 0)
-        fk_chunk_finish(r->chunk, 64 + i, (FkAttempt){i + 1});
+        fk_chunk_finish(record->chunk, 64 + i, (FkAttempt){i + 1});
     }
-    g_autoptr(cJSON) j = fk_store_record_to_json(r);
-    FkRecord *back = fk_store_record_from_json(FK_STORE_LIVE_ROOT "t/run-1/00001", j);
-    g_assert_nonnull(back);
-    g_assert_cmpuint(back->chunk->next_attempt, ==, r->chunk->next_attempt);
-    g_assert_cmpuint(back->chunk->done_count, ==, r->chunk->done_count);
-    g_assert_cmpmem(back->chunk->done, count, r->chunk->done, count);
-    g_assert_cmpuint(back->chunk->allocations->len, ==, r->chunk->allocations->len);
-    fk_record_free(back);
-    fk_record_free(r);
+    g_autoptr(cJSON) json = fk_store_record_to_json(record);
+    FkRecord *parsed = fk_store_record_from_json(FK_STORE_LIVE_ROOT "t/run-1/00001", json);
+    g_assert_nonnull(parsed);
+    g_assert_cmpuint(parsed->chunk->next_attempt, ==, record->chunk->next_attempt);
+    g_assert_cmpuint(parsed->chunk->done_count, ==, record->chunk->done_count);
+    g_assert_cmpmem(parsed->chunk->done, count, record->chunk->done, count);
+    g_assert_cmpuint(parsed->chunk->allocations->len, ==, record->chunk->allocations->len);
+    fk_record_free(parsed);
+    fk_record_free(record);
   }
 }
 
-/* A chunk of as many tasks as its job's was given, all booked and asked to leave, by the longest names
- * reckoned with: its record fits, and where it didn't, that is said before it is written. */
+/* The record of a chunk with the greatest number of tasks that a job's chunks are given must fit the value
+ * limit even if all tasks are allocated and told to stop, with names of the greatest length assumed. Further
+ * allocations must be reported as not fitting before the record is written. */
 static void test_chunk_fits(void) {
   static const double limits[] = {1, 2, 8, 32};
   for (guint i = 0; i < G_N_ELEMENTS(limits); i++) {
-    guint32 n = fk_chunk_max_tasks(limits[i], "knotter-10");
-    FkRecord *r = fk_record_new(FK_KEY_CHUNK);
-    r->chunk = fk_chunk_new(99872, n + 60);
-    r->chunk->next_attempt = 9000000;
-    guint32 booked = 0;
-    while (booked < n + 60 && fk_chunk_fits(r->chunk, limits[i], "i-0000000231", "knotter-10")) {
-      fk_chunk_allocate(r->chunk, 99872 + booked, "i-0000000231", "knotter-10");
-      fk_chunk_request_stop(r->chunk, 99872 + booked++);
+    guint32 max_tasks = fk_chunk_max_tasks(limits[i], "knotter-10");
+    FkRecord *record = fk_record_new(FK_KEY_CHUNK);
+    record->chunk = fk_chunk_new(99872, max_tasks + 60);
+    record->chunk->next_attempt = 9000000;
+    guint32 allocated = 0;
+    while (allocated < max_tasks + 60 &&
+           fk_chunk_fits(record->chunk, limits[i], "i-0000000231", "knotter-10")) {
+      fk_chunk_allocate(record->chunk, 99872 + allocated, "i-0000000231", "knotter-10");
+      fk_chunk_request_stop(record->chunk, 99872 + allocated++);
     }
-    r->chunk->done_count = 1; /* so that its bits are written */
-    g_assert_cmpuint(booked, >=, MIN(n, 128));
-    g_autoptr(cJSON) j = fk_store_record_to_json(r);
-    g_autofree char *text = fk_json_print(j);
+    record->chunk->done_count = 1; /* so that the record includes the bit set of completed tasks */
+    g_assert_cmpuint(allocated, >=, MIN(max_tasks, 128));
+    g_autoptr(cJSON) json = fk_store_record_to_json(record);
+    g_autofree char *text = fk_json_print(json);
     g_assert_cmpuint(strlen(text), <=, (gsize)(1024 * limits[i]));
-    g_assert_true(fk_chunk_fits(r->chunk, limits[i], NULL, NULL));
-    fk_record_free(r);
+    g_assert_true(fk_chunk_fits(record->chunk, limits[i], NULL, NULL));
+    fk_record_free(record);
   }
 }
 
-/* The schema and the code must name the same settings with the same ranges and defaults. */
+/* The schema and the code must list the same settings with the same ranges and defaults. */
 static void test_schema(void) {
   g_autofree char *text = NULL;
   gsize len;
   g_assert_true(g_file_get_contents(FK_SOURCE_DIR "/schema/operator.schema.json", &text, &len, NULL));
-  g_autoptr(cJSON) o = fk_json_parse(text, len);
-  const cJSON *props = fk_json_get(o, "properties");
+  g_autoptr(cJSON) json = fk_json_parse(text, len);
+  const cJSON *properties = fk_json_get(json, "properties");
   guint n;
   const FkTuningField *fields = fk_tuning_fields(&n);
-  g_autoptr(FkSettings) s = fk_settings_new();
-  g_assert_cmpint(cJSON_GetArraySize(props), ==, (int)n);
+  g_autoptr(FkSettings) settings = fk_settings_new();
+  g_assert_cmpint(cJSON_GetArraySize(properties), ==, (int)n);
   for (guint i = 0; i < n; i++) {
-    const cJSON *p = fk_json_get(props, fields[i].name);
-    g_assert_nonnull(p);
-    g_assert_cmpfloat(fk_json_num_or(p, "minimum", -1), ==, fields[i].min);
-    g_assert_cmpfloat(fk_json_num_or(p, "maximum", -1), ==, fields[i].max);
-    g_assert_cmpfloat(fk_json_num_or(p, "default", 0 /* derived */), ==,
-                      G_STRUCT_MEMBER(double, &s->tuning, fields[i].offset));
+    const cJSON *property = fk_json_get(properties, fields[i].name);
+    g_assert_nonnull(property);
+    g_assert_cmpfloat(fk_json_num_or(property, "minimum", -1), ==, fields[i].min);
+    g_assert_cmpfloat(fk_json_num_or(property, "maximum", -1), ==, fields[i].max);
+    g_assert_cmpfloat(fk_json_num_or(property, "default", 0 /* derived */), ==,
+                      G_STRUCT_MEMBER(double, &settings->tuning, fields[i].offset));
   }
 }
 
@@ -276,65 +283,66 @@
   g_assert_true(g_file_get_contents(FK_SOURCE_DIR "/test/data/good.json", &text, &len, NULL));
   static const struct {
     const char *from, *to, *names;
-  } cases[] = {
-      {"\"c-0\"", "\"\"", "node"},
-      {"127.0.0.1:8080", "localhost", "serve_on"},
-      {"127.0.0.1:8080", "127.0.0.1:99999", "serve_on"},
-      {"\"lease_s\": 20", "\"lease_s\": -1", "lease_s"},
-      {"\"txn_ops\": 32", "\"txn_ops\": 1", "txn_ops"},
-      {"\"txn_ops\": 32", "\"txn_ops\": 1e12", "txn_ops"}, /* found by fuzzing: no whole number held it */
-      {"\"sockets\": 1000", "\"sockets\": 10", "sockets"},
-      {"\"cpus\": 8,", "\"cpus\": \"8\",", "cpus"},
-      {"\"teams\"", "\"squads\"", "teams"},
-      {"\"outside\"", "\"inside\"", "cloud"}};
+  } cases[] = {{"\"c-0\"", "\"\"", "node"},
+               {"127.0.0.1:8080", "localhost", "serve_on"},
+               {"127.0.0.1:8080", "127.0.0.1:99999", "serve_on"},
+               {"\"lease_s\": 20", "\"lease_s\": -1", "lease_s"},
+               {"\"txn_ops\": 32", "\"txn_ops\": 1", "txn_ops"},
+               /* found by fuzzing: exceeded the range of the integer type */
+               {"\"txn_ops\": 32", "\"txn_ops\": 1e12", "txn_ops"},
+               {"\"sockets\": 1000", "\"sockets\": 10", "sockets"},
+               {"\"cpus\": 8,", "\"cpus\": \"8\",", "cpus"},
+               {"\"teams\"", "\"squads\"", "teams"},
+               {"\"outside\"", "\"inside\"", "cloud"}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     g_auto(GStrv) parts = g_strsplit(text, cases[i].from, -1);
-    g_autofree char *bad = g_strjoinv(cases[i].to, parts);
+    g_autofree char *malformed = g_strjoinv(cases[i].to, parts);
     g_autoptr(GError) error = NULL;
-    g_assert_null(fk_settings_parse(bad, strlen(bad), &error));
+    g_assert_null(fk_settings_parse(malformed, strlen(malformed), &error));
     g_assert_nonnull(strstr(error->message, cases[i].names));
   }
   static const struct {
     const char *text;
     gboolean ok;
-  } own[] = {{"{}", TRUE},
-             {"{\"window_s\":20,\"cutoff_s\":60}", TRUE},
-             {"{\"window_s\":0}", FALSE},
-             {"{\"windows\":20}", FALSE},
-             {"{\"span\":\"much\"}", FALSE},
-             {"[]", FALSE}};
-  for (guint i = 0; i < G_N_ELEMENTS(own); i++) {
-    FkTuning t = {0};
+  } tuning_cases[] = {{"{}", TRUE},
+                      {"{\"window_s\":20,\"cutoff_s\":60}", TRUE},
+                      {"{\"window_s\":0}", FALSE},
+                      {"{\"windows\":20}", FALSE},
+                      {"{\"span\":\"much\"}", FALSE},
+                      {"[]", FALSE}};
+  for (guint i = 0; i < G_N_ELEMENTS(tuning_cases); i++) {
+    FkTuning tuning = {0};
     g_autoptr(GError) error = NULL;
-    g_assert_cmpint(fk_tuning_parse(&t, own[i].text, strlen(own[i].text), &error), ==, own[i].ok);
+    g_assert_cmpint(fk_tuning_parse(&tuning, tuning_cases[i].text, strlen(tuning_cases[i].text), &error), ==,
+                    tuning_cases[i].ok);
   }
 }
 
-/* Why an attempt ended without a result goes beside the release itself, which versions that don't know it
- * read. */
+/* The list of failed attempts is stored beside the list of released ones, so that versions that don't know it
+ * can still read the record. */
 static void test_failed_completions(void) {
   static const struct {
     const char *json;
     guint released, failed;
-    gboolean good;
+    gboolean valid;
   } cases[] = {{"{\"run-1/0\":{\"r\":[0,1,3,7],\"f\":[7]}}", 2, 1, TRUE},
                {"{\"run-1/0\":{\"r\":[0,1,3,7]}}", 2, 0, TRUE},
                {"{\"run-1/0\":{\"r\":[0,1],\"f\":[9]}}", 1, 0, TRUE},
                {"{\"run-1/0\":{\"r\":[0,1],\"f\":[\"x\"]}}", 0, 0, FALSE}};
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    g_autoptr(cJSON) j = fk_json_parse(cases[i].json, strlen(cases[i].json));
-    g_autoptr(FkRecord) r = fk_store_record_from_json("fk/l/r/c-0/0", j);
-    g_assert_cmpint(r != NULL, ==, cases[i].good);
-    for (guint again = 0; r && again < 2; again++) {
-      const FkCompletionRecord *e = r->completions->pdata[0];
+    g_autoptr(cJSON) parsed = fk_json_parse(cases[i].json, strlen(cases[i].json));
+    g_autoptr(FkRecord) record = fk_store_record_from_json("fk/l/r/c-0/0", parsed);
+    g_assert_cmpint(record != NULL, ==, cases[i].valid);
+    for (guint pass = 0; record && pass < 2; pass++) {
+      const FkCompletionRecord *completion = record->completions->pdata[0];
       guint failed = 0;
-      for (guint k = 0; k < e->released->len; k++)
-        failed += g_array_index(e->released, FkReleasedAttempt, k).task_failed != 0;
-      g_assert_cmpuint(e->released->len, ==, cases[i].released);
+      for (guint k = 0; k < completion->released->len; k++)
+        failed += g_array_index(completion->released, FkReleasedAttempt, k).task_failed != 0;
+      g_assert_cmpuint(completion->released->len, ==, cases[i].released);
       g_assert_cmpuint(failed, ==, cases[i].failed);
-      g_autoptr(cJSON) back = fk_store_record_to_json(r);
-      fk_record_free(r);
-      r = fk_store_record_from_json("fk/l/r/c-0/0", back);
+      g_autoptr(cJSON) printed = fk_store_record_to_json(record);
+      fk_record_free(record);
+      record = fk_store_record_from_json("fk/l/r/c-0/0", printed);
     }
   }
 }
