--- a/src/daemon/cloud_client.c
+++ b/src/daemon/cloud_client.c
@@ -76,7 +76,7 @@
   fk_pending_call_finish(call);
 }
 
-/* An FkHttpCallback. */
+/* Handles the cloud's response. An FkHttpCallback. */
 static void on_response(gpointer data, guint status, const char *body, gsize len) {
   FkPendingCall *call = data;
   fk_daemon_record_dependency(call->daemon, call->daemon->cloud.dependency,
@@ -128,7 +128,7 @@
   g_assert_not_reached(); /* not an output for the cloud */
 }
 
-/* An FkRateLimiterCallback. */
+/* Sends a request. An FkRateLimiterCallback. */
 static void send_now(gpointer data, gpointer item) {
   FkDaemon *daemon = data;
   FkOutput *output = item;
--- a/src/daemon/peers.c
+++ b/src/daemon/peers.c
@@ -5,7 +5,7 @@
 
 #define CALL_DEADLINE_S 1.5
 
-/* An FkHttpCallback. */
+/* Handles a peer's response. An FkHttpCallback. */
 static void on_response(gpointer data, guint status, const char *body, gsize len) {
   FkPendingCall *call = data;
   FkDaemon *daemon = call->daemon;
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -24,6 +24,8 @@
 /* ---- the provider's side, used by the simulated provider ---- */
 #define FK_INSTANCE_REQUEST_MAX 50 /* machines in one request at most */
 
+/* A request to provision `count` machines. It is idempotent: a retry with the same `name` returns the same
+ * machines. */
 typedef struct {
   char *name, *type, *zone;
   gboolean spot;
--- a/src/wire/route.h
+++ b/src/wire/route.h
@@ -3,9 +3,10 @@
 #pragma once
 #include "admission/limits.h"
 
+/* Routes of the API, and the two kinds of requests that match none. */
 typedef enum {
-  FK_ROUTE_NONE,         /* 404 */
-  FK_ROUTE_WRONG_METHOD, /* 405 */
+  FK_ROUTE_NONE,         /* unknown path: status 404 */
+  FK_ROUTE_WRONG_METHOD, /* known path, wrong method: status 405 */
   FK_ROUTE_HEALTH,
   FK_ROUTE_HEARTBEAT,
   FK_ROUTE_SUBMIT,
--- a/src/wire/store_service.h
+++ b/src/wire/store_service.h
@@ -3,14 +3,17 @@
 #pragma once
 #include "wire/json.h"
 
+/* A condition of a transaction: a key has a given revision. */
 typedef struct {
   char *path;
   guint64 revision; /* revision that the key must have; 0 if the key must not exist */
 } FkStoreCondition;
+/* A write of a transaction: puts or deletes a key. */
 typedef struct {
   char *path, *value; /* `value` is JSON text; NULL to delete the key */
   guint64 lease;      /* lease to which the key is attached; 0 if none */
 } FkTransactionWrite;
+/* A transaction: all changes are made if all conditions hold. */
 typedef struct {
   GArray *conditions; /* FkStoreCondition */
   GArray *changes;    /* FkTransactionWrite */
--- a/src/wire/user.h
+++ b/src/wire/user.h
@@ -15,6 +15,7 @@
 char *fk_user_print_health(gboolean is_serving);
 
 /* ---- the client's side, used by the simulated users ---- */
+/* State of a job: its phase and its numbers of completed and running tasks. */
 typedef struct {
   FkPhase phase;
   guint32 done, running;
--- a/src/wire/worker.h
+++ b/src/wire/worker.h
@@ -10,12 +10,14 @@
 char *fk_worker_print_commands(const FkOutput *output);
 
 /* ---- the worker's side, used by the simulated workers ---- */
+/* Commands received by a worker, or a redirect to another controller. */
 typedef struct {
   FkFencingToken fencing_token;
   /* Worker incarnation that direct commands are addressed to; 0 in the reply to a heartbeat. */
   guint64 incarnation;
-  GPtrArray *commands; /* FkCommand, owned */
-  char *redirect;      /* address of the controller that a 421 redirects to; NULL if none */
+  /* Commands for the worker (FkCommand); owned. */
+  GPtrArray *commands;
+  char *redirect; /* address of the controller that a 421 redirects to; NULL if none */
 } FkWorkerCommands;
 void fk_worker_commands_free(FkWorkerCommands *commands);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkWorkerCommands, fk_worker_commands_free)
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -47,7 +47,7 @@
     g_assert_cmpint(spec != NULL, ==, cases[i].ok);
     g_assert_cmpint(reason != NULL, ==, !cases[i].ok);
   }
-  /* each field in turn: missing, and of a wrong type or range */
+  /* Each required field in turn is removed, and then set to a value of a wrong type or out of range. */
   static const char *fields[][2] = {
       {"ref", "\"job-1\""}, {"ref", "\"run-\""},   {"ref", "\"run-12x\""}, {"lane", "\"\""},
       {"crew", "5"},        {"shape", "\"blob\""}, {"rank", "\"low\""},    {"strands", "0"},
@@ -272,8 +272,10 @@
     g_assert_nonnull(property);
     g_assert_cmpfloat(fk_json_num_or(property, "minimum", -1), ==, fields[i].min);
     g_assert_cmpfloat(fk_json_num_or(property, "maximum", -1), ==, fields[i].max);
-    g_assert_cmpfloat(fk_json_num_or(property, "default", 0 /* derived */), ==,
-                      G_STRUCT_MEMBER(double, &settings->tuning, fields[i].offset));
+    g_assert_cmpfloat(
+        fk_json_num_or(property, "default",
+                       0 /* 0: derived from the controller's resources, without a default in the schema */),
+        ==, G_STRUCT_MEMBER(double, &settings->tuning, fields[i].offset));
   }
 }
 
