--- a/src/cmd/settings_files.c
+++ b/src/cmd/settings_files.c
@@ -46,11 +46,10 @@
                               GError **error) {
   double left = settings->sockets - remote_execution->connections - REMOTE_EXECUTION_SPARE_SOCKETS;
   if (left < SCHEDULER_SOCKETS_MIN) {
-    g_set_error(
-        error, fk_settings_error(), 1,
-        "connections: %g for remote execution leave %g of the platform's %g sockets; the scheduler needs at "
-        "least " G_STRINGIFY(SCHEDULER_SOCKETS_MIN),
-        remote_execution->connections, left, settings->sockets);
+    g_set_error(error, fk_settings_error(), 1,
+                "remote execution: connections=%g and its spare sockets leave %g of the platform's "
+                "sockets=%g; the scheduler needs at least " G_STRINGIFY(SCHEDULER_SOCKETS_MIN),
+                remote_execution->connections, left, settings->sockets);
     return FALSE;
   }
   settings->sockets = left;
--- a/src/daemon/api_requests.c
+++ b/src/daemon/api_requests.c
@@ -39,8 +39,8 @@
   gboolean to_worker = output->kind == FK_OUTPUT_HEARTBEAT_REPLY;
   char *body = to_worker ? fk_worker_print_reply(output) : fk_user_print_reply(output);
   fk_daemon_respond(message, (guint)output->status, body, output->retry_s);
-  /* There are many workers, and each sends a heartbeat only now and then: keeping their connections open
-   * would only lengthen each iteration of the main loop, which polls them all. */
+  /* Workers are many and send heartbeats infrequently, so open connections would only lengthen each iteration
+   * of the main loop, which polls them all. */
   if (to_worker)
     soup_message_headers_replace(soup_server_message_get_response_headers(message), "Connection", "close");
   if (is_current) {
@@ -84,8 +84,8 @@
   soup_server_message_pause(message);
 }
 
-/* Carries out the outputs of the core after it was given a request. Most requests have their response now;
- * one that must wait for the core's reply is paused. */
+/* Runs the outputs that the core queued for a request. Usually they include the response; if not, pauses the
+ * request until the core replies. */
 static void finish_handling(FkDaemon *daemon) {
   fk_daemon_run_outputs(daemon);
   if (daemon->requests.current)
--- a/src/daemon/cloud_client.c
+++ b/src/daemon/cloud_client.c
@@ -142,7 +142,7 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Fails a call because the queue is full, with the status of a call that the cloud refused. The result is
+/* Fails a call that the rate limiter shed, with the status of a call that the cloud refused. The result is
  * delivered from the main loop, because the core is still in the function that issued the call. An
  * FkRateLimiterCallback. */
 static void shed(gpointer data, gpointer item) { g_idle_add(deliver_shed, fk_pending_call_new(data, item)); }
--- a/src/daemon/daemon_internal.h
+++ b/src/daemon/daemon_internal.h
@@ -15,9 +15,10 @@
   FkHttpClient *http;
   FkRateLimiter *limiter;
   guint dependency; /* index of the store in FkDaemon.dependency_health */
-  /* Transactions that the store rejected because its rate was exceeded; decays with each tick. */
+  /* Exponentially decaying count of status 429 responses of the store to transactions, retries included. */
   double recent_rejections;
-  /* Monotonic time until which the announced next rates are assumed to be in force. */
+  /* Monotonic time until which the store is assumed to enforce the lower rates that the settings announce
+   * (next_store_rps, next_store_write_rps); 0 if it never was. */
   gint64 next_limits_until_us;
 } FkStoreClient;
 
@@ -37,7 +38,7 @@
 /* Requests of users and workers that haven't been responded to yet. */
 typedef struct {
   guint64 last_id; /* id of the latest request */
-  /* Request whose handler is running, with the id last_id; NULL once it has a response or is paused. */
+  /* Request whose handler is running (its id is last_id); NULL once it has been responded to or paused. */
   SoupServerMessage *current;
   GHashTable *paused; /* id -> SoupServerMessage: requests that the core replies to later */
 } FkOpenRequests;
@@ -46,7 +47,8 @@
   const FkSettings *settings;
   FkController *core;
   FkServer *server;
-  /* They have no listening sockets: FkServer passes them each connection that has sent a complete request. */
+  /* Servers without listening sockets of their own: FkServer passes them each connection that has sent a
+   * complete request. */
   SoupServer *api_server, *peer_server;
   FkOpenRequests requests;
   FkStoreClient store;
@@ -54,7 +56,7 @@
   FkPeerClient peers;
   FkHttpClient *workers;
   FkDependencyHealth *dependency_health;
-  FkAdmissionCounters admission_counters; /* counters as of the latest log line */
+  FkAdmissionCounters admission_counters; /* admission control's counters when they were last logged */
   gint64 admission_logged_us;
   FkProcessMetrics *metrics;
   guint tick_source;
@@ -111,8 +113,8 @@
 void fk_store_client_send(FkDaemon *daemon, FkOutput *output);
 /* Tells the core how many writes could be sent without waiting. */
 void fk_store_client_update_write_capacity(FkDaemon *daemon);
-/* Updates the rate limits to this controller's share and to the limits that the store currently appears to
- * enforce. */
+/* Sets the rates of the store's rate limiter to this controller's share of the limits that the store is
+ * currently assumed to enforce. */
 void fk_store_client_update_rates(FkDaemon *daemon);
 
 /* ---- cloud_client.c ---- */
@@ -140,6 +142,6 @@
                               GHashTable *query, gpointer daemon);
 /* Sends the core's reply to a user or worker; does nothing if the client has disconnected. */
 void fk_daemon_reply(FkDaemon *daemon, const FkOutput *output);
-/* Sets the response to a request. Takes ownership of `body` (JSON). `retry_after_s` is 0 for no Retry-After
- * header. */
+/* Sets the response to a request. Takes ownership of `body` (JSON). Adds a Retry-After header if
+ * `retry_after_s` is above 0 and the status is 429 or higher. */
 void fk_daemon_respond(SoupServerMessage *message, guint status, char *body, double retry_after_s);
--- a/src/daemon/dependencies.c
+++ b/src/daemon/dependencies.c
@@ -7,10 +7,10 @@
   for (guint i = 0; i < peers->len; i++) {
     const FkPeer *peer = peers->pdata[i];
     g_autofree char *name = g_strdup_printf("controller %s at %s", peer->name, peer->addr);
-    guint dependency =
-        fk_dependency_health_add(daemon->dependency_health, name,
-                                 "it can't confirm this controller's view: if the store is unreachable too, "
-                                 "leases expire");
+    guint dependency = fk_dependency_health_add(
+        daemon->dependency_health, name,
+        "this peer can't confirm that this controller's copy of the store is current; "
+        "if the store is unreachable too, leases expire");
     g_hash_table_insert(daemon->peers.dependencies, peer->name, GUINT_TO_POINTER(dependency));
   }
 }
--- a/src/daemon/process_metrics.c
+++ b/src/daemon/process_metrics.c
@@ -5,7 +5,8 @@
 #include <math.h>
 #include <time.h>
 
-/* Histogram of the timer's lateness, from 1 ms to 100 s; each bin is 25 % wider than the one before. */
+/* Bins of the timer's lateness, up to 88 s: the first bin ends at 1 ms, and each further one is 25 % wider
+ * than the one before. */
 #define LATENESS_BINS 52
 #define LATENESS_BIN_RATIO 1.25
 #define LATENESS_MIN_S 0.001
--- a/src/daemon/rate_limiter.c
+++ b/src/daemon/rate_limiter.c
@@ -1,6 +1,6 @@
 #include "daemon/rate_limiter.h"
 
-#define QUEUE_INTERVAL_MS 15
+#define QUEUE_INTERVAL_MS 15 /* interval at which queued requests are sent */
 /* A request with more writes than this is sent as soon as there are tokens for this many, and overdraws the
  * bucket. If it had to wait for tokens for all of its writes, smaller requests would starve it. */
 #define LARGE_REQUEST_WRITES 2.0
@@ -8,8 +8,8 @@
  * controller may receive the submissions of all users, and the jobs that it has accepted must still be
  * started. */
 #define RESERVED_SHARE 0.35
-/* Urgent writes that would wait longer than this are shed immediately, because other controllers may have
- * spare capacity. */
+/* Writes of the last urgent level (the users' writes) are shed immediately if the queued urgent writes would
+ * take longer than this at the write rate: other controllers may have spare capacity. */
 #define URGENT_WAIT_MAX_S 1.0
 
 typedef struct {
@@ -21,7 +21,7 @@
   FkRateLimiterOptions options;
   double tokens;
   double write_tokens; /* write tokens for all levels */
-  /* Write tokens reserved for the levels that aren't urgent; those that don't fit the bucket go to
+  /* Write tokens reserved for the levels that aren't urgent; tokens above this bucket's capacity are added to
    * write_tokens. */
   double reserved_write_tokens;
   gint64 refilled_us;
@@ -135,7 +135,7 @@
   g_free(request);
 }
 
-/* Sends the queued requests of a level as far as there are tokens. Returns FALSE if some remain queued. */
+/* Sends queued requests of a level while there are tokens. Returns FALSE if some remain queued. */
 static gboolean send_level(FkRateLimiter *limiter, guint level) {
   GQueue *queue = &limiter->queues[level];
   while (!g_queue_is_empty(queue)) {
--- a/src/daemon/remote_execution.c
+++ b/src/daemon/remote_execution.c
@@ -6,11 +6,11 @@
 #include "net/server.h"
 #include "remote_execution/cache_service.h"
 
-#define KEYS_CHECK_S 2
+#define KEYS_CHECK_S 2 /* interval at which the keys file is checked for changes */
 #define BYTES_PER_GB 1073741824.0
 
-/* Resources reported to admission control. They are larger than needed, because connections are limited by
- * the settings and memory by the HTTP/2 limits instead. */
+/* Resources from which the limits of admission control are derived. They are larger than needed, because
+ * connections are limited by the settings and memory by the HTTP/2 limits instead. */
 #define SOCKETS_PER_CONNECTION 4
 #define SPARE_SOCKETS 100
 #define RAM_UNBOUNDED_MB 1e6
@@ -18,7 +18,8 @@
 struct FkRemoteExecution {
   const FkRemoteExecutionSettings *settings;
   GThread *thread;
-  /* The fields below are used only by the thread while it runs. */
+  /* While the thread runs, only it uses the fields below, except that fk_remote_execution_stop() attaches a
+   * source to `context` that quits `loop`. */
   GMainContext *context;
   GMainLoop *loop;
   FkServer *server;
--- a/src/daemon/store_client.c
+++ b/src/daemon/store_client.c
@@ -5,24 +5,26 @@
 
 #define CALL_DEADLINE_S 2.0
 #define LIST_DEADLINE_S 5.0
-#define WATCH_DEADLINE_MARGIN_S 3.0 /* added to the time for which the store may hold a watch open */
+/* Margin of a watch's deadline over the time for which the store may hold the watch open. */
+#define WATCH_DEADLINE_MARGIN_S 3.0
 #define LIST_PAGE_RECORDS 1000
 #define IDLE_CONNECTION_S 60
-#define RETRIES_MAX 6 /* retries of a request that the store rejected for exceeding its rate */
+#define RETRIES_MAX 6 /* retries of a request that the store rejected with status 429 */
 
 #define QUEUE_MAX 2000
 #define BURST_S 0.8
-#define INITIAL_SHARE 0.5 /* share of the rates until the core knows the number of controllers */
+/* This controller's assumed share of the rates until the core knows the number of controllers. */
+#define INITIAL_SHARE 0.5
 /* A controller may use somewhat more than its share of the request rate, as not all controllers use theirs at
  * the same time. The write rate isn't overcommitted: users wait for writes, which must not be rejected. */
 #define REQUEST_OVERCOMMIT 1.2
 #define WRITE_OVERCOMMIT 1.0
 
-#define REJECTION_DECAY 0.98 /* factor per tick; the count halves in 3.4 s */
-/* With more recent rejections, although this controller keeps to its share, the store's limits must have
- * changed. */
+#define REJECTION_DECAY 0.98 /* factor applied to recent_rejections at each tick; halves it in 3.4 s */
+/* Above this count of recent rejections, the store is assumed to have lowered its limits, since this
+ * controller keeps to its share of the present ones. */
 #define REJECTIONS_MAX 6
-#define NEXT_LIMITS_RECHECK_S 60 /* the present limits are tried again after this time */
+#define NEXT_LIMITS_RECHECK_S 60 /* seconds after which the store's present limits are tried again */
 
 #define LOGGED_BODY_BYTES 300
 
@@ -113,8 +115,8 @@
   return output->kind == FK_OUTPUT_GET ? 0 : output->writes->len;
 }
 
-/* Returns whether the rejected request may be retried, and counts the retry. Only transactions and reads pass
- * through the rate limiter and may be queued there again. */
+/* Returns whether the rejected request may be retried, and counts the retry. Only transactions and reads are
+ * queued in the rate limiter, so only they can be requeued. */
 static gboolean may_retry(FkOutput *output) {
   return (output->kind == FK_OUTPUT_COMMIT || output->kind == FK_OUTPUT_GET) &&
          output->budget_refusals++ < RETRIES_MAX;
@@ -217,7 +219,7 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Fails a call because the queue is full, with the status of a call that the store refused. The result is
+/* Fails a call that the rate limiter shed, with the status of a call that the store refused. The result is
  * delivered from the main loop, because the core is still in the function that issued the call. An
  * FkRateLimiterCallback. */
 static void shed(gpointer data, gpointer item) { g_idle_add(deliver_shed, fk_pending_call_new(data, item)); }
@@ -249,8 +251,9 @@
       daemon->core, fk_rate_limiter_available_writes(daemon->store.limiter, FK_PRIORITY_LAUNCH));
 }
 
-/* Returns whether the announced next limits are assumed to be in force. The store switches to them without
- * notice, which shows in rejections of writes that are within the present rate. */
+/* Returns whether the store is assumed to enforce the lower limits that the settings announce
+ * (deployment.state.next). The store switches to them without notice, which shows in rejections of writes
+ * that are within the present rate. */
 static gboolean next_limits_in_force(FkDaemon *daemon) {
   FkStoreClient *store = &daemon->store;
   const FkSettings *settings = daemon->settings;
--- a/src/daemon/worker_client.c
+++ b/src/daemon/worker_client.c
@@ -4,8 +4,8 @@
 
 #define CALL_DEADLINE_S 2.0
 
-/* Handles a worker's response. It is a heartbeat, even if the worker rejected the commands (status 409). An
- * FkHttpCallback. */
+/* Handles a worker's response. The response body is a heartbeat with status 200, and with 409 (the worker
+ * rejected the commands). An FkHttpCallback. */
 static void on_response(gpointer data, guint status, const char *body, gsize len) {
   FkPendingCall *call = data;
   FkDaemon *daemon = call->daemon;
--- a/src/keys/keys.c
+++ b/src/keys/keys.c
@@ -62,7 +62,7 @@
   keys->keys = g_array_new(FALSE, TRUE, sizeof(Key));
   g_array_set_clear_func(keys->keys, key_clear);
   if (!cJSON_IsArray(list)) {
-    g_set_error(error, keys_error(), 1, "keys: a list is needed");
+    g_set_error(error, keys_error(), 1, "keys: a JSON object with a list named keys is needed");
     return NULL;
   }
   cJSON_ArrayForEach(item, list) {
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -63,10 +63,9 @@
   const cJSON *list = fk_json_get(json, "knotters"), *item;
   if (!cJSON_IsArray(list))
     return NULL;
-  GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-  cJSON_ArrayForEach(item, list) if (cJSON_IsString(item))
-      g_ptr_array_add(names, g_strdup(item->valuestring));
-  return names;
+  GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
+  cJSON_ArrayForEach(item, list) if (cJSON_IsString(item)) g_ptr_array_add(ids, g_strdup(item->valuestring));
+  return ids;
 }
 
 gboolean fk_cloud_is_no_capacity(const char *body, gsize len) {
@@ -132,11 +131,11 @@
   return fk_json_print(json);
 }
 
-char *fk_cloud_print_names(const GPtrArray *names) {
+char *fk_cloud_print_names(const GPtrArray *ids) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
   cJSON *list = cJSON_AddArrayToObject(json, "knotters");
-  for (guint i = 0; i < names->len; i++)
-    cJSON_AddItemToArray(list, cJSON_CreateString(names->pdata[i]));
+  for (guint i = 0; i < ids->len; i++)
+    cJSON_AddItemToArray(list, cJSON_CreateString(ids->pdata[i]));
   return fk_json_print(json);
 }
 
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -33,11 +33,11 @@
 } FkInstanceRequest;
 void fk_instance_request_free(FkInstanceRequest *request);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkInstanceRequest, fk_instance_request_free)
-/* Returns NULL if the body is malformed. The caller frees the result. */
+/* Parses a provisioning request, freed by the caller; returns NULL if the body is malformed. */
 FkInstanceRequest *fk_cloud_parse_instance_request(const char *body, gsize len);
 
 /* Response bodies, freed by the caller. */
 char *fk_cloud_print_types(const GPtrArray *types /* FkInstanceType */);
-char *fk_cloud_print_names(const GPtrArray *names /* char* */);
+char *fk_cloud_print_names(const GPtrArray *ids /* char* */);
 char *fk_cloud_print_machines(const GPtrArray *machines /* FkCloudMachine */, gboolean more);
 char *fk_cloud_print_no_capacity(void);
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -15,7 +15,8 @@
   return end;
 }
 
-/* Returns whether the digits from `start` to `end` are a number without sign, fraction and exponent. */
+/* Returns whether the digits from `start` to `end` are a whole number, that is, not part of a number with a
+ * sign, fraction or exponent. */
 static gboolean is_whole_number(const char *text, gsize start, gsize end, gsize len) {
   return (end >= len || !strchr(".eE", text[end])) && (start == 0 || !strchr("-+.eE", text[start - 1]));
 }
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -28,7 +28,7 @@
   g_autofree char *host = colon ? g_strndup(*out, colon - *out) : NULL;
   if (!host || !g_ascii_string_to_unsigned(colon + 1, 10, 1, 65535, &port, NULL) ||
       !g_hostname_is_ip_address(host))
-    return fail(error, field, "an IP address and port is needed, like 10.0.0.1:8080");
+    return fail(error, field, "an IP address and a port are needed, like 10.0.0.1:8080");
   return TRUE;
 }
 
@@ -85,8 +85,9 @@
   return TRUE;
 }
 
-/* Parses the announced next limits of the store. Records and transactions written now must fit the next
- * limits as well as the present ones, so the lower of both applies. */
+/* Parses deployment.state.next, the limits that the store will enforce from some moment on, without notice.
+ * Records and transactions written now must already fit them, so the lower of the present and the next limits
+ * applies. */
 static gboolean parse_next_limits(FkSettings *settings, const cJSON *store, GError **error) {
   const cJSON *next = fk_json_get(store, "next");
   double ops = settings->transaction_ops_max, value_kb = settings->value_kb;
--- a/src/wire/store.c
+++ b/src/wire/store.c
@@ -37,7 +37,8 @@
   return failed;
 }
 
-/* Warns of a record that another program wrote, or a version of this one with an unknown format. */
+/* Logs a record that can't be parsed: written by another program, or by a version of this one that uses
+ * another format. */
 static void warn_malformed(const char *path) { g_warning("store record malformed path=%s", path); }
 
 static FkStoreEvent *event_from_json(const cJSON *item, const char *path) {
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -23,6 +23,6 @@
 /* Parses one page of a list into FkStoreEvents, an array that the caller owns; returns NULL if the body is
  * malformed. Sets `more` to whether another page follows, and `revision` to the store's revision. */
 GPtrArray *fk_store_parse_list(const char *body, gsize len, gboolean *more, FkRev *revision);
-/* Parses the response to a watch in the same way; an event whose value isn't a valid record is logged and
- * left out. */
+/* Parses the response to a watch like fk_store_parse_list(), except that an event whose value isn't a valid
+ * record is logged and left out. */
 GPtrArray *fk_store_parse_watch(const char *body, gsize len, FkRev *revision);
--- a/src/wire/store_records.c
+++ b/src/wire/store_records.c
@@ -39,7 +39,8 @@
   cJSON_AddNumberToObject(json, "submitted", (double)spec->submitted_ms);
   cJSON_AddStringToObject(json, "owner", spec->owner ? spec->owner : "");
   cJSON_AddNumberToObject(json, "chunk", spec->chunk_tasks);
-  /* Omitted if empty, so that jobs without dependencies keep the record format of versions without them. */
+  /* Omitted if empty, so that the record of a job without dependencies has the same bytes as in versions
+   * before dependencies were introduced. */
   if (spec->dependencies)
     cJSON_AddItemToObject(json, "needs", strings_to_json(spec->dependencies));
   return json;
--- a/src/wire/store_service.c
+++ b/src/wire/store_service.c
@@ -5,10 +5,10 @@
 
 static void clear_condition(gpointer data) { g_free(((FkStoreCondition *)data)->path); }
 
-static void clear_change(gpointer data) {
-  FkTransactionWrite *change = data;
-  g_free(change->path);
-  g_free(change->value);
+static void clear_write(gpointer data) {
+  FkTransactionWrite *write = data;
+  g_free(write->path);
+  g_free(write->value);
 }
 
 void fk_store_transaction_free(FkStoreTransaction *transaction) {
@@ -28,16 +28,16 @@
   return TRUE;
 }
 
-static gboolean parse_change(const cJSON *json, GArray *changes) {
-  FkTransactionWrite change = {NULL, NULL, 0};
+static gboolean parse_write(const cJSON *json, GArray *changes) {
+  FkTransactionWrite write = {NULL, NULL, 0};
   const char *put_path = fk_json_str(json, "put"), *deleted_path = fk_json_str(json, "delete");
   const cJSON *value = fk_json_get(json, "value");
   if ((!put_path && !deleted_path) || (put_path && !value))
     return FALSE;
-  fk_json_u64(json, "tether", &change.lease);
-  change.path = g_strdup(put_path ? put_path : deleted_path);
-  change.value = put_path ? fk_json_print(value) : NULL;
-  g_array_append_val(changes, change);
+  fk_json_u64(json, "tether", &write.lease);
+  write.path = g_strdup(put_path ? put_path : deleted_path);
+  write.value = put_path ? fk_json_print(value) : NULL;
+  g_array_append_val(changes, write);
   /* cppcheck-suppress memleak ; the array owns path and value now */
   return TRUE;
 }
@@ -48,14 +48,14 @@
   transaction->conditions = g_array_new(FALSE, FALSE, sizeof(FkStoreCondition));
   g_array_set_clear_func(transaction->conditions, clear_condition);
   transaction->changes = g_array_new(FALSE, FALSE, sizeof(FkTransactionWrite));
-  g_array_set_clear_func(transaction->changes, clear_change);
+  g_array_set_clear_func(transaction->changes, clear_write);
   if (!cJSON_IsObject(json))
     return NULL;
   const cJSON *item;
   cJSON_ArrayForEach(
       item, fk_json_get(json, "guards")) if (!parse_condition(item, transaction->conditions)) return NULL;
   cJSON_ArrayForEach(item,
-                     fk_json_get(json, "writes")) if (!parse_change(item, transaction->changes)) return NULL;
+                     fk_json_get(json, "writes")) if (!parse_write(item, transaction->changes)) return NULL;
   return g_steal_pointer(&transaction);
 }
 
--- a/src/wire/store_service.h
+++ b/src/wire/store_service.h
@@ -13,7 +13,7 @@
   char *path, *value; /* `value` is JSON text; NULL to delete the key */
   guint64 lease;      /* lease to which the key is attached; 0 if none */
 } FkTransactionWrite;
-/* A transaction: all changes are made if all conditions hold. */
+/* A transaction: all writes are applied if all conditions hold, otherwise none. */
 typedef struct {
   GArray *conditions; /* FkStoreCondition */
   GArray *changes;    /* FkTransactionWrite */
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -70,8 +70,8 @@
   }
 }
 
-/* Fencing tokens, revisions and attempts are integers up to 2^64, which cJSON alone would round to doubles.
- */
+/* Fencing tokens, revisions and attempts are unsigned 64-bit integers, which cJSON alone would round to
+ * doubles. */
 static void test_integers(void) {
   static const struct {
     const char *text;
@@ -132,9 +132,9 @@
   }
 }
 
-/* A dependency named twice counts once. A job without dependencies keeps the record format of versions
- * without them. A record with a malformed list of dependencies must be rejected as a whole, or the job could
- * start before its dependencies have finished. */
+/* A dependency named twice counts once. The record of a job without dependencies must keep the format of
+ * versions before dependencies were introduced. A record with a malformed list of dependencies must be
+ * rejected as a whole, or the job could start before its dependencies have finished. */
 static void test_dependencies(void) {
   static const struct {
     const char *awaits, *needs; /* NULL if none */
@@ -166,8 +166,8 @@
   }
 }
 
-/* The announced next limits of the store: none, lower than the present ones, higher (which must have no
- * effect) and with unknown fields; malformed values must be rejected. */
+/* The store's future limits (deployment.state.next): missing, lower than the present ones, higher (which must
+ * have no effect) and with unknown fields; malformed values must be rejected. */
 static void test_next_limits(void) {
   static const struct {
     const char *next; /* NULL if none */
@@ -230,9 +230,9 @@
   }
 }
 
-/* The record of a chunk with the greatest number of tasks that a job's chunks are given must fit the value
- * limit even if all tasks are allocated and told to stop, with names of the greatest length assumed. Further
- * allocations must be reported as not fitting before the record is written. */
+/* A chunk of fk_chunk_max_tasks() tasks must fit the store's value limit when every task is allocated and
+ * told to stop, with names of the greatest length. fk_chunk_fits() must return FALSE before an allocation
+ * would exceed the limit. */
 static void test_chunk_fits(void) {
   static const double limits[] = {1, 2, 8, 32};
   for (guint i = 0; i < G_N_ELEMENTS(limits); i++) {
@@ -246,7 +246,7 @@
       fk_chunk_allocate(record->chunk, 99872 + allocated, "i-0000000231", "knotter-10");
       fk_chunk_request_stop(record->chunk, 99872 + allocated++);
     }
-    record->chunk->done_count = 1; /* so that the record includes the bit set of completed tasks */
+    record->chunk->done_count = 1; /* makes the record include the bit set of completed tasks */
     g_assert_cmpuint(allocated, >=, MIN(max_tasks, 128));
     g_autoptr(cJSON) json = fk_store_record_to_json(record);
     g_autofree char *text = fk_json_print(json);
@@ -272,10 +272,9 @@
     g_assert_nonnull(property);
     g_assert_cmpfloat(fk_json_num_or(property, "minimum", -1), ==, fields[i].min);
     g_assert_cmpfloat(fk_json_num_or(property, "maximum", -1), ==, fields[i].max);
-    g_assert_cmpfloat(
-        fk_json_num_or(property, "default",
-                       0 /* 0: derived from the controller's resources, without a default in the schema */),
-        ==, G_STRUCT_MEMBER(double, &settings->tuning, fields[i].offset));
+    /* 0 stands for a default that is derived from the resources; the schema omits it. */
+    g_assert_cmpfloat(fk_json_num_or(property, "default", 0), ==,
+                      G_STRUCT_MEMBER(double, &settings->tuning, fields[i].offset));
   }
 }
 
@@ -320,8 +319,9 @@
   }
 }
 
-/* The list of failed attempts is stored beside the list of released ones, so that versions that don't know it
- * can still read the record. */
+/* Failed attempts are listed in "r" with all released attempts, and again in "f", so that earlier versions,
+ * which ignore "f", still release them. An attempt in "f" that isn't in "r" is ignored; a malformed "f"
+ * invalidates the record. */
 static void test_failed_completions(void) {
   static const struct {
     const char *json;
