--- a/src/cmd/check.c
+++ b/src/cmd/check.c
@@ -1,4 +1,4 @@
-/* flaxknot check: validates the settings files and prints how each team's quota was read. */
+/* flaxknot check: validates the settings files and prints how each team's quota is interpreted. */
 #include <stdio.h>
 
 #include "cmd/commands.h"
--- a/src/cmd/commands.h
+++ b/src/cmd/commands.h
@@ -1,11 +1,11 @@
-/* The program's subcommands, one file each. Each returns the exit status of the process; if it fails, it has
- * printed the error to standard error. */
+/* The program's subcommands, one file each. Each function returns the exit status of the process, and prints
+ * an error to standard error if the subcommand fails. */
 #pragma once
 #include <glib.h>
 
 typedef enum {
   FK_EXIT_STATUS_OK = 0,
-  FK_EXIT_STATUS_FAILED = 1, /* error in the settings, an address or a file */
+  FK_EXIT_STATUS_FAILED = 1, /* any other error, such as an invalid setting, address or file */
   FK_EXIT_STATUS_USAGE = 2   /* error in the command line */
 } FkExitStatus;
 
@@ -13,12 +13,12 @@
 typedef struct {
   const char *config;           /* platform's settings */
   const char *operator_file;    /* operators' settings; NULL or "" if none */
-  const char *remote_execution; /* settings of the build cache; NULL if it is switched off */
+  const char *remote_execution; /* settings of the build cache; NULL if the build cache is switched off */
 } FkSettingsFiles;
 
 /* `flaxknot serve`: runs a controller until it is killed. */
 FkExitStatus fk_cmd_serve(const FkSettingsFiles *files);
-/* `flaxknot check`: validates the settings files and prints how each team's quota was read. */
+/* `flaxknot check`: validates the settings files and prints how each team's quota is interpreted. */
 FkExitStatus fk_cmd_check(const FkSettingsFiles *files);
 /* `flaxknot key TEAM`: generates a key for a team's build tools. */
 FkExitStatus fk_cmd_key(const char *team);
--- a/src/cmd/serve.c
+++ b/src/cmd/serve.c
@@ -1,4 +1,4 @@
-/* flaxknot serve: runs a controller, and the build cache next to it if it is switched on. */
+/* flaxknot serve: runs a controller, and the build cache in the same process if the cache is switched on. */
 #include <stdio.h>
 
 #include "cmd/commands.h"
--- a/src/cmd/settings_files.c
+++ b/src/cmd/settings_files.c
@@ -4,6 +4,7 @@
 
 /* Sockets for the listener of remote execution, and for connections that are being closed. */
 #define REMOTE_EXECUTION_SPARE_SOCKETS 16
+#define SPARE_SOCKETS_TEXT G_STRINGIFY(REMOTE_EXECUTION_SPARE_SOCKETS)
 #define SCHEDULER_SOCKETS_MIN 100
 
 static FkSettings *load_settings(const char *config, GError **error) {
@@ -40,15 +41,15 @@
   return settings;
 }
 
-/* Reserves the sockets of remote execution; the scheduler may use the others. Returns FALSE if too few are
- * left for the scheduler. */
+/* Reserves the sockets of remote execution; the scheduler may use the remaining sockets. Returns FALSE if
+ * fewer than SCHEDULER_SOCKETS_MIN sockets remain. */
 static gboolean split_sockets(FkSettings *settings, const FkRemoteExecutionSettings *remote_execution,
                               GError **error) {
   double left = settings->sockets - remote_execution->connections - REMOTE_EXECUTION_SPARE_SOCKETS;
   if (left < SCHEDULER_SOCKETS_MIN) {
     g_set_error(error, fk_settings_error(), 1,
-                "remote execution: connections=%g and its spare sockets leave %g of the platform's "
-                "sockets=%g; the scheduler needs at least " G_STRINGIFY(SCHEDULER_SOCKETS_MIN),
+                "remote execution: connections=%g and " SPARE_SOCKETS_TEXT " spare sockets leave %g of the "
+                "platform's sockets=%g; the scheduler needs at least " G_STRINGIFY(SCHEDULER_SOCKETS_MIN),
                 remote_execution->connections, left, settings->sockets);
     return FALSE;
   }
--- a/src/daemon/api_requests.c
+++ b/src/daemon/api_requests.c
@@ -39,8 +39,8 @@
   gboolean to_worker = output->kind == FK_OUTPUT_HEARTBEAT_REPLY;
   char *body = to_worker ? fk_worker_print_reply(output) : fk_user_print_reply(output);
   fk_daemon_respond(message, (guint)output->status, body, output->retry_s);
-  /* Workers are many and send heartbeats infrequently, so open connections would only lengthen each iteration
-   * of the main loop, which polls them all. */
+  /* The connections of workers are closed: there are many workers, each sends heartbeats infrequently, and
+   * every open connection lengthens each iteration of the main loop, which polls all connections. */
   if (to_worker)
     soup_message_headers_replace(soup_server_message_get_response_headers(message), "Connection", "close");
   if (is_current) {
@@ -84,10 +84,10 @@
   soup_server_message_pause(message);
 }
 
-/* Runs the outputs that the core queued for a request. Usually they include the response; if not, pauses the
- * request until the core replies. */
+/* Dispatches the outputs that the core has queued, which usually include the response to the current request.
+ * If they don't, pauses the request until the core replies. */
 static void finish_handling(FkDaemon *daemon) {
-  fk_daemon_run_outputs(daemon);
+  fk_daemon_dispatch_outputs(daemon);
   if (daemon->requests.current)
     pause_current(daemon);
 }
--- a/src/daemon/cloud_client.c
+++ b/src/daemon/cloud_client.c
@@ -7,11 +7,11 @@
 #define LIST_PAGE_MACHINES 500
 #define IDLE_CONNECTION_S 60
 
-#define RATE_SHARE 0.7 /* largest share of the cloud's rate limit that one controller uses */
+#define RATE_SHARE 0.7 /* share of the cloud's rate limit that one controller uses at most */
 #define BURST_S 1.0
 #define QUEUE_MAX 50
 
-/* Priority levels of the rate limiter: lists of machines are sent after all other calls. */
+/* Priority levels of the rate limiter: queued lists of machines are sent after all other queued calls. */
 enum { LEVEL_DEFAULT, LEVEL_LIST_MACHINES, LEVELS };
 
 /* ------------------------------------------------------------------ results */
@@ -40,7 +40,7 @@
   g_autoptr(GPtrArray) names = outcome == FK_OUTCOME_OK ? fk_cloud_parse_names(body, len) : NULL;
   if (outcome == FK_OUTCOME_OK && !names)
     outcome = FK_OUTCOME_UNKNOWN;
-  /* A lack of capacity isn't a failure of the provider's API. */
+  /* A lack of capacity is reported as a conflict, since it isn't a failure of the provider's API. */
   if (is_out_of_capacity(status, body, len))
     outcome = FK_OUTCOME_CONFLICT;
   fk_controller_provision_received(call->daemon->core, fk_daemon_now(), call->output->call, outcome, names);
@@ -76,7 +76,8 @@
   fk_pending_call_finish(call);
 }
 
-/* Handles the cloud's response. An FkHttpCallback. */
+/* Handles the cloud's response. A lack of capacity isn't recorded as a failure of the dependency. An
+ * FkHttpCallback. */
 static void on_response(gpointer data, guint status, const char *body, gsize len) {
   FkPendingCall *call = data;
   fk_daemon_record_dependency(call->daemon, call->daemon->cloud.dependency,
@@ -142,8 +143,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Fails a call that the rate limiter shed, with the status of a call that the cloud refused. The result is
- * delivered from the main loop, because the core is still in the function that issued the call. An
+/* Fails a call that the rate limiter shed, with the status of a call that the cloud refused (429). The result
+ * is delivered from the main loop, because the core is still in the function that issued the call. An
  * FkRateLimiterCallback. */
 static void shed(gpointer data, gpointer item) { g_idle_add(deliver_shed, fk_pending_call_new(data, item)); }
 
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -30,9 +30,9 @@
                                FK_CONNECTION_CLASS_PEER, classify_peer_request, fk_user_print_error, error);
 }
 
-/* Raises the limit of file descriptors to `wanted` if the system allows it, and returns the resulting limit.
- * Admission control must stay within it: above the limit, accepting connections and opening outbound ones
- * would fail. */
+/* Raises the limit of file descriptors to `wanted`, or to the hard limit if that is lower, and returns the
+ * resulting limit; returns `wanted` if the limit can't be read. Admission control must keep the number of
+ * sockets below this limit, or accepting connections and opening outbound connections would fail. */
 static double raise_descriptor_limit(rlim_t wanted) {
   struct rlimit limit;
   if (getrlimit(RLIMIT_NOFILE, &limit) < 0)
@@ -59,8 +59,8 @@
 
 /* ------------------------------------------------------------------ the timer */
 
-/* Logs the counters of admission control once per window, as a warning if a connection or request was
- * rejected. */
+/* Logs the counters of admission control once per window; as a warning if a connection or request was
+ * rejected, not counting those that timed out or that their handler closed. */
 static void log_admission(FkDaemon *daemon, gint64 now_us) {
   gint64 window_us = (gint64)(daemon->settings->tuning.window_s * G_USEC_PER_SEC);
   if (now_us < daemon->admission_logged_us + window_us)
@@ -91,7 +91,7 @@
   fk_controller_tick(daemon->core, fk_daemon_now(), g_get_real_time());
   fk_daemon_log_dependencies(daemon);
   fk_store_client_update_rates(daemon);
-  fk_daemon_run_outputs(daemon);
+  fk_daemon_dispatch_outputs(daemon);
   return G_SOURCE_CONTINUE;
 }
 
@@ -99,7 +99,7 @@
 
 static FkController *new_core(const FkSettings *settings) {
   guint32 seed = (guint32)g_get_real_time() ^ g_str_hash(settings->node) ^ g_random_int();
-  /* Unique to each start of the process, because the owner of a shard is identified by its incarnation. */
+  /* The incarnation is unique to each start of the process, because it identifies the owner of a shard. */
   g_autofree char *incarnation =
       g_strdup_printf("%" G_GINT64_MODIFIER "x%04x", g_get_real_time() / 1000, seed & 0xffff);
   return fk_controller_new(settings, incarnation, seed, fk_daemon_now());
@@ -167,10 +167,10 @@
 
 /* ------------------------------------------------------------------ the main loop */
 
-/* The daemon that measured_poll() measures; a GPollFunc has no user data argument. */
+/* The daemon whose metrics measured_poll() updates; a GPollFunc has no user data argument. */
 static FkDaemon *running_daemon;
 
-/* Polls the main loop's descriptors and updates the metrics. The time of the poll itself is charged to
+/* Polls the main loop's descriptors and updates the metrics. The CPU time of the poll itself is charged to
  * FK_CPU_IDLE; an iteration of the main loop lasts from the end of one poll to the start of the next. */
 static gint measured_poll(GPollFD *fds, guint n, gint timeout) {
   FkCpuProfile *profile = fk_controller_cpu_profile(running_daemon->core);
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -6,7 +6,7 @@
 typedef struct FkDaemon FkDaemon;
 
 /* Opens the listening sockets and runs the core's first tick. `settings` is borrowed and must outlive the
- * daemon. Returns NULL and an error that names the address if an address can't be listened on. */
+ * daemon. Returns NULL and an error that names the address if listening on an address fails. */
 FkDaemon *fk_daemon_new(const FkSettings *settings, GError **error);
 /* Runs the main loop until the process is killed. A process may have only one daemon. */
 void fk_daemon_run(FkDaemon *daemon);
--- a/src/daemon/daemon_internal.h
+++ b/src/daemon/daemon_internal.h
@@ -15,10 +15,10 @@
   FkHttpClient *http;
   FkRateLimiter *limiter;
   guint dependency; /* index of the store in FkDaemon.dependency_health */
-  /* Exponentially decaying count of status 429 responses of the store to transactions, retries included. */
+  /* Count of the store's status 429 responses to transactions and their retries; decays at each tick. */
   double recent_rejections;
   /* Monotonic time until which the store is assumed to enforce the lower rates that the settings announce
-   * (next_store_rps, next_store_write_rps); 0 if it never was. */
+   * (next_store_rps, next_store_write_rps); 0 if this was never assumed. */
   gint64 next_limits_until_us;
 } FkStoreClient;
 
@@ -38,17 +38,18 @@
 /* Requests of users and workers that haven't been responded to yet. */
 typedef struct {
   guint64 last_id; /* id of the latest request */
-  /* Request whose handler is running (its id is last_id); NULL once it has been responded to or paused. */
+  /* Request that has been passed to the core and whose handler is still running (its id is last_id); NULL
+   * once this request has been responded to or paused, and outside handlers. */
   SoupServerMessage *current;
-  GHashTable *paused; /* id -> SoupServerMessage: requests that the core replies to later */
+  GHashTable *paused; /* id (guint64*) -> SoupServerMessage of a request to which the core replies later */
 } FkOpenRequests;
 
 struct FkDaemon {
   const FkSettings *settings;
   FkController *core;
   FkServer *server;
-  /* Servers without listening sockets of their own: FkServer passes them each connection that has sent a
-   * complete request. */
+  /* Servers without listening sockets of their own: FkServer accepts each connection, and passes the
+   * connection to one of these servers once a complete request has arrived. */
   SoupServer *api_server, *peer_server;
   FkOpenRequests requests;
   FkStoreClient store;
@@ -56,12 +57,12 @@
   FkPeerClient peers;
   FkHttpClient *workers;
   FkDependencyHealth *dependency_health;
-  FkAdmissionCounters admission_counters; /* admission control's counters when they were last logged */
-  gint64 admission_logged_us;
+  FkAdmissionCounters admission_counters; /* copy of admission control's counters at the latest log line */
+  gint64 admission_logged_us; /* monotonic time of the latest log line of admission control; 0 if none */
   FkProcessMetrics *metrics;
   guint tick_source;
-  gint64 last_tick_us; /* 0 before the first tick */
-  gboolean running_outputs;
+  gint64 last_tick_us;          /* monotonic time of the latest tick; 0 before the first tick */
+  gboolean dispatching_outputs; /* TRUE while fk_daemon_dispatch_outputs() runs */
 };
 
 static inline FkTime fk_daemon_now(void) { return (FkTime){g_get_monotonic_time()}; }
@@ -76,9 +77,10 @@
 }
 
 /* ---- outputs.c ---- */
-/* Carries out all outputs that the core has queued. Must be called after each input to the core. A reentrant
- * call does nothing, since the outer call carries out the new outputs as well. */
-void fk_daemon_run_outputs(FkDaemon *daemon);
+/* Dispatches all outputs that the core has queued to the clients of the services and to waiting requests.
+ * Must be called after each input to the core. A reentrant call does nothing, since the outer call also
+ * dispatches the new outputs. */
+void fk_daemon_dispatch_outputs(FkDaemon *daemon);
 
 /* ---- pending_call.c ---- */
 /* An HTTP call in progress that carries out one output of the core. */
@@ -88,20 +90,21 @@
   FkTime sent_at;
 } FkPendingCall;
 
-/* Takes ownership of `output`. */
+/* Creates a call whose time of sending is the present time. Takes ownership of `output`. */
 FkPendingCall *fk_pending_call_new(FkDaemon *daemon, FkOutput *output);
-/* Frees the call and its output, and runs the outputs that the core has queued because of the call's result.
- */
+/* Frees the call and its output, and dispatches the outputs that the core has queued, for instance because of
+ * the call's result. */
 void fk_pending_call_finish(FkPendingCall *call);
 /* Frees the call and returns its output, which the caller owns. */
 FkOutput *fk_pending_call_steal_output(FkPendingCall *call);
-/* Returns what an HTTP status (0 if there was no response) says about whether the call was carried out. */
+/* Maps the HTTP status of a call (0 if there was no response) to the call's outcome. */
 FkOutcome fk_outcome_from_status(guint status);
 
 /* ---- dependencies.c ---- */
 /* Registers the store, the cloud and the peers as dependencies. */
 void fk_daemon_add_dependencies(FkDaemon *daemon);
-/* Records the result of a call to a dependency: its HTTP status, or 0 if there was no response. */
+/* Records the result of a call to a dependency: the HTTP status, or 0 if there was no response. Only a
+ * missing response and status 503 count as failures. */
 void fk_daemon_record_dependency(FkDaemon *daemon, guint dependency, guint status);
 /* Logs which dependencies have become unreachable or have recovered. */
 void fk_daemon_log_dependencies(FkDaemon *daemon);
@@ -111,10 +114,10 @@
 void fk_store_client_clear(FkStoreClient *store);
 /* Sends a commit, read, list, watch or lease call. Takes ownership of `output`. */
 void fk_store_client_send(FkDaemon *daemon, FkOutput *output);
-/* Tells the core how many writes could be sent without waiting. */
+/* Tells the core how many writes at level FK_PRIORITY_LAUNCH the rate limiter would send without waiting. */
 void fk_store_client_update_write_capacity(FkDaemon *daemon);
 /* Sets the rates of the store's rate limiter to this controller's share of the limits that the store is
- * currently assumed to enforce. */
+ * currently assumed to enforce. Must be called once per tick, since each call decays recent_rejections. */
 void fk_store_client_update_rates(FkDaemon *daemon);
 
 /* ---- cloud_client.c ---- */
@@ -128,7 +131,7 @@
 void fk_worker_client_send(FkDaemon *daemon, FkOutput *output);
 
 /* ---- peers.c ---- */
-/* Queries the progress of a peer. Takes ownership of `output`. */
+/* Asks a peer how far it has followed the store's changes (FkPeerProgress). Takes ownership of `output`. */
 void fk_peer_client_send(FkDaemon *daemon, FkOutput *output);
 /* Serves a request of another controller. A SoupServerCallback; `daemon` is an FkDaemon. */
 void fk_daemon_on_peer_request(SoupServer *server, SoupServerMessage *message, const char *path,
@@ -142,6 +145,6 @@
                               GHashTable *query, gpointer daemon);
 /* Sends the core's reply to a user or worker; does nothing if the client has disconnected. */
 void fk_daemon_reply(FkDaemon *daemon, const FkOutput *output);
-/* Sets the response to a request. Takes ownership of `body` (JSON). Adds a Retry-After header if
- * `retry_after_s` is above 0 and the status is 429 or higher. */
+/* Sets the response to a request. Takes ownership of `body` (JSON). If `retry_after_s` is above 0 and
+ * the status is 429 or higher, adds a Retry-After header with `retry_after_s`, but at least 1 s. */
 void fk_daemon_respond(SoupServerMessage *message, guint status, char *body, double retry_after_s);
--- a/src/daemon/outputs.c
+++ b/src/daemon/outputs.c
@@ -1,7 +1,8 @@
-/* Dispatches each output of the core to the client of the service that it is for. */
+/* Dispatches each output of the core: a reply to the waiting request, or a call to the client of the called
+ * service. */
 #include "daemon/daemon_internal.h"
 
-static void run_output(FkDaemon *daemon, FkOutput *output) {
+static void dispatch_output(FkDaemon *daemon, FkOutput *output) {
   switch (output->kind) {
   case FK_OUTPUT_USER_REPLY:
   case FK_OUTPUT_HEARTBEAT_REPLY:
@@ -31,12 +32,12 @@
   }
 }
 
-void fk_daemon_run_outputs(FkDaemon *daemon) {
-  if (daemon->running_outputs)
+void fk_daemon_dispatch_outputs(FkDaemon *daemon) {
+  if (daemon->dispatching_outputs)
     return;
-  daemon->running_outputs = TRUE;
+  daemon->dispatching_outputs = TRUE;
   FkOutput *output;
   while ((output = fk_controller_next_output(daemon->core)))
-    run_output(daemon, output);
-  daemon->running_outputs = FALSE;
+    dispatch_output(daemon, output);
+  daemon->dispatching_outputs = FALSE;
 }
--- a/src/daemon/pending_call.c
+++ b/src/daemon/pending_call.c
@@ -16,7 +16,7 @@
 void fk_pending_call_finish(FkPendingCall *call) {
   FkDaemon *daemon = call->daemon;
   fk_output_free(fk_pending_call_steal_output(call));
-  fk_daemon_run_outputs(daemon);
+  fk_daemon_dispatch_outputs(daemon);
 }
 
 FkOutcome fk_outcome_from_status(guint status) {
--- a/src/daemon/process_metrics.c
+++ b/src/daemon/process_metrics.c
@@ -5,8 +5,8 @@
 #include <math.h>
 #include <time.h>
 
-/* Bins of the timer's lateness, up to 88 s: the first bin ends at 1 ms, and each further one is 25 % wider
- * than the one before. */
+/* Bins of the timer's lateness, up to 88 s: the first bin ends at 1 ms, and each further bin ends at 1.25
+ * times the end of the bin before. */
 #define LATENESS_BINS 52
 #define LATENESS_BIN_RATIO 1.25
 #define LATENESS_MIN_S 0.001
@@ -14,7 +14,7 @@
 
 struct FkProcessMetrics {
   double window_s;
-  gint64 window_end_us; /* 0 before the first window */
+  gint64 window_end_us; /* monotonic time of the end of the current window; 0 before the first window */
   gsl_histogram *lateness;
   double worst_lateness_s;
   gint64 iteration_start_ns, longest_iteration_ns;
@@ -57,7 +57,7 @@
   metrics->iterations++;
 }
 
-/* Returns the upper edge of the bin in which the `fraction` quantile lies. */
+/* Returns the upper edge of the bin in which the `fraction` quantile lies; 0 if the histogram is empty. */
 static double quantile(const gsl_histogram *histogram, double fraction) {
   double total = gsl_histogram_sum(histogram), sum = 0, low = 0, high = 0;
   for (gsize i = 0; i < gsl_histogram_bins(histogram) && sum < fraction * total; i++) {
--- a/src/daemon/remote_execution.c
+++ b/src/daemon/remote_execution.c
@@ -9,8 +9,8 @@
 #define KEYS_CHECK_S 2 /* interval at which the keys file is checked for changes */
 #define BYTES_PER_GB 1073741824.0
 
-/* Resources from which the limits of admission control are derived. They are larger than needed, because
- * connections are limited by the settings and memory by the HTTP/2 limits instead. */
+/* Resources from which the limits of admission control are derived. The values are larger than
+ * needed, since the settings already limit the number of connections, and the HTTP/2 limits the memory. */
 #define SOCKETS_PER_CONNECTION 4
 #define SPARE_SOCKETS 100
 #define RAM_UNBOUNDED_MB 1e6
@@ -18,14 +18,14 @@
 struct FkRemoteExecution {
   const FkRemoteExecutionSettings *settings;
   GThread *thread;
-  /* While the thread runs, only it uses the fields below, except that fk_remote_execution_stop() attaches a
-   * source to `context` that quits `loop`. */
+  /* While the thread runs, only the thread uses the fields below, except that fk_remote_execution_stop()
+   * attaches a source to `context` that quits `loop`. */
   GMainContext *context;
   GMainLoop *loop;
   FkServer *server;
   FkCacheService *service;
   gint64 keys_modified_ns;
-  GHashTable *connections; /* FkH2Connection */
+  GHashTable *connections; /* set of the open connections (FkH2Connection) */
 };
 
 /* ------------------------------------------------------------------ connections */
@@ -55,8 +55,7 @@
 
 /* ------------------------------------------------------------------ keys */
 
-/* Reads the modification time of the keys file. Returns FALSE if the file doesn't exist or can't be accessed.
- */
+/* Reads the modification time of the keys file. Returns FALSE if the file is missing or can't be accessed. */
 static gboolean keys_modified(const FkRemoteExecution *server, gint64 *modified_ns) {
   GStatBuf status;
   if (g_stat(server->settings->keys, &status) != 0)
--- a/src/daemon/worker_client.c
+++ b/src/daemon/worker_client.c
@@ -4,8 +4,8 @@
 
 #define CALL_DEADLINE_S 2.0
 
-/* Handles a worker's response. The response body is a heartbeat with status 200, and with 409 (the worker
- * rejected the commands). An FkHttpCallback. */
+/* Handles a worker's response. If the status is 200, or 409 (the worker rejected the commands), the body is a
+ * heartbeat. An FkHttpCallback. */
 static void on_response(gpointer data, guint status, const char *body, gsize len) {
   FkPendingCall *call = data;
   FkDaemon *daemon = call->daemon;
--- a/src/keys/keys.c
+++ b/src/keys/keys.c
@@ -6,7 +6,7 @@
 
 #include "wire/json.h"
 
-#define KEY_BYTES_MAX 512 /* longer strings are not valid keys */
+#define KEY_BYTES_MAX 512 /* maximum length of a key; longer strings are never valid */
 
 typedef struct {
   char *team;
@@ -62,7 +62,7 @@
   keys->keys = g_array_new(FALSE, TRUE, sizeof(Key));
   g_array_set_clear_func(keys->keys, key_clear);
   if (!cJSON_IsArray(list)) {
-    g_set_error(error, keys_error(), 1, "keys: a JSON object with a list named keys is needed");
+    g_set_error(error, keys_error(), 1, "keys: the file must hold a JSON object with a list \"keys\"");
     return NULL;
   }
   cJSON_ArrayForEach(item, list) {
--- a/src/keys/keys.h
+++ b/src/keys/keys.h
@@ -15,9 +15,9 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkKeys, fk_keys_free)
 
 /* Returns the team for which `key` (may be NULL) is valid at `now_s` (seconds since 1970), a string that
- * `keys` owns; NULL if there is none. Compares the key's hash with all stored hashes in constant time, so
- * that the time taken reveals nothing about the keys. */
+ * `keys` owns; NULL if the key is valid for no team. Compares the key's hash with all stored hashes in
+ * constant time, so that the time taken reveals nothing about the keys. */
 const char *fk_keys_find_team(const FkKeys *keys, const char *key, gint64 now_s);
-/* Returns a key's hash in the form used in the file, freed by the caller. */
+/* Returns a key's SHA-256 hash as hexadecimal digits, the form used in the keys file; freed by the caller. */
 char *fk_keys_hash(const char *key);
 guint fk_keys_count(const FkKeys *keys);
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -5,7 +5,7 @@
 
 /* Whole numbers with at least this many digits may exceed DOUBLE_EXACT_MAX and are kept as strings. */
 #define QUOTED_NUMBER_DIGITS_MIN 16
-/* 2^53: a double holds every whole number up to it. */
+/* 2^53: a double represents every whole number up to 2^53 exactly. */
 #define DOUBLE_EXACT_MAX 9007199254740992.0
 
 static gsize digits_end(const char *text, gsize start, gsize len) {
@@ -21,8 +21,8 @@
   return (end >= len || !strchr(".eE", text[end])) && (start == 0 || !strchr("-+.eE", text[start - 1]));
 }
 
-/* Returns the text with long whole numbers in quotes, so that cJSON keeps all their digits; NULL if there are
- * no such numbers. */
+/* Returns a copy of the text with long whole numbers in quotes, so that cJSON keeps all their digits; NULL if
+ * the text has no long whole numbers. */
 static GString *quote_long_numbers(const char *text, gsize len) {
   GString *quoted = NULL;
   gboolean in_string = FALSE;
@@ -53,7 +53,7 @@
   return quoted;
 }
 
-/* Returns whether only white space remains up to `end`. */
+/* Returns whether there is only white space from `text` to `end`. */
 static gboolean is_blank(const char *text, const char *end) {
   for (; text < end; text++)
     if (!g_ascii_isspace(*text))
--- a/src/wire/peer.c
+++ b/src/wire/peer.c
@@ -1,6 +1,6 @@
 #include "wire/peer.h"
 
-#define STORE_AGE_UNKNOWN_S 1e6 /* store age of a peer that doesn't report it */
+#define STORE_AGE_UNKNOWN_S 1e6 /* assumed for a peer whose response has no store age */
 
 gboolean fk_peer_parse_progress(const cJSON *json, FkPeerProgress *out) {
   *out = (FkPeerProgress){.incarnation = json ? fk_json_str(json, "life") : NULL};
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -9,13 +9,14 @@
 typedef struct {
   const char *incarnation; /* incarnation of the controller's process; borrowed */
   FkRev seen;              /* latest revision that the controller knows to be committed */
-  /* Revision that the controller's view has reached; 0 if it has no view or doesn't report it. */
+  /* Revision that the controller's view of the store has reached; 0 if the controller has no view, or if its
+   * response lacks this revision. */
   FkRev applied;
   double store_age_s; /* seconds since the store last responded to the controller */
 } FkPeerProgress;
 
-/* Returns FALSE if `json` (may be NULL) isn't a valid progress report. The incarnation in `out` belongs to
- * `json`. */
+/* Parses a progress report; `json` may be NULL. Returns FALSE if the report is malformed. The incarnation in
+ * `out` belongs to `json`. */
 gboolean fk_peer_parse_progress(const cJSON *json, FkPeerProgress *out);
-/* Prints a response body, freed by the caller. */
+/* Prints a progress report as a response body, freed by the caller. */
 char *fk_peer_print_progress(const FkPeerProgress *progress);
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -32,8 +32,8 @@
   return TRUE;
 }
 
-/* Upper bound of every resource, rate and time in the settings; all integer types that hold a setting can
- * hold it. */
+/* Upper bound of every resource, rate and time in the settings. This bound fits every integer type that holds
+ * a setting. */
 #define NUMBER_MAX 1e9
 
 static gboolean parse_number(const cJSON *json, const char *field, double min, double *out, GError **error) {
@@ -85,9 +85,10 @@
   return TRUE;
 }
 
-/* Parses deployment.state.next, the limits that the store will enforce from some moment on, without notice.
- * Records and transactions written now must already fit them, so the lower of the present and the next limits
- * applies. */
+/* Parses deployment.state.next: limits that the store will enforce from some later time on, without notice. A
+ * next limit above the present limit has no effect. Records and transactions written now must already fit the
+ * next limits, so value_kb and transaction_ops_max become the lower of the present and the next limit. The
+ * next rates are stored in next_store_rps and next_store_write_rps. */
 static gboolean parse_next_limits(FkSettings *settings, const cJSON *store, GError **error) {
   const cJSON *next = fk_json_get(store, "next");
   double ops = settings->transaction_ops_max, value_kb = settings->value_kb;
@@ -117,13 +118,13 @@
     return fail(error, "deployment.zones", "a list is needed");
   cJSON_ArrayForEach(item, list) {
     if (!cJSON_IsString(item))
-      return fail(error, "deployment.zones", "strings are needed");
+      return fail(error, "deployment.zones", "a list of strings is needed");
     g_ptr_array_add(settings->zones, g_strdup(item->valuestring));
   }
   return TRUE;
 }
 
-/* Parses the service-level objectives. Fields that are missing or have another type become NULL or 0. */
+/* Parses the service-level objectives. Fields that are missing or have a wrong type become NULL or 0. */
 static void parse_objectives(FkSettings *settings, const cJSON *list) {
   const cJSON *item;
   cJSON_ArrayForEach(item, list) {
--- a/src/wire/store_records.c
+++ b/src/wire/store_records.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#define TASKS_MAX 100000 /* tasks of a job at most */
-#define BITS_PER_DIGIT 4
+#define TASKS_MAX 100000 /* maximum number of tasks of a job */
+#define BITS_PER_DIGIT 4 /* tasks per hexadecimal digit of a bit set */
 
 static cJSON *strings_to_json(char **strings) {
   cJSON *list = cJSON_CreateArray();
@@ -39,14 +39,15 @@
   cJSON_AddNumberToObject(json, "submitted", (double)spec->submitted_ms);
   cJSON_AddStringToObject(json, "owner", spec->owner ? spec->owner : "");
   cJSON_AddNumberToObject(json, "chunk", spec->chunk_tasks);
-  /* Omitted if empty, so that the record of a job without dependencies has the same bytes as in versions
-   * before dependencies were introduced. */
+  /* The field is omitted if the job has no dependencies, so that the job's record has the same bytes as in
+   * versions before dependencies were introduced. */
   if (spec->dependencies)
     cJSON_AddItemToObject(json, "needs", strings_to_json(spec->dependencies));
   return json;
 }
 
-/* Reads the strings of a list. Returns FALSE if it also holds other items, which are left out of `out`. */
+/* Reads the strings of a list. Returns FALSE if the list also holds items of other types, which are left out
+ * of `out`. */
 static gboolean strings_from_json(const cJSON *list, char ***out) {
   g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
   gboolean all_strings = TRUE;
@@ -100,7 +101,8 @@
   return g_steal_pointer(&spec);
 }
 
-/* Adds a bit set as a string of hexadecimal digits, each of which holds the bits of four tasks. */
+/* Adds a bit set as a string of hexadecimal digits, each of which holds the bits of four tasks. `set` has one
+ * byte per task, which is 0 if the task's bit is clear. */
 static void add_bits(cJSON *json, const char *name, const guint8 *set, guint32 count) {
   g_autoptr(GString) bits = g_string_new(NULL);
   for (guint32 i = 0; i < count; i += BITS_PER_DIGIT) {
@@ -169,7 +171,8 @@
     if (completion->done->len)
       add_bits(item, "d", completion->done->data, completion->done->len);
     cJSON *list = completion->released->len ? cJSON_AddArrayToObject(item, "r") : NULL;
-    /* Failed attempts are listed in "r" as well: versions that don't know "f" still release them. */
+    /* Attempts of which the worker reported a failure are listed both in "f" and in "r", because versions
+     * that don't know "f" must release these attempts too. */
     cJSON *failed = NULL;
     for (guint r = 0; r < completion->released->len; r++) {
       const FkReleasedAttempt *released = &g_array_index(completion->released, FkReleasedAttempt, r);
--- a/src/wire/store_records.h
+++ b/src/wire/store_records.h
@@ -1,5 +1,5 @@
-/* JSON format of the records that controllers keep in the store. The keys and the meaning of the records:
- * core/state/store_keys.h and core/state/records.h. */
+/* JSON format of the records that controllers keep in the store. The keys and the meaning of the records
+ * are described in core/state/store_keys.h and core/state/records.h. */
 #pragma once
 #include "core/messages.h"
 #include "wire/json.h"
--- a/src/wire/store_service.h
+++ b/src/wire/store_service.h
@@ -21,17 +21,20 @@
 void fk_store_transaction_free(FkStoreTransaction *transaction);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkStoreTransaction, fk_store_transaction_free)
 
-/* Returns NULL if the body is malformed. The caller frees the transaction. */
+/* Parses a transaction, freed by the caller; returns NULL if the body is malformed. */
 FkStoreTransaction *fk_store_parse_transaction(const char *body, gsize len);
-/* Parses the time to live of a requested lease. Returns FALSE if it is malformed or out of bounds. */
+/* Parses the time to live, in seconds, of a requested lease. Returns FALSE if the time is missing or isn't
+ * from 0.1 to 600 s. */
 gboolean fk_store_parse_ttl_s(const char *body, gsize len, double *out);
 
-/* Returns one item of a list, or the response to a read. `lease` is 0 if the key has none. */
+/* Returns one item of a list, or the response to a read. `value` is JSON text; `lease` is the lease to which
+ * the key is attached, 0 if none. */
 cJSON *fk_store_item_to_json(const char *path, const char *value, guint64 revision, guint64 lease);
-/* Returns one event of a watch; `value` is NULL if the key was deleted. */
+/* Returns one event of a watch. `value` is JSON text; NULL if the key was deleted. */
 cJSON *fk_store_event_to_json(const char *path, const char *value, guint64 revision);
 
-/* Response bodies, freed by the caller. `revision` is the store's revision. */
+/* Print response bodies, which the caller frees. `revision` is the store's revision; `more` says whether
+ * another page of the list follows. */
 char *fk_store_print_items(cJSON *items /* taken */, gboolean more, guint64 revision);
 char *fk_store_print_events(cJSON *events /* taken */, guint64 revision);
 char *fk_store_print_epoch(guint64 revision);
--- a/src/wire/user.c
+++ b/src/wire/user.c
@@ -28,8 +28,8 @@
   return -1;
 }
 
-/* Returns whether a name may be stored and used in paths: UTF-8 of bounded length, without bytes below 0x20.
- */
+/* Returns whether a name may be stored and used in paths: 1 to NAME_BYTES_MAX bytes of UTF-8, none below
+ * 0x20. */
 static gboolean name_is_valid(const char *name) {
   gsize len = name ? strlen(name) : 0;
   if (len < 1 || len > NAME_BYTES_MAX || !g_utf8_validate(name, len, NULL))
@@ -70,8 +70,8 @@
   return TRUE;
 }
 
-/* Parses the ids of the jobs that must finish first. A missing field, null and an empty list mean no
- * dependencies; an id given twice counts once. */
+/* Parses the ids of the jobs that must finish before this job may start. A missing field, null and an empty
+ * list mean no dependencies; an id given twice counts once. */
 static gboolean parse_dependencies(const cJSON *json, char ***out) {
   const cJSON *list = fk_json_get(json, "awaits"), *item;
   if (!list)
--- a/src/wire/worker.c
+++ b/src/wire/worker.c
@@ -4,7 +4,7 @@
 
 #define MACHINE_BYTES_MAX 100
 
-/* Indexed by FkCommandKind. */
+/* Names of the commands in JSON, indexed by FkCommandKind. */
 static const char *command_names[] = {"launch", "stop", "forget"};
 
 static const struct {
@@ -66,7 +66,7 @@
   cJSON_ArrayForEach(item, tasks) {
     FkTaskStatus *status = parse_task(item);
     if (!status)
-      return NULL; /* a task missing from an incomplete list may still be running */
+      return NULL; /* reject the whole heartbeat: the task that can't be parsed may still be running */
     g_ptr_array_add(heartbeat->tasks, status);
   }
   return g_steal_pointer(&heartbeat);
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -107,7 +107,7 @@
 static void test_heartbeat(void) {
   static const struct {
     const char *body;
-    int tasks; /* -1: the body must be rejected */
+    int tasks; /* number of tasks in the heartbeat; -1 if the body must be rejected */
   } cases[] = {
       {"{\"knotter\":\"i-1\",\"address\":\"10.1.0.2:9000\",\"build\":\"g8\",\"yard\":\"a\",\"loaners\":true,"
        "\"shift\":1,\"tally\":88,\"baton\":41,\"recall_s\":null,\"strands\":["
@@ -137,7 +137,8 @@
  * rejected as a whole, or the job could start before its dependencies have finished. */
 static void test_dependencies(void) {
   static const struct {
-    const char *awaits, *needs; /* NULL if none */
+    const char *awaits; /* value of the field in the submission */
+    const char *needs;  /* ids of the parsed dependencies, separated by spaces; NULL if there are none */
   } cases[] = {{"null", NULL},
                {"[]", NULL},
                {"[\"run-2\"]", "run-2"},
@@ -166,11 +167,12 @@
   }
 }
 
-/* The store's future limits (deployment.state.next): missing, lower than the present ones, higher (which must
- * have no effect) and with unknown fields; malformed values must be rejected. */
+/* The limits that the store will enforce later (deployment.state.next) may be missing, lower than the present
+ * limits, or higher (which must have no effect); unknown fields must be ignored and malformed values
+ * rejected. */
 static void test_next_limits(void) {
   static const struct {
-    const char *next; /* NULL if none */
+    const char *next; /* value of deployment.state.next; NULL if the field is missing */
     gboolean ok;
     double value_kb, write_rps;
     guint ops;
@@ -246,7 +248,7 @@
       fk_chunk_allocate(record->chunk, 99872 + allocated, "i-0000000231", "knotter-10");
       fk_chunk_request_stop(record->chunk, 99872 + allocated++);
     }
-    record->chunk->done_count = 1; /* makes the record include the bit set of completed tasks */
+    record->chunk->done_count = 1; /* a count above 0 adds the bit set of completed tasks to the record */
     g_assert_cmpuint(allocated, >=, MIN(max_tasks, 128));
     g_autoptr(cJSON) json = fk_store_record_to_json(record);
     g_autofree char *text = fk_json_print(json);
@@ -272,7 +274,8 @@
     g_assert_nonnull(property);
     g_assert_cmpfloat(fk_json_num_or(property, "minimum", -1), ==, fields[i].min);
     g_assert_cmpfloat(fk_json_num_or(property, "maximum", -1), ==, fields[i].max);
-    /* 0 stands for a default that is derived from the resources; the schema omits it. */
+    /* 0 means that the default is derived from other settings (the resources or the heartbeat interval); the
+     * schema gives no default then. */
     g_assert_cmpfloat(fk_json_num_or(property, "default", 0), ==,
                       G_STRUCT_MEMBER(double, &settings->tuning, fields[i].offset));
   }
@@ -289,7 +292,7 @@
                {"127.0.0.1:8080", "127.0.0.1:99999", "serve_on"},
                {"\"lease_s\": 20", "\"lease_s\": -1", "lease_s"},
                {"\"txn_ops\": 32", "\"txn_ops\": 1", "txn_ops"},
-               /* found by fuzzing: exceeded the range of the integer type */
+               /* Found by fuzzing: this number exceeded the range of the integer type. */
                {"\"txn_ops\": 32", "\"txn_ops\": 1e12", "txn_ops"},
                {"\"sockets\": 1000", "\"sockets\": 10", "sockets"},
                {"\"cpus\": 8,", "\"cpus\": \"8\",", "cpus"},
