--- a/src/cmd/commands.h
+++ b/src/cmd/commands.h
@@ -5,8 +5,9 @@
 
 typedef enum {
   FK_EXIT_STATUS_OK = 0,
-  FK_EXIT_STATUS_FAILED = 1, /* any other error, such as an invalid setting, address or file */
-  FK_EXIT_STATUS_USAGE = 2   /* error in the command line */
+  /* Any error except in the command line, such as an invalid setting, address or file. */
+  FK_EXIT_STATUS_FAILED = 1,
+  FK_EXIT_STATUS_USAGE = 2 /* error in the command line */
 } FkExitStatus;
 
 /* Paths of the files to read. The strings are borrowed. */
--- a/src/cmd/settings_files.c
+++ b/src/cmd/settings_files.c
@@ -41,16 +41,17 @@
   return settings;
 }
 
-/* Reserves the sockets of remote execution; the scheduler may use the remaining sockets. Returns FALSE if
- * fewer than SCHEDULER_SOCKETS_MIN sockets remain. */
+/* Reserves sockets for remote execution; the scheduler may use the remaining sockets. Returns FALSE and an
+ * error if fewer than SCHEDULER_SOCKETS_MIN sockets remain. */
 static gboolean split_sockets(FkSettings *settings, const FkRemoteExecutionSettings *remote_execution,
                               GError **error) {
   double left = settings->sockets - remote_execution->connections - REMOTE_EXECUTION_SPARE_SOCKETS;
   if (left < SCHEDULER_SOCKETS_MIN) {
-    g_set_error(error, fk_settings_error(), 1,
-                "remote execution: connections=%g and " SPARE_SOCKETS_TEXT " spare sockets leave %g of the "
-                "platform's sockets=%g; the scheduler needs at least " G_STRINGIFY(SCHEDULER_SOCKETS_MIN),
-                remote_execution->connections, left, settings->sockets);
+    g_set_error(
+        error, fk_settings_error(), 1,
+        "remote execution: connections=%g and " SPARE_SOCKETS_TEXT " spare sockets leave %g of the "
+        "platform's sockets=%g; the scheduler needs at least " G_STRINGIFY(SCHEDULER_SOCKETS_MIN) " sockets",
+        remote_execution->connections, left, settings->sockets);
     return FALSE;
   }
   settings->sockets = left;
--- a/src/daemon/api_requests.c
+++ b/src/daemon/api_requests.c
@@ -1,5 +1,5 @@
-/* Serves the API requests of users, workers and health checks. Each request is decoded and passed to the
- * core; the response is sent either immediately or once the core produces its reply. */
+/* Serves the API requests of users and workers, and health checks. Valid requests of users and workers are
+ * passed to the core, which replies either immediately or later. */
 #include <string.h>
 
 #include "daemon/daemon_internal.h"
@@ -39,8 +39,9 @@
   gboolean to_worker = output->kind == FK_OUTPUT_HEARTBEAT_REPLY;
   char *body = to_worker ? fk_worker_print_reply(output) : fk_user_print_reply(output);
   fk_daemon_respond(message, (guint)output->status, body, output->retry_s);
-  /* The connections of workers are closed: there are many workers, each sends heartbeats infrequently, and
-   * every open connection lengthens each iteration of the main loop, which polls all connections. */
+  /* Workers' connections are closed after the reply. There are many workers, and each worker sends heartbeats
+   * infrequently. Every open connection lengthens each iteration of the main loop, which polls all
+   * connections. */
   if (to_worker)
     soup_message_headers_replace(soup_server_message_get_response_headers(message), "Connection", "close");
   if (is_current) {
@@ -84,8 +85,8 @@
   soup_server_message_pause(message);
 }
 
-/* Dispatches the outputs that the core has queued, which usually include the response to the current request.
- * If they don't, pauses the request until the core replies. */
+/* Dispatches the core's queued outputs, which usually include the reply to the current request. Pauses the
+ * current request if the core hasn't replied yet. */
 static void finish_handling(FkDaemon *daemon) {
   fk_daemon_dispatch_outputs(daemon);
   if (daemon->requests.current)
--- a/src/daemon/cloud_client.c
+++ b/src/daemon/cloud_client.c
@@ -7,11 +7,11 @@
 #define LIST_PAGE_MACHINES 500
 #define IDLE_CONNECTION_S 60
 
-#define RATE_SHARE 0.7 /* share of the cloud's rate limit that one controller uses at most */
+#define RATE_SHARE 0.7 /* maximum share of the cloud's rate limit that this controller uses */
 #define BURST_S 1.0
 #define QUEUE_MAX 50
 
-/* Priority levels of the rate limiter: queued lists of machines are sent after all other queued calls. */
+/* Priority levels of the rate limiter. Calls that list machines are sent after all other queued calls. */
 enum { LEVEL_DEFAULT, LEVEL_LIST_MACHINES, LEVELS };
 
 /* ------------------------------------------------------------------ results */
@@ -37,13 +37,14 @@
 
 static void on_provision_result(FkPendingCall *call, guint status, const char *body, gsize len) {
   FkOutcome outcome = fk_outcome_from_status(status);
-  g_autoptr(GPtrArray) names = outcome == FK_OUTCOME_OK ? fk_cloud_parse_names(body, len) : NULL;
-  if (outcome == FK_OUTCOME_OK && !names)
+  g_autoptr(GPtrArray) machine_ids = outcome == FK_OUTCOME_OK ? fk_cloud_parse_names(body, len) : NULL;
+  if (outcome == FK_OUTCOME_OK && !machine_ids)
     outcome = FK_OUTCOME_UNKNOWN;
-  /* A lack of capacity is reported as a conflict, since it isn't a failure of the provider's API. */
+  /* A lack of capacity is reported as a conflict, because the provider's API hasn't failed. */
   if (is_out_of_capacity(status, body, len))
     outcome = FK_OUTCOME_CONFLICT;
-  fk_controller_provision_received(call->daemon->core, fk_daemon_now(), call->output->call, outcome, names);
+  fk_controller_provision_received(call->daemon->core, fk_daemon_now(), call->output->call, outcome,
+                                   machine_ids);
 }
 
 static void on_result(FkPendingCall *call, guint status, const char *body, gsize len) {
@@ -143,8 +144,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Fails a call that the rate limiter shed, with the status of a call that the cloud refused (429). The result
- * is delivered from the main loop, because the core is still in the function that issued the call. An
+/* Treats a shed call like a call to which the cloud responded with status 429. The result is
+ * delivered later from the main loop, because the core may still be in the function that issued the call. An
  * FkRateLimiterCallback. */
 static void shed(gpointer data, gpointer item) { g_idle_add(deliver_shed, fk_pending_call_new(data, item)); }
 
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -30,9 +30,10 @@
                                FK_CONNECTION_CLASS_PEER, classify_peer_request, fk_user_print_error, error);
 }
 
-/* Raises the limit of file descriptors to `wanted`, or to the hard limit if that is lower, and returns the
- * resulting limit; returns `wanted` if the limit can't be read. Admission control must keep the number of
- * sockets below this limit, or accepting connections and opening outbound connections would fail. */
+/* Raises the process's limit of file descriptors to `wanted`, or to the hard limit if the hard limit is
+ * lower. Returns the resulting limit; returns `wanted` if the limit can't be read. Admission control must
+ * keep the number of sockets below this limit, or accepting connections and opening outbound connections
+ * would fail. */
 static double raise_descriptor_limit(rlim_t wanted) {
   struct rlimit limit;
   if (getrlimit(RLIMIT_NOFILE, &limit) < 0)
@@ -59,8 +60,8 @@
 
 /* ------------------------------------------------------------------ the timer */
 
-/* Logs the counters of admission control once per window; as a warning if a connection or request was
- * rejected, not counting those that timed out or that their handler closed. */
+/* Logs the counters of admission control once per window. The level is warning if a connection or request was
+ * rejected in the window for any reason other than a timeout or a close by its handler, otherwise info. */
 static void log_admission(FkDaemon *daemon, gint64 now_us) {
   gint64 window_us = (gint64)(daemon->settings->tuning.window_s * G_USEC_PER_SEC);
   if (now_us < daemon->admission_logged_us + window_us)
@@ -99,7 +100,8 @@
 
 static FkController *new_core(const FkSettings *settings) {
   guint32 seed = (guint32)g_get_real_time() ^ g_str_hash(settings->node) ^ g_random_int();
-  /* The incarnation is unique to each start of the process, because it identifies the owner of a shard. */
+  /* The incarnation must be unique to each start of the process, because an incarnation identifies the owner
+   * of a shard. */
   g_autofree char *incarnation =
       g_strdup_printf("%" G_GINT64_MODIFIER "x%04x", g_get_real_time() / 1000, seed & 0xffff);
   return fk_controller_new(settings, incarnation, seed, fk_daemon_now());
@@ -170,8 +172,8 @@
 /* The daemon whose metrics measured_poll() updates; a GPollFunc has no user data argument. */
 static FkDaemon *running_daemon;
 
-/* Polls the main loop's descriptors and updates the metrics. The CPU time of the poll itself is charged to
- * FK_CPU_IDLE; an iteration of the main loop lasts from the end of one poll to the start of the next. */
+/* Polls the main loop's descriptors and updates the metrics. Charges the CPU time of the poll to FK_CPU_IDLE.
+ * An iteration of the main loop lasts from the end of one poll to the start of the next. */
 static gint measured_poll(GPollFD *fds, guint n, gint timeout) {
   FkCpuProfile *profile = fk_controller_cpu_profile(running_daemon->core);
   FkCpuPurpose previous = fk_daemon_profile_enter(running_daemon, FK_CPU_IDLE);
--- a/src/daemon/daemon_internal.h
+++ b/src/daemon/daemon_internal.h
@@ -1,5 +1,4 @@
-/* Internals shared by the files of src/daemon and private to them: the daemon's state, and calls to other
- * services that are in progress. */
+/* Internals of src/daemon: the daemon's state, and calls to other services that are in progress. */
 #pragma once
 #include <libsoup/soup.h>
 
@@ -15,10 +14,10 @@
   FkHttpClient *http;
   FkRateLimiter *limiter;
   guint dependency; /* index of the store in FkDaemon.dependency_health */
-  /* Count of the store's status 429 responses to transactions and their retries; decays at each tick. */
+  /* Count of status 429 responses to transactions, retries included; decays at each tick. */
   double recent_rejections;
   /* Monotonic time until which the store is assumed to enforce the lower rates that the settings announce
-   * (next_store_rps, next_store_write_rps); 0 if this was never assumed. */
+   * (next_store_rps, next_store_write_rps); 0 if never set. */
   gint64 next_limits_until_us;
 } FkStoreClient;
 
@@ -38,10 +37,10 @@
 /* Requests of users and workers that haven't been responded to yet. */
 typedef struct {
   guint64 last_id; /* id of the latest request */
-  /* Request that has been passed to the core and whose handler is still running (its id is last_id); NULL
-   * once this request has been responded to or paused, and outside handlers. */
+  /* Request that has been passed to the core, and has been neither replied to nor paused yet. The request's
+   * id is last_id. NULL if there is no current request. */
   SoupServerMessage *current;
-  GHashTable *paused; /* id (guint64*) -> SoupServerMessage of a request to which the core replies later */
+  GHashTable *paused; /* requests that wait for the core's reply: id (guint64*) -> SoupServerMessage */
 } FkOpenRequests;
 
 struct FkDaemon {
@@ -57,7 +56,8 @@
   FkPeerClient peers;
   FkHttpClient *workers;
   FkDependencyHealth *dependency_health;
-  FkAdmissionCounters admission_counters; /* copy of admission control's counters at the latest log line */
+  /* Admission control's counters as of the latest log line of admission control. */
+  FkAdmissionCounters admission_counters;
   gint64 admission_logged_us; /* monotonic time of the latest log line of admission control; 0 if none */
   FkProcessMetrics *metrics;
   guint tick_source;
@@ -67,30 +67,31 @@
 
 static inline FkTime fk_daemon_now(void) { return (FkTime){g_get_monotonic_time()}; }
 
-/* Charges CPU time from now on to `purpose`. Returns the previous purpose, to be passed to
- * fk_daemon_profile_leave(). */
+/* Charges the CPU time from now on to `purpose`. Returns the previous purpose; the caller passes the previous
+ * purpose to fk_daemon_profile_leave(). */
 static inline FkCpuPurpose fk_daemon_profile_enter(FkDaemon *daemon, FkCpuPurpose purpose) {
   return fk_cpu_profile_enter(fk_controller_cpu_profile(daemon->core), purpose);
 }
+/* Charges the CPU time from now on to `previous`, the result of fk_daemon_profile_enter(). */
 static inline void fk_daemon_profile_leave(FkDaemon *daemon, FkCpuPurpose previous) {
   fk_cpu_profile_leave(fk_controller_cpu_profile(daemon->core), previous);
 }
 
 /* ---- outputs.c ---- */
-/* Dispatches all outputs that the core has queued to the clients of the services and to waiting requests.
- * Must be called after each input to the core. A reentrant call does nothing, since the outer call also
+/* Dispatches all queued outputs of the core: replies to users and workers, and calls to other services. Must
+ * be called after each input to the core. A reentrant call does nothing, because the outer call also
  * dispatches the new outputs. */
 void fk_daemon_dispatch_outputs(FkDaemon *daemon);
 
 /* ---- pending_call.c ---- */
-/* An HTTP call in progress that carries out one output of the core. */
+/* An HTTP call that carries out one output of the core. */
 typedef struct {
   FkDaemon *daemon;
   FkOutput *output; /* owned */
   FkTime sent_at;
 } FkPendingCall;
 
-/* Creates a call whose time of sending is the present time. Takes ownership of `output`. */
+/* Creates a call and sets `sent_at` to the present time. Takes ownership of `output`. */
 FkPendingCall *fk_pending_call_new(FkDaemon *daemon, FkOutput *output);
 /* Frees the call and its output, and dispatches the outputs that the core has queued, for instance because of
  * the call's result. */
@@ -106,15 +107,17 @@
 /* Records the result of a call to a dependency: the HTTP status, or 0 if there was no response. Only a
  * missing response and status 503 count as failures. */
 void fk_daemon_record_dependency(FkDaemon *daemon, guint dependency, guint status);
-/* Logs which dependencies have become unreachable or have recovered. */
+/* Logs outages and recoveries of dependencies. A lasting outage is logged again once per window. */
 void fk_daemon_log_dependencies(FkDaemon *daemon);
 
 /* ---- store_client.c ---- */
 void fk_store_client_init(FkDaemon *daemon, const FkAdmissionLimits *limits);
 void fk_store_client_clear(FkStoreClient *store);
-/* Sends a commit, read, list, watch or lease call. Takes ownership of `output`. */
+/* Sends a commit, read, list, watch or lease call. Commits and reads pass through the rate limiter, which may
+ * delay or shed the call. A watch is sent after the output's `delay_s`. Takes ownership of `output`. */
 void fk_store_client_send(FkDaemon *daemon, FkOutput *output);
-/* Tells the core how many writes at level FK_PRIORITY_LAUNCH the rate limiter would send without waiting. */
+/* Passes to the core the number of writes at level FK_PRIORITY_LAUNCH that the rate limiter would send
+ * without waiting. */
 void fk_store_client_update_write_capacity(FkDaemon *daemon);
 /* Sets the rates of the store's rate limiter to this controller's share of the limits that the store is
  * currently assumed to enforce. Must be called once per tick, since each call decays recent_rejections. */
@@ -123,7 +126,8 @@
 /* ---- cloud_client.c ---- */
 void fk_cloud_client_init(FkDaemon *daemon, const FkAdmissionLimits *limits);
 void fk_cloud_client_clear(FkCloudClient *cloud);
-/* Sends a list, provision or terminate call. Takes ownership of `output`. */
+/* Passes a list, provision or terminate call to the rate limiter, which may delay or shed the call. Takes
+ * ownership of `output`. */
 void fk_cloud_client_send(FkDaemon *daemon, FkOutput *output);
 
 /* ---- worker_client.c ---- */
@@ -145,6 +149,6 @@
                               GHashTable *query, gpointer daemon);
 /* Sends the core's reply to a user or worker; does nothing if the client has disconnected. */
 void fk_daemon_reply(FkDaemon *daemon, const FkOutput *output);
-/* Sets the response to a request. Takes ownership of `body` (JSON). If `retry_after_s` is above 0 and
- * the status is 429 or higher, adds a Retry-After header with `retry_after_s`, but at least 1 s. */
+/* Sets the response to a request. Takes ownership of `body` (JSON). If `retry_after_s` is above 0 and the
+ * status is 429 or higher, adds a Retry-After header of `retry_after_s` (rounded down), but at least 1 s. */
 void fk_daemon_respond(SoupServerMessage *message, guint status, char *body, double retry_after_s);
--- a/src/daemon/dependencies.c
+++ b/src/daemon/dependencies.c
@@ -1,4 +1,4 @@
-/* Tracks and logs which of the services that the controller depends on are unreachable. */
+/* Tracks and logs outages of the controller's dependencies: the store, the cloud provider and the peers. */
 #include "daemon/daemon_internal.h"
 
 static void add_peers(FkDaemon *daemon) {
--- a/src/daemon/outputs.c
+++ b/src/daemon/outputs.c
@@ -1,5 +1,5 @@
-/* Dispatches each output of the core: a reply to the waiting request, or a call to the client of the called
- * service. */
+/* Dispatches the core's outputs: sends replies to the requests of users and workers, and passes each call to
+ * the client for the store, the cloud, a peer or a worker. */
 #include "daemon/daemon_internal.h"
 
 static void dispatch_output(FkDaemon *daemon, FkOutput *output) {
--- a/src/daemon/peers.c
+++ b/src/daemon/peers.c
@@ -1,4 +1,4 @@
-/* Queries between controllers: how far the other controller has followed the store's changes. */
+/* Queries between controllers. A query asks how far the other controller has followed the store's changes. */
 #include "daemon/daemon_internal.h"
 #include "wire/peer.h"
 #include "wire/user.h"
--- a/src/daemon/process_metrics.c
+++ b/src/daemon/process_metrics.c
@@ -5,8 +5,8 @@
 #include <math.h>
 #include <time.h>
 
-/* Bins of the timer's lateness, up to 88 s: the first bin ends at 1 ms, and each further bin ends at 1.25
- * times the end of the bin before. */
+/* Bins of the timer's lateness, up to 88 s. The first bin ends at 1 ms. Each further bin ends at 1.25 times
+ * the end of the previous bin. */
 #define LATENESS_BINS 52
 #define LATENESS_BIN_RATIO 1.25
 #define LATENESS_MIN_S 0.001
--- a/src/daemon/process_metrics.h
+++ b/src/daemon/process_metrics.h
@@ -1,10 +1,10 @@
-/* Metrics of the process itself: the longest iteration of the main loop, how late the daemon's timer fires,
- * and the size of the heap. One log line is written per window, at level info. */
+/* Metrics of the process: the CPU time of the longest iteration of the main loop, the lateness of the
+ * daemon's timer, and the size of the heap. One log line is written per window, at level info. */
 #pragma once
 #include <glib.h>
 
 typedef struct FkProcessMetrics FkProcessMetrics;
-/* `window_s` is the interval of the log lines in seconds. */
+/* Creates the metrics. `window_s` is the interval of the log lines in seconds. */
 FkProcessMetrics *fk_process_metrics_new(double window_s);
 /* Frees the metrics; `metrics` may be NULL. */
 void fk_process_metrics_free(FkProcessMetrics *metrics);
@@ -14,5 +14,5 @@
  * waits for `polled` descriptors). `cpu_ns` is the thread's CPU time at that start or end. */
 void fk_process_metrics_iteration_begin(FkProcessMetrics *metrics, gint64 cpu_ns);
 void fk_process_metrics_iteration_end(FkProcessMetrics *metrics, gint64 cpu_ns, guint polled);
-/* Records that the main loop's timer fired `late_s` seconds late. */
+/* Records that the daemon's timer fired `late_s` seconds late. Writes the log line at the end of a window. */
 void fk_process_metrics_timer_fired(FkProcessMetrics *metrics, double late_s);
--- a/src/daemon/rate_limiter.c
+++ b/src/daemon/rate_limiter.c
@@ -1,17 +1,18 @@
 #include "daemon/rate_limiter.h"
 
 #define QUEUE_INTERVAL_MS 15 /* interval at which the queues are checked for requests that can be sent */
-/* At the levels that aren't urgent, a request with more writes than this is sent as soon as there are write
- * tokens for LARGE_REQUEST_WRITES writes, and overdraws the bucket. If a large request had to wait for the
- * tokens of all its writes, smaller requests would starve it. */
+/* Maximum number of write tokens that must be available before a request of a level that isn't urgent is
+ * sent. A request with more writes overdraws the bucket. If a large request had to wait for the tokens of all
+ * its writes, smaller requests would starve it. */
 #define LARGE_REQUEST_WRITES 2.0
 /* Share of the write rate that is reserved for the levels that aren't urgent. Right after an outage, one
- * controller may receive the submissions of all users. Submissions are urgent writes; without the reserve,
- * they would use all write tokens, and the tasks of the accepted jobs could not be started. */
+ * controller may receive the submissions of all users. Submissions are urgent writes. Without the reserve,
+ * submissions would use all write tokens, and the tasks of the accepted jobs could not be started. */
 #define RESERVED_SHARE 0.35
-/* Writes of the last urgent level (the users' writes) are shed instead of queued if the writes queued at the
- * urgent levels would take longer than this at the write rate, since another controller may have spare
- * capacity. */
+/* Maximum time, in seconds, to send the queued urgent writes at the write rate. Once the queued urgent writes
+ * reach this limit (at least one write), new writes of the last urgent level are shed instead of queued,
+ * because another controller may have spare capacity. In the store's limiter, the last urgent level holds the
+ * users' writes. */
 #define URGENT_WAIT_MAX_S 1.0
 
 typedef struct {
@@ -23,8 +24,8 @@
   FkRateLimiterOptions options;
   double tokens;
   double write_tokens; /* write tokens that all levels may spend */
-  /* Write tokens reserved for the levels that aren't urgent. When this bucket is full, its further tokens are
-   * added to write_tokens. */
+  /* Write tokens reserved for the levels that aren't urgent. While this bucket is full, new reserved tokens
+   * are added to write_tokens instead. */
   double reserved_write_tokens;
   gint64 refilled_us; /* monotonic time of the latest refill */
   GQueue *queues;     /* QueuedRequest; one queue per level */
@@ -100,14 +101,13 @@
   }
   double from_reserved = MIN((double)writes, MAX(0, limiter->reserved_write_tokens));
   limiter->reserved_write_tokens -= from_reserved;
-  /* While the urgent levels have overdrawn write_tokens, the other levels overdraw only
-   * reserved_write_tokens. */
+  /* While write_tokens is overdrawn, the levels that aren't urgent overdraw only reserved_write_tokens. */
   double *rest_from = limiter->write_tokens < 0 ? &limiter->reserved_write_tokens : &limiter->write_tokens;
   *rest_from -= writes - from_reserved;
 }
 
-/* Returns whether the tokens allow sending a request now. The urgent levels (leases, users) may overdraw each
- * bucket by the tokens of one second, so that their requests don't wait for background work. */
+/* Returns whether the tokens allow sending a request now. An urgent request may be sent while the buckets are
+ * overdrawn by at most the tokens of one second, so that urgent requests don't wait for background work. */
 static gboolean can_send(const FkRateLimiter *limiter, guint level, guint writes) {
   if (is_urgent(limiter, level))
     return limiter->tokens >= -limiter->options.requests_per_s &&
@@ -118,7 +118,7 @@
 
 /* ------------------------------------------------------------------ the queue */
 
-/* Returns whether a queued request must be sent before a new request of this level. Requests of the urgent
+/* Returns whether a queued request must be sent before a new request of `level`. Requests of the urgent
  * levels and requests of the other levels don't wait for each other. */
 static gboolean has_queued_before(const FkRateLimiter *limiter, guint level) {
   for (guint i = is_urgent(limiter, level) ? 0 : limiter->options.urgent_levels; i <= level; i++)
@@ -137,8 +137,8 @@
   g_free(request);
 }
 
-/* Sends queued requests of a level while there are tokens. Returns FALSE if requests of this level
- * remain queued. */
+/* Sends queued requests of `level` while there are enough tokens. Returns FALSE if requests of `level` remain
+ * queued. */
 static gboolean send_level(FkRateLimiter *limiter, guint level) {
   GQueue *queue = &limiter->queues[level];
   while (!g_queue_is_empty(queue)) {
--- a/src/daemon/remote_execution.c
+++ b/src/daemon/remote_execution.c
@@ -9,8 +9,9 @@
 #define KEYS_CHECK_S 2 /* interval at which the keys file is checked for changes */
 #define BYTES_PER_GB 1073741824.0
 
-/* Resources from which the limits of admission control are derived. The values are larger than
- * needed, since the settings already limit the number of connections, and the HTTP/2 limits the memory. */
+/* Resources from which the limits of admission control are derived. The values are larger than needed: the
+ * settings already limit the number of connections, and the limits of HTTP/2 (fk_cache_service_h2_limits())
+ * bound the memory. */
 #define SOCKETS_PER_CONNECTION 4
 #define SPARE_SOCKETS 100
 #define RAM_UNBOUNDED_MB 1e6
@@ -55,8 +56,9 @@
 
 /* ------------------------------------------------------------------ keys */
 
-/* Reads the modification time of the keys file. Returns FALSE if the file is missing or can't be accessed. */
-static gboolean keys_modified(const FkRemoteExecution *server, gint64 *modified_ns) {
+/* Sets `modified_ns` to the modification time of the keys file, in nanoseconds since 1970. Returns FALSE if
+ * the file is missing or can't be accessed. */
+static gboolean read_keys_mtime(const FkRemoteExecution *server, gint64 *modified_ns) {
   GStatBuf status;
   if (g_stat(server->settings->keys, &status) != 0)
     return FALSE;
@@ -67,7 +69,7 @@
 static FkKeys *read_keys(FkRemoteExecution *server, GError **error) {
   g_autofree char *text = NULL;
   gsize len;
-  keys_modified(server, &server->keys_modified_ns);
+  read_keys_mtime(server, &server->keys_modified_ns);
   if (!g_file_get_contents(server->settings->keys, &text, &len, error))
     return NULL;
   FkKeys *keys = fk_keys_parse(text, len, error);
@@ -76,11 +78,11 @@
   return keys;
 }
 
-/* Reloads the keys file if it has changed. If the new file can't be read or is malformed, the present keys
- * stay in force. */
+/* Reloads the keys file if its modification time has changed. If the file can't be read or is malformed, the
+ * present keys stay in force. */
 static void reload_changed_keys(FkRemoteExecution *server) {
   gint64 modified_ns;
-  if (!keys_modified(server, &modified_ns) || modified_ns == server->keys_modified_ns)
+  if (!read_keys_mtime(server, &modified_ns) || modified_ns == server->keys_modified_ns)
     return;
   g_autoptr(GError) error = NULL;
   FkKeys *keys = read_keys(server, &error);
--- a/src/daemon/store_client.c
+++ b/src/daemon/store_client.c
@@ -5,7 +5,7 @@
 
 #define CALL_DEADLINE_S 2.0
 #define LIST_DEADLINE_S 5.0
-/* Seconds added to the time for which the store may hold a watch open, to get the call's deadline. */
+/* Deadline of a watch call, in seconds beyond the time for which the store may hold the watch open. */
 #define WATCH_DEADLINE_MARGIN_S 3.0
 #define LIST_PAGE_RECORDS 1000
 #define IDLE_CONNECTION_S 60
@@ -13,21 +13,21 @@
 
 #define QUEUE_MAX 2000
 #define BURST_S 0.8
-/* Share of the rates at construction, which determines the initial tokens. From the first tick on, the rates
- * follow the shares that the core computes. */
+/* Share of the store's rates with which the rate limiter is created; also sets the initial number of tokens.
+ * From the first tick on, the rates follow the shares that the core computes. */
 #define INITIAL_SHARE 0.5
-/* A controller may use somewhat more than its share of the request rate, since not all controllers use their
- * full shares at the same time. The write rate isn't overcommitted, because users wait for writes and the
- * store must not reject these writes. */
+/* A controller may use somewhat more than its share of the request rate, because not all controllers use
+ * their full shares at the same time. The write rate isn't overcommitted, because users wait for writes and
+ * the store must not reject these writes. */
 #define REQUEST_OVERCOMMIT 1.2
 #define WRITE_OVERCOMMIT 1.0
 
 #define REJECTION_DECAY 0.98 /* factor of recent_rejections per tick; halves the count in 3.4 s */
-/* Above this value of recent_rejections, the store is assumed to have lowered its limits, since this
+/* If recent_rejections exceeds this value, the store is assumed to have lowered its limits, because this
  * controller keeps to its share of the present limits. */
 #define REJECTIONS_MAX 6
-/* Seconds, since recent_rejections last exceeded REJECTIONS_MAX, after which the store's present limits are
- * tried again. */
+/* The store's present limits are tried again this many seconds after recent_rejections last exceeded
+ * REJECTIONS_MAX. */
 #define NEXT_LIMITS_RECHECK_S 60
 
 #define LOGGED_BODY_BYTES 300
@@ -119,8 +119,8 @@
   return output->kind == FK_OUTPUT_GET ? 0 : output->writes->len;
 }
 
-/* Returns whether a rejected request may be retried, and counts the retry. Lists, watches and
- * lease calls aren't retried, since they aren't queued in the rate limiter. */
+/* Returns whether a rejected call may be retried, and counts the retry. Only commits and reads are retried;
+ * list, watch and lease calls aren't queued in the rate limiter. */
 static gboolean may_retry(FkOutput *output) {
   return (output->kind == FK_OUTPUT_COMMIT || output->kind == FK_OUTPUT_GET) &&
          output->budget_refusals++ < RETRIES_MAX;
@@ -143,8 +143,9 @@
   fk_pending_call_finish(call);
 }
 
-/* Handles the store's response. Calls that this controller's own rate limiter has shed bypass this function,
- * since these calls say nothing about the store's health. An FkHttpCallback. */
+/* Handles the store's response, and records the response in the store's dependency health. Isn't called for
+ * calls that the rate limiter shed, because a shed call says nothing about the store's health. An
+ * FkHttpCallback. */
 static void on_response(gpointer data, guint status, const char *body, gsize len) {
   FkPendingCall *call = data;
   fk_daemon_record_dependency(call->daemon, call->daemon->store.dependency, status);
@@ -223,8 +224,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Fails a call that the rate limiter shed, with the status of a call that the store refused (503). The result
- * is delivered from the main loop, because the core is still in the function that issued the call. An
+/* Treats a shed call like a call to which the store responded with status 503. The result is
+ * delivered later from the main loop, because the core may still be in the function that issued the call. An
  * FkRateLimiterCallback. */
 static void shed(gpointer data, gpointer item) { g_idle_add(deliver_shed, fk_pending_call_new(data, item)); }
 
@@ -242,7 +243,7 @@
     fk_rate_limiter_submit(store->limiter, priority_of(output), writes_of(output), output);
   } else if (output->kind == FK_OUTPUT_WATCH) {
     g_timeout_add((guint)(output->delay_s * 1000), send_delayed_watch, fk_pending_call_new(daemon, output));
-  } else { /* lists and lease calls aren't queued, since they are few and critical */
+  } else { /* list and lease calls aren't queued, because these calls are few and critical */
     fk_rate_limiter_charge(store->limiter);
     send_now(daemon, output);
   }
@@ -256,9 +257,8 @@
 }
 
 /* Returns whether the store is assumed to enforce the lower limits that the settings announce
- * (deployment.state.next). The store switches to the lower limits without notice; the sign is that the store
- * rejects writes within the present rate. Must be called once per tick, since each call decays
- * recent_rejections. */
+ * (deployment.state.next). The store switches to the lower limits without notice, and then rejects writes
+ * within the present rate. Must be called once per tick, because each call decays recent_rejections. */
 static gboolean next_limits_in_force(FkDaemon *daemon) {
   FkStoreClient *store = &daemon->store;
   const FkSettings *settings = daemon->settings;
--- a/src/daemon/worker_client.c
+++ b/src/daemon/worker_client.c
@@ -1,4 +1,4 @@
-/* Commands that are sent to a worker directly instead of with the reply to its next heartbeat. */
+/* Sends commands directly to a worker, instead of with the reply to the worker's next heartbeat. */
 #include "daemon/daemon_internal.h"
 #include "wire/worker.h"
 
--- a/src/keys/keys.c
+++ b/src/keys/keys.c
@@ -6,7 +6,7 @@
 
 #include "wire/json.h"
 
-#define KEY_BYTES_MAX 512 /* maximum length of a key; longer strings are never valid */
+#define KEY_BYTES_MAX 512 /* maximum length of a key in bytes; a longer string is never a valid key */
 
 typedef struct {
   char *team;
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -3,9 +3,9 @@
 #include <math.h>
 #include <string.h>
 
-/* Whole numbers with at least this many digits may exceed DOUBLE_EXACT_MAX and are kept as strings. */
+/* Unsigned integers with at least this many digits may exceed DOUBLE_EXACT_MAX, and are kept as strings. */
 #define QUOTED_NUMBER_DIGITS_MIN 16
-/* 2^53: a double represents every whole number up to 2^53 exactly. */
+/* 2^53: a double represents every unsigned integer up to 2^53 exactly. */
 #define DOUBLE_EXACT_MAX 9007199254740992.0
 
 static gsize digits_end(const char *text, gsize start, gsize len) {
@@ -15,15 +15,15 @@
   return end;
 }
 
-/* Returns whether the digits from `start` to `end` are a whole number, that is, not part of a number with a
- * sign, fraction or exponent. */
-static gboolean is_whole_number(const char *text, gsize start, gsize end, gsize len) {
+/* Returns whether the digits from `start` to `end` are an unsigned integer, that is, not part of a number
+ * with a sign, fraction or exponent. */
+static gboolean is_unsigned_integer(const char *text, gsize start, gsize end, gsize len) {
   return (end >= len || !strchr(".eE", text[end])) && (start == 0 || !strchr("-+.eE", text[start - 1]));
 }
 
-/* Returns a copy of the text with long whole numbers in quotes, so that cJSON keeps all their digits; NULL if
- * the text has no long whole numbers. */
-static GString *quote_long_numbers(const char *text, gsize len) {
+/* Returns a copy of the text with long unsigned integers in quotes, so that cJSON keeps all digits of these
+ * integers; NULL if the text has no long unsigned integers. */
+static GString *quote_long_integers(const char *text, gsize len) {
   GString *quoted = NULL;
   gboolean in_string = FALSE;
   gsize copied = 0;
@@ -38,7 +38,7 @@
       in_string = TRUE;
     } else if (g_ascii_isdigit(c)) {
       gsize end = digits_end(text, i, len);
-      if (end - i >= QUOTED_NUMBER_DIGITS_MIN && is_whole_number(text, i, end, len)) {
+      if (end - i >= QUOTED_NUMBER_DIGITS_MIN && is_unsigned_integer(text, i, end, len)) {
         if (!quoted)
           quoted = g_string_sized_new(len + QUOTED_NUMBER_DIGITS_MIN);
         g_string_append_len(quoted, text + copied, (gssize)(i - copied));
@@ -62,7 +62,7 @@
 }
 
 cJSON *fk_json_parse(const char *text, gsize len) {
-  g_autoptr(GString) quoted = quote_long_numbers(text, len);
+  g_autoptr(GString) quoted = quote_long_integers(text, len);
   if (quoted) {
     text = quoted->str;
     len = quoted->len;
--- a/src/wire/peer.c
+++ b/src/wire/peer.c
@@ -1,12 +1,12 @@
 #include "wire/peer.h"
 
-#define STORE_AGE_UNKNOWN_S 1e6 /* assumed for a peer whose response has no store age */
+#define STORE_AGE_UNKNOWN_S 1e6 /* store age assumed if a peer's response has none */
 
 gboolean fk_peer_parse_progress(const cJSON *json, FkPeerProgress *out) {
   *out = (FkPeerProgress){.incarnation = json ? fk_json_str(json, "life") : NULL};
   if (!out->incarnation || !fk_json_u64(json, "seen", &out->seen.n))
     return FALSE;
-  fk_json_u64(json, "applied", &out->applied.n); /* missing in responses of earlier versions */
+  fk_json_u64(json, "applied", &out->applied.n); /* responses of earlier versions lack "applied" */
   out->store_age_s = fk_json_num_or(json, "store_age_s", STORE_AGE_UNKNOWN_S);
   return TRUE;
 }
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -32,8 +32,8 @@
   return TRUE;
 }
 
-/* Upper bound of every resource, rate and time in the settings. This bound fits every integer type that holds
- * a setting. */
+/* Upper bound of the numbers in the platform's settings file, except in the objectives. Every integer type
+ * that holds a setting can hold this bound. */
 #define NUMBER_MAX 1e9
 
 static gboolean parse_number(const cJSON *json, const char *field, double min, double *out, GError **error) {
@@ -45,7 +45,7 @@
   return TRUE;
 }
 
-/* Like parse_number(), for an optional field: `out` is set to `default_value` if the field is missing. */
+/* Parses an optional number. Sets `out` to `default_value` if the field is missing or null. */
 static gboolean parse_number_or(const cJSON *json, const char *field, double min, double default_value,
                                 double *out, GError **error) {
   *out = default_value;
@@ -85,10 +85,11 @@
   return TRUE;
 }
 
-/* Parses deployment.state.next: limits that the store will enforce from some later time on, without notice. A
+/* Parses deployment.state.next: the limits that the store will enforce from an unannounced later time on. A
  * next limit above the present limit has no effect. Records and transactions written now must already fit the
- * next limits, so value_kb and transaction_ops_max become the lower of the present and the next limit. The
- * next rates are stored in next_store_rps and next_store_write_rps. */
+ * next limits, so value_kb and transaction_ops_max become the lower of the present and the next limit;
+ * current_value_kb keeps the present limit. The next rates are stored in next_store_rps and
+ * next_store_write_rps. */
 static gboolean parse_next_limits(FkSettings *settings, const cJSON *store, GError **error) {
   const cJSON *next = fk_json_get(store, "next");
   double ops = settings->transaction_ops_max, value_kb = settings->value_kb;
@@ -124,7 +125,8 @@
   return TRUE;
 }
 
-/* Parses the service-level objectives. Fields that are missing or have a wrong type become NULL or 0. */
+/* Parses the service-level objectives. Strings and numbers that are missing or have a wrong type become NULL
+ * and 0. */
 static void parse_objectives(FkSettings *settings, const cJSON *list) {
   const cJSON *item;
   cJSON_ArrayForEach(item, list) {
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -5,11 +5,12 @@
 
 GQuark fk_settings_error(void);
 
-/* Parses the platform's settings file. If it is malformed, returns NULL and an error that names the field. */
+/* Parses the platform's settings file; the caller frees the settings. Returns NULL and an error that names
+ * the field if the file is malformed. */
 FkSettings *fk_settings_parse(const char *body, gsize len, GError **error);
-/* Parses the operators' settings file, whose settings replace the values in `tuning`. Returns FALSE and an
- * error that names the field if the file is malformed; settings before the faulty one have then already been
- * replaced. */
+/* Parses the operators' settings file. Each setting in the file replaces the value in `tuning`. Returns FALSE
+ * and an error if the file isn't a JSON object, or a setting is unknown or invalid; earlier settings in the
+ * file have then already replaced their values. */
 gboolean fk_tuning_parse(FkTuning *tuning, const char *body, gsize len, GError **error);
 
 /* A setting of the operators' file: its name, the offset of its field (a double) in FkTuning, and the range
@@ -19,5 +20,5 @@
   gsize offset;
   double min, max;
 } FkTuningField;
-/* Returns the array of all settings of the operators' file, which is static, and sets `n` to their number. */
+/* Returns a static array of all settings of the operators' file, and sets `n` to the length of the array. */
 const FkTuningField *fk_tuning_fields(guint *n);
--- a/src/wire/store.c
+++ b/src/wire/store.c
@@ -37,8 +37,8 @@
   return failed;
 }
 
-/* Logs that a record can't be parsed. The record was written by another program, or by a version of this
- * program that uses another format. */
+/* Logs that a record can't be parsed, for instance because another program wrote the record, or a version of
+ * this program that uses another format. */
 static void warn_malformed(const char *path) { g_warning("store record malformed path=%s", path); }
 
 static FkStoreEvent *event_from_json(const cJSON *item, const char *path) {
--- a/src/wire/store_records.c
+++ b/src/wire/store_records.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #define TASKS_MAX 100000 /* maximum number of tasks of a job */
-#define BITS_PER_DIGIT 4 /* tasks per hexadecimal digit of a bit set */
+#define BITS_PER_DIGIT 4 /* bits (one per task) in each hexadecimal digit of a bit set */
 
 static cJSON *strings_to_json(char **strings) {
   cJSON *list = cJSON_CreateArray();
@@ -39,15 +39,15 @@
   cJSON_AddNumberToObject(json, "submitted", (double)spec->submitted_ms);
   cJSON_AddStringToObject(json, "owner", spec->owner ? spec->owner : "");
   cJSON_AddNumberToObject(json, "chunk", spec->chunk_tasks);
-  /* The field is omitted if the job has no dependencies, so that the job's record has the same bytes as in
+  /* "needs" is omitted if the job has no dependencies, so that the job's record has the same bytes as in
    * versions before dependencies were introduced. */
   if (spec->dependencies)
     cJSON_AddItemToObject(json, "needs", strings_to_json(spec->dependencies));
   return json;
 }
 
-/* Reads the strings of a list. Returns FALSE if the list also holds items of other types, which are left out
- * of `out`. */
+/* Reads the strings of a list into `out`, and leaves out items of other types. Returns FALSE if the list has
+ * items of other types. */
 static gboolean strings_from_json(const cJSON *list, char ***out) {
   g_autoptr(GStrvBuilder) builder = g_strv_builder_new();
   gboolean all_strings = TRUE;
@@ -97,12 +97,12 @@
   spec->owner = g_strdup(fk_json_str(json, "owner"));
   const cJSON *needs = fk_json_get(json, "needs");
   if (needs && cJSON_GetArraySize(needs) && !strings_from_json(needs, &spec->dependencies))
-    return NULL; /* a job that lost a dependency here could start too early */
+    return NULL; /* reject the record: without the malformed dependency, the job could start too early */
   return g_steal_pointer(&spec);
 }
 
-/* Adds a bit set as a string of hexadecimal digits, each of which holds the bits of four tasks. `set` has one
- * byte per task, which is 0 if the task's bit is clear. */
+/* Adds a bit set as a string of hexadecimal digits. Each digit holds the bits of four tasks. `set` has one
+ * byte for each of `count` tasks; the byte is 0 if the task's bit is clear. */
 static void add_bits(cJSON *json, const char *name, const guint8 *set, guint32 count) {
   g_autoptr(GString) bits = g_string_new(NULL);
   for (guint32 i = 0; i < count; i += BITS_PER_DIGIT) {
@@ -114,53 +114,53 @@
   cJSON_AddStringToObject(json, name, bits->str);
 }
 
-static cJSON *page_to_json(const GPtrArray *members) {
+static cJSON *machine_page_to_json(const GPtrArray *machines) {
   cJSON *json = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(json, "m");
-  for (guint i = 0; i < members->len; i++) {
-    const FkMachineRecord *member = members->pdata[i];
+  for (guint i = 0; i < machines->len; i++) {
+    const FkMachineRecord *machine = machines->pdata[i];
     cJSON *item = cJSON_CreateArray();
     if (!i)
-      cJSON_AddStringToObject(json, "zone", member->zone);
-    cJSON_AddItemToArray(item, cJSON_CreateString(member->id));
-    cJSON_AddItemToArray(item, cJSON_CreateString(member->type));
-    cJSON_AddItemToArray(item, cJSON_CreateString(member->addr));
-    cJSON_AddItemToArray(item, cJSON_CreateNumber(member->spot));
-    if (member->drain_reason) {
-      cJSON_AddItemToArray(item, cJSON_CreateString(member->drain_reason));
-      cJSON_AddItemToArray(item, cJSON_CreateNumber(member->notice_s));
+      cJSON_AddStringToObject(json, "zone", machine->zone);
+    cJSON_AddItemToArray(item, cJSON_CreateString(machine->id));
+    cJSON_AddItemToArray(item, cJSON_CreateString(machine->type));
+    cJSON_AddItemToArray(item, cJSON_CreateString(machine->addr));
+    cJSON_AddItemToArray(item, cJSON_CreateNumber(machine->spot));
+    if (machine->drain_reason) {
+      cJSON_AddItemToArray(item, cJSON_CreateString(machine->drain_reason));
+      cJSON_AddItemToArray(item, cJSON_CreateNumber(machine->notice_s));
     }
     cJSON_AddItemToArray(list, item);
   }
   return json;
 }
 
-static GPtrArray *page_from_json(const cJSON *json) {
+static GPtrArray *machine_page_from_json(const cJSON *json) {
   const cJSON *list = fk_json_get(json, "m"), *item;
   const char *zone = fk_json_str(json, "zone");
   if (!cJSON_IsArray(list) || (!zone && cJSON_GetArraySize(list)))
     return NULL;
-  g_autoptr(GPtrArray) members = g_ptr_array_new_with_free_func(fk_machine_record_free);
+  g_autoptr(GPtrArray) machines = g_ptr_array_new_with_free_func(fk_machine_record_free);
   cJSON_ArrayForEach(item, list) {
     const cJSON *id = cJSON_GetArrayItem(item, 0), *type = id ? id->next : NULL,
                 *addr = type ? type->next : NULL, *spot = addr ? addr->next : NULL,
                 *drain_reason = spot ? spot->next : NULL;
     if (!cJSON_IsString(id) || !cJSON_IsString(type) || !cJSON_IsString(addr) || !cJSON_IsNumber(spot))
       return NULL;
-    FkMachineRecord *member = g_new0(FkMachineRecord, 1);
-    member->id = g_strdup(id->valuestring);
-    member->type = g_intern_string(type->valuestring);
-    member->addr = g_strdup(addr->valuestring);
-    member->zone = g_intern_string(zone);
-    member->spot = spot->valuedouble != 0;
-    member->notice_s = -1;
+    FkMachineRecord *machine = g_new0(FkMachineRecord, 1);
+    machine->id = g_strdup(id->valuestring);
+    machine->type = g_intern_string(type->valuestring);
+    machine->addr = g_strdup(addr->valuestring);
+    machine->zone = g_intern_string(zone);
+    machine->spot = spot->valuedouble != 0;
+    machine->notice_s = -1;
     if (cJSON_IsString(drain_reason)) {
-      member->drain_reason = g_intern_string(drain_reason->valuestring);
+      machine->drain_reason = g_intern_string(drain_reason->valuestring);
       if (cJSON_IsNumber(drain_reason->next))
-        member->notice_s = drain_reason->next->valuedouble;
+        machine->notice_s = drain_reason->next->valuedouble;
     }
-    g_ptr_array_add(members, member);
+    g_ptr_array_add(machines, machine);
   }
-  return g_steal_pointer(&members);
+  return g_steal_pointer(&machines);
 }
 
 static cJSON *completions_to_json(const GPtrArray *completions) {
@@ -171,8 +171,8 @@
     if (completion->done->len)
       add_bits(item, "d", completion->done->data, completion->done->len);
     cJSON *list = completion->released->len ? cJSON_AddArrayToObject(item, "r") : NULL;
-    /* Attempts of which the worker reported a failure are listed both in "f" and in "r", because versions
-     * that don't know "f" must release these attempts too. */
+    /* Attempts that the worker reported as failed are listed both in "f" and in "r", because versions that
+     * ignore "f" must release these attempts too. */
     cJSON *failed = NULL;
     for (guint r = 0; r < completion->released->len; r++) {
       const FkReleasedAttempt *released = &g_array_index(completion->released, FkReleasedAttempt, r);
@@ -357,7 +357,7 @@
   case FK_KEY_CHUNK:
     return chunk_to_json(record->chunk);
   case FK_KEY_MACHINE_PAGE:
-    return page_to_json(record->machines);
+    return machine_page_to_json(record->machines);
   case FK_KEY_COMPLETIONS:
     return completions_to_json(record->completions);
   case FK_KEY_SHARD:
@@ -396,7 +396,7 @@
       return NULL;
     break;
   case FK_KEY_MACHINE_PAGE:
-    if (!(record->machines = page_from_json(json)))
+    if (!(record->machines = machine_page_from_json(json)))
       return NULL;
     break;
   case FK_KEY_COMPLETIONS:
--- a/src/wire/user.c
+++ b/src/wire/user.c
@@ -28,8 +28,7 @@
   return -1;
 }
 
-/* Returns whether a name may be stored and used in paths: 1 to NAME_BYTES_MAX bytes of UTF-8, none below
- * 0x20. */
+/* Returns whether a name is valid: 1 to NAME_BYTES_MAX bytes of UTF-8 without bytes below 0x20. */
 static gboolean name_is_valid(const char *name) {
   gsize len = name ? strlen(name) : 0;
   if (len < 1 || len > NAME_BYTES_MAX || !g_utf8_validate(name, len, NULL))
--- a/src/wire/user.h
+++ b/src/wire/user.h
@@ -17,13 +17,13 @@
 char *fk_user_print_health(gboolean is_serving);
 
 /* ---- the client's side, used by the simulated users ---- */
-/* State of a job: its phase and its numbers of completed and running tasks. */
+/* State of a job: the job's phase, and the numbers of completed and running tasks. */
 typedef struct {
   FkPhase phase;
   guint32 done, running;
 } FkJobState;
-/* Prints a submission, freed by the caller. */
+/* Prints a submission without instance types and dependencies; the caller frees the body. */
 char *fk_user_print_submission(const FkSpec *spec);
-/* Parses the response to a submission, poll or cancellation. Returns FALSE if the response isn't
- * a job's state. */
+/* Parses the response to a submission, poll or cancellation. Returns FALSE if the response has no valid
+ * phase. */
 gboolean fk_user_parse_state(const char *body, gsize len, FkJobState *out);
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -167,9 +167,9 @@
   }
 }
 
-/* The limits that the store will enforce later (deployment.state.next) may be missing, lower than the present
- * limits, or higher (which must have no effect); unknown fields must be ignored and malformed values
- * rejected. */
+/* The limits that the store will enforce later (deployment.state.next) may be missing, or lower or higher
+ * than the present limits. A higher limit must have no effect. Unknown fields must be ignored, and malformed
+ * values must be rejected. */
 static void test_next_limits(void) {
   static const struct {
     const char *next; /* value of deployment.state.next; NULL if the field is missing */
@@ -232,9 +232,9 @@
   }
 }
 
-/* A chunk of fk_chunk_max_tasks() tasks must fit the store's value limit when every task is allocated and
- * told to stop, with names of the greatest length. fk_chunk_fits() must return FALSE before an allocation
- * would exceed the limit. */
+/* With machine ids of 12 bytes, the record of a chunk must fit the store's value limit even if
+ * fk_chunk_max_tasks() tasks are allocated and have a stop request. fk_chunk_fits() must return FALSE before
+ * an allocation would exceed the limit. */
 static void test_chunk_fits(void) {
   static const double limits[] = {1, 2, 8, 32};
   for (guint i = 0; i < G_N_ELEMENTS(limits); i++) {
@@ -274,8 +274,8 @@
     g_assert_nonnull(property);
     g_assert_cmpfloat(fk_json_num_or(property, "minimum", -1), ==, fields[i].min);
     g_assert_cmpfloat(fk_json_num_or(property, "maximum", -1), ==, fields[i].max);
-    /* 0 means that the default is derived from other settings (the resources or the heartbeat interval); the
-     * schema gives no default then. */
+    /* A default of 0 means that the default is derived from other settings (the resources or the heartbeat
+     * interval). The schema gives no default for settings of this kind. */
     g_assert_cmpfloat(fk_json_num_or(property, "default", 0), ==,
                       G_STRUCT_MEMBER(double, &settings->tuning, fields[i].offset));
   }
