--- a/src/cmd/commands.h
+++ b/src/cmd/commands.h
@@ -17,7 +17,7 @@
   const char *remote_execution; /* settings of the build cache; NULL if the build cache is switched off */
 } FkSettingsFiles;
 
-/* `flaxknot serve`: runs a controller until it is killed. */
+/* `flaxknot serve`: runs a controller, and the build cache if switched on, until the process is killed. */
 FkExitStatus fk_cmd_serve(const FkSettingsFiles *files);
 /* `flaxknot check`: validates the settings files and prints how each team's quota is interpreted. */
 FkExitStatus fk_cmd_check(const FkSettingsFiles *files);
--- a/src/cmd/key.c
+++ b/src/cmd/key.c
@@ -1,5 +1,5 @@
-/* flaxknot key: generates a key for a team's build tools, and prints it together with its entry for the keys
- * file. The key itself is stored nowhere. */
+/* flaxknot key: generates a key for a team's build tools, and prints the key and the key's entry for the keys
+ * file. The key itself isn't stored. */
 #include <openssl/rand.h>
 #include <stdio.h>
 
--- a/src/cmd/settings_files.h
+++ b/src/cmd/settings_files.h
@@ -1,4 +1,4 @@
-/* Reads the settings files named on the command line. */
+/* Reads the settings files that the command line and the environment name. */
 #pragma once
 #include "cmd/commands.h"
 #include "core/settings.h"
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -1,4 +1,4 @@
-/* Constructs the daemon, and runs its main loop and its timer. */
+/* Constructs the daemon, and runs the daemon's main loop and timer. */
 #include "daemon/daemon_internal.h"
 
 #include <sys/resource.h>
@@ -169,7 +169,8 @@
 
 /* ------------------------------------------------------------------ the main loop */
 
-/* The daemon whose metrics measured_poll() updates; a GPollFunc has no user data argument. */
+/* The daemon whose metrics measured_poll() updates. A global variable, because a GPollFunc has no argument
+ * for user data. */
 static FkDaemon *running_daemon;
 
 /* Polls the main loop's descriptors and updates the metrics. Charges the CPU time of the poll to FK_CPU_IDLE.
--- a/src/daemon/daemon_internal.h
+++ b/src/daemon/daemon_internal.h
@@ -119,8 +119,8 @@
 /* Passes to the core the number of writes at level FK_PRIORITY_LAUNCH that the rate limiter would send
  * without waiting. */
 void fk_store_client_update_write_capacity(FkDaemon *daemon);
-/* Sets the rates of the store's rate limiter to this controller's share of the limits that the store is
- * currently assumed to enforce. Must be called once per tick, since each call decays recent_rejections. */
+/* Sets the rates of the store's rate limiter from this controller's shares and the limits that the store is
+ * currently assumed to enforce. Must be called once per tick, because each call decays recent_rejections. */
 void fk_store_client_update_rates(FkDaemon *daemon);
 
 /* ---- cloud_client.c ---- */
@@ -135,7 +135,8 @@
 void fk_worker_client_send(FkDaemon *daemon, FkOutput *output);
 
 /* ---- peers.c ---- */
-/* Asks a peer how far it has followed the store's changes (FkPeerProgress). Takes ownership of `output`. */
+/* Asks a peer how far the peer has followed the store's changes (FkPeerProgress). Takes ownership of
+ * `output`. */
 void fk_peer_client_send(FkDaemon *daemon, FkOutput *output);
 /* Serves a request of another controller. A SoupServerCallback; `daemon` is an FkDaemon. */
 void fk_daemon_on_peer_request(SoupServer *server, SoupServerMessage *message, const char *path,
--- a/src/daemon/log.h
+++ b/src/daemon/log.h
@@ -1,5 +1,5 @@
 /* Sets up GLib's log to write to standard error, at the level named by the environment variable LOG_LEVEL:
- * error, info or debug. If the variable isn't set to one of these, warnings and errors are logged. */
+ * error, info or debug. If the variable isn't set to one of these levels, warnings and errors are logged. */
 #pragma once
 void fk_log_init(void);
 
--- a/src/daemon/pending_call.c
+++ b/src/daemon/pending_call.c
@@ -1,4 +1,4 @@
-/* Calls to other services that are in progress, and the interpretation of their HTTP statuses. */
+/* Calls to other services that are in progress, and the interpretation of the calls' HTTP statuses. */
 #include "daemon/daemon_internal.h"
 
 FkPendingCall *fk_pending_call_new(FkDaemon *daemon, FkOutput *output) {
--- a/src/daemon/process_metrics.h
+++ b/src/daemon/process_metrics.h
@@ -10,8 +10,8 @@
 void fk_process_metrics_free(FkProcessMetrics *metrics);
 /* Returns the CPU time of the calling thread in nanoseconds. */
 gint64 fk_process_metrics_cpu_ns(void);
-/* Record the start of an iteration of the main loop (after a poll) and its end (before the next poll, which
- * waits for `polled` descriptors). `cpu_ns` is the thread's CPU time at that start or end. */
+/* Record the start of an iteration of the main loop (after a poll) and the iteration's end (before the next
+ * poll, which waits for `polled` descriptors). `cpu_ns` is the thread's CPU time at that start or end. */
 void fk_process_metrics_iteration_begin(FkProcessMetrics *metrics, gint64 cpu_ns);
 void fk_process_metrics_iteration_end(FkProcessMetrics *metrics, gint64 cpu_ns, guint polled);
 /* Records that the daemon's timer fired `late_s` seconds late. Writes the log line at the end of a window. */
--- a/src/daemon/rate_limiter.c
+++ b/src/daemon/rate_limiter.c
@@ -1,7 +1,7 @@
 #include "daemon/rate_limiter.h"
 
 #define QUEUE_INTERVAL_MS 15 /* interval at which the queues are checked for requests that can be sent */
-/* Maximum number of write tokens that must be available before a request of a level that isn't urgent is
+/* Maximum number of write tokens that must be available before a request at a level that isn't urgent is
  * sent. A request with more writes overdraws the bucket. If a large request had to wait for the tokens of all
  * its writes, smaller requests would starve it. */
 #define LARGE_REQUEST_WRITES 2.0
@@ -30,7 +30,7 @@
   gint64 refilled_us; /* monotonic time of the latest refill */
   GQueue *queues;     /* QueuedRequest; one queue per level */
   guint queued, queued_urgent_writes;
-  guint timer; /* source id; 0 while no request is queued */
+  guint timer; /* source id of the timer that sends queued requests; 0 if the timer isn't running */
   FkRateLimiterCallback send, shed;
   gpointer data;
 };
--- a/src/daemon/rate_limiter.h
+++ b/src/daemon/rate_limiter.h
@@ -34,8 +34,8 @@
 /* Puts a request that the server rejected with status 429 at the head of the queue of `level`. Empties all
  * buckets (an overdraft stays), because the server has reached its limit. */
 void fk_rate_limiter_requeue(FkRateLimiter *limiter, guint level, guint writes, gpointer item);
-/* Charges one request token, and no write tokens, for a request that the caller sends without passing it to
- * the limiter. */
+/* Charges one request token, and no write tokens, for a request that the caller sends without passing
+ * the request to the limiter. */
 void fk_rate_limiter_charge(FkRateLimiter *limiter);
 /* Changes the rates at which tokens are added. */
 void fk_rate_limiter_set_rates(FkRateLimiter *limiter, double requests_per_s, double writes_per_s);
--- a/src/daemon/store_client.c
+++ b/src/daemon/store_client.c
@@ -224,8 +224,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Treats a shed call like a call to which the store responded with status 503. The result is
- * delivered later from the main loop, because the core may still be in the function that issued the call. An
+/* Treats a shed call like a call to which the store responded with status 503. The result is delivered
+ * later from the main loop, because the core may still be in the function that issued the call. An
  * FkRateLimiterCallback. */
 static void shed(gpointer data, gpointer item) { g_idle_add(deliver_shed, fk_pending_call_new(data, item)); }
 
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -18,5 +18,5 @@
 /* Parses a progress report; `json` may be NULL. Returns FALSE if the report is malformed. The incarnation in
  * `out` belongs to `json`. */
 gboolean fk_peer_parse_progress(const cJSON *json, FkPeerProgress *out);
-/* Prints a progress report as a response body, freed by the caller. */
+/* Prints a progress report as a response body; the caller frees the body. */
 char *fk_peer_print_progress(const FkPeerProgress *progress);
--- a/src/wire/route.h
+++ b/src/wire/route.h
@@ -1,5 +1,5 @@
 /* Routing of API requests by method and path. Admission control, which classifies requests, and the daemon,
- * which serves requests, both use fk_route_match(), so that they can't disagree about a request's route. */
+ * which serves requests, both use fk_route_match(), so that both assign the same route to a request. */
 #pragma once
 #include "admission/limits.h"
 
@@ -17,5 +17,5 @@
 /* Returns the route of a request. For FK_ROUTE_POLL and FK_ROUTE_CANCEL, sets `job` to the start of the job's
  * id within `path`, and `job_len` to the id's length in bytes. `job` and `job_len` may both be NULL. */
 FkRoute fk_route_match(const char *method, const char *path, const char **job, gsize *job_len);
-/* Returns the class by which admission control prioritizes requests of this route. */
+/* Returns the class by which admission control prioritizes requests of `route`. */
 FkRequestClass fk_route_request_class(FkRoute route);
--- a/src/wire/store_records.h
+++ b/src/wire/store_records.h
@@ -4,7 +4,7 @@
 #include "core/messages.h"
 #include "wire/json.h"
 
-/* Returns the record's value as JSON; the caller deletes it. */
+/* Returns the record's value as JSON; the caller deletes the result. */
 cJSON *fk_store_record_to_json(const FkRecord *record);
 /* Parses the value stored at `path` (`value` may be NULL); the caller frees the record. Returns NULL if the
  * value isn't a valid record for that path. */
--- a/src/wire/user.h
+++ b/src/wire/user.h
@@ -1,4 +1,4 @@
-/* Wire format of the users' API. Parsing is strict: a malformed submission is rejected with status 400. */
+/* Wire format of the users' API. A malformed submission is rejected with status 400. */
 #pragma once
 #include "core/messages.h"
 #include "wire/json.h"
