--- a/src/daemon/dependencies.c
+++ b/src/daemon/dependencies.c
@@ -1,4 +1,4 @@
-/* Which of the services that a controller depends on can be reached, for the log. */
+/* Tracks and logs outages of the controller's dependencies: the store, the cloud provider and the peers. */
 #include "daemon/daemon_internal.h"
 
 static void add_peers(FkDaemon *daemon) {
@@ -7,9 +7,10 @@
   for (guint i = 0; i < peers->len; i++) {
     const FkPeer *peer = peers->pdata[i];
     g_autofree char *name = g_strdup_printf("controller %s at %s", peer->name, peer->addr);
-    guint dependency =
-        fk_dependency_health_add(daemon->dependency_health, name,
-                                 "it can't confirm our view: while the store is away too, leases run out");
+    guint dependency = fk_dependency_health_add(
+        daemon->dependency_health, name,
+        "this peer can't confirm that this controller's copy of the store is current; "
+        "if the store is unreachable too, leases expire");
     g_hash_table_insert(daemon->peers.dependencies, peer->name, GUINT_TO_POINTER(dependency));
   }
 }
@@ -21,7 +22,8 @@
   daemon->dependency_health = fk_dependency_health_new((gint64)(settings->tuning.window_s * G_USEC_PER_SEC));
   daemon->store.dependency = fk_dependency_health_add(
       daemon->dependency_health, store,
-      "no job is accepted and no task started or ended; running tasks go on while all controllers do");
+      "no job is accepted, no task starts and no completion is recorded; running tasks continue while all "
+      "controllers are reachable");
   daemon->cloud.dependency =
       fk_dependency_health_add(daemon->dependency_health, cloud, "no machine is provisioned or terminated");
   add_peers(daemon);
--- a/src/daemon/outputs.c
+++ b/src/daemon/outputs.c
@@ -1,8 +1,8 @@
-/* Carries out what the core wants done: each kind of output goes to the client of the service that it is for.
- */
+/* Dispatches the core's outputs: sends replies to the requests of users and workers, and passes each call to
+ * the client for the store, the cloud, a peer or a worker. */
 #include "daemon/daemon_internal.h"
 
-static void run_output(FkDaemon *daemon, FkOutput *output) {
+static void dispatch_output(FkDaemon *daemon, FkOutput *output) {
   switch (output->kind) {
   case FK_OUTPUT_USER_REPLY:
   case FK_OUTPUT_HEARTBEAT_REPLY:
@@ -32,12 +32,12 @@
   }
 }
 
-void fk_daemon_run_outputs(FkDaemon *daemon) {
-  if (daemon->running_outputs)
+void fk_daemon_dispatch_outputs(FkDaemon *daemon) {
+  if (daemon->dispatching_outputs)
     return;
-  daemon->running_outputs = TRUE;
+  daemon->dispatching_outputs = TRUE;
   FkOutput *output;
   while ((output = fk_controller_next_output(daemon->core)))
-    run_output(daemon, output);
-  daemon->running_outputs = FALSE;
+    dispatch_output(daemon, output);
+  daemon->dispatching_outputs = FALSE;
 }
--- a/src/daemon/peers.c
+++ b/src/daemon/peers.c
@@ -1,11 +1,11 @@
-/* What controllers ask each other: how far the other has seen the store's changes. */
+/* Queries between controllers. A query asks how far the other controller has followed the store's changes. */
 #include "daemon/daemon_internal.h"
 #include "wire/peer.h"
 #include "wire/user.h"
 
 #define CALL_DEADLINE_S 1.5
 
-/* An FkHttpCallback. */
+/* Handles a peer's response. An FkHttpCallback. */
 static void on_response(gpointer data, guint status, const char *body, gsize len) {
   FkPendingCall *call = data;
   FkDaemon *daemon = call->daemon;
--- a/src/daemon/remote_execution.c
+++ b/src/daemon/remote_execution.c
@@ -6,10 +6,12 @@
 #include "net/server.h"
 #include "remote_execution/cache_service.h"
 
-#define KEYS_CHECK_S 2
+#define KEYS_CHECK_S 2 /* interval at which the keys file is checked for changes */
 #define BYTES_PER_GB 1073741824.0
 
-/* What admission control is told: connections are bounded by the settings, memory by the HTTP/2 limits. */
+/* Resources from which the limits of admission control are derived. The values are larger than needed: the
+ * settings already limit the number of connections, and the limits of HTTP/2 (fk_cache_service_h2_limits())
+ * bound the memory. */
 #define SOCKETS_PER_CONNECTION 4
 #define SPARE_SOCKETS 100
 #define RAM_UNBOUNDED_MB 1e6
@@ -17,13 +19,14 @@
 struct FkRemoteExecution {
   const FkRemoteExecutionSettings *settings;
   GThread *thread;
-  /* all below belongs to the thread while it runs */
+  /* While the thread runs, only the thread uses the fields below, except that fk_remote_execution_stop()
+   * attaches a source to `context` that quits `loop`. */
   GMainContext *context;
   GMainLoop *loop;
   FkServer *server;
   FkCacheService *service;
   gint64 keys_modified_ns;
-  GHashTable *connections; /* FkH2Connection */
+  GHashTable *connections; /* set of the open connections (FkH2Connection) */
 };
 
 /* ------------------------------------------------------------------ connections */
@@ -53,8 +56,9 @@
 
 /* ------------------------------------------------------------------ keys */
 
-/* FALSE: the file isn't there, or can't be looked at. */
-static gboolean keys_modified(const FkRemoteExecution *server, gint64 *modified_ns) {
+/* Sets `modified_ns` to the modification time of the keys file, in nanoseconds since 1970. Returns FALSE if
+ * the file is missing or can't be accessed. */
+static gboolean read_keys_mtime(const FkRemoteExecution *server, gint64 *modified_ns) {
   GStatBuf status;
   if (g_stat(server->settings->keys, &status) != 0)
     return FALSE;
@@ -65,7 +69,7 @@
 static FkKeys *read_keys(FkRemoteExecution *server, GError **error) {
   g_autofree char *text = NULL;
   gsize len;
-  keys_modified(server, &server->keys_modified_ns);
+  read_keys_mtime(server, &server->keys_modified_ns);
   if (!g_file_get_contents(server->settings->keys, &text, &len, error))
     return NULL;
   FkKeys *keys = fk_keys_parse(text, len, error);
@@ -74,10 +78,11 @@
   return keys;
 }
 
-/* Keys that can't be read leave the present ones in force. */
+/* Reloads the keys file if its modification time has changed. If the file can't be read or is malformed, the
+ * present keys stay in force. */
 static void reload_changed_keys(FkRemoteExecution *server) {
   gint64 modified_ns;
-  if (!keys_modified(server, &modified_ns) || modified_ns == server->keys_modified_ns)
+  if (!read_keys_mtime(server, &modified_ns) || modified_ns == server->keys_modified_ns)
     return;
   g_autoptr(GError) error = NULL;
   FkKeys *keys = read_keys(server, &error);
@@ -142,7 +147,8 @@
   const FkAdmissionLimits limits = admission_limits(server->settings);
   const FkListenerHandler handler = {
       .raw = TRUE, .connection_class = FK_CONNECTION_CLASS_CLIENT, .serve = on_connection, .data = server};
-  g_main_context_push_thread_default(server->context); /* whose sources the server makes */
+  /* FkServer attaches its sources to the thread-default context. */
+  g_main_context_push_thread_default(server->context);
   server->server = fk_server_new(&limits);
   server->service = open_service(server, error);
   gboolean listening =
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -28,11 +28,13 @@
   g_autofree char *host = colon ? g_strndup(*out, colon - *out) : NULL;
   if (!host || !g_ascii_string_to_unsigned(colon + 1, 10, 1, 65535, &port, NULL) ||
       !g_hostname_is_ip_address(host))
-    return fail(error, field, "an IP address and port is needed, like 10.0.0.1:8080");
+    return fail(error, field, "an IP address and a port are needed, like 10.0.0.1:8080");
   return TRUE;
 }
 
-#define NUMBER_MAX 1e9 /* no resource, rate or time of ours is larger; all whole types hold it */
+/* Upper bound of the numbers in the platform's settings file, except in the objectives. Every integer type
+ * that holds a setting can hold this bound. */
+#define NUMBER_MAX 1e9
 
 static gboolean parse_number(const cJSON *json, const char *field, double min, double *out, GError **error) {
   if (!fk_json_num(json, field, out) || !(*out >= min && *out <= NUMBER_MAX)) {
@@ -43,10 +45,10 @@
   return TRUE;
 }
 
-/* One that may be missing. */
-static gboolean parse_number_or(const cJSON *json, const char *field, double min, double other, double *out,
-                                GError **error) {
-  *out = other;
+/* Parses an optional number. Sets `out` to `default_value` if the field is missing or null. */
+static gboolean parse_number_or(const cJSON *json, const char *field, double min, double default_value,
+                                double *out, GError **error) {
+  *out = default_value;
   return !fk_json_get(json, field) || parse_number(json, field, min, out, error);
 }
 
@@ -83,7 +85,11 @@
   return TRUE;
 }
 
-/* The announced next limits: what is written must fit them as well as the present ones. */
+/* Parses deployment.state.next: the limits that the store will enforce from an unannounced later time on. A
+ * next limit above the present limit has no effect. Records and transactions written now must already fit the
+ * next limits, so value_kb and transaction_ops_max become the lower of the present and the next limit;
+ * current_value_kb keeps the present limit. The next rates are stored in next_store_rps and
+ * next_store_write_rps. */
 static gboolean parse_next_limits(FkSettings *settings, const cJSON *store, GError **error) {
   const cJSON *next = fk_json_get(store, "next");
   double ops = settings->transaction_ops_max, value_kb = settings->value_kb;
@@ -113,13 +119,14 @@
     return fail(error, "deployment.zones", "a list is needed");
   cJSON_ArrayForEach(item, list) {
     if (!cJSON_IsString(item))
-      return fail(error, "deployment.zones", "strings are needed");
+      return fail(error, "deployment.zones", "a list of strings is needed");
     g_ptr_array_add(settings->zones, g_strdup(item->valuestring));
   }
   return TRUE;
 }
 
-/* What isn't understood is left out. */
+/* Parses the service-level objectives. Strings and numbers that are missing or have a wrong type become NULL
+ * and 0. */
 static void parse_objectives(FkSettings *settings, const cJSON *list) {
   const cJSON *item;
   cJSON_ArrayForEach(item, list) {
@@ -195,7 +202,7 @@
   return g_steal_pointer(&settings);
 }
 
-static const FkTuningField fields[] = {
+static const FkTuningField tuning_fields[] = {
     {"window_s", offsetof(FkTuning, window_s), 1, 600},
     {"max_wait_s", offsetof(FkTuning, max_wait_s), 0.1, 10000},
     {"span", offsetof(FkTuning, short_partition_span), 0, 1},
@@ -217,8 +224,8 @@
 };
 
 const FkTuningField *fk_tuning_fields(guint *n) {
-  *n = G_N_ELEMENTS(fields);
-  return fields;
+  *n = G_N_ELEMENTS(tuning_fields);
+  return tuning_fields;
 }
 
 gboolean fk_tuning_parse(FkTuning *tuning, const char *body, gsize len, GError **error) {
@@ -228,9 +235,9 @@
   const cJSON *item;
   cJSON_ArrayForEach(item, json) {
     const FkTuningField *field = NULL;
-    for (guint i = 0; i < G_N_ELEMENTS(fields); i++)
-      if (g_str_equal(fields[i].name, item->string))
-        field = &fields[i];
+    for (guint i = 0; i < G_N_ELEMENTS(tuning_fields); i++)
+      if (g_str_equal(tuning_fields[i].name, item->string))
+        field = &tuning_fields[i];
     if (!field)
       return fail(error, item->string, "no such setting");
     if (!cJSON_IsNumber(item) || item->valuedouble < field->min || item->valuedouble > field->max) {
--- a/src/wire/store_service.c
+++ b/src/wire/store_service.c
@@ -3,12 +3,12 @@
 #define TTL_MIN_MS 100
 #define TTL_MAX_MS 600000
 
-static void condition_clear(gpointer data) { g_free(((FkStoreCondition *)data)->path); }
+static void clear_condition(gpointer data) { g_free(((FkStoreCondition *)data)->path); }
 
-static void change_clear(gpointer data) {
-  FkTransactionWrite *change = data;
-  g_free(change->path);
-  g_free(change->value);
+static void clear_write(gpointer data) {
+  FkTransactionWrite *write = data;
+  g_free(write->path);
+  g_free(write->value);
 }
 
 void fk_store_transaction_free(FkStoreTransaction *transaction) {
@@ -28,16 +28,16 @@
   return TRUE;
 }
 
-static gboolean parse_change(const cJSON *json, GArray *changes) {
-  FkTransactionWrite change = {NULL, NULL, 0};
+static gboolean parse_write(const cJSON *json, GArray *changes) {
+  FkTransactionWrite write = {NULL, NULL, 0};
   const char *put_path = fk_json_str(json, "put"), *deleted_path = fk_json_str(json, "delete");
   const cJSON *value = fk_json_get(json, "value");
   if ((!put_path && !deleted_path) || (put_path && !value))
     return FALSE;
-  fk_json_u64(json, "tether", &change.lease);
-  change.path = g_strdup(put_path ? put_path : deleted_path);
-  change.value = put_path ? fk_json_print(value) : NULL;
-  g_array_append_val(changes, change);
+  fk_json_u64(json, "tether", &write.lease);
+  write.path = g_strdup(put_path ? put_path : deleted_path);
+  write.value = put_path ? fk_json_print(value) : NULL;
+  g_array_append_val(changes, write);
   /* cppcheck-suppress memleak ; the array owns path and value now */
   return TRUE;
 }
@@ -46,16 +46,16 @@
   g_autoptr(cJSON) json = fk_json_parse(body, len);
   g_autoptr(FkStoreTransaction) transaction = g_new0(FkStoreTransaction, 1);
   transaction->conditions = g_array_new(FALSE, FALSE, sizeof(FkStoreCondition));
-  g_array_set_clear_func(transaction->conditions, condition_clear);
+  g_array_set_clear_func(transaction->conditions, clear_condition);
   transaction->changes = g_array_new(FALSE, FALSE, sizeof(FkTransactionWrite));
-  g_array_set_clear_func(transaction->changes, change_clear);
+  g_array_set_clear_func(transaction->changes, clear_write);
   if (!cJSON_IsObject(json))
     return NULL;
   const cJSON *item;
   cJSON_ArrayForEach(
       item, fk_json_get(json, "guards")) if (!parse_condition(item, transaction->conditions)) return NULL;
   cJSON_ArrayForEach(item,
-                     fk_json_get(json, "writes")) if (!parse_change(item, transaction->changes)) return NULL;
+                     fk_json_get(json, "writes")) if (!parse_write(item, transaction->changes)) return NULL;
   return g_steal_pointer(&transaction);
 }
 
@@ -78,33 +78,33 @@
   return json;
 }
 
-char *fk_store_print_items(cJSON *items, gboolean more, guint64 epoch) {
+char *fk_store_print_items(cJSON *items, gboolean more, guint64 revision) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
   cJSON_AddItemToObject(json, "pairs", items);
   cJSON_AddBoolToObject(json, "truncated", more);
-  fk_json_add_u64(json, "epoch", epoch);
+  fk_json_add_u64(json, "epoch", revision);
   return fk_json_print(json);
 }
 
-char *fk_store_print_events(cJSON *events, guint64 epoch) {
+char *fk_store_print_events(cJSON *events, guint64 revision) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
-  fk_json_add_u64(json, "epoch", epoch);
+  fk_json_add_u64(json, "epoch", revision);
   cJSON_AddItemToObject(json, "events", events);
   return fk_json_print(json);
 }
 
-char *fk_store_print_epoch(guint64 epoch) {
+char *fk_store_print_epoch(guint64 revision) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
-  fk_json_add_u64(json, "epoch", epoch);
+  fk_json_add_u64(json, "epoch", revision);
   return fk_json_print(json);
 }
 
-char *fk_store_print_conflict(const GPtrArray *failed, guint64 epoch) {
+char *fk_store_print_conflict(const GPtrArray *failed, guint64 revision) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
   cJSON *list = cJSON_AddArrayToObject(json, "failed");
   for (guint i = 0; i < failed->len; i++)
     cJSON_AddItemToArray(list, cJSON_CreateString(failed->pdata[i]));
-  fk_json_add_u64(json, "epoch", epoch);
+  fk_json_add_u64(json, "epoch", revision);
   return fk_json_print(json);
 }
 
