--- a/src/core/api/requests.h
+++ b/src/core/api/requests.h
@@ -6,11 +6,11 @@
 /* Users' requests that have not been answered yet. `pending` owns the requests, and the queues borrow
  * them. */
 typedef struct {
-  GHashTable *pending; /* set of FkPendingRequest: all requests; owned */
-  GQueue *to_verify;   /* FkPendingRequest: requests waiting for a read check */
-  gboolean verifying;  /* whether a read check is in flight */
-  FkTime verify_after; /* the next read check isn't sent before this time */
-  guint store_reads;   /* number of requests that read the store because the view wasn't ready */
+  GHashTable *pending;           /* set of FkPendingRequest: all requests; owned */
+  GQueue *awaiting_read_check;   /* FkPendingRequest: requests waiting for a read check */
+  gboolean read_check_in_flight; /* whether a read check is in flight */
+  FkTime next_read_check_at;     /* the next read check isn't sent before this time */
+  guint store_reads;             /* number of requests that read the store because the view wasn't ready */
   FkCancellationBarrier *cancellation_barrier;
   GQueue *awaiting_cancellation; /* FkPendingRequest: requests waiting for the cancellation barrier */
   GQueue *awaiting_view;         /* FkPendingRequest: requests waiting for the view to reach `barrier_rev` */
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -11,7 +11,7 @@
   FkCostAccounting *cost_accounting;
   GHashTable *instance_types; /* name -> FkInstanceType */
   gboolean types_pending;     /* whether a request for the instance types is in flight */
-  FkTime next_types_query;    /* the instance types aren't requested again before this time */
+  FkTime next_types_query_at; /* the instance types aren't requested again before this time */
 } FkAutoscaling;
 
 FkAutoscaler *fk_autoscaler_new(FkTime now);
--- a/src/core/controller_status.c
+++ b/src/core/controller_status.c
@@ -43,7 +43,7 @@
 #define SERVICES_WAITING_MIN 4
 
 gboolean fk_services_have_priority(FkController *c) {
-  return c->launches.services_waiting >= SERVICES_WAITING_MIN;
+  return c->launches.queued_service_tasks >= SERVICES_WAITING_MIN;
 }
 
 /* Other controllers have weight 1. The leader, which launches the services of all controllers, has weight 2
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -30,7 +30,7 @@
   FkTime next_finalization_at;    /* before this time, only jobs that other jobs depend on are finalized */
   gboolean preempting;            /* whether a transaction that stops tasks is in flight */
   FkRev preempt_wait_rev;         /* the view must reach this revision before tasks are stopped again */
-  FkTime preempt_after;           /* tasks aren't stopped again before this time */
+  FkTime next_preemption_at;      /* tasks aren't stopped again before this time */
   FkTime next_preemption_scan_at; /* time of the next scan for tasks to stop */
   FkTime quota_reclaimed_at;      /* when capacity was last reclaimed for a blocked job */
   gboolean finalizing;            /* whether a transaction that finalizes jobs is in flight */
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -16,7 +16,7 @@
 #define SCAN_INTERVAL_PER_MACHINE_S 1e-4 /* added to the interval for each machine */
 /* Most services per scan for which preemption is attempted: each attempt examines all machines. */
 #define PREEMPTION_ATTEMPTS_MAX 8
-/* Time after FkJob.gang_until for the launches of all members to appear in the view. */
+/* Time after FkJob.gang_launch_until for the launches of all members to appear in the view. */
 #define GANG_GRACE_S 2.0
 /* An evacuation doesn't stop a task of an array if the task's expected remaining run time is at most this
  * multiple of the remaining notice time of its machine. */
@@ -103,7 +103,8 @@
  * restarted together. */
 static gboolean gang_is_broken(FkController *c, const FkJob *job) {
   return job->spec->shape == FK_SHAPE_GANG && !job->cancelled && job->allocated &&
-         fk_job_waiting_tasks(job) && fk_time_reached(c->now, fk_time_add(job->gang_until, GANG_GRACE_S));
+         fk_job_waiting_tasks(job) &&
+         fk_time_reached(c->now, fk_time_add(job->gang_launch_until, GANG_GRACE_S));
 }
 
 static void scan_jobs(FkController *c, FkStopTransaction *stops) {
@@ -131,7 +132,7 @@
   c->leader.next_preemption_scan_at =
       fk_time_add(c->now, SCAN_INTERVAL_S + SCAN_INTERVAL_PER_MACHINE_S * machine_count);
   if (c->leader.preempting || c->view->applied.n < c->leader.preempt_wait_rev.n ||
-      !fk_time_reached(c->now, c->leader.preempt_after))
+      !fk_time_reached(c->now, c->leader.next_preemption_at))
     return;
   FkStopTransaction stops = {0};
   scan_jobs(c, &stops);
--- a/src/core/scheduling/scheduling_queue.h
+++ b/src/core/scheduling/scheduling_queue.h
@@ -16,7 +16,7 @@
 GPtrArray *fk_scheduling_queue_select_jobs(FkController *c);
 /* Returns whether a job above the normal priority that this controller may place can start now. Looks only at
  * the first job of the queue and at the jobs that have changed since the last cycle. */
-gboolean fk_scheduling_queue_has_urgent(FkController *c);
+gboolean fk_scheduling_queue_has_high_priority(FkController *c);
 /* Returns how many times a job's queue position has been updated so far: a measure of what the cycles
  * cost. */
 guint64 fk_scheduling_queue_refreshed_count(const FkSchedulingQueue *queue);
@@ -24,7 +24,7 @@
  * reservation, or to a blocked job of a higher priority. Otherwise small tasks of a low priority fill every
  * gap as it opens, and larger ones never start: with 7,000 tasks of two CPUs waiting, arrays of four-CPU
  * tasks waited for 400 s. */
-gboolean fk_scheduling_queue_must_back_off(FkController *c, const FkJob *job, const FkMachine *machine);
+gboolean fk_scheduling_queue_must_yield(FkController *c, const FkJob *job, const FkMachine *machine);
 /* Returns whether no expensive machines are provisioned for the job. This applies only to arrays without a
  * deadline whose team has no guarantee and whose class has no objective, and only while at least half of the
  * class is served. The job may still run on expensive machines that exist. */
--- a/src/core/shards/shards.h
+++ b/src/core/shards/shards.h
@@ -21,7 +21,7 @@
   FkRev page_wait_rev;     /* revision of the last transaction that wrote pages: no new one is sent until the
                               view reaches this revision */
   FkTime page_write_after; /* earliest time of the next transaction that writes pages */
-} FkShardOwnership;
+} FkShardWrites;
 
 /* The proven end of one allocation, kept until the view shows the end, or until the completion can't be
  * recorded any more. */
--- a/src/daemon/cloud_client.c
+++ b/src/daemon/cloud_client.c
@@ -37,7 +37,7 @@
 
 static void on_provision_result(FkPendingCall *call, guint status, const char *body, gsize len) {
   FkOutcome outcome = fk_outcome_from_status(status);
-  g_autoptr(GPtrArray) machine_ids = outcome == FK_OUTCOME_OK ? fk_cloud_parse_names(body, len) : NULL;
+  g_autoptr(GPtrArray) machine_ids = outcome == FK_OUTCOME_OK ? fk_cloud_parse_machine_ids(body, len) : NULL;
   if (outcome == FK_OUTCOME_OK && !machine_ids)
     outcome = FK_OUTCOME_UNKNOWN;
   /* A lack of capacity is reported as a conflict, because the provider's API hasn't failed. */
--- a/src/instance_models/boot_time.h
+++ b/src/instance_models/boot_time.h
@@ -29,7 +29,7 @@
 
 /* Returns the probability that an instance that hasn't joined at the age of `age` boot times joins within
  * `within` further boot times. */
-double fk_boot_time_probability(const FkBootTimeModel *model, double age, double within);
+double fk_boot_time_join_probability(const FkBootTimeModel *model, double age, double within);
 
 /* Returns the expected remaining time, in boot times, until an instance of the age of `age` boot times joins,
  * given that it joins at all; the total width of all bins if the model has no instance that joined at that
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -21,7 +21,7 @@
 /* Parses a list of machine ids (char*) into an array, which the caller owns. The response to a provisioning
  * request and the body of a termination request are lists of this form. Returns NULL if the body is
  * malformed. */
-GPtrArray *fk_cloud_parse_names(const char *body, gsize len);
+GPtrArray *fk_cloud_parse_machine_ids(const char *body, gsize len);
 /* Returns whether an error response says that the provider has no capacity for the requested machines at
  * present. */
 gboolean fk_cloud_is_no_capacity(const char *body, gsize len);
@@ -44,6 +44,7 @@
 
 /* Print response bodies, which the caller frees. `more` says whether another page of the list follows. */
 char *fk_cloud_print_types(const GPtrArray *types /* FkInstanceType */);
-char *fk_cloud_print_names(const GPtrArray *ids /* char* */); /* also the body of a termination request */
+char *
+fk_cloud_print_machine_ids(const GPtrArray *ids /* char* */); /* also the body of a termination request */
 char *fk_cloud_print_machines(const GPtrArray *machines /* FkCloudMachine */, gboolean more);
 char *fk_cloud_print_no_capacity(void);
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -88,14 +88,14 @@
 /* Parses deployment.state.next: the limits that the store will enforce from an unannounced later time on. A
  * next limit above the present limit has no effect. Records and transactions written now must already fit the
  * next limits, so value_kb and transaction_ops_max become the lower of the present and the next limit;
- * current_value_kb keeps the present limit. The next rates are stored in next_store_rps and
+ * current_value_limit_kb keeps the present limit. The next rates are stored in next_store_rps and
  * next_store_write_rps. */
 static gboolean parse_next_limits(FkSettings *settings, const cJSON *store, GError **error) {
   const cJSON *next = fk_json_get(store, "next");
   double ops = settings->transaction_ops_max, value_kb = settings->value_kb;
   settings->next_store_rps = settings->store_rps;
   settings->next_store_write_rps = settings->store_write_rps;
-  settings->current_value_kb = settings->value_kb;
+  settings->current_value_limit_kb = settings->value_kb;
   if (!next)
     return TRUE;
   if (!cJSON_IsObject(next))
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -12,7 +12,7 @@
 
 /* ---- responses; `json` may be NULL ---- */
 /* Returns the store's revision that the response states; 0 if the response states none. */
-FkRev fk_store_parse_epoch(const cJSON *json);
+FkRev fk_store_parse_revision(const cJSON *json);
 /* Returns the paths (char*) of the transaction's conditions that failed, in an array that the caller owns.
  * The array is empty if the response lists no failed condition. */
 GPtrArray *fk_store_parse_failed(const cJSON *json);
--- a/src/wire/store_service.h
+++ b/src/wire/store_service.h
@@ -38,7 +38,7 @@
  * another page of the list follows. */
 char *fk_store_print_items(cJSON *items /* taken */, gboolean more, guint64 revision);
 char *fk_store_print_events(cJSON *events /* taken */, guint64 revision);
-char *fk_store_print_epoch(guint64 revision);
+char *fk_store_print_revision(guint64 revision);
 /* Prints the response to a transaction that wasn't committed; the caller frees the body. `failed` holds the
  * paths (char*) of the conditions that failed. */
 char *fk_store_print_conflict(const GPtrArray *failed, guint64 revision);
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -146,7 +146,7 @@
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     g_autofree char *body = g_strdup_printf("{" VALID_SUBMISSION ",\"awaits\":%s}", cases[i].awaits);
     const char *reason;
-    FkRecord *record = fk_record_new(FK_KEY_JOB);
+    FkRecord *record = fk_record_new(FK_STORE_KEY_JOB);
     record->spec = fk_user_parse_submission(body, strlen(body), &reason);
     record->spec->chunk_tasks = 8;
     g_autofree char *needs = record->spec->dependencies ? g_strjoinv(" ", record->spec->dependencies) : NULL;
@@ -205,7 +205,7 @@
     if (!settings)
       continue;
     g_assert_cmpfloat(settings->value_kb, ==, cases[i].value_kb);
-    g_assert_cmpfloat(settings->current_value_kb, ==, 2);
+    g_assert_cmpfloat(settings->current_value_limit_kb, ==, 2);
     g_assert_cmpfloat(settings->next_store_write_rps, ==, cases[i].write_rps);
     g_assert_cmpuint(settings->transaction_ops_max, ==, cases[i].ops);
   }
@@ -213,7 +213,7 @@
 
 static void test_chunk_record(void) {
   for (guint32 count = 1; count <= 128; count += 13) {
-    FkRecord *record = fk_record_new(FK_KEY_CHUNK);
+    FkRecord *record = fk_record_new(FK_STORE_KEY_CHUNK);
     record->chunk = fk_chunk_new(64, count);
     for (guint32 i = 0; i < count; i++) {
       fk_chunk_allocate(record->chunk, 64 + i, "i-000000000231", "knotter-0");
@@ -239,7 +239,7 @@
   static const double limits[] = {1, 2, 8, 32};
   for (guint i = 0; i < G_N_ELEMENTS(limits); i++) {
     guint32 max_tasks = fk_chunk_max_tasks(limits[i], "knotter-10");
-    FkRecord *record = fk_record_new(FK_KEY_CHUNK);
+    FkRecord *record = fk_record_new(FK_STORE_KEY_CHUNK);
     record->chunk = fk_chunk_new(99872, max_tasks + 60);
     record->chunk->next_attempt = 9000000;
     guint32 allocated = 0;
