--- a/src/core/scheduling/backfill_reservation.c
+++ b/src/core/scheduling/backfill_reservation.c
@@ -11,7 +11,7 @@
 #define RESERVING_JOBS_MAX 3 /* maximum number of jobs with reservations: the first ones in queue order */
 #define MACHINES_PER_JOB_MAX 32
 #define RUN_TIME_MARGIN 1.5 /* most tasks end within this multiple of the expected run time */
-/* expected time until a stopping task has ended; for any other task, the minimum */
+/* time in which a stopping task is expected to end; other tasks are expected to run for at least as long */
 #define STOPPING_S 1.0
 #define LOGGED_JOBS_MAX 5
 
@@ -233,14 +233,15 @@
   }
 }
 
-/* Returns the machine's reservation, or NULL. This function is called very often in a cycle, so it skips the
- * lookup if no machine is reserved, which is the usual case. */
+/* Returns the machine's reservation; NULL if there is none. This function is called very often in a cycle, so
+ * it skips the lookup if no machine is reserved, which is the usual case. */
 static const Reservation *find_reservation(FkController *c, const FkMachine *machine) {
   GHashTable *by_machine = c->leader.backfill_reservations->by_machine;
   return g_hash_table_size(by_machine) ? g_hash_table_lookup(by_machine, machine->id) : NULL;
 }
 
-/* Returns the job that holds the reservation; NULL if no task of it waits or it is no longer urgent. */
+/* Returns the job that holds the reservation; NULL if none of the job's tasks waits or the job
+ * is no longer urgent. */
 static FkJob *find_waiting_holder(FkController *c, const Reservation *reservation) {
   FkJob *job = fk_view_find_job(c->view, reservation->job);
   return job && fk_job_waiting_tasks(job) && job->urgent ? job : NULL;
--- a/src/core/scheduling/backfill_reservation.h
+++ b/src/core/scheduling/backfill_reservation.h
@@ -26,7 +26,7 @@
 /* Returns all reserved machines (FkMachine, borrowed); the caller frees the array. */
 GPtrArray *fk_backfill_reservation_machines(FkController *c);
 /* Returns the job that holds the machine's reservation (borrowed from the view); NULL if there is no
- * reservation or its holder no longer waits. */
+ * reservation, or if the holder no longer waits or is no longer urgent. */
 FkJob *fk_backfill_reservation_holder(FkController *c, const FkMachine *machine);
 /* Logs up to five aged jobs that have waiting tasks, each with the reason why it can't start. If there are
  * more than five, also logs how many there are. */
--- a/src/core/scheduling/launch_batch.c
+++ b/src/core/scheduling/launch_batch.c
@@ -16,10 +16,10 @@
 #define TEAM_BYTES 200
 #define SHARD_GUARD_BYTES 60
 
-/* Returns whether `more` writes can be added to the batch. The batch is limited to the writes that are
- * available now, or FK_LAUNCH_WRITES_ALLOWANCE: a transaction that had to wait for the write budget would be
- * out of date when it is sent. Further tasks of a chunk that the batch already writes need no additional
- * write. */
+/* Returns whether `more` writes can be added to the batch. The limit is the number of writes that are
+ * available now, but at least FK_LAUNCH_WRITES_ALLOWANCE and at most `transaction_ops_max`: a transaction
+ * that had to wait for the write budget would be out of date when it is sent. Further tasks of a chunk that
+ * the batch already writes need no additional write. */
 static gboolean has_writes_left(FkController *c, const FkLaunchBatch *batch, guint more) {
   return (batch->txn ? batch->txn->writes->len : 0) + more <=
          MIN(c->settings->transaction_ops_max, MAX(FK_LAUNCH_WRITES_ALLOWANCE, c->launches.write_room));
@@ -133,7 +133,8 @@
 }
 
 /* Finds the first of the job's chunks that has a waiting task and isn't too large for one more allocation.
- * Sets `is_open` to whether the batch already writes the chunk. Returns FALSE if there is none. */
+ * Sets `is_open` to whether the batch already writes the chunk. Returns FALSE if no chunk is
+ * found. */
 static gboolean find_chunk(FkController *c, const FkLaunchBatch *batch, FkJob *job, const FkMachine *machine,
                            guint32 *index, gboolean *is_open) {
   for (guint32 i = job->unstarted_hint; i < job->chunk_count; i++) {
--- a/src/core/scheduling/launch_batch.h
+++ b/src/core/scheduling/launch_batch.h
@@ -1,6 +1,7 @@
 /* A launch batch: one transaction that allocates tasks to machines and asks victims of preemption to stop.
  * The transaction commits only if the records that guard it haven't changed: this controller's launch fence,
- * the jobs and chunks that it writes, the shards of the machines, and the records of teams with a quota. */
+ * the chunks that the batch writes and their jobs, the shards of the machines, and the records of teams with
+ * a quota. */
 #pragma once
 #include "core/controller_internal.h"
 
--- a/src/core/scheduling/launches.h
+++ b/src/core/scheduling/launches.h
@@ -3,12 +3,13 @@
 #pragma once
 #include "core/messages.h"
 
-/* Capacity and quota reserved for a launch that the view doesn't show yet. */
+/* Capacity and quota reserved for one task: of a launch that the view doesn't show yet, or of a service or
+ * gang that the leader is expected to place (long_path.h). */
 typedef struct {
-  const char *machine; /* interned */
+  const char *machine; /* interned; NULL if only quota is reserved */
   const char *team;    /* interned */
   double cpus, gpus, mem_gb;
-  double quota_cpus; /* the part of `cpus` that counts against this controller's share of the team's quota */
+  double quota_cpus; /* the part of `cpus` that is also reserved from the team's quota */
 } FkReservation;
 
 typedef struct {
@@ -25,7 +26,8 @@
   gboolean launching;   /* a launch is in flight */
   FkRev wait_rev;      /* revision of the last launch or fence; no cycle runs until the view has applied it */
   FkTime launch_after; /* end of the pause between launches */
-  FkTime urgent_after; /* time from which urgent jobs may bypass the pause between launches */
+  /* time from which jobs above the normal priority may bypass the pause between launches */
+  FkTime urgent_after;
   GArray *reservations; /* FkReservation of the launch in flight */
   double write_room;    /* writes to the store that this process's rate limiter would send without delay */
   gboolean quota_partitioning; /* a write that changes a team's quota partition is in flight */
--- a/src/core/scheduling/long_path.c
+++ b/src/core/scheduling/long_path.c
@@ -199,8 +199,9 @@
   return FALSE;
 }
 
-/* Places one task by preemption, if it is enough to stop tasks of lower priority that stop immediately. A
- * service then needn't wait for capacity or for the fetch of its image. Returns whether a task was placed. */
+/* Places one task by preemption. The victims are tasks of lower priority that stop immediately, and the cost
+ * must be below `cost_max`. A service then needn't wait for capacity or for the fetch of its image. Returns
+ * whether a task was placed. */
 static gboolean preempt(FkController *c, FkLaunchBatch *batch, Cycle *cycle, FkJob *job, double cost_max) {
   g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(FkAllocationRef));
   if (!cycle->usable)
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -16,8 +16,8 @@
          spec->mem_gb <= type->mem_gb + FK_AMOUNT_EPSILON;
 }
 
-/* Returns whether one more task in the zone respects `one_zone` and `spread`, given where the job's other
- * tasks run. */
+/* Returns whether one more task in the zone respects `one_zone` and `spread`, given the zones of the job's
+ * allocated tasks. */
 static gboolean zone_is_allowed(FkController *c, const FkJob *job, const char *zone) {
   const FkSpec *spec = job->spec;
   guint tasks_in_zone = 0;
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -18,24 +18,26 @@
 #define CHUNKS_PER_ROUND_MAX 6 /* maximum number of chunks in one round: each costs a write */
 
 /* A chunk whose tasks may be stopped. Candidates are chunks, not tasks, because one write can stop all tasks
- * of a chunk, and these were mostly placed together. */
+ * of a chunk, and the tasks of a chunk were mostly placed together. */
 typedef struct {
   FkJob *job;
   guint32 index;
-  double cpus, loss_core_s; /* sums over its tasks that aren't stopping yet */
+  double cpus, loss_core_s; /* sums over the chunk's tasks that aren't stopping yet */
 } Candidate;
 
-static int compare_by_loss(gconstpointer a, gconstpointer b) {
+static int compare_by_loss_per_cpu(gconstpointer a, gconstpointer b) {
   const Candidate *x = a, *y = b;
-  double x_loss = x->loss_core_s / x->cpus, y_loss = y->loss_core_s / y->cpus;
-  return x_loss != y_loss ? (x_loss < y_loss ? -1 : 1) : g_strcmp0(x->job->spec->id, y->job->spec->id);
+  double x_loss_per_cpu = x->loss_core_s / x->cpus, y_loss_per_cpu = y->loss_core_s / y->cpus;
+  return x_loss_per_cpu != y_loss_per_cpu ? (x_loss_per_cpu < y_loss_per_cpu ? -1 : 1)
+                                          : g_strcmp0(x->job->spec->id, y->job->spec->id);
 }
 
 /* Returns whether tasks of the job may be stopped for the blocked job. The job must be an array of another
  * team. If its priority is lower, its team must use more than OVER_SHARE_FACTOR times its share, and its
  * class must not starve. If its priority is the same or higher, the blocked job must have the best standing
- * (FK_STANDING_PROTECTED) at its own priority, and the team of the job must be well above its share and above
- * its guarantee. reclaimable_cpus() ensures that no team falls below its share. */
+ * (FK_STANDING_PROTECTED) and an effective priority equal to that of its spec, and the team of `job` must use
+ * well above its share and above its guarantee. reclaimable_cpus() ensures that no team falls below its
+ * share. */
 static gboolean is_preemptible_for(FkController *c, const FkJob *job, const FkJob *blocked) {
   const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, job->spec->team);
   if (job->spec->shape != FK_SHAPE_ARRAY || job->cancelled ||
@@ -75,7 +77,7 @@
   while (g_hash_table_iter_next(&it, NULL, &job))
     if (((FkJob *)job)->allocated && is_preemptible_for(c, job, blocked))
       add_candidates(c, candidates, job, stopping_cpus);
-  g_array_sort(candidates, compare_by_loss);
+  g_array_sort(candidates, compare_by_loss_per_cpu);
   return candidates;
 }
 
--- a/src/core/scheduling/quota_partition.c
+++ b/src/core/scheduling/quota_partition.c
@@ -6,7 +6,9 @@
 #define SERIALIZED_MIN_S 4.0
 /* the minimum time doubles whenever the shares are found too small again, up to this limit */
 #define SERIALIZED_MAX_S 120.0
-#define SHARE_TASKS_MIN 4 /* a share must allow at least this many of the team's largest launches */
+/* minimum free quota per controller, in launches of the team's largest size; the leader counts as
+ * LEADER_WEIGHT controllers */
+#define SHARE_LAUNCHES_MIN 4
 /* the leader's weight when free quota is divided, compared to 1 for other controllers: the leader also places
  * all services */
 #define LEADER_WEIGHT 2.0
@@ -102,7 +104,7 @@
 static gboolean is_worth_partitioning(FkController *c, const FkTeam *team, const FkTeamUsage *usage) {
   double free_cpus = fk_quota_left(team->max_cpus, usage->cpus);
   return free_cpus > FREE_SHARE_MIN * team->max_cpus &&
-         free_cpus > SHARE_TASKS_MIN * largest_launch_cpus(c, team) *
+         free_cpus > SHARE_LAUNCHES_MIN * largest_launch_cpus(c, team) *
                          (g_hash_table_size(c->view->nodes) + LEADER_WEIGHT - 1);
 }
 
--- a/src/core/scheduling/scheduling_cycle.c
+++ b/src/core/scheduling/scheduling_cycle.c
@@ -9,16 +9,16 @@
 #include "core/scheduling/scheduling_queue.h"
 #include "core/scheduling/short_path.h"
 
-#define LAUNCH_WRITE_SHARE 0.3 /* share of the store's write budget for launches */
+#define LAUNCH_WRITE_SHARE 0.3 /* base share of the store's write budget, see pause_after_launch() */
 #define LAUNCH_PAUSE_MAX_S 3.0
 /* the delay after a failed write is drawn at random between these limits */
 #define RETRY_DELAY_MIN_S 0.15
 #define RETRY_DELAY_MAX_S 0.5
 #define CYCLE_PAUSE_PER_MACHINE_S 1e-4 /* the pause between cycles grows with the number of machines */
 #define CYCLE_PAUSE_MAX_S 0.1          /* upper limit of the pause between cycles */
-#define URGENT_INTERVAL_S 0.2          /* minimum time between a cycle and an urgent launch */
+#define BYPASS_INTERVAL_S 0.2          /* minimum time between a cycle and a launch that bypasses the pause */
 /* a pause that ends sooner isn't bypassed: that isn't worth the writes of a separate launch */
-#define URGENT_PAUSE_MIN_S 0.7
+#define BYPASS_PAUSE_MIN_S 0.7
 
 /* ------------------------------------------------------------------ the launch fence */
 
@@ -40,7 +40,7 @@
 /* Writes this controller's launch fence. Launches of an earlier incarnation of this controller, or launches
  * without an answer, may still be in flight. Every launch is guarded by the fence: once the fence has changed
  * and the view shows the change, no earlier launch can commit any more. Those that have committed are in the
- * view and count against the team's quota. */
+ * view and count against the quotas of their teams. */
 static void write_fence(FkController *c) {
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
   char *path = fk_key_path(FK_KEY_LAUNCH_FENCE, c->settings->node);
@@ -80,14 +80,14 @@
     fk_wait_times_add(&c->window.waits, &launch->waits);
 }
 
-/* Sets the pause after a launch: the time that the launch's writes take at this controller's part of the
- * write budget. After an urgent launch, what remains of the bypassed pause is added. The sum is limited to
- * LAUNCH_PAUSE_MAX_S. */
+/* Sets the pause after a launch. The pause grows with the number of writes and is longer if this controller's
+ * part of the write budget is smaller (fk_write_pace_s()). If the launch bypassed a pause, the rest of that
+ * pause is added. The sum is limited to LAUNCH_PAUSE_MAX_S. */
 static void pause_after_launch(FkController *c, guint writes, gboolean urgent_only) {
-  /* the leader places all services, so its part is larger: with three controllers, it is as large as the
-   * parts of the two others together */
-  guint parts = c->leader.is_leader ? 2 : 1 + g_hash_table_size(c->view->nodes);
-  double pace_s = fk_write_pace_s(c, writes, LAUNCH_WRITE_SHARE * fk_controller_live_count(c) * 2 / parts);
+  /* The leader places all services, so it gets a larger part of the budget. With three controllers, its part
+   * is as large as the two other parts together. */
+  guint divisor = c->leader.is_leader ? 2 : 1 + g_hash_table_size(c->view->nodes);
+  double pace_s = fk_write_pace_s(c, writes, LAUNCH_WRITE_SHARE * fk_controller_live_count(c) * 2 / divisor);
   double left_s = urgent_only ? MAX(0, fk_time_between(c->now, c->launches.launch_after)) : 0;
   c->launches.launch_after = fk_time_add(c->now, MIN(LAUNCH_PAUSE_MAX_S, left_s + pace_s));
 }
@@ -102,11 +102,12 @@
 
 /* ------------------------------------------------------------------ the cycle */
 
-/* Returns whether urgent jobs may bypass the pause between launches. The pause leaves writes for urgent jobs.
- * Urgent launches bypass it at most a few times a second, and the time for their writes is added to the
- * pause. Without the bypass, urgent jobs would wait for up to 3 s after a launch of twenty writes. */
+/* Returns whether jobs above the normal priority may bypass the pause between launches now. The pause leaves
+ * writes for these jobs. Launches bypass it at most a few times a second, and the time for their writes is
+ * added to the pause. Without the bypass, jobs above the normal priority would wait for up to 3 s after a
+ * launch of twenty writes. */
 static gboolean can_bypass_pause(FkController *c) {
-  return fk_time_between(c->now, c->launches.launch_after) > URGENT_PAUSE_MIN_S &&
+  return fk_time_between(c->now, c->launches.launch_after) > BYPASS_PAUSE_MIN_S &&
          fk_time_reached(c->now, c->launches.urgent_after) && fk_scheduling_queue_has_urgent(c);
 }
 
@@ -132,15 +133,15 @@
 }
 
 /* Removes all jobs but those above the normal priority, which are first in the queue. */
-static void keep_urgent_jobs(GPtrArray *jobs) {
-  guint urgent = 0;
-  while (urgent < jobs->len && ((FkJob *)jobs->pdata[urgent])->effective_priority < FK_JOB_PRIORITY_NORMAL)
-    urgent++;
-  g_ptr_array_set_size(jobs, (gint)urgent);
+static void keep_high_priority_jobs(GPtrArray *jobs) {
+  guint count = 0;
+  while (count < jobs->len && ((FkJob *)jobs->pdata[count])->effective_priority < FK_JOB_PRIORITY_NORMAL)
+    count++;
+  g_ptr_array_set_size(jobs, (gint)count);
 }
 
-/* Returns the machines that have the smallest CPU and memory demand of the long path's jobs free; an empty
- * array if there are no such jobs. */
+/* Returns the machines with enough free CPUs and memory for the smallest demand among the long path's jobs;
+ * an empty array if the long path has no jobs. */
 static GPtrArray *open_machines_for_long_path(FkController *c, GPtrArray *jobs) {
   double cpus = G_MAXDOUBLE, mem_gb = G_MAXDOUBLE;
   for (guint i = 0; i < jobs->len; i++) {
@@ -155,7 +156,7 @@
 
 static void pause_after_cycle(FkController *c, gboolean urgent_only) {
   double pause_s = CYCLE_PAUSE_PER_MACHINE_S * g_hash_table_size(c->view->machines);
-  c->launches.urgent_after = fk_time_add(c->now, URGENT_INTERVAL_S);
+  c->launches.urgent_after = fk_time_add(c->now, BYPASS_INTERVAL_S);
   if (!urgent_only)
     c->launches.launch_after = fk_time_add(c->now, MIN(CYCLE_PAUSE_MAX_S, pause_s));
 }
@@ -185,7 +186,7 @@
   fk_capacity_index_refresh(c);
   g_autoptr(GPtrArray) jobs = fk_scheduling_queue_select_jobs(c);
   if (urgent_only)
-    keep_urgent_jobs(jobs);
+    keep_high_priority_jobs(jobs);
   if (!jobs->len)
     return;
   pause_after_cycle(c, urgent_only);
--- a/src/core/scheduling/scheduling_queue.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -11,8 +11,8 @@
 /* The cost of a cycle depends on what has changed since the last one, not on the number of waiting jobs. A
  * cycle refreshes the queue position of the jobs whose waiting tasks may have changed, and of
  * REFRESHED_PER_CYCLE others in rotation. Then it selects the first SELECTED_PER_CYCLE jobs of the queue that
- * may start, and the refreshed jobs that come after these. If there are fewer jobs, every cycle refreshes
- * all. */
+ * may start, and the refreshed jobs that come after these. If at most REFRESHED_PER_CYCLE jobs are live,
+ * every cycle refreshes all of them. */
 #define REFRESHED_PER_CYCLE 256
 #define SELECTED_PER_CYCLE 256
 /* maximum number of jobs examined to find the first SELECTED_PER_CYCLE ones that may start */
@@ -35,7 +35,7 @@
   guint waiting_services;         /* waiting tasks of services */
   guint64 refreshed_count;        /* number of times that a job's queue position was updated, in all cycles */
   FkFairShareDemand *team_shares; /* in the settings' order of teams */
-  double cluster_cpus, cluster_gpus; /* capacity of the machines that are up and not draining */
+  double cluster_cpus, cluster_gpus; /* capacity of the registered machines that aren't draining */
   FkTime cluster_counted_at;
   GPtrArray *blocked;    /* FkJob (with references): the first blocked jobs, at most BLOCKED_JOBS_MAX */
   double blocked_cpus;   /* CPUs that all blocked jobs of the cycle wait for, not only those in `blocked` */
@@ -103,11 +103,12 @@
   return best;
 }
 
-/* Sets the job's effective priority, its standing and whether it is urgent. A job of a team without a
- * guarantee gets at most the normal priority, so that its priority doesn't put it before jobs of teams with a
- * guarantee. A job that is aged, or that fk_starvation_raises_priority() applies to, gets at least the normal
- * priority; unless its priority is higher, it also gets the best standing. (Without this, one team's six
- * arrays waited for up to 352 s to start on a recorded day.) */
+/* Sets the job's effective priority, its standing and whether it is urgent. A job is urgent if it is aged, or
+ * if fk_starvation_affects_largest() applies to the job. A job of a team without a guarantee gets at most the
+ * normal priority, so that its priority doesn't put it before jobs of teams with a guarantee. A job that is
+ * aged, or that fk_starvation_raises_priority() applies to, gets at least the normal priority; unless its
+ * priority is higher, it also gets the best standing. (Without this, one team's six arrays waited for up to
+ * 352 s to start on a recorded day.) */
 static void update_priority(FkController *c, FkJob *job) {
   gboolean aged = fk_backfill_reservation_is_aged(c, job);
   job->effective_priority = job->inherited_priority;
@@ -115,7 +116,7 @@
   job->fair_share_standing = fk_fair_share_standing(fk_scheduling_queue_team_share(c, job->spec->team));
   if (fk_settings_find_team(c->settings, job->spec->team)->guaranteed_cpus <= 0)
     job->effective_priority = MAX(job->effective_priority, FK_JOB_PRIORITY_NORMAL);
-  /* an aged job stays raised until its first task has started */
+  /* an aged job keeps the raised priority until one of its tasks is allocated or the job is failing */
   if (job->effective_priority < FK_JOB_PRIORITY_NORMAL ||
       !(aged || fk_starvation_raises_priority(c, job, c->leader.scheduling_queue->cluster_cpus)))
     return;
@@ -284,7 +285,7 @@
 }
 
 /* Returns whether tasks of the job may start now. If more jobs wait than a cycle selects, jobs without quota
- * are left out, since they would only take the place of others. */
+ * are left out, so that they don't use up the selection. */
 static gboolean can_start(gpointer item, gpointer controller) {
   FkController *c = controller;
   FkJob *job = item;
@@ -300,7 +301,7 @@
 }
 
 /* Returns the first jobs of the queue, and the jobs refreshed in this cycle that come after these and may
- * start. Since the refresh rotates, each job is selected from time to time. */
+ * start. Since the refresh rotates, each job that may start is selected from time to time. */
 static GPtrArray *select_jobs(FkController *c, FkSchedulingQueue *queue, const GPtrArray *refreshed) {
   GPtrArray *jobs = g_ptr_array_new();
   queue->cycle++;
@@ -324,7 +325,7 @@
   return jobs;
 }
 
-static gboolean is_urgent(FkController *c, const FkJob *job) {
+static gboolean is_startable_high_priority(FkController *c, const FkJob *job) {
   return job->inherited_priority < FK_JOB_PRIORITY_NORMAL && has_waiting_tasks(c, job) &&
          fk_time_reached(c->now, job->retry_at) && (c->leader.is_leader || !fk_spec_is_long(c, job->spec)) &&
          fk_team_quota_is_available(c, job->spec);
@@ -333,13 +334,13 @@
 gboolean fk_scheduling_queue_has_urgent(FkController *c) {
   g_autoptr(GPtrArray) first = g_ptr_array_new();
   fk_wait_queue_first(c->leader.scheduling_queue->waiting, 1, 1, accept_all, NULL, first);
-  if (first->len && is_urgent(c, first->pdata[0]))
+  if (first->len && is_startable_high_priority(c, first->pdata[0]))
     return TRUE;
   GHashTableIter it;
   gpointer job;
   g_hash_table_iter_init(&it, c->view->changed_jobs);
   while (g_hash_table_iter_next(&it, &job, NULL))
-    if (is_urgent(c, job))
+    if (is_startable_high_priority(c, job))
       return TRUE;
   return FALSE;
 }
--- a/src/core/scheduling/scheduling_queue.h
+++ b/src/core/scheduling/scheduling_queue.h
@@ -14,25 +14,28 @@
  * queue and some of the others in rotation. Also updates the fair shares, the fleet's capacity and the
  * blocked jobs. */
 GPtrArray *fk_scheduling_queue_select_jobs(FkController *c);
-/* Returns whether a job above the normal priority that this controller may place can start now. Looks only at
- * the first job of the queue and at the jobs that have changed since the last cycle. */
+/* Returns whether a job whose inherited priority is above normal has waiting tasks, quota and no pending
+ * retry delay. Long jobs count only on the leader. Free capacity isn't checked. Looks only at the first job
+ * of the queue and at the jobs that have changed since the last cycle. FkJob.urgent has another meaning: it
+ * marks aged jobs and the largest jobs of starving classes. */
 gboolean fk_scheduling_queue_has_urgent(FkController *c);
 /* Returns how many times a job's queue position has been updated so far: a measure of what the cycles
  * cost. */
 guint64 fk_scheduling_queue_refreshed_count(const FkSchedulingQueue *queue);
 /* Returns whether the job must leave the machine's free capacity to another job: to the holder of a backfill
- * reservation, or to a blocked job of a higher priority. Otherwise small tasks of a low priority fill every
- * gap as it opens, and larger ones never start: with 7,000 tasks of two CPUs waiting, arrays of four-CPU
- * tasks waited for 400 s. */
+ * reservation, or to a blocked job of a higher priority. Urgent jobs and services yield only to
+ * reservations. Without this rule, small tasks of a low priority fill every gap as it opens, and larger ones
+ * never start: with 7,000 tasks of two CPUs waiting, arrays of four-CPU tasks waited for 400 s. */
 gboolean fk_scheduling_queue_must_back_off(FkController *c, const FkJob *job, const FkMachine *machine);
 /* Returns whether no expensive machines are provisioned for the job. This applies only to arrays without a
  * deadline whose team has no guarantee and whose class has no objective, and only while at least half of the
- * class is served. The job may still run on expensive machines that exist. */
+ * class is served and the job's priority isn't raised because of starvation. The job may still run on
+ * expensive machines that exist. */
 gboolean fk_scheduling_queue_is_low_cost_only(FkController *c, const FkJob *job);
 /* Returns the team's use, demand and fair share, in CPUs, as of the latest cycle. The team must be in the
  * settings. */
 const FkFairShareDemand *fk_scheduling_queue_team_share(FkController *c, const char *team);
-/* Returns the CPUs of all machines that are up and not draining, as of the latest cycle. */
+/* Returns the CPUs of all registered machines that aren't draining, as of the latest cycle. */
 double fk_scheduling_queue_cluster_cpus(FkController *c);
 /* Returns the first blocked job of the latest cycle (borrowed until the next cycle); NULL if there is none or
  * none of its tasks waits any more. */
--- a/src/core/scheduling/short_path.c
+++ b/src/core/scheduling/short_path.c
@@ -15,15 +15,15 @@
 #define SAMPLED_SLOTS_PER_PROBE 1.5
 #define SAMPLED_MACHINES_MIN 16 /* minimum number of sampled machines */
 #define STEAL_ROTATION_S 0.5    /* length of a controller's turn to take tasks of other owners' jobs */
-#define PROBE_INTERVAL_S 1.0    /* a waiting job gets further probes at this interval, on full machines too */
+#define PROBE_INTERVAL_S 1.0    /* minimum time between two samplings of all owned machines for a job */
 
-/* Maximum number of machines sampled in one cycle for all jobs together, among those with free capacity
- * (OPEN) and among all owned ones (FULL). With thousands of waiting jobs, sampling for each of them costs a
- * hundred times what it can gain. The first jobs of the queue are sampled for first; a part of the OPEN
- * samples is left for the others. */
+/* Maximum number of samples in one cycle for all jobs together: among the owned machines with free capacity
+ * (OPEN) and among all owned machines (OWNED). With thousands of waiting jobs, sampling machines for each job
+ * costs a hundred times what it can gain. Machines are sampled for jobs in queue order; a part of
+ * OPEN_SAMPLES_MAX is kept for jobs that come later in the queue. */
 #define OPEN_SAMPLES_MAX 4000
-#define FULL_SAMPLES_MAX 2000
-/* one in this many of OPEN_SAMPLES_MAX is left for jobs that come later in the queue */
+#define OWNED_SAMPLES_MAX 2000
+/* the part of OPEN_SAMPLES_MAX kept for jobs that come later in the queue is 1 / OTHERS_SAMPLE_DIVISOR */
 #define OTHERS_SAMPLE_DIVISOR 4
 #define SAMPLES_PER_PROBE 2 /* machines that may be drawn for each wanted probe */
 /* machines that may be drawn for each job in addition to SAMPLES_PER_PROBE for each wanted probe */
@@ -46,8 +46,8 @@
   guint index = 0;
   for (guint i = 0; i < peers->len; i++)
     index += strcmp(((FkPeer *)peers->pdata[i])->name, node) < 0;
-  guint64 rotation = (guint64)((c->now.us + c->view->wall_offset_us) / (gint64)(STEAL_ROTATION_S * 1e6));
-  return (g_str_hash(job->spec->id) + rotation) % (peers->len + 1) == index;
+  guint64 turn = (guint64)((c->now.us + c->view->wall_offset_us) / (gint64)(STEAL_ROTATION_S * 1e6));
+  return (g_str_hash(job->spec->id) + turn) % (peers->len + 1) == index;
 }
 
 static gboolean is_own_short_job(FkController *c, const FkJob *job) {
@@ -76,7 +76,7 @@
  * queue. Otherwise jobs that arrived early could keep all later ones out of the machine's queue, however
  * short or urgent. Jobs that no longer wait or whose team has no quota left count as last: two dozen jobs
  * without quota kept another team's job out of every machine's queue while machines were idle. Returns FALSE
- * if no job comes after `job`. */
+ * if no job in the machine's queue comes after `job`. */
 static gboolean evict_probe(GPtrArray *probes, const FkJob *job) {
   guint last = probes->len, last_position = job->queue_position;
   for (guint i = 0; i < probes->len; i++) {
@@ -137,14 +137,14 @@
   }
 }
 
-/* Returns the usable machines that this controller owns. If it owns more than FULL_SAMPLES_MAX, only a
+/* Returns the usable machines that this controller owns. If it owns more than OWNED_SAMPLES_MAX, only a
  * section of that length is considered, which starts at a random index of the list of owned machines and
  * wraps around. */
 static GPtrArray *sample_owned_machines(FkController *c) {
   const GPtrArray *owned = fk_capacity_index_owned_machines(c);
   GPtrArray *sample = g_ptr_array_new();
   guint from = owned->len ? (guint)g_rand_int_range(c->rand, 0, (gint32)owned->len) : 0;
-  for (guint i = 0; i < MIN(owned->len, FULL_SAMPLES_MAX); i++) {
+  for (guint i = 0; i < MIN(owned->len, OWNED_SAMPLES_MAX); i++) {
     FkMachine *machine = owned->pdata[(from + i) % owned->len];
     if (fk_machine_is_usable(c, machine))
       g_ptr_array_add(sample, machine);
@@ -154,9 +154,9 @@
 
 /* Adds probes to usable machines that this controller owns, also to those without free capacity, so that the
  * jobs are already queued there when capacity becomes free. */
-static void probe_full_machines(FkController *c, GPtrArray *jobs) {
+static void probe_owned_machines(FkController *c, GPtrArray *jobs) {
   g_autoptr(GPtrArray) machines = NULL;
-  guint samples_left = FULL_SAMPLES_MAX;
+  guint samples_left = OWNED_SAMPLES_MAX;
   for (guint i = 0; i < jobs->len && samples_left; i++) {
     FkJob *job = jobs->pdata[i];
     if (fk_time_between(job->probed_at, c->now) <= PROBE_INTERVAL_S || !is_own_short_job(c, job))
@@ -187,7 +187,7 @@
 
 /* ------------------------------------------------------------------ preferred machines */
 
-/* Finds the smallest CPU and memory demand among the arrays. Returns FALSE if there are none. */
+/* Finds the smallest CPU and memory demand among the arrays. Returns FALSE if there are no arrays. */
 static gboolean smallest_demand(GPtrArray *jobs, double *cpus, double *mem_gb) {
   gboolean found = FALSE;
   for (guint i = 0; i < jobs->len; i++) {
@@ -201,10 +201,11 @@
   return found;
 }
 
-/* Orders spot machines first: most services can't use them. Next come machines that are cheaper to keep, so
- * that the most expensive ones become empty first and are terminated; then the fuller ones. Equal machines
- * always have the same order, so that some become full and others empty instead of all half full. */
-static int compare_by_load(gconstpointer a, gconstpointer b, gpointer controller) {
+/* Orders spot machines first, so that other machines stay free for services, most of which can't run on spot
+ * machines. Next come machines with a lower price, so that the most expensive ones become empty first and are
+ * terminated; then the fuller ones. Equal machines always have the same order, so that some become full and
+ * others empty instead of all half full. */
+static int compare_by_preference(gconstpointer a, gconstpointer b, gpointer controller) {
   const FkMachine *x = *(FkMachine *const *)a, *y = *(FkMachine *const *)b;
   const FkInstanceType *x_type = fk_machine_type(controller, x), *y_type = fk_machine_type(controller, y);
   if (x->record->spot != y->record->spot)
@@ -252,8 +253,8 @@
 /* Keeps only the first machines of `open`: as many as have SAMPLED_SLOTS_PER_PROBE free slots for each wanted
  * probe, and at least SAMPLED_MACHINES_MIN. The other machines can then become empty and be terminated. If
  * some job may not use spot machines, spot machines aren't counted. When spot machines were counted, 16 idle
- * ones were enough, and a job that may only use ordinary machines waited for 90 s although 12 ordinary
- * machines were idle. If some job is constrained, all machines are kept. */
+ * spot machines were enough, and a job that may only use ordinary machines waited for 90 s although 12
+ * ordinary machines were idle. If some job is constrained, all machines are kept. */
 static void keep_preferred_machines(FkController *c, GPtrArray *open, GPtrArray *jobs) {
   const SamplingDemand demand = sampling_demand(c, jobs);
   if (!demand.largest || demand.constrained)
@@ -342,12 +343,12 @@
   if (!smallest_demand(jobs, &cpus, &mem_gb))
     return;
   g_autoptr(GPtrArray) open = fk_capacity_index_find_open(c, TRUE, cpus, mem_gb);
-  g_ptr_array_sort_with_data(open, compare_by_load, c);
+  g_ptr_array_sort_with_data(open, compare_by_preference, c);
   keep_preferred_machines(c, open, jobs);
   probe_open_machines(c, jobs, open);
-  probe_full_machines(c, jobs);
+  probe_owned_machines(c, jobs);
   probe_reserved_machines(c, open);
-  g_ptr_array_sort_with_data(open, compare_by_load, c);
+  g_ptr_array_sort_with_data(open, compare_by_preference, c);
   double spare_slots = fk_service_reserve_spare_slots(c, open, fk_capacity_index_owned_machines(c)->len,
                                                       1.0 / fk_controller_live_count(c));
   gboolean prefer_spot = spot_capacity_suffices(c, jobs);
--- a/src/core/scheduling/stop_transaction.h
+++ b/src/core/scheduling/stop_transaction.h
@@ -5,7 +5,7 @@
 
 /* Must be zero-initialized. */
 typedef struct {
-  FkOutput *txn;      /* NULL while it is empty */
+  FkOutput *txn;      /* the transaction; NULL until a chunk is added */
   GHashTable *chunks; /* path -> FkChunk as it will be written, owned by the transaction */
 } FkStopTransaction;
 
--- a/src/fair_share/fair_share.c
+++ b/src/fair_share/fair_share.c
@@ -15,13 +15,12 @@
   return MIN(demand->used + demand->wanted, demand->quota);
 }
 
-/* Returns the part of its guarantee that the team demands. */
+/* Returns the team's demand, limited to its guarantee. */
 static double guaranteed(const FkFairShareDemand *demand) {
   return MIN(demand->guarantee, total_demand(demand));
 }
 
-/* Returns the sum of all shares if each team gets the demanded part of its guarantee and up to `level` more,
- * but never more than its demand. */
+/* Returns the sum of all shares if each team gets its demand, limited to `level` more than guaranteed(). */
 static double total_at_level(const FkFairShareDemand *demands, guint count, double level) {
   double sum = 0;
   for (guint i = 0; i < count; i++)
--- a/src/fair_share/service_level.h
+++ b/src/fair_share/service_level.h
@@ -54,8 +54,8 @@
 
 /* Returns the served share of the expected jobs, from 0 to 1; 1 if no job is expected to be served yet. */
 double fk_service_level_share(const FkServiceLevelRow *row);
-/* Returns whether the class or team is starved: less than half of its expected jobs is served, and its oldest
- * job with waiting tasks is more than a minute old. */
+/* Returns whether the jobs of the row starve: less than half of `expected_jobs` is served, and the oldest job
+ * with waiting tasks is more than a minute old. */
 gboolean fk_service_level_is_starved(const FkServiceLevelRow *row);
 /* Returns the class's row (borrowed), or NULL. */
 const FkServiceLevelRow *fk_service_level_class(const FkServiceLevel *level, const char *name);
--- a/src/scheduling_queue/capacity_buckets.c
+++ b/src/scheduling_queue/capacity_buckets.c
@@ -1,8 +1,8 @@
 #include "scheduling_queue/capacity_buckets.h"
 
 #define BUCKETS_PER_CPU 4
-#define BUCKET_MAX 1024 /* the last bucket: all items with 256 CPUs or more */
-#define ROUNDING 1e-6   /* tolerance for rounding errors: amounts are sums of fractions */
+#define BUCKET_LAST 1024 /* the last bucket: all items with 256 CPUs or more */
+#define ROUNDING 1e-6    /* tolerance for rounding errors: amounts are sums of fractions */
 
 typedef struct {
   gpointer item;
@@ -11,7 +11,7 @@
 } Entry;
 
 struct FkCapacityBuckets {
-  GPtrArray *buckets[BUCKET_MAX + 1]; /* Entry; NULL if never used */
+  GPtrArray *buckets[BUCKET_LAST + 1]; /* arrays of Entry; NULL for a bucket that was never used */
   GPtrArray *items;
   GHashTable *index; /* item -> Entry */
   guint highest;     /* index of the highest bucket that isn't empty, or 0 */
@@ -25,7 +25,7 @@
 }
 
 void fk_capacity_buckets_clear(FkCapacityBuckets *buckets) {
-  for (guint i = 0; i <= BUCKET_MAX; i++)
+  for (guint i = 0; i <= BUCKET_LAST; i++)
     if (buckets->buckets[i])
       g_ptr_array_set_size(buckets->buckets[i], 0);
   g_ptr_array_set_size(buckets->items, 0);
@@ -36,14 +36,16 @@
 void fk_capacity_buckets_free(FkCapacityBuckets *buckets) {
   if (!buckets)
     return;
-  for (guint i = 0; i <= BUCKET_MAX; i++)
+  for (guint i = 0; i <= BUCKET_LAST; i++)
     g_clear_pointer(&buckets->buckets[i], g_ptr_array_unref);
   g_ptr_array_unref(buckets->items);
   g_hash_table_unref(buckets->index);
   g_free(buckets);
 }
 
-static guint bucket_of(double cpus) { return (guint)CLAMP(cpus * BUCKETS_PER_CPU + ROUNDING, 0, BUCKET_MAX); }
+static guint bucket_of(double cpus) {
+  return (guint)CLAMP(cpus * BUCKETS_PER_CPU + ROUNDING, 0, BUCKET_LAST);
+}
 
 static gboolean is_empty(const FkCapacityBuckets *buckets, guint bucket) {
   return !buckets->buckets[bucket] || !buckets->buckets[bucket]->len;
--- a/src/scheduling_queue/capacity_buckets.h
+++ b/src/scheduling_queue/capacity_buckets.h
@@ -1,5 +1,5 @@
-/* Items in buckets by free capacity: a search skips the buckets of items with too little. Pure data
- * structure; items are pointers that are neither dereferenced nor owned. Amounts are in CPUs. */
+/* Items in buckets by free capacity: a search skips the buckets of items with too little free capacity. Pure
+ * data structure; items are pointers that are neither dereferenced nor owned. Amounts are in CPUs. */
 #pragma once
 #include <glib.h>
 
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -56,7 +56,7 @@
 static const AttributionCase attribution_cases[] = {
     {"", "", ""},
     {"xa1 xa1", "", ""},
-    /* a hundred failed tasks on one large machine prove nothing: the job was tried nowhere else */
+    /* a hundred failures on a single machine would prove nothing either: the job was tried nowhere else */
     {"xa1 xa1 xa1 xa1 xa1", "", ""},
     /* failures on two machines: the job is failing and neither machine is faulty (1,100 healthy machines were
      * returned because of 4% of the jobs) */
@@ -122,7 +122,7 @@
 
 /* In any sequence of failures, retry delays are bounded and never shrink while a job continues to fail, and
  * the stored state is removed with the jobs and machines. */
-static void test_fault_attribution_pauses(void) {
+static void test_fault_attribution_retry_delays(void) {
   GRand *rand = g_rand_new_with_seed(7);
   for (guint round = 0; round < 200; round++) {
     FkFaultAttribution *b = fk_fault_attribution_new();
@@ -132,11 +132,11 @@
     for (guint i = 0; i < n; i++) {
       char machine[] = {(char)('0' + g_rand_int_range(rand, 0, 40)), 0};
       fk_fault_attribution_task_failed(b, "j", machine, 1, FALSE, now);
-      double pause = fk_fault_attribution_retry_delay_s(b, "j");
-      g_assert_cmpfloat(pause, <=, 60);
+      double delay_s = fk_fault_attribution_retry_delay_s(b, "j");
+      g_assert_cmpfloat(delay_s, <=, 60);
       if (fk_fault_attribution_job_is_failing(b, "j")) {
-        g_assert_cmpfloat(pause, >=, last);
-        last = pause;
+        g_assert_cmpfloat(delay_s, >=, last);
+        last = delay_s;
       }
       g_assert_true(fk_fault_attribution_job_avoids(b, "j", machine, now));
       g_assert_false(fk_fault_attribution_job_avoids(b, "j", machine, fk_time_add(now, 61)));
@@ -371,6 +371,6 @@
   g_test_add_func("/instance_models/idle_retention", test_idle_retention);
   g_test_add_func("/instance_models/boot_times", test_boot_times);
   g_test_add_func("/fault_attribution/fault_attribution", test_fault_attribution);
-  g_test_add_func("/fault_attribution/fault_attribution_pauses", test_fault_attribution_pauses);
+  g_test_add_func("/fault_attribution/fault_attribution_pauses", test_fault_attribution_retry_delays);
   return g_test_run();
 }
--- a/test/test_scheduling_cycle.c
+++ b/test/test_scheduling_cycle.c
@@ -1,6 +1,7 @@
 /* The cost of a scheduling cycle, counted as jobs refreshed and machines examined: it must not grow with the
  * number of waiting jobs, nor with the number of machines without free capacity. Also tests the two data
- * structures on which this depends: the wait queue and the capacity buckets. */
+ * structures on which this depends (the wait queue and the capacity buckets), the capacity that the
+ * autoscaler plans, and the bypass of the pause between launches. */
 #include <string.h>
 
 #include "core/autoscaler/autoscaler_internal.h"
@@ -106,8 +107,9 @@
   return c->launches.reservations->len;
 }
 
+/* Averages per cycle: jobs refreshed, machines examined, and tasks allocated. */
 typedef struct {
-  double jobs, machines, allocated; /* means for one cycle */
+  double jobs, machines, allocated;
 } CycleCost;
 
 /* Returns the mean cost of CYCLES cycles, each after a pause and with enough writes available. */
@@ -230,14 +232,14 @@
   }
 }
 
-#define URGENT_JOB                                                                                           \
+#define HIGH_PRIORITY_JOB                                                                                    \
   "{\"class\":\"u\",\"team\":\"red\",\"shape\":0,\"rank\":1,\"tasks\":1,\"cpus\":2,\"gpus\":0,\"mem\":2,"    \
   "\"image\":\"i\",\"image_gb\":1,\"one_zone\":false,\"spread\":false,\"spot\":false,\"estimate\":10,"       \
   "\"checkpoint\":0,\"save\":0,\"submitted\":1000,\"owner\":\"c-0\",\"chunk\":16}"
 
-/* After a large launch there is a pause before the next one. An urgent job bypasses the pause, and the time
- * for the job's writes is added to the pause. */
-static void test_urgent_launch_before_pause(void) {
+/* After a large launch there is a pause before the next one. A job above the normal priority bypasses the
+ * pause, and the time for the job's writes is added to the pause. */
+static void test_high_priority_bypasses_pause(void) {
   Rig *r = rig_new(TRUE);
   FkController *c = r->c;
   report(r, 1, 1, 11, NULL, FK_EXIT_NONE);
@@ -247,8 +249,8 @@
   c->launches.launch_after = fk_time_add(r->now, 2);
   g_ptr_array_set_size(r->outs, 0);
   tick(r, 0.5);
-  g_assert_null(find(r, FK_OUTPUT_COMMIT, "fk/l/t/")); /* run-1 waits and isn't urgent */
-  const char *urgent[] = {"fk/l/j/run-2", URGENT_JOB, NULL};
+  g_assert_null(find(r, FK_OUTPUT_COMMIT, "fk/l/t/")); /* run-1 waits: it isn't above the normal priority */
+  const char *urgent[] = {"fk/l/j/run-2", HIGH_PRIORITY_JOB, NULL};
   FkTime before = c->launches.launch_after;
   watched(r, urgent);
   tick(r, 0.3);
@@ -358,6 +360,6 @@
   g_test_add_func("/scheduling_cycle/plan_covers_all_machines", test_plan_covers_all_machines);
   g_test_add_func("/scheduling_cycle/flat_in_jobs", test_cost_independent_of_jobs);
   g_test_add_func("/scheduling_cycle/flat_in_machines", test_cost_independent_of_machines);
-  g_test_add_func("/scheduling_cycle/urgent_launch_before_pause", test_urgent_launch_before_pause);
+  g_test_add_func("/scheduling_cycle/urgent_launch_before_pause", test_high_priority_bypasses_pause);
   return g_test_run();
 }
