--- a/src/core/scheduling/launch_batch.c
+++ b/src/core/scheduling/launch_batch.c
@@ -22,10 +22,11 @@
  * the batch already writes need no additional write. */
 static gboolean has_writes_left(FkController *c, const FkLaunchBatch *batch, guint more) {
   return (batch->txn ? batch->txn->writes->len : 0) + more <=
-         MIN(c->settings->transaction_ops_max, MAX(FK_LAUNCH_WRITES_ALLOWANCE, c->launches.write_room));
+         MIN(c->settings->transaction_ops_max,
+             MAX(FK_LAUNCH_WRITES_ALLOWANCE, c->launches.launch_writes_available));
 }
 
-gboolean fk_launch_batch_is_out_of_chunks(FkController *c, const FkLaunchBatch *batch) {
+gboolean fk_launch_batch_is_out_of_writes(FkController *c, const FkLaunchBatch *batch) {
   return batch->txn && !has_writes_left(c, batch, WRITES_PER_ALLOCATION);
 }
 
@@ -38,7 +39,7 @@
 /* Returns the transaction's copy of chunk `index` of the job. Adds the chunk to the transaction first if
  * necessary. */
 static FkChunk *open_chunk(FkController *c, FkLaunchBatch *batch, const FkJob *job, guint32 index) {
-  char *path = fk_key_chunk_path(job->spec->id, index);
+  char *path = fk_store_key_chunk_path(job->spec->id, index);
   FkChunk *copy = g_hash_table_lookup(batch->chunks, path);
   if (copy) {
     g_free(path);
@@ -46,17 +47,17 @@
   }
   if (!batch->txn) {
     batch->txn = fk_transaction_new(c, FK_PRIORITY_LAUNCH);
-    fk_transaction_guard(batch->txn, fk_key_path(FK_KEY_LAUNCH_FENCE, c->settings->node),
+    fk_transaction_guard(batch->txn, fk_store_key_path(FK_STORE_KEY_LAUNCH_FENCE, c->settings->node),
                          fk_view_launch_fence_rev(c->view, c->settings->node));
   }
   const FkChunk *chunk = job->chunks[index];
   copy = chunk ? fk_chunk_copy(chunk)
                : fk_chunk_new(index * job->spec->chunk_tasks, fk_spec_chunk_tasks(job->spec, index));
-  FkRecord *record = fk_record_new(FK_KEY_CHUNK);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_CHUNK);
   record->chunk = copy;
   fk_transaction_guard(batch->txn, g_strdup(path), copy->rev);
   fk_transaction_put(batch->txn, g_strdup(path), record, (FkRev){0});
-  fk_transaction_guard(batch->txn, fk_key_path(FK_KEY_JOB, job->spec->id), job->rev);
+  fk_transaction_guard(batch->txn, fk_store_key_path(FK_STORE_KEY_JOB, job->spec->id), job->rev);
   g_hash_table_insert(batch->chunks, path, copy);
   batch->bytes +=
       CHUNK_BYTES + copy->task_count / CHUNK_TASKS_PER_BYTE + copy->allocations->len * ALLOCATION_BYTES;
@@ -69,12 +70,13 @@
  * decided. A team without a quota needs no guard, and its launches don't conflict over the record. */
 static void guard_team_quota(FkController *c, FkLaunchBatch *batch, const char *name) {
   const FkTeam *team = fk_settings_find_team(c->settings, name);
-  if (!fk_team_has_limit(team) || g_hash_table_contains(batch->teams, name))
+  if (!fk_team_has_quota(team) || g_hash_table_contains(batch->teams, name))
     return;
   const FkTeamUsage *usage = fk_view_ensure_team(c->view, name);
-  fk_transaction_guard(batch->txn, fk_key_path(FK_KEY_TEAM, name), usage->rev);
+  fk_transaction_guard(batch->txn, fk_store_key_path(FK_STORE_KEY_TEAM, name), usage->rev);
   if (!usage->partition)
-    fk_transaction_put(batch->txn, fk_key_path(FK_KEY_TEAM, name), fk_record_new(FK_KEY_TEAM), (FkRev){0});
+    fk_transaction_put(batch->txn, fk_store_key_path(FK_STORE_KEY_TEAM, name),
+                       fk_record_new(FK_STORE_KEY_TEAM), (FkRev){0});
   g_hash_table_add(batch->teams, (gpointer)g_intern_string(name));
   batch->bytes += TEAM_BYTES;
 }
@@ -108,7 +110,7 @@
 
 /* Returns whether the batch already allocates or stops tasks of the job. */
 static gboolean contains_job(const FkLaunchBatch *batch, const FkJob *job) {
-  g_autofree char *path = fk_key_path(FK_KEY_JOB, job->spec->id);
+  g_autofree char *path = fk_store_key_path(FK_STORE_KEY_JOB, job->spec->id);
   for (guint i = 0; batch->txn && i < batch->txn->guards->len; i++)
     if (g_str_equal(g_array_index(batch->txn->guards, FkGuard, i).path, path))
       return TRUE;
@@ -122,9 +124,9 @@
     return FALSE;
   if (job->failing && spec->shape != FK_SHAPE_GANG) {
     /* one task at a time is enough to tell whether the job still fails on every machine */
-    if (job->allocated || job->cycle_tried_at.us == c->now.us)
+    if (job->allocated || job->last_trial_at.us == c->now.us)
       return FALSE;
-    job->cycle_tried_at = c->now;
+    job->last_trial_at = c->now;
   }
   /* Zone constraints are checked against the view, which doesn't show the tasks of this batch. So the batch
    * may start at most one task of a job with zone constraints. Gangs are planned as a whole (long_path.c). */
@@ -137,13 +139,13 @@
  * found. */
 static gboolean find_chunk(FkController *c, const FkLaunchBatch *batch, FkJob *job, const FkMachine *machine,
                            guint32 *index, gboolean *is_open) {
-  for (guint32 i = job->unstarted_hint; i < job->chunk_count; i++) {
-    g_autofree char *path = fk_key_chunk_path(job->spec->id, i);
+  for (guint32 i = job->first_waiting_chunk_hint; i < job->chunk_count; i++) {
+    g_autofree char *path = fk_store_key_chunk_path(job->spec->id, i);
     const FkChunk *copy = g_hash_table_lookup(batch->chunks, path);
     const FkChunk *chunk = copy ? copy : job->chunks[i];
     if (chunk && chunk->done_count + chunk->allocations->len >= chunk->task_count) {
-      if (i == job->unstarted_hint && !copy)
-        job->unstarted_hint++;
+      if (i == job->first_waiting_chunk_hint && !copy)
+        job->first_waiting_chunk_hint++;
       continue;
     }
     /* a chunk that was written when the size limit was larger may be too large for one more allocation */
@@ -171,12 +173,13 @@
   gboolean is_open;
   if (!job_may_start_task(c, batch, job) || !find_chunk(c, batch, job, machine, &index, &is_open))
     return FALSE;
-  if (fk_launch_batch_is_full(c, batch) || (!is_open && fk_launch_batch_is_out_of_chunks(c, batch)))
+  if (fk_launch_batch_is_full(c, batch) || (!is_open && fk_launch_batch_is_out_of_writes(c, batch)))
     return FALSE;
   FkChunk *chunk = open_chunk(c, batch, job, index);
   guard_team_quota(c, batch, job->spec->team);
   allocate_first_waiting(c, chunk, job, machine);
-  fk_transaction_guard(batch->txn, fk_key_path(FK_KEY_SHARD, machine->shard->id), machine->shard->rev);
+  fk_transaction_guard(batch->txn, fk_store_key_path(FK_STORE_KEY_SHARD, machine->shard->id),
+                       machine->shard->rev);
   batch->bytes += SHARD_GUARD_BYTES;
   batch->allocated++;
   fk_reservation_add(c, machine, job->spec);
--- a/src/core/scheduling/launch_batch.h
+++ b/src/core/scheduling/launch_batch.h
@@ -19,14 +19,14 @@
   guint allocated;    /* number of tasks allocated by the batch */
   /* TRUE if the launch bypasses the pause between launches; it may then start only tasks of jobs above the
    * normal priority */
-  gboolean urgent_only;
+  gboolean high_priority_only;
 } FkLaunchBatch;
 
 /* Returns whether the batch is full: no further task can be added. */
 gboolean fk_launch_batch_is_full(FkController *c, const FkLaunchBatch *batch);
 /* Returns whether the batch can't write another chunk, since too few writes are available. Tasks of chunks
  * that the batch already writes can still be added. */
-gboolean fk_launch_batch_is_out_of_chunks(FkController *c, const FkLaunchBatch *batch);
+gboolean fk_launch_batch_is_out_of_writes(FkController *c, const FkLaunchBatch *batch);
 /* Allocates the job's first waiting task to the machine. Returns FALSE if no task of the job can be added to
  * the batch. */
 gboolean fk_launch_batch_allocate(FkController *c, FkLaunchBatch *batch, FkJob *job, FkMachine *machine);
--- a/src/core/scheduling/launches.h
+++ b/src/core/scheduling/launches.h
@@ -13,11 +13,11 @@
 } FkReservation;
 
 typedef struct {
-  GHashTable *hindrances; /* reason why a cycle launched nothing -> number of cycles in this window */
-  guint launched;         /* launches in this window whose outcome was reported, whatever the outcome */
-  guint conflicts;        /* launches in this window that a guard rejected */
-  guint failures;         /* launches in this window that failed or whose outcome is unknown */
-  guint services_waiting; /* waiting tasks of services as of the last cycle */
+  GHashTable *no_launch_reasons; /* reason why a cycle launched nothing -> number of cycles in this window */
+  guint launched;             /* launches in this window whose outcome was reported, whatever the outcome */
+  guint conflicts;            /* launches in this window that a guard rejected */
+  guint failures;             /* launches in this window that failed or whose outcome is unknown */
+  guint queued_service_tasks; /* waiting tasks of services as of the last cycle */
   /* TRUE if an earlier launch may still commit, since its outcome is unknown. No launch is sent until a write
    * of this controller's launch fence has ruled that out. */
   gboolean fence_needed;
@@ -27,9 +27,10 @@
   FkRev wait_rev;      /* revision of the last launch or fence; no cycle runs until the view has applied it */
   FkTime launch_after; /* end of the pause between launches */
   /* time from which jobs above the normal priority may bypass the pause between launches */
-  FkTime urgent_after;
-  GArray *reservations; /* FkReservation of the launch in flight */
-  double write_room;    /* writes to the store that this process's rate limiter would send without delay */
-  gboolean quota_partitioning; /* a write that changes a team's quota partition is in flight */
+  FkTime bypass_after;
+  GArray *reservations;           /* FkReservation of the launch in flight */
+  double launch_writes_available; /* writes to the store that this process's rate limiter would send without
+                                     delay */
+  gboolean quota_partitioning;    /* a write that changes a team's quota partition is in flight */
   FkRev quota_wait_rev; /* no write of a quota partition is sent until the view has applied this revision */
 } FkLaunches;
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -35,9 +35,9 @@
 /* Returns whether tasks of the job may be stopped for the blocked job. The job must be an array of another
  * team. If its priority is lower, its team must use more than OVER_SHARE_FACTOR times its share, and its
  * class must not starve. If its priority is the same or higher, the blocked job must have the best standing
- * (FK_STANDING_PROTECTED) and an effective priority equal to that of its spec, and the team of `job` must use
- * well above its share and above its guarantee. reclaimable_cpus() ensures that no team falls below its
- * share. */
+ * (FK_STANDING_WITHIN_GUARANTEE) and an effective priority equal to that of its spec, and the team of `job`
+ * must use well above its share and above its guarantee. reclaimable_cpus() ensures that no team falls below
+ * its share. */
 static gboolean is_preemptible_for(FkController *c, const FkJob *job, const FkJob *blocked) {
   const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, job->spec->team);
   if (job->spec->shape != FK_SHAPE_ARRAY || job->cancelled ||
@@ -45,9 +45,10 @@
     return FALSE;
   if (job->spec->priority > blocked->spec->priority)
     return team->used > OVER_SHARE_FACTOR * team->share && !fk_starvation_affects_class(c, job);
-  return blocked->fair_share_standing == FK_STANDING_PROTECTED &&
+  return blocked->fair_share_standing == FK_STANDING_WITHIN_GUARANTEE &&
          blocked->effective_priority == blocked->spec->priority &&
-         team->used > MAX(team->share, team->guarantee) && fk_fair_share_standing(team) == FK_STANDING_OVER;
+         team->used > MAX(team->share, team->guarantee) &&
+         fk_fair_share_standing(team) == FK_STANDING_ABOVE_SHARE;
 }
 
 /* Adds the job's chunks that have tasks to stop to `candidates`, and the CPUs of its tasks that are already
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -4,7 +4,7 @@
 #include "core/controller_internal.h"
 
 /* Adds one task's amounts to the machine's reserved capacity (`sign` 1) or subtracts them (-1). */
-void fk_reservation_apply(FkMachine *machine, const FkSpec *spec, int sign);
+void fk_machine_adjust_reserved(FkMachine *machine, const FkSpec *spec, int sign);
 
 /* Reserves capacity and quota for a launch in flight, until fk_reservation_clear_all(). */
 void fk_reservation_add(FkController *c, FkMachine *machine, const FkSpec *spec);
--- a/src/core/scheduling/scheduling_queue.h
+++ b/src/core/scheduling/scheduling_queue.h
@@ -18,7 +18,7 @@
  * retry delay. Long jobs count only on the leader. Free capacity isn't checked. Looks only at the first job
  * of the queue and at the jobs that have changed since the last cycle. FkJob.urgent has another meaning: it
  * marks aged jobs and the largest jobs of starving classes. */
-gboolean fk_scheduling_queue_has_urgent(FkController *c);
+gboolean fk_scheduling_queue_has_high_priority(FkController *c);
 /* Returns how many times a job's queue position has been updated so far: a measure of what the cycles
  * cost. */
 guint64 fk_scheduling_queue_refreshed_count(const FkSchedulingQueue *queue);
@@ -26,7 +26,7 @@
  * reservation, or to a blocked job of a higher priority. Urgent jobs and services yield only to
  * reservations. Without this rule, small tasks of a low priority fill every gap as it opens, and larger ones
  * never start: with 7,000 tasks of two CPUs waiting, arrays of four-CPU tasks waited for 400 s. */
-gboolean fk_scheduling_queue_must_back_off(FkController *c, const FkJob *job, const FkMachine *machine);
+gboolean fk_scheduling_queue_must_yield(FkController *c, const FkJob *job, const FkMachine *machine);
 /* Returns whether no expensive machines are provisioned for the job. This applies only to arrays without a
  * deadline whose team has no guarantee and whose class has no objective, and only while at least half of the
  * class is served and the job's priority isn't raised because of starvation. The job may still run on
--- a/src/fair_share/fair_share.h
+++ b/src/fair_share/fair_share.h
@@ -25,10 +25,10 @@
 
 /* How a team's use compares with its share; lower values come first in the scheduling queue. */
 typedef enum {
-  FK_STANDING_PROTECTED, /* the team's whole demand is within its guarantee */
-  FK_STANDING_SHORT,     /* the team uses well below its share */
-  FK_STANDING_FAIR,      /* the team uses about its share */
-  FK_STANDING_OVER       /* the team uses well above its share */
+  FK_STANDING_WITHIN_GUARANTEE, /* the team's whole demand is within its guarantee */
+  FK_STANDING_BELOW_SHARE,      /* the team uses well below its share */
+  FK_STANDING_NEAR_SHARE,       /* the team uses about its share */
+  FK_STANDING_ABOVE_SHARE       /* the team uses well above its share */
 } FkStanding;
 /* Returns the team's standing. Its share must be set. */
 FkStanding fk_fair_share_standing(const FkFairShareDemand *demand);
--- a/src/scheduling_queue/wait_queue.h
+++ b/src/scheduling_queue/wait_queue.h
@@ -26,7 +26,7 @@
 /* Removes the item. Returns FALSE if it wasn't in the queue. */
 gboolean fk_wait_queue_remove(FkWaitQueue *queue, gpointer item);
 /* Returns the item's position, from 1; 0 if it isn't in the queue. */
-guint fk_wait_queue_place(const FkWaitQueue *queue, gpointer item);
+guint fk_wait_queue_position(const FkWaitQueue *queue, gpointer item);
 /* Appends the first `count_max` items that satisfy `wanted` to `items`, in queue order; examines at most
  * `examined_max` items. */
 void fk_wait_queue_first(const FkWaitQueue *queue, guint count_max, guint examined_max,
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -324,10 +324,10 @@
   fk_boot_time_init(&b);
   /* before any observation: a machine that was just requested is almost certain to join, one that is long
    * overdue isn't */
-  g_assert_cmpfloat(fk_boot_time_probability(&b, 0, 1.5), >, 0.8);
-  g_assert_cmpfloat(fk_boot_time_probability(&b, 2.75, 1), >,
+  g_assert_cmpfloat(fk_boot_time_join_probability(&b, 0, 1.5), >, 0.8);
+  g_assert_cmpfloat(fk_boot_time_join_probability(&b, 2.75, 1), >,
                     0.3); /* a machine that takes three times as long is worth waiting for */
-  g_assert_cmpfloat(fk_boot_time_probability(&b, 3.8, 2), <, 0.1);
+  g_assert_cmpfloat(fk_boot_time_join_probability(&b, 3.8, 2), <, 0.1);
   g_assert_cmpfloat_with_epsilon(fk_boot_time_remaining(&b, 0), 1.25, 0.35);
   g_assert_cmpfloat(fk_boot_time_remaining(&b, 1.2), <, fk_boot_time_remaining(&b, 0));
   /* machines take three times as long: one of twice the usual age is still expected, and the remaining time
@@ -335,7 +335,7 @@
   FkBootTimeModel late = b;
   for (guint i = 0; i < 200; i++)
     fk_boot_time_observe_joined(&late, 3);
-  g_assert_cmpfloat(fk_boot_time_probability(&late, 2, 1), >, fk_boot_time_probability(&b, 2, 1));
+  g_assert_cmpfloat(fk_boot_time_join_probability(&late, 2, 1), >, fk_boot_time_join_probability(&b, 2, 1));
   g_assert_cmpfloat(fk_boot_time_remaining(&late, 1), >, 1.5);
   /* many machines never join: a late one is unlikely to */
   FkBootTimeModel never = b;
@@ -343,8 +343,8 @@
     fk_boot_time_observe_given_up(&never, 3);
     fk_boot_time_observe_joined(&never, 0.8);
   }
-  g_assert_cmpfloat(fk_boot_time_probability(&never, 1.6, 1), <, 0.25);
-  g_assert_cmpfloat(fk_boot_time_probability(&never, 0, 1), >, 0.4);
+  g_assert_cmpfloat(fk_boot_time_join_probability(&never, 1.6, 1), <, 0.25);
+  g_assert_cmpfloat(fk_boot_time_join_probability(&never, 0, 1), >, 0.4);
   /* probabilities stay between 0 and 1 at any age, after any history */
   GRand *rand = g_rand_new_with_seed(3);
   for (guint i = 0; i < 2000; i++) {
@@ -353,10 +353,11 @@
       fk_boot_time_observe_joined(&b, g_rand_double_range(rand, 0, 8));
     else
       fk_boot_time_observe_given_up(&b, g_rand_double_range(rand, 0, 8));
-    double chance = fk_boot_time_probability(&b, age, g_rand_double_range(rand, 0, 5));
+    double chance = fk_boot_time_join_probability(&b, age, g_rand_double_range(rand, 0, 5));
     g_assert_true(chance >= 0 && chance <= 1 + 1e-9);
     g_assert_cmpfloat(fk_boot_time_remaining(&b, age), >, 0);
-    g_assert_cmpfloat(fk_boot_time_probability(&b, age, 5), >=, fk_boot_time_probability(&b, age, 1) - 1e-9);
+    g_assert_cmpfloat(fk_boot_time_join_probability(&b, age, 5), >=,
+                      fk_boot_time_join_probability(&b, age, 1) - 1e-9);
   }
   g_rand_free(rand);
 }
