--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -9,7 +9,7 @@
 #include "core/scheduling/scheduling_queue.h"
 #include "core/scheduling/starvation.h"
 
-#define TYPES_INTERVAL_S 60 /* between queries for the cloud's instance types */
+#define TYPES_INTERVAL_S 60 /* interval of queries for the cloud's instance types */
 #define TYPES_RETRY_MIN_S 0.6
 #define TYPES_RETRY_MAX_S 1.4
 
@@ -119,8 +119,8 @@
 }
 
 void fk_controller_request_closed(FkController *c, FkRequestId request_id) {
-  /* Drops a held heartbeat of the request, because its reply could not be delivered. For other requests, the
-   * daemon discards the reply. */
+  /* If the request is a heartbeat whose reply is being held, the heartbeat is dropped, because the reply
+   * could no longer be delivered. For other requests, the daemon discards the reply. */
   for (GList *link = c->workers.held_heartbeats->head; link; link = link->next) {
     FkHeldHeartbeat *held = link->data;
     if (held->request.n == request_id.n) {
@@ -189,7 +189,8 @@
   fk_cpu_profile_run(c, FK_CPU_SCHEDULING, fk_scheduling_cycle_run);
 }
 
-/* Runs the components that react to changes of the view, without waiting for the next tick. */
+/* Handles the reply to a watch. Then runs the components that react to changes of the view, without waiting
+ * for the next tick. */
 void fk_controller_watch_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
                                   FkRev store_rev, FkTime sent) {
   c->now = now;
--- a/src/core/controller_status.c
+++ b/src/core/controller_status.c
@@ -1,9 +1,10 @@
 /* Readiness, number of live controllers, and shares of the store's write budget. */
 #include "core/controller_internal.h"
 
-/* The controller counts as partitioned from the store if all of these hold: the store has not replied to it
- * for more than ISOLATED_FROM_STORE_S; the store replied to another controller less than PEER_STORE_RECENT_S
- * ago; and that reply came more than PEER_STORE_LEAD_S after the store's last reply to this controller. */
+/* The controller counts as partitioned from the store if all of these hold: the store has not replied to this
+ * controller for more than ISOLATED_FROM_STORE_S; the store replied to another controller less than
+ * PEER_STORE_RECENT_S ago; and that reply came more than PEER_STORE_LEAD_S after the store's last reply to
+ * this controller. */
 #define ISOLATED_FROM_STORE_S 2.5
 #define PEER_STORE_LEAD_S 1
 #define PEER_STORE_RECENT_S 5
@@ -46,8 +47,9 @@
   return c->launches.services_waiting >= SERVICES_WAITING_MIN;
 }
 
-/* Other controllers have weight 1. The leader, which launches the services of all controllers, has weight 2
- * and, while services have priority, at least the weight of all other controllers together. */
+/* The store's write budget is divided among the controllers by weight. The leader launches the services
+ * of all controllers. It has weight 2, or, while services have priority, the weight of all other controllers
+ * together if that is more. Each other controller has weight 1. */
 double fk_store_write_share(FkController *c) {
   guint live = fk_controller_live_count(c);
   double leader_weight = fk_services_have_priority(c) ? MAX(2, live - 1) : 2;
--- a/src/core/controller_status.h
+++ b/src/core/controller_status.h
@@ -14,7 +14,7 @@
  * shares from their views; the shares add up to 1 if the views agree. */
 double fk_store_write_share(FkController *c);
 /* Returns whether the controller can serve users' requests: its view is ready, the instance types are known,
- * and it is neither partitioned from the store nor from all other controllers. */
+ * and the controller does not count as partitioned. */
 gboolean fk_controller_can_serve(FkController *c, FkTime now);
 /* Returns whether the controller named `node` has its node key in the view; FALSE if `node` is NULL. */
 gboolean fk_node_is_alive(FkController *c, const char *node);
--- a/src/core/cpu_profile.h
+++ b/src/core/cpu_profile.h
@@ -6,11 +6,11 @@
 
 typedef enum {
   FK_CPU_LOOP,          /* HTTP, sockets and the main loop: everything without a purpose of its own */
-  FK_CPU_HEARTBEATS,    /* workers' heartbeats and their replies to commands */
+  FK_CPU_HEARTBEATS,    /* workers' heartbeats, and workers' replies to commands */
   FK_CPU_DECODE,        /* decoding the store's replies to records */
   FK_CPU_APPLY,         /* applying records to the view */
   FK_CPU_ENCODE,        /* encoding transactions to request bodies */
-  FK_CPU_USER_REQUESTS, /* submissions, polls, cancellations; dependencies and starvation */
+  FK_CPU_USER_REQUESTS, /* users' requests, and the ticks of job dependencies and starvation detection */
   FK_CPU_SCHEDULING,    /* the scheduling cycle */
   FK_CPU_PREEMPTION,    /* leader election, preemption and finalization of jobs */
   FK_CPU_AUTOSCALER,    /* scale-out, scale-in and cost accounting */
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -17,7 +17,7 @@
   FK_EXIT_UNKNOWN  /* refused: the worker does not know the job */
 } FkExitReason;
 
-/* State of one attempt on a worker. */
+/* A worker's report of one attempt. */
 typedef struct {
   char *job;
   guint32 task;
@@ -85,7 +85,7 @@
 typedef struct {
   char *path;
   FkRecord *record; /* NULL to delete the key */
-  FkRev lease;      /* the key is deleted when this lease expires; 0 if none */
+  FkRev lease;      /* lease whose expiry deletes the key; 0 if none */
 } FkWrite;
 
 /* Priorities in the write budget, highest first. */
@@ -115,7 +115,8 @@
   FK_OUTPUT_LIST_MACHINES /* after */
 } FkOutputKind;
 
-/* An action to carry out. Its layout is shared with the version in production (test versions_layout). */
+/* An action to carry out. The layout of the struct is shared with the version in production (test
+ * versions_layout). */
 typedef struct {
   FkOutputKind kind;
   FkRequestId request;
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -55,8 +55,8 @@
   double heartbeat_interval_s;    /* interval of workers' heartbeats */
   double worker_lease_s;          /* duration of a worker's lease */
   double cancellation_deadline_s; /* time within which a cancellation must take effect */
-  /* Rate limits of the store, per second. `store_*`: the current limits; `next_store_*`: the limits, not
-   * higher, that replace them at a time not known in advance. */
+  /* Rate limits of the store, per second. `store_*`: the current limits. `next_store_*`: the limits that
+   * replace the current limits at a time not known in advance; not higher than the current limits. */
   double store_rps, store_write_rps;
   double next_store_rps, next_store_write_rps;
   double value_kb;           /* size limit of a value in KiB: the lower of the current and the future limit */
--- a/src/core/state/job.c
+++ b/src/core/state/job.c
@@ -73,7 +73,7 @@
 #define BYTES_PER_KIB 1024
 #define CHUNK_TASKS_MIN 8
 #define CHUNK_TASKS_MAX 128
-/* Size of a chunk's record without its allocations; an upper bound for any number of tasks. */
+/* Size of a chunk's record without its allocations; an upper bound for up to CHUNK_TASKS_MAX tasks. */
 #define CHUNK_RECORD_OVERHEAD_BYTES 160
 /* Size of an allocation without the names of its machine and controller. */
 #define ALLOCATION_BYTES 28
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -73,9 +73,9 @@
 /* Returns whether the chunk's record stays within `value_kb` KiB after `controller` adds an allocation to
  * `machine`. If `machine` is NULL, checks the chunk without a new allocation. */
 gboolean fk_chunk_fits(const FkChunk *chunk, double value_kb, const char *machine, const char *controller);
-/* Returns the number of tasks per chunk for a size limit of `value_kb` KiB: as many as one record can hold
- * allocations for, between a fixed minimum and maximum. Assumes that the names of the launching controllers
- * are as long as `controller`. */
+/* Returns the number of tasks per chunk for a size limit of `value_kb` KiB: the number of allocations that
+ * fit into one record, limited to a fixed minimum and maximum. Assumes that the names of the launching
+ * controllers are as long as `controller`. */
 guint32 fk_chunk_max_tasks(double value_kb, const char *controller);
 /* Returns the task's allocation, valid until the chunk next changes; NULL if it has none. */
 FkAllocation *fk_chunk_find_allocation(const FkChunk *chunk, guint32 task);
--- a/src/core/state/job_dependencies.c
+++ b/src/core/state/job_dependencies.c
@@ -5,7 +5,7 @@
 /* Limits on reads of terminal records. After a restart, thousands of blocked jobs may need the terminal
  * records of their dependencies. The limits leave the store's request budget to users' requests. */
 #define READS_PER_TICK 2
-#define READS_MAX 8 /* in flight */
+#define READS_MAX 8 /* largest number of reads in flight */
 #define INHERIT_INTERVAL_S 1.0
 
 static gboolean node_supports_dependencies(FkController *c, const char *node) {
--- a/src/core/state/live_job.h
+++ b/src/core/state/live_job.h
@@ -6,7 +6,7 @@
 /* A live job. Fields of type FkTime, and fields whose names end in `_us`, are times on this process's
  * monotonic clock. */
 typedef struct {
-  gint ref_count;   /* number of references, such as from the view, probes and the scheduling queue */
+  gint ref_count;   /* number of references, held for example by the view and the scheduling queue */
   gboolean removed; /* the job was removed from the view and has no waiting tasks */
   guint list_index; /* index in the view's `live_jobs` */
   FkSpec *spec;
@@ -24,12 +24,12 @@
   gboolean has_failed;    /* an attempt has failed */
   gboolean failing;       /* the job seems to fail on every machine; see fk_job_waiting_tasks() */
   FkTime cycle_tried_at;  /* last attempt of a scheduling cycle to start a task while `failing` */
-  guint64 wait_times_window;        /* number of the window to which `wait_times_counted` refers */
-  guint wait_times_counted;         /* number of the job's waits added to FkWaitTimes in that window */
-  FkAttempt gang_attempt;           /* attempt number of the gang launch in progress */
-  guint32 gang_allocated;           /* number of tasks allocated so far by the gang launch in progress */
-  FkTime preempted_for_at;          /* when tasks of other jobs were last preempted for this job */
-  double waiting_cpu_s;             /* CPU-seconds of the waiting tasks; sort key of the scheduling queue */
+  guint64 wait_times_window; /* number of the window to which `wait_times_counted` refers */
+  guint wait_times_counted;  /* number of the job's waits added to FkWaitTimes in `wait_times_window` */
+  FkAttempt gang_attempt;    /* attempt number of the gang launch in progress */
+  guint32 gang_allocated;    /* number of tasks allocated so far by the gang launch in progress */
+  FkTime preempted_for_at;   /* when tasks of other jobs were last preempted for this job */
+  double waiting_cpu_s;      /* CPU-seconds of the waiting tasks; sort key of the scheduling queue */
   FkJobPriority effective_priority; /* priority in the scheduling queue, after fair share and aging */
   FkStanding fair_share_standing;   /* fair-share standing of the job's team */
   guint queue_position;             /* queue position when the job was last selected, from 1; 0 if never */
@@ -44,7 +44,9 @@
   FkTime gang_until;     /* time until which a gang launch may continue in further transactions */
   gint64 submitted_us;   /* time of submission, converted from the wall clock */
   gint64 startable_us; /* when the job became startable: its submission, or the end of its last dependency */
-  gint64 deadline_us;  /* latest end for the job's own and its dependents' deadlines; G_MAXINT64 if none */
+  /* Latest end with which the job, and its direct and indirect dependents, can meet their deadlines;
+   * G_MAXINT64 if there is no deadline. */
+  gint64 deadline_us;
   FkJobPriority inherited_priority; /* highest priority of the job and its direct and indirect dependents */
   gboolean blocked;                 /* the job has an unfinished dependency and is not scheduled */
   gboolean ancestor_cancelled;      /* an ancestor was cancelled, even if the job's record does not show it */
--- a/src/core/state/records.h
+++ b/src/core/state/records.h
@@ -3,7 +3,7 @@
 #include "core/state/job.h"
 #include "core/state/store_keys.h"
 
-/* A machine as a page of its shard describes it. Only the drain reason and its notice ever change. */
+/* A machine as a page of its shard describes it. Only `drain_reason` and `notice_s` ever change. */
 typedef struct {
   char *id, *addr;
   const char *type, *zone; /* interned */
@@ -56,7 +56,7 @@
 void fk_wait_times_add(FkWaitTimes *to, const FkWaitTimes *more);
 
 /* The value of one key: a tagged union that owns its members. Only the members of its `kind` may be accessed.
- */
+ * The comment of each member names the kind, without the prefix FK_KEY_. */
 typedef struct {
   FkKeyKind kind;
   union {
--- a/src/core/state/store_keys.h
+++ b/src/core/state/store_keys.h
@@ -11,7 +11,7 @@
   FK_KEY_CHUNK,        /* the states of consecutive tasks of a job */
   FK_KEY_SHARD,        /* the owner of a shard */
   FK_KEY_MACHINE_PAGE, /* one page of the machines of a shard */
-  FK_KEY_COMPLETIONS,  /* completions proven by a controller */
+  FK_KEY_COMPLETIONS,  /* completions that a controller has proof of */
   FK_KEY_LAUNCH_FENCE, /* a controller's launch fence: the guard of each of its launches */
   FK_KEY_NODE,         /* a live controller; attached to its lease */
   FK_KEY_TEAM,         /* how a team's quota is divided among the controllers */
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -23,15 +23,17 @@
 
 typedef struct FkWorkerState FkWorkerState;
 
-/* Times of the two latest returns of a worker. A return is a heartbeat to this controller after it had
- * redirected the worker to the shard's owner. Returns suggest that the worker cannot reach the owner. */
+/* Times of the two latest returns of a worker. A return is a heartbeat to this controller after this
+ * controller had redirected the worker to the shard's owner. Returns suggest that the worker cannot reach the
+ * owner. */
 typedef struct {
   FkTime last_at, previous_at; /* 0 if none */
 } FkReturnedWorker;
 
-/* The largest number of pages that describe the machines of one shard. The first page is named "zone.k".
- * Further pages, "zone.k+1" and so on, are used when one value of the store cannot hold all machines. Only
- * versions that support job dependencies read further pages. */
+/* The largest number of pages that describe the machines of one shard. The first page is named by the shard's
+ * id, such as "north.3". A further page appends "+" and the page's index, such as "north.3+1". Further pages
+ * are used when one value of the store cannot hold all machines. Only versions that support job dependencies
+ * read further pages. */
 #define FK_SHARD_PAGES_MAX 8
 
 /* A subset of the machines of one zone that have a common owner. The fencing token of a shard's owner is the
@@ -41,10 +43,10 @@
   char *owner, *owner_incarnation;     /* the controller that owns the shard; NULL if none does */
   FkRev rev;                           /* revision of the owner's record; 0 if there is no record */
   FkRev page_revs[FK_SHARD_PAGES_MAX]; /* revisions of the shard's machine pages; 0 if not seen */
-  gboolean oversized;                  /* a page exceeds the lower of the current and the future size limit */
+  gboolean oversized;                  /* a page exceeds FK_MACHINE_PAGE_MAX_BYTES and is to be divided */
   GPtrArray *machines;     /* FkMachine; includes machines that are in no page but have sent heartbeats */
   gboolean was_owned;      /* whether this controller owned the shard when last checked */
-  gboolean acquire_wanted; /* this controller is to acquire the shard, even if it owns the shard already */
+  gboolean acquire_wanted; /* acquire the shard; if already the owner, acquire a new fencing token */
   FkTime acquire_after;    /* earliest time of the next attempt to acquire the shard */
   /* Time until which this controller does not take the shard back from a live owner. Set when this controller
    * loses the shard while healthy: the workers probably could not reach this controller. */
@@ -58,7 +60,7 @@
   FkRev later_token;
   guint announcements_due; /* number of workers to send the new fencing token without delay */
   gboolean page_dirty;     /* a page has changes that are not written yet */
-  FkTime page_dirty_since; /* from when the pages have waited to be written */
+  FkTime page_dirty_since; /* since when changes have waited to be written */
   FkTime removal_due;      /* when to write the removal of machines; 0 if none is pending */
 } FkShard;
 
@@ -86,7 +88,7 @@
   double notice_s;           /* seconds from `drain_reason_since` until the termination; < 0 if unknown */
   FkTime idle_since;         /* when the machine last became idle */
   gboolean blacklisted;      /* in the short partition, which newly arrived long jobs may not use */
-  FkTime full_until;         /* time until which no task is launched here, after the machine refused one */
+  FkTime full_until;         /* until then no task is launched here, because the worker was full or busy */
   FkWorkerState *worker;     /* state kept by the shard's owner; NULL if this controller keeps none */
   GDestroyNotify worker_state_free; /* frees `worker` */
   GHashTable *images;               /* interned: images of tasks that were allocated to the machine */
@@ -107,7 +109,7 @@
   double reserved_cpus, reserved_gpus; /* reserved for launches in progress */
   gboolean share_exhausted; /* this controller's share of the quota did not allow a launch that the quota
                                allowed */
-  FkTime serialized_since;  /* from when launches have been serialized; the current time if they are not */
+  FkTime serialized_since;  /* latest check that found the launches not serialized; 0 if none */
   FkTime changed_at;        /* when the team's record last changed */
   char *last_exhausted_by;  /* the last controller to use up its share; NULL if none */
   double serialized_min_s;  /* shortest time for which launches stay serialized */
@@ -134,7 +136,7 @@
   GHashTable *jobs;                 /* id -> FkJob */
   GHashTable *machines;             /* id -> FkMachine */
   GHashTable *shards;               /* id -> FkShard */
-  GHashTable *completion_pages;     /* "node/n" -> FkCompletionPage */
+  GHashTable *completion_pages;     /* "controller/page index" -> FkCompletionPage */
   GHashTable *completions_by_chunk; /* "job/index" -> GPtrArray of FkCompletionRecord, owned by their pages */
   GHashTable *launch_fences;        /* controller -> FkLaunchFence* */
   FkDependencyGraph *dependencies;  /* dependency graph of the live jobs */
--- a/src/core/state/view_chunks.c
+++ b/src/core/state/view_chunks.c
@@ -65,9 +65,11 @@
          first->stop_requested == second->stop_requested;
 }
 
-/* Copies `first_seen_at` and `start_observed` of attempts that are in both chunks to the new chunk. Records
- * the success of allocations whose tasks are done in the new chunk only. `old`: NULL if there is none. */
-static void carry_over_first_seen(FkView *v, FkJob *job, const FkChunk *old, FkChunk *chunk) {
+/* Sets `first_seen_at` and `start_observed` of the new chunk's allocations. The values are copied if the old
+ * chunk has the same attempt; otherwise they are the current time and whether the view is caught up. Also
+ * records the success of each allocation of the old chunk whose task has become done in the new chunk, and
+ * its run time if its start was observed. `old`: the old chunk; NULL if there is none. */
+static void carry_over_attempt_state(FkView *v, FkJob *job, const FkChunk *old, FkChunk *chunk) {
   for (guint i = 0; i < chunk->allocations->len; i++) {
     FkAllocation *allocation = &g_array_index(chunk->allocations, FkAllocation, i);
     FkAllocation *previous = old ? fk_chunk_find_allocation(old, allocation->task) : NULL;
@@ -124,7 +126,7 @@
 void fk_view_set_effective_chunk(FkView *v, FkJob *job, guint32 index, FkChunk *chunk) {
   FkChunk *old = job->chunks[index];
   if (chunk)
-    carry_over_first_seen(v, job, old, chunk);
+    carry_over_attempt_state(v, job, old, chunk);
   if (index < job->unstarted_hint)
     job->unstarted_hint = index;
   job->chunks[index] = chunk;
@@ -138,7 +140,7 @@
     fk_chunk_free(old);
     return;
   }
-  /* By task: the old allocation; NULL if there is none or it is already handled. */
+  /* Indexed by task: the old allocation; NULL if there is none or the allocation is already handled. */
   g_autofree const FkAllocation **unmatched = g_new0(const FkAllocation *, chunk->task_count);
   for (guint i = 0; i < old->allocations->len; i++) {
     const FkAllocation *allocation = &g_array_index(old->allocations, FkAllocation, i);
--- a/src/core/state/view_completions.c
+++ b/src/core/state/view_completions.c
@@ -6,7 +6,7 @@
 /* Ends an allocation of the chunk with the result `kind`. */
 static void end_allocation(FkView *v, FkJob *job, FkChunk *chunk, const FkAllocation *ended,
                            FkCompletionKind kind) {
-  FkAllocation allocation = *ended; /* a copy, because `ended` points into the chunk and is removed below */
+  FkAllocation allocation = *ended; /* a copy, because the allocation in the chunk is removed below */
   gboolean done = kind == FK_COMPLETION_DONE;
   if (done && allocation.start_observed)
     fk_view_learn_run_time(v, job->spec, fk_time_between(allocation.first_seen_at, v->now));
--- a/src/core/state/view_jobs.c
+++ b/src/core/state/view_jobs.c
@@ -17,8 +17,8 @@
 static void remove_job(FkView *v, const char *id, FkJob *job) {
   for (guint32 i = 0; i < job->chunk_count; i++)
     if (job->chunks[i]) {
-      /* The job is done, so its remaining allocations have succeeded: one transaction may both record the
-       * last results of a job and delete its record. */
+      /* A job that was not cancelled is done, so its remaining allocations have succeeded. One transaction
+       * may both record the last results of a job and delete its record. */
       for (guint k = 0; !job->cancelled && k < job->chunks[i]->allocations->len; k++) {
         const FkAllocation *allocation = &g_array_index(job->chunks[i]->allocations, FkAllocation, k);
         fk_fault_attribution_task_succeeded(v->fault_attribution, id, allocation->machine);
--- a/src/core/store_session/calls.c
+++ b/src/core/store_session/calls.c
@@ -67,7 +67,7 @@
       continue;
     guint writes = call->out->writes->len;
     if (call->out->priority > FK_PRIORITY_USER && writes > writes_available)
-      continue; /* the retry exceeds the available writes and would only delay other writes */
+      continue; /* the retry needs more writes than are available and would delay other writes */
     writes_available -= writes;
     call->sent.us = 0;
     call->sends++;
--- a/src/core/store_session/session.h
+++ b/src/core/store_session/session.h
@@ -13,9 +13,10 @@
   FkTime retry_at;            /* earliest time to send a failed list request again */
   FkTime confirmed_at;        /* latest time at which the store's replies prove that the view was current */
   FkRev latest_rev_seen;      /* highest revision shown by the replies to transactions and watches */
-  GHashTable *peer_confirmed_at; /* controller -> FkTime*: send time of the latest confirming query */
+  /* controller -> FkTime*: when the latest query whose reply confirmed the view was sent */
+  GHashTable *peer_confirmed_at;
   FkTime next_peer_query;        /* earliest time of the next queries to the other controllers */
-  FkTime peer_answered_at;       /* when another controller last replied to this one */
+  FkTime peer_answered_at;       /* when another controller last replied to this controller */
   FkTime peer_store_answered_at; /* latest known time of a store reply to another controller */
   FkTime store_answered_at;      /* when the store last replied to this controller */
   FkTime store_recovered_at; /* when the store first replied after its latest outage; 0 if there was none */
--- a/test/test_dependency_graph.c
+++ b/test/test_dependency_graph.c
@@ -13,8 +13,8 @@
 }
 
 /* Applies one step. "a: b c": job a is submitted and depends on b and c. "a gone": the live record of a is
- * deleted. "a live", "a done [MS]", "a cancelled", "a unknown": sets the state of a, with the time of its end
- * in ms. */
+ * deleted. "a live", "a cancelled", "a unknown": sets the state of a. "a done [MS]": also sets the time at
+ * which a ended, in ms. */
 static void apply_step(FkDependencyGraph *graph, const char *line) {
   g_auto(GStrv) words = g_strsplit(line, " ", 0);
   const char *colon = strchr(words[0], ':');
@@ -150,8 +150,8 @@
   g_string_free(changes.log, TRUE);
 }
 
-/* A chain of 100,000 jobs, and 100,000 jobs that depend on one: guards against recursion, which would
- * overflow the stack, and against work that grows faster than the number of edges. */
+/* A chain of 100,000 jobs, and 100,000 jobs that depend on a single job: guards against recursion, which
+ * would overflow the stack, and against work that grows faster than the number of edges. */
 static void test_large_graph(void) {
   for (int is_fan = 0; is_fan < 2; is_fan++) {
     ChangeLog changes = {g_string_new(NULL)};
--- a/test/test_forms.c
+++ b/test/test_forms.c
@@ -94,7 +94,8 @@
   return r ? fk_worker_print_heartbeat(r) : NULL;
 }
 
-/* The reply to a heartbeat, with the status in the argument, or direct commands (argument "commands"). */
+/* Commands for a worker. If the argument is "commands": the body of a controller's request to the worker.
+ * Otherwise: the reply to a heartbeat; the argument is the reply's HTTP status. */
 static char *worker_commands(const char *argument, const char *text) {
   gboolean is_commands_request = g_str_equal(argument, "commands");
   int status = is_commands_request ? 200 : (int)g_ascii_strtoull(argument, NULL, 10);
@@ -120,7 +121,7 @@
   return s ? fk_user_print_submission(s) : NULL;
 }
 
-/* The reply to a user about a job; the argument is its id. */
+/* The reply to a user about a job; the argument is the job's id. */
 static char *job_state(const char *argument, const char *text) {
   FkJobState s;
   if (!fk_user_parse_state(text, strlen(text), &s))
--- a/test/test_job_dependencies.c
+++ b/test/test_job_dependencies.c
@@ -72,8 +72,8 @@
 }
 
 /* Another controller has acknowledged the cancellation of a dependency, and this controller's view lacks the
- * cancellation. The read check of the job's own record does not notice the difference, so the reply must wait
- * for the view: a reply of `queued` could follow another controller's reply of `withdrawn`. */
+ * cancellation. The read check covers only the job's own record, which has not changed. The reply must
+ * therefore wait for the view: a reply of `queued` could follow another controller's reply of `withdrawn`. */
 static void test_waits_for_view(void) {
   Rig *r = rig_with_dependency_support();
   watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-1"), NULL});
@@ -88,7 +88,7 @@
   rig_free(r);
 }
 
-/* A poll is answered 503 if the view does not reach the revision of the read check in time. */
+/* A poll is answered with status 503 if the view does not reach the revision of the read check in time. */
 static void test_unavailable_without_view(void) {
   Rig *r = rig_with_dependency_support();
   watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-1"), NULL});
@@ -101,8 +101,8 @@
   rig_free(r);
 }
 
-/* A dependent is not released by a chunk that shows all tasks done, nor by the deletion of the live record,
- * but only by the terminal record. */
+/* A dependent does not become ready when a chunk shows that all tasks of its dependency are done, or when the
+ * dependency's live record is deleted. It becomes ready when the terminal record arrives. */
 static void test_terminal_state_releases(void) {
   Rig *r = rig_with_dependency_support();
   watched(r, (const char *const[]){"fk/l/j/run-2", JOB_DEPENDING_ON("run-1"), NULL});
@@ -345,7 +345,7 @@
 #define LONG_ADDR "[2001:db8:1234:5678::1234]:9000"
 
 /* Feeds a successful reply and the watch events for each transaction among the outputs. Returns the size of
- * the largest in bytes. */
+ * the largest transaction in bytes. */
 static gsize commit_all(Rig *r, guint value_bytes_max) {
   g_autoptr(GPtrArray) outs = g_steal_pointer(&r->outs), none = g_ptr_array_new();
   gsize largest = 0;
