--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -101,8 +101,9 @@
   FkRev rev;
 } FkControllerNode;
 
-/* The resources allocated to a team, and how its quota is divided among the controllers
- * (scheduling/quota_partition.c). */
+/* The resources allocated to a team, and how the team's quota is divided among the controllers
+ * (scheduling/quota_partition.c). A quota that is not divided is serialized: each launch of the team writes
+ * the team's record. */
 typedef struct {
   FkRev rev;
   double cpus, gpus;                   /* allocated to the team's tasks */
