--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -139,8 +139,8 @@
   GPtrArray *names;
   FkRev rev;
   double seconds, delay_s;
-  guint budget_refusals; /* used by the daemon: how often the store rejected the request with status 429 */
-  guint extra_refs;      /* number of references in addition to the first */
+  guint rate_limit_retries; /* used by the daemon: how often the store rejected the request with status 429 */
+  guint extra_refs;         /* number of references in addition to the first */
 } FkOutput;
 
 FkOutput *fk_output_ref(FkOutput *output);
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -59,8 +59,8 @@
    * replace the current limits at a time not known in advance; not higher than the current limits. */
   double store_rps, store_write_rps;
   double next_store_rps, next_store_write_rps;
-  double value_kb;           /* size limit of a value in KiB: the lower of the current and the future limit */
-  double current_value_kb;   /* current size limit of a value in KiB */
+  double value_kb; /* size limit of a value in KiB: the lower of the current and the future limit */
+  double current_value_limit_kb; /* current size limit of a value in KiB */
   guint transaction_ops_max; /* operations per transaction: the lower of the current and the future limit */
   double cloud_rps;          /* rate limit of the cloud, requests per second */
   double cloud_list_lag_s;   /* longest delay until a change shows in the cloud's list of machines */
@@ -75,7 +75,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkSettings, fk_settings_free)
 /* Returns whether the team has a CPU or GPU quota. Launches of a team without a quota do not need the team's
  * record. */
-gboolean fk_team_has_limit(const FkTeam *team);
+gboolean fk_team_has_quota(const FkTeam *team);
 /* Returns the team named `name`, owned by `settings`; NULL if there is none. */
 FkTeam *fk_settings_find_team(const FkSettings *settings, const char *name);
 /* Returns the index in `teams` of the team named `name`; `teams->len` if there is none. */
--- a/src/core/state/live_job.h
+++ b/src/core/state/live_job.h
@@ -17,13 +17,13 @@
   FkChunk **base_chunks;   /* the chunks as stored; NULL for a chunk without a record */
   FkChunk **chunks;        /* stored chunks with the view's completions applied; NULL as in `base_chunks` */
   guint32 done, allocated; /* numbers of tasks */
-  guint32 unstarted_hint;  /* no chunk before this index has a waiting task */
+  guint32 first_waiting_chunk_hint; /* no chunk before this index has a waiting task */
   FkTime first_seen_at;   /* when this controller first saw the job; reset when the job stops being blocked */
   FkTime attempt_lost_at; /* when an attempt of the job last ended without a result; 0 if none */
   FkTime retry_at;        /* end of the job's backoff; 0 if there was none */
   gboolean has_failed;    /* an attempt has failed */
   gboolean failing;       /* the job seems to fail on every machine; see fk_job_waiting_tasks() */
-  FkTime cycle_tried_at;  /* last attempt of a scheduling cycle to start a task while `failing` */
+  FkTime last_trial_at;   /* last attempt of a scheduling cycle to start a task while `failing` */
   guint64 wait_times_window; /* number of the window to which `wait_times_counted` refers */
   guint wait_times_counted;  /* number of the job's waits added to FkWaitTimes in `wait_times_window` */
   FkAttempt gang_attempt;    /* attempt number of the gang launch in progress */
@@ -36,13 +36,14 @@
   gboolean urgent;                  /* sorts before other jobs of equal effective priority and standing */
   gboolean quota_available;         /* the team's quota allowed another task when last checked */
   double demand_cpus;               /* number of CPUs counted for the job in its team's demand in the queue */
-  guint waiting_services; /* number of the job's tasks counted as waiting service tasks in the queue */
-  guint64 last_cycle;     /* number of the last scheduling cycle that selected the job */
-  gboolean size_recorded; /* the job's size is included in the service-level statistics */
-  FkTime probed_at;       /* when probes for the job were last placed */
-  double latest_start_s; /* seconds until the latest start for a deadline or objective; G_MAXDOUBLE if none */
-  FkTime gang_until;     /* time until which a gang launch may continue in further transactions */
-  gint64 submitted_us;   /* time of submission, converted from the wall clock */
+  guint waiting_service_tasks; /* number of the job's tasks counted as waiting service tasks in the queue */
+  guint64 last_cycle;          /* number of the last scheduling cycle that selected the job */
+  gboolean size_recorded;      /* the job's size is included in the service-level statistics */
+  FkTime probed_at;            /* when probes for the job were last placed */
+  double seconds_to_latest_start; /* seconds until the latest start for a deadline or objective; G_MAXDOUBLE
+                                     if none */
+  FkTime gang_launch_until;       /* time until which a gang launch may continue in further transactions */
+  gint64 submitted_us;            /* time of submission, converted from the wall clock */
   gint64 startable_us; /* when the job became startable: its submission, or the end of its last dependency */
   /* Latest end with which the job, and its direct and indirect dependents, can meet their deadlines;
    * G_MAXINT64 if there is no deadline. */
--- a/src/core/state/records.h
+++ b/src/core/state/records.h
@@ -58,7 +58,7 @@
 /* The value of one key: a tagged union that owns its members. Only the members of its `kind` may be accessed.
  * The comment of each member names the kind, without the prefix FK_KEY_. */
 typedef struct {
-  FkKeyKind kind;
+  FkStoreKeyKind kind;
   union {
     struct { /* JOB */
       FkSpec *spec;
@@ -86,7 +86,7 @@
   };
 } FkRecord;
 
-FkRecord *fk_record_new(FkKeyKind kind);
+FkRecord *fk_record_new(FkStoreKeyKind kind);
 void fk_record_free(FkRecord *record); /* NULL is fine */
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkRecord, fk_record_free)
 
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -58,10 +58,10 @@
   /* The highest fencing token that the shard's workers have reported while this controller's view was stale.
    * If the token is above `rev`, another controller has acquired the shard. */
   FkRev later_token;
-  guint announcements_due; /* number of workers to send the new fencing token without delay */
-  gboolean page_dirty;     /* a page has changes that are not written yet */
-  FkTime page_dirty_since; /* since when changes have waited to be written */
-  FkTime removal_due;      /* when to write the removal of machines; 0 if none is pending */
+  guint announcements_due;  /* number of workers to send the new fencing token without delay */
+  gboolean page_dirty;      /* a page has changes that are not written yet */
+  FkTime page_dirty_since;  /* since when changes have waited to be written */
+  FkTime removal_write_due; /* when to write the removal of machines; 0 if none is pending */
 } FkShard;
 
 /* A machine, with the state that the view, the shard's owner and the scheduler keep of the machine. */
@@ -70,21 +70,22 @@
   FkMachineRecord *record; /* NULL if the machine is not registered */
   FkShard *shard;          /* NULL if its zone is unknown */
   FkRev page_rev;          /* revision of the page that last contained the machine's record */
-  guint page_part;         /* index of the page that last contained the machine's record */
+  guint record_page_index; /* index of the page that last contained the machine's record */
   /* Changes of the machine's record that are not written to the store yet. */
-  FkMachineRecord *pending_record;  /* the record to add, owned; NULL if none */
-  const char *pending_drain_reason; /* interned: the drain reason to set; NULL if none */
-  double pending_notice_s;     /* for `pending_drain_reason`: seconds until the termination; < 0 if unknown */
-  gboolean pending_clear;      /* the drain reason is to be cleared */
-  gboolean pending_removal;    /* the record is to be removed: the machine is terminated */
-  struct FkInstanceType *type; /* cached; NULL if not looked up yet */
-  GArray *allocations;         /* FkAllocationRef */
+  FkMachineRecord *pending_record;     /* the record to add, owned; NULL if none */
+  const char *pending_drain_reason;    /* interned: the drain reason to set; NULL if none */
+  double pending_termination_notice_s; /* for `pending_drain_reason`: seconds until the termination; < 0 if
+                                          unknown */
+  gboolean pending_drain_clear;        /* the drain reason is to be cleared */
+  gboolean pending_removal;            /* the record is to be removed: the machine is terminated */
+  struct FkInstanceType *type;         /* cached; NULL if not looked up yet */
+  GArray *allocations;                 /* FkAllocationRef */
   double allocated_cpus, allocated_gpus, allocated_mem_gb;
   double reserved_cpus, reserved_gpus, reserved_mem_gb; /* reserved for launches in progress */
   double allocated_long_cpus;                           /* CPUs allocated to tasks of the long path */
   const char *drain_reason;  /* interned: why the machine is to be drained; NULL if it is not */
   FkTime drain_reason_since; /* when this controller first saw the drain reason */
-  FkTime record_seen;        /* when this controller first saw the machine's record */
+  FkTime record_seen_at;     /* when this controller first saw the machine's record */
   double notice_s;           /* seconds from `drain_reason_since` until the termination; < 0 if unknown */
   FkTime idle_since;         /* when the machine last became idle */
   gboolean blacklisted;      /* in the short partition, which newly arrived long jobs may not use */
@@ -149,9 +150,9 @@
   GQueue *terminal_order;           /* ids of terminal jobs, first added first; owned by `terminal_phases` */
   GHashTable *estimate_corrections; /* class -> double*: ratio of actual to estimated run time, smoothed */
   FkSpec *latest_service;           /* the service that was added last; NULL if none */
-  double service_rate;              /* arrival rate of services in tasks per second, smoothed */
-  guint services_since_rate;        /* tasks of services that arrived since `service_rate` was last updated */
-  FkTime service_rate_at;           /* when `service_rate` was last updated */
+  double service_arrival_rate;      /* arrival rate of services in tasks per second, smoothed */
+  guint service_arrivals; /* tasks of services that arrived since `service_arrival_rate` was last updated */
+  FkTime service_arrival_rate_updated_at; /* when `service_arrival_rate` was last updated */
   double finished_run_s; /* sum of the measured run times of array and gang tasks completed in this window */
   guint finished_count;  /* number of tasks in `finished_run_s` */
   double lost_cpu_s; /* CPU-seconds lost in this window by array and gang tasks that ended without a result */
@@ -162,7 +163,7 @@
   char *leader, *leader_incarnation; /* NULL if there is no leader */
   FkRev leader_rev;                  /* revision of the leader's record; 0 if none */
   GHashTable *changed_machines;      /* ids of machines changed since the last scheduling cycle */
-  GPtrArray *capacity_removed;       /* addresses of freed machines in the capacity index; not dereferenced */
+  GPtrArray *removed_machines;       /* addresses of freed machines in the capacity index; not dereferenced */
   GHashTable *capacity_changed;      /* ids of machines changed since the last update of the capacity index */
   GPtrArray *live_jobs;              /* FkJob: the values of `jobs`, in no particular order */
   GHashTable *changed_jobs;          /* FkJob, with references: waiting tasks may have changed since the last
@@ -216,7 +217,7 @@
  * job's class. */
 double fk_view_expected_run_s(FkView *view, const FkSpec *spec);
 /* Updates the arrival rate of services. Does nothing if the last update was less than a second ago. */
-void fk_view_update_service_rate(FkView *view);
+void fk_view_update_service_arrival_rate(FkView *view);
 
 /* failing_jobs.c */
 
--- a/src/core/store_session/calls.h
+++ b/src/core/store_session/calls.h
@@ -5,9 +5,9 @@
 /* The calls to the store that await replies, and statistics of recent transactions. */
 typedef struct {
   guint64 last_id; /* id of the latest call; calls to the store, workers and the cloud share the numbering */
-  double usual_delay_s; /* moving average of transaction latency in seconds; 0 before the first reply */
-  double retried_share; /* moving average of the share of transactions that were sent more than once */
-  guint resent;         /* number of transactions in this window that were answered after a retry */
+  double latency_ewma_s; /* moving average of transaction latency in seconds; 0 before the first reply */
+  double retried_share;  /* moving average of the share of transactions that were sent more than once */
+  guint retried_count;   /* number of transactions in this window that were answered after a retry */
   GHashTable *pending_transactions;                 /* call id -> Call */
   GHashTable *pending_reads;                        /* call id -> Call */
   guint transactions[FK_PRIORITY_RESULT + 1];       /* number in this window, by priority; without retries */
--- a/src/core/store_session/session.h
+++ b/src/core/store_session/session.h
@@ -7,7 +7,7 @@
 typedef struct {
   enum { FK_SYNC_IDLE, FK_SYNC_LISTING, FK_SYNC_CATCHING_UP, FK_SYNC_READY } sync;
   char *list_after;           /* path after which the next page of the list begins; NULL for the first page */
-  FkRev list_epoch;           /* the store's revision at the list's first page; the watch starts from it */
+  FkRev list_rev;             /* the store's revision at the list's first page; the watch starts from it */
   FkRev catch_up_rev;         /* highest revision of the list's pages; the view must reach it to be ready */
   gboolean listing, watching; /* a list request, or a watch, is in flight or queued */
   FkTime retry_at;            /* earliest time to send a failed list request again */
@@ -37,4 +37,4 @@
 void fk_store_session_watch_received(FkController *c, FkOutcome outcome, GPtrArray *events, FkRev store_rev,
                                      FkTime sent);
 /* Records the time of the store's reply, if the outcome of a call shows that the store replied. */
-void fk_store_session_note_outcome(FkController *c, FkOutcome outcome);
+void fk_store_session_record_outcome(FkController *c, FkOutcome outcome);
--- a/src/dependency_graph/dependency_graph.h
+++ b/src/dependency_graph/dependency_graph.h
@@ -38,7 +38,7 @@
 void fk_dependency_graph_remove(FkDependencyGraph *graph, const char *id);
 
 /* Returns how many of the job's dependencies are not known to be done; 0 if the job is not live. */
-guint fk_dependency_graph_open_count(const FkDependencyGraph *graph, const char *id);
+guint fk_dependency_graph_unfinished_count(const FkDependencyGraph *graph, const char *id);
 /* Returns the latest known end of the job's dependencies, wall clock in ms; 0 if no end is known. */
 gint64 fk_dependency_graph_ready_ms(const FkDependencyGraph *graph, const char *id);
 /* Returns whether a live job depends on the job. */
--- a/test/test_dependency_graph.c
+++ b/test/test_dependency_graph.c
@@ -101,7 +101,7 @@
   g_assert_true(fk_dependency_graph_is_known(graph, "nobody"));
   apply_step(graph, "a live");
   g_assert_true(fk_dependency_graph_is_known(graph, "c"));
-  g_assert_cmpuint(fk_dependency_graph_open_count(graph, "c"), ==, 1);
+  g_assert_cmpuint(fk_dependency_graph_unfinished_count(graph, "c"), ==, 1);
   apply_step(graph, "a done 70");
   apply_step(graph, "b gone");
   g_assert_false(fk_dependency_graph_is_known(graph, "c"));
