--- a/src/core/state/view_chunks.c
+++ b/src/core/state/view_chunks.c
@@ -15,7 +15,7 @@
   *used += cpus;
 }
 
-void fk_view_count_allocation(FkView *v, FkJob *job, const FkAllocation *allocation, int sign) {
+void fk_view_add_or_remove_allocation(FkView *v, FkJob *job, const FkAllocation *allocation, int sign) {
   const FkSpec *spec = job->spec;
   FkTeamUsage *team = fk_view_ensure_team(v, spec->team);
   FkMachine *machine = fk_view_ensure_machine(v, allocation->machine);
@@ -55,7 +55,7 @@
 
 void fk_view_remove_chunk(FkView *v, FkJob *job, const FkChunk *chunk) {
   for (guint i = 0; i < chunk->allocations->len; i++)
-    fk_view_count_allocation(v, job, &g_array_index(chunk->allocations, FkAllocation, i), -1);
+    fk_view_add_or_remove_allocation(v, job, &g_array_index(chunk->allocations, FkAllocation, i), -1);
   job->done -= chunk->done_count;
 }
 
@@ -134,7 +134,7 @@
     if (old)
       fk_view_remove_chunk(v, job, old);
     for (guint i = 0; chunk && i < chunk->allocations->len; i++)
-      fk_view_count_allocation(v, job, &g_array_index(chunk->allocations, FkAllocation, i), +1);
+      fk_view_add_or_remove_allocation(v, job, &g_array_index(chunk->allocations, FkAllocation, i), +1);
     job->done += chunk ? chunk->done_count : 0;
     fk_view_mark_job_changed(v, job);
     fk_chunk_free(old);
@@ -154,13 +154,13 @@
       continue;
     }
     if (*previous)
-      fk_view_count_allocation(v, job, *previous, -1);
+      fk_view_add_or_remove_allocation(v, job, *previous, -1);
     *previous = NULL;
-    fk_view_count_allocation(v, job, allocation, +1);
+    fk_view_add_or_remove_allocation(v, job, allocation, +1);
   }
   for (guint32 i = 0; i < chunk->task_count; i++)
     if (unmatched[i])
-      fk_view_count_allocation(v, job, unmatched[i], -1);
+      fk_view_add_or_remove_allocation(v, job, unmatched[i], -1);
   job->done += chunk->done_count - old->done_count;
   fk_view_mark_job_changed(v, job);
   fk_chunk_free(old);
--- a/src/core/state/view_completions.c
+++ b/src/core/state/view_completions.c
@@ -12,7 +12,7 @@
     fk_view_learn_run_time(v, job->spec, fk_time_between(allocation.first_seen_at, v->now));
   if (done)
     fk_view_attempt_succeeded(v, job, &allocation);
-  fk_view_count_allocation(v, job, &allocation, -1);
+  fk_view_add_or_remove_allocation(v, job, &allocation, -1);
   if (done)
     fk_chunk_finish(chunk, allocation.task, allocation.attempt);
   else
--- a/src/core/state/view_internal.h
+++ b/src/core/state/view_internal.h
@@ -30,7 +30,7 @@
 void fk_view_remove_chunk(FkView *v, FkJob *job, const FkChunk *chunk);
 /* Adds an allocation (`sign` is 1) or removes one (-1). Updates the allocated amounts of the machine, team
  * and job and the machine's list of allocations, and marks the job and the machine as changed. */
-void fk_view_count_allocation(FkView *v, FkJob *job, const FkAllocation *allocation, int sign);
+void fk_view_add_or_remove_allocation(FkView *v, FkJob *job, const FkAllocation *allocation, int sign);
 
 /* failing_jobs.c */
 
