--- a/src/remote_execution/action_cache.c
+++ b/src/remote_execution/action_cache.c
@@ -1,16 +1,19 @@
-/* ActionCache: the results of actions, which are only given out and taken while all that they refer to is
- * stored. */
+/* The ActionCache service: stores and returns the results of actions. A result is accepted or returned only
+ * if the blobs that it refers to are stored at that time. Otherwise a client could get a result whose outputs
+ * it can't download.
+ */
 #include "remote_execution/cache_call.h"
 
 #define TREE_BYTES_MAX (64 * 1024 * 1024)
 
-/* Adds the files of an output directory's tree to `blobs`. FALSE and a reason (static): not a tree. */
+/* Adds the digests of the files of an output directory's tree to `blobs`. Adds nothing if the tree can't be
+ * read or is larger than TREE_BYTES_MAX. Returns FALSE and a static reason if the tree is malformed. */
 static gboolean add_tree_blobs(FkCacheCall *call, const FkDigest *tree_digest, GArray *blobs,
                                const char **reason) {
   g_autoptr(GBytes) bytes =
       fk_blob_store_read_all(call->service->blobs, call->team, tree_digest, TREE_BYTES_MAX);
   if (!bytes)
-    return TRUE; /* the tree itself is among the blobs, and missing there */
+    return TRUE; /* the tree's own digest is in `blobs` too: find_missing() reports a missing tree */
   Rx__Tree *tree = fk_cache_call_unpack_blob(&rx__tree__descriptor, bytes);
   if (!tree) {
     *reason = "an output directory's tree is none";
@@ -21,9 +24,9 @@
   return valid;
 }
 
-/* Looks for all that a result refers to, the files of its trees too, and counts it as used, so that it is
- * still stored when the client asks for it. `missing` (FkDigest) gets what isn't there. FALSE and a reason
- * (static): not a result. */
+/* Appends each blob that a result refers to and that isn't stored to `missing` (FkDigest). The files of its
+ * trees are included. Records a use of each stored blob, so that it isn't evicted before the client reads it.
+ * Returns FALSE and a static reason if the result or a tree is malformed. */
 static gboolean find_missing(FkCacheCall *call, const Rx__ActionResult *result, GArray *missing,
                              const char **reason) {
   g_autoptr(GArray) blobs = g_array_new(FALSE, FALSE, sizeof(FkDigest));
@@ -39,12 +42,12 @@
   return TRUE;
 }
 
-void fk_cache_get_action_result(FkCacheCall *call, gpointer request) {
-  const Rx__GetActionResultRequest *q = request;
+void fk_cache_get_action_result(FkCacheCall *call, gpointer message) {
+  const Rx__GetActionResultRequest *request = message;
   FkDigest action;
-  if (!fk_cache_call_check_instance(call, q->instance_name) ||
-      !fk_cache_call_check_digest_function(call, q->digest_function) ||
-      !fk_cache_call_parse_digest(call, q->action_digest, &action))
+  if (!fk_cache_call_check_instance(call, request->instance_name) ||
+      !fk_cache_call_check_digest_function(call, request->digest_function) ||
+      !fk_cache_call_parse_digest(call, request->action_digest, &action))
     return;
   g_autoptr(GBytes) bytes = fk_blob_store_get_result(call->service->blobs, call->team, &action);
   g_autoptr(GArray) missing = g_array_new(FALSE, FALSE, sizeof(FkDigest));
@@ -57,7 +60,8 @@
   fk_message_free(result);
 }
 
-/* FALSE: the result isn't one, or refers to what isn't stored: the call was failed. */
+/* Returns whether the result may be stored. Otherwise ends the call with an error: the result is absent or
+ * malformed, or it refers to blobs that aren't stored. */
 static gboolean check_result(FkCacheCall *call, const Rx__ActionResult *result) {
   g_autoptr(GArray) missing = g_array_new(FALSE, FALSE, sizeof(FkDigest));
   const char *reason = NULL;
@@ -78,21 +82,21 @@
   return TRUE;
 }
 
-void fk_cache_update_action_result(FkCacheCall *call, gpointer request) {
-  const Rx__UpdateActionResultRequest *q = request;
+void fk_cache_update_action_result(FkCacheCall *call, gpointer message) {
+  const Rx__UpdateActionResultRequest *request = message;
   FkDigest action;
-  if (!fk_cache_call_check_instance(call, q->instance_name) ||
-      !fk_cache_call_check_digest_function(call, q->digest_function) ||
-      !fk_cache_call_parse_digest(call, q->action_digest, &action))
+  if (!fk_cache_call_check_instance(call, request->instance_name) ||
+      !fk_cache_call_check_digest_function(call, request->digest_function) ||
+      !fk_cache_call_parse_digest(call, request->action_digest, &action))
     return;
-  if (!check_result(call, q->action_result))
+  if (!check_result(call, request->action_result))
     return;
-  g_autoptr(GBytes) bytes = fk_message_pack(q->action_result);
+  g_autoptr(GBytes) bytes = fk_message_pack(request->action_result);
   gsize len;
   const guint8 *data = g_bytes_get_data(bytes, &len);
   FkBlobStatus status = fk_blob_store_put_result(call->service->blobs, call->team, &action, data, len);
   if (status == FK_BLOB_STATUS_OK)
-    fk_cache_call_reply(call, q->action_result);
+    fk_cache_call_reply(call, request->action_result);
   else
     fk_cache_call_fail_blob(call, status);
 }
--- a/src/remote_execution/byte_stream_read.c
+++ b/src/remote_execution/byte_stream_read.c
@@ -1,17 +1,17 @@
-/* ByteStream.Read: a blob, or a part of one, in messages of bounded length, compressed if the name says so.
- */
+/* ByteStream.Read: sends a blob, or a range of one, in messages of at most MESSAGE_DATA_BYTES of data. The
+ * data is compressed if the resource name has `compressed-blobs/zstd`. */
 #include "remote_execution/cache_call.h"
 
 #include <zstd.h>
 
-#define READ_BYTES 65536
+#define READ_BYTES 65536 /* read from the blob for one compression step */
 #define MESSAGE_DATA_BYTES (512 * 1024)
 
 struct FkDownload {
   FkBlobReader *reader;
-  guint64 unread;           /* bytes that were asked for and aren't read yet */
-  ZSTD_CStream *compressor; /* NULL: the blob is sent as it is */
-  gboolean compressed_all;
+  guint64 unread;            /* requested bytes that haven't been read from the blob */
+  ZSTD_CStream *compressor;  /* NULL if the blob is sent uncompressed */
+  gboolean compression_done; /* the end of the compressed frame has been produced */
 };
 
 void fk_download_free(FkDownload *download) {
@@ -22,14 +22,16 @@
   g_free(download);
 }
 
-/* Up to `size` bytes of the blob. 0: the end. < 0: it can't be read. */
+/* Reads up to `size` bytes of the blob. Returns their number, 0 at the end, or < 0 if the blob can't be read.
+ */
 static gssize read_plain(FkDownload *download, guint8 *to, gsize size) {
   gssize n = fk_blob_reader_read(download->reader, to, (gsize)MIN(size, download->unread));
   download->unread -= (guint64)MAX(0, n);
   return n;
 }
 
-/* Compresses the bytes of one read into `out`, which is large enough for them. FALSE: failed. */
+/* Compresses the bytes of one read into `out`, which has at least ZSTD_compressBound(READ_BYTES) bytes left.
+ * With `is_last`, ends the compressed frame. Returns FALSE if zstd fails. */
 static gboolean compress(FkDownload *download, ZSTD_inBuffer *in, ZSTD_outBuffer *out, gboolean is_last) {
   ZSTD_EndDirective directive = is_last ? ZSTD_e_end : ZSTD_e_continue;
   gsize remaining;
@@ -37,11 +39,12 @@
     remaining = ZSTD_compressStream2(download->compressor, out, in, directive);
   while (!ZSTD_isError(remaining) && (in->pos < in->size || (is_last && remaining)) && out->pos < out->size);
   if (is_last && !remaining)
-    download->compressed_all = TRUE;
+    download->compression_done = TRUE;
   return !ZSTD_isError(remaining);
 }
 
-/* Up to `size` bytes of the compressed blob. < 0: failed. */
+/* Writes up to `size` bytes of the compressed blob to `to`. Returns their number, or < 0 if the blob can't be
+ * read or zstd fails. */
 static gssize read_compressed(FkDownload *download, guint8 *to, gsize size) {
   ZSTD_outBuffer out = {to, size, 0};
   guint8 plain[READ_BYTES];
@@ -59,7 +62,7 @@
 }
 
 static gboolean is_complete(const FkDownload *download) {
-  return download->compressor ? download->compressed_all : download->unread == 0;
+  return download->compressor ? download->compression_done : download->unread == 0;
 }
 
 void fk_download_continue(FkCacheCall *call) {
@@ -75,44 +78,45 @@
     Rx__ReadResponse response = RX__READ_RESPONSE__INIT;
     response.data = (ProtobufCBinaryData){(gsize)n, data};
     if (n && !fk_cache_call_send(call, &response))
-      return; /* goes on when the call is writable */
+      return; /* on_writable() calls this function again */
   }
   fk_rpc_end(call->rpc, FK_GRPC_OK, NULL, NULL, 0);
 }
 
-/* FALSE: the call was failed. */
-static gboolean check_range(FkCacheCall *call, const Rx__ReadRequest *q, const FkResourceName *name) {
-  if (q->read_offset < 0 || q->read_limit < 0 || (guint64)q->read_offset > name->digest.size) {
+/* Returns whether the request's offset and limit are valid. Otherwise ends the call with an error. */
+static gboolean check_range(FkCacheCall *call, const Rx__ReadRequest *request, const FkResourceName *name) {
+  if (request->read_offset < 0 || request->read_limit < 0 ||
+      (guint64)request->read_offset > name->digest.size) {
     fk_cache_call_fail(call, FK_GRPC_OUT_OF_RANGE, "the offset or limit is out of the blob");
     return FALSE;
   }
-  if (name->zstd && q->read_limit) {
+  if (name->zstd && request->read_limit) {
     fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "a compressed blob is read to its end");
     return FALSE;
   }
   return TRUE;
 }
 
-void fk_cache_read(FkCacheCall *call, gpointer request) {
-  const Rx__ReadRequest *q = request;
+void fk_cache_read(FkCacheCall *call, gpointer message) {
+  const Rx__ReadRequest *request = message;
   FkResourceName name;
-  if (!fk_resource_name_parse(q->resource_name, FK_RESOURCE_READ, &name)) {
+  if (!fk_resource_name_parse(request->resource_name, FK_RESOURCE_READ, &name)) {
     fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "no blob's name");
     return;
   }
-  if (!fk_cache_call_check_instance(call, name.instance) || !check_range(call, q, &name))
+  if (!fk_cache_call_check_instance(call, name.instance) || !check_range(call, request, &name))
     return;
   FkBlobReader *reader;
   FkBlobStatus status = fk_blob_store_open_reader(call->service->blobs, call->team, &name.digest,
-                                                  (guint64)q->read_offset, &reader);
+                                                  (guint64)request->read_offset, &reader);
   if (status != FK_BLOB_STATUS_OK) {
     fk_cache_call_fail_blob(call, status);
     return;
   }
-  guint64 available = name.digest.size - (guint64)q->read_offset;
+  guint64 available = name.digest.size - (guint64)request->read_offset;
   FkDownload *download = g_new0(FkDownload, 1);
   download->reader = reader;
-  download->unread = q->read_limit ? MIN(available, (guint64)q->read_limit) : available;
+  download->unread = request->read_limit ? MIN(available, (guint64)request->read_limit) : available;
   download->compressor = name.zstd ? ZSTD_createCStream() : NULL;
   call->download = download;
   fk_download_continue(call);
--- a/src/remote_execution/byte_stream_write.c
+++ b/src/remote_execution/byte_stream_write.c
@@ -1,5 +1,6 @@
-/* ByteStream.Write and QueryWriteStatus: uploads in parts, compressed if the name says so, that can be
- * resumed after a connection was lost. */
+/* ByteStream.Write and QueryWriteStatus: uploads of blobs in several messages. The data is compressed if the
+ * resource name has `compressed-blobs/zstd`. After a lost connection, the client can resume an uncompressed
+ * upload in another call; a compressed upload starts over. */
 #include "remote_execution/cache_call.h"
 
 #include <string.h>
@@ -7,12 +8,13 @@
 
 #define DECOMPRESSED_BYTES 65536
 
-/* The sender's side of an upload, for the time of one call. */
+/* The state of one ByteStream.Write call. */
 struct FkUploadStream {
   FkResourceName name;
-  FkResumableUpload *upload; /* NULL: none is needed, or it is over */
-  gint64 committed;          /* bytes as they were sent, compressed or not: where the next message begins */
-  ZSTD_DStream *decompressor;
+  FkResumableUpload
+      *upload;      /* NULL if the blob was already stored, the upload wasn't opened, or it is over */
+  gint64 committed; /* bytes received, as sent (compressed or not): the next message's write_offset */
+  ZSTD_DStream *decompressor; /* NULL before the first compressed data */
 };
 
 void fk_upload_stream_free(FkUploadStream *stream, FkUploads *uploads) {
@@ -22,7 +24,7 @@
   if (stream->upload) {
     fk_uploads_release(uploads, stream->upload);
     if (stream->name.zstd || fk_upload_written(stream->upload->upload) == 0)
-      fk_uploads_remove(uploads, stream->upload); /* nothing to resume */
+      fk_uploads_remove(uploads, stream->upload); /* it can't be resumed, or has no data yet */
   }
   g_free(stream);
 }
@@ -33,7 +35,8 @@
   fk_cache_call_reply(call, &response);
 }
 
-/* FALSE: the call was failed. */
+/* Opens the upload that `stream->name` names. Returns FALSE if that fails, after ending the call with an
+ * error. */
 static gboolean open_upload(FkCacheCall *call, FkUploadStream *stream) {
   FkCacheService *service = call->service;
   FkBlobStatus status = FK_BLOB_STATUS_OK;
@@ -55,7 +58,8 @@
   g_return_val_if_reached(FALSE);
 }
 
-/* The first message of a call, which names the upload. FALSE: the call has been answered. */
+/* Handles the resource name of a call's first message. Returns FALSE if the call has ended: with an error, or
+ * with OK if the blob is already stored. */
 static gboolean begin_stream(FkCacheCall *call, const char *resource_name) {
   FkResourceName name;
   if (!fk_resource_name_parse(resource_name, FK_RESOURCE_WRITE, &name)) {
@@ -73,7 +77,8 @@
   return open_upload(call, stream);
 }
 
-/* Later messages may repeat the name. FALSE: it is another one, and the call was failed. */
+/* Returns whether a later message of a call has no resource name, or one with the same digest and upload id.
+ * Otherwise ends the call with an error. */
 static gboolean check_same_name(FkCacheCall *call, const char *resource_name) {
   const FkResourceName *name = &call->upload->name;
   FkResourceName repeated;
@@ -85,7 +90,8 @@
   return FALSE;
 }
 
-/* What it decompresses to is bounded by the digest's size: a write beyond it is a mismatch. */
+/* Decompresses `data` into the upload. A small message can't expand without limit: fk_upload_write() returns
+ * MISMATCH for bytes beyond the digest's size. Invalid zstd data is a MISMATCH too. */
 static FkBlobStatus write_compressed(FkUploadStream *stream, const ProtobufCBinaryData *data) {
   if (!stream->decompressor)
     stream->decompressor = ZSTD_createDStream();
@@ -111,7 +117,8 @@
   return status;
 }
 
-/* The last part came, or the upload failed (`status`). */
+/* Ends the upload and the call. Stores the blob if `status` is OK, which means that the last message was
+ * received. Otherwise discards the upload; `status` says why it failed. */
 static void finish_upload(FkCacheCall *call, FkBlobStatus status) {
   FkUploadStream *stream = call->upload;
   FkResumableUpload *upload = g_steal_pointer(&stream->upload);
@@ -124,23 +131,24 @@
     fk_cache_call_fail_blob(call, status);
 }
 
-void fk_cache_write(FkCacheCall *call, gpointer request) {
-  const Rx__WriteRequest *q = request;
-  if (call->upload ? !check_same_name(call, q->resource_name) : !begin_stream(call, q->resource_name))
+void fk_cache_write(FkCacheCall *call, gpointer message) {
+  const Rx__WriteRequest *request = message;
+  if (call->upload ? !check_same_name(call, request->resource_name)
+                   : !begin_stream(call, request->resource_name))
     return;
-  if (q->write_offset != call->upload->committed) {
+  if (request->write_offset != call->upload->committed) {
     fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "the offset isn't where the upload stands");
     return;
   }
-  FkBlobStatus status = write_data(call->upload, &q->data);
-  if (status != FK_BLOB_STATUS_OK || q->finish_write)
+  FkBlobStatus status = write_data(call->upload, &request->data);
+  if (status != FK_BLOB_STATUS_OK || request->finish_write)
     finish_upload(call, status);
 }
 
-void fk_cache_query_write_status(FkCacheCall *call, gpointer request) {
-  const Rx__QueryWriteStatusRequest *q = request;
+void fk_cache_query_write_status(FkCacheCall *call, gpointer message) {
+  const Rx__QueryWriteStatusRequest *request = message;
   FkResourceName name;
-  if (!fk_resource_name_parse(q->resource_name, FK_RESOURCE_WRITE, &name)) {
+  if (!fk_resource_name_parse(request->resource_name, FK_RESOURCE_WRITE, &name)) {
     fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "no upload's name");
     return;
   }
--- a/src/remote_execution/cache_call.c
+++ b/src/remote_execution/cache_call.c
@@ -1,8 +1,8 @@
-/* What the handlers of all methods need: replies, checks and messages. */
+/* Functions that the handlers of all methods share: replies, checks of requests, and parsing of messages. */
 #include "remote_execution/cache_call.h"
 
-#define PARSED_SIZE_FACTOR 8 /* a parsed message may take so many times its bytes in memory */
-#define RETRY_S 5
+#define PARSED_SIZE_FACTOR 8 /* maximum memory of a parsed message, as a multiple of its serialized size */
+#define RETRY_S 5            /* suggested to clients by fk_cache_call_fail_retry_later() */
 
 /* ------------------------------------------------------------------ replies */
 
@@ -77,7 +77,8 @@
 
 /* ------------------------------------------------------------------ checks */
 
-/* Another team's instance is refused in the same words whether there is such a team or not. */
+/* The error text is the same for another team's instance and for an instance that doesn't exist. So a client
+ * can't find out which teams there are. */
 gboolean fk_cache_call_check_instance(FkCacheCall *call, const char *instance) {
   if (!*instance || g_str_equal(instance, call->team))
     return TRUE;
--- a/src/remote_execution/cache_call.h
+++ b/src/remote_execution/cache_call.h
@@ -1,10 +1,12 @@
-/* One call to the cache, and what the handlers of all methods need. Private to src/remote_execution. */
+/* The state of one gRPC call to the cache, the functions that the methods' handlers share, and the handlers.
+ * Private to src/remote_execution. */
 #pragma once
 #include "remote_execution/cache_service.h"
 #include "remote_execution/message.h"
 #include "remote_execution/uploads.h"
 
-/* What messages may be longer than the blobs in them, and parsed messages larger than their bytes. */
+/* Allowance for what a message has besides its blobs, and for the memory of a parsed message beyond the
+ * multiple of its serialized size. */
 #define FK_MESSAGE_OVERHEAD_BYTES 65536
 /* REv2's DigestFunction.Value and Compressor.Value. */
 #define FK_DIGEST_FUNCTION_SHA256 1
@@ -15,79 +17,84 @@
   FkBlobStore *blobs;
   FkKeys *keys;
   FkUploads *uploads;
-  gsize message_bytes_max;
+  gsize message_bytes_max; /* the setting `message_mb`, in bytes */
 };
 
 typedef struct FkCacheCall FkCacheCall;
 typedef struct FkDownload FkDownload;
 typedef struct FkUploadStream FkUploadStream;
 
-/* A method of the API. */
+/* A gRPC method of the API. */
 typedef struct {
   const char *path;
-  const ProtobufCMessageDescriptor *request;
-  gboolean client_streaming; /* takes any number of messages, not one */
-  void (*handle)(FkCacheCall *call, gpointer request);
+  const ProtobufCMessageDescriptor *request_type;
+  gboolean client_streaming; /* the client may send several messages, not only one */
+  void (*handle)(FkCacheCall *call, gpointer message);
 } FkCacheMethod;
 
 struct FkCacheCall {
   FkCacheService *service;
   FkRpc *rpc;
-  const FkCacheMethod *method; /* NULL: the call was refused */
-  char *team;
-  gboolean has_message;   /* one came */
-  FkDownload *download;   /* of ByteStream.Read, else NULL */
-  FkUploadStream *upload; /* of ByteStream.Write, else NULL */
+  const FkCacheMethod *method; /* NULL if the key is invalid or the path is unknown */
+  char *team;                  /* NULL if the key is invalid */
+  gboolean has_message;        /* a message was received */
+  FkDownload *download;        /* NULL unless a ByteStream.Read is in progress */
+  FkUploadStream *upload;      /* NULL unless ByteStream.Write has received its resource name */
 };
 
 /* ---- replies: cache_call.c ---- */
-/* Ends the call. `reason` goes to the client. */
+/* Ends the call with an error. `reason` is sent to the client. */
 void fk_cache_call_fail(FkCacheCall *call, FkGrpcStatus status, const char *reason);
-/* ... with a serialized google.rpc.Status, which is taken. */
+/* Ends the call with an error and the serialized google.rpc.Status `details`, which it unrefs. */
 void fk_cache_call_fail_with_details(FkCacheCall *call, FkGrpcStatus status, const char *reason,
                                      GBytes *details);
-/* ... with RESOURCE_EXHAUSTED and the time after which the client may try again. */
+/* Ends the call with RESOURCE_EXHAUSTED and the delay after which the client may retry. */
 void fk_cache_call_fail_retry_later(FkCacheCall *call, const char *reason);
-/* ... with what the blob store says; not FK_BLOB_STATUS_OK. */
+/* Ends the call with the error of the blob store, which isn't FK_BLOB_STATUS_OK. */
 void fk_cache_call_fail_blob(FkCacheCall *call, FkBlobStatus status);
-/* Sends a message (a protobuf-c struct). FALSE: enough is queued, wait until it is writable. */
+/* Sends a message (a protobuf-c struct). Returns FALSE if the call's send queue is full; the caller then
+ * waits for the `writable` callback. */
 gboolean fk_cache_call_send(FkCacheCall *call, gconstpointer message);
-/* Sends the only message and ends the call with OK. */
+/* Sends `message` and ends the call with OK. */
 void fk_cache_call_reply(FkCacheCall *call, gconstpointer message);
 
 FkGrpcStatus fk_blob_status_to_grpc(FkBlobStatus status);
-/* What is said to clients; static. */
+/* Returns the error text for clients: static, "" for FK_BLOB_STATUS_OK. */
 const char *fk_blob_status_reason(FkBlobStatus status);
 
-/* ---- checks: cache_call.c; FALSE: the call was failed ---- */
-/* A team's instance bears its name; an empty name means the caller's own. */
+/* ---- checks: cache_call.c; each ends the call with an error before it returns FALSE ---- */
+/* Returns whether the caller may use the instance. The instance of a team has the team's name; an empty name
+ * means the caller's own instance. */
 gboolean fk_cache_call_check_instance(FkCacheCall *call, const char *instance);
 gboolean fk_cache_call_check_digest_function(FkCacheCall *call, int function);
 gboolean fk_cache_call_parse_digest(FkCacheCall *call, const Rx__Digest *digest, FkDigest *out);
 
-/* A message from anywhere, bounded in memory by its length; NULL: malformed. Free with fk_message_free(). */
+/* Parses an untrusted message; free it with fk_message_free(). Returns NULL if it is malformed, or takes more
+ * memory than a limit that is proportional to its length. */
 gpointer fk_cache_call_unpack(const ProtobufCMessageDescriptor *type, const guint8 *bytes, gsize len);
 gpointer fk_cache_call_unpack_blob(const ProtobufCMessageDescriptor *type, GBytes *blob);
 
 /* ---- handlers: each takes its method's request message ---- */
 /* capabilities.c */
-void fk_cache_get_capabilities(FkCacheCall *call, gpointer request);
+void fk_cache_get_capabilities(FkCacheCall *call, gpointer message);
 /* content_storage.c */
-void fk_cache_find_missing_blobs(FkCacheCall *call, gpointer request);
-void fk_cache_batch_update_blobs(FkCacheCall *call, gpointer request);
-void fk_cache_batch_read_blobs(FkCacheCall *call, gpointer request);
+void fk_cache_find_missing_blobs(FkCacheCall *call, gpointer message);
+void fk_cache_batch_update_blobs(FkCacheCall *call, gpointer message);
+void fk_cache_batch_read_blobs(FkCacheCall *call, gpointer message);
 /* tree.c */
-void fk_cache_get_tree(FkCacheCall *call, gpointer request);
+void fk_cache_get_tree(FkCacheCall *call, gpointer message);
 /* action_cache.c */
-void fk_cache_get_action_result(FkCacheCall *call, gpointer request);
-void fk_cache_update_action_result(FkCacheCall *call, gpointer request);
+void fk_cache_get_action_result(FkCacheCall *call, gpointer message);
+void fk_cache_update_action_result(FkCacheCall *call, gpointer message);
 /* byte_stream_read.c */
-void fk_cache_read(FkCacheCall *call, gpointer request);
-/* Sends on, as far as the connection takes it. */
+void fk_cache_read(FkCacheCall *call, gpointer message);
+/* Sends the next messages of `call->download` until the send queue is full or the download is complete. Ends
+ * the call at the end of the download, or with an error if the blob can't be read. */
 void fk_download_continue(FkCacheCall *call);
 void fk_download_free(FkDownload *download);
 /* byte_stream_write.c */
-void fk_cache_write(FkCacheCall *call, gpointer request);
-void fk_cache_query_write_status(FkCacheCall *call, gpointer request);
-/* The call is over; an unfinished upload may be resumed by another one. */
+void fk_cache_write(FkCacheCall *call, gpointer message);
+void fk_cache_query_write_status(FkCacheCall *call, gpointer message);
+/* Frees the state of a call that has ended; NULL is allowed. An unfinished, uncompressed upload with at least
+ * one byte is kept, so that another call can resume it. */
 void fk_upload_stream_free(FkUploadStream *stream, FkUploads *uploads);
--- a/src/remote_execution/cache_service.c
+++ b/src/remote_execution/cache_service.c
@@ -1,12 +1,12 @@
-/* Which handler a call goes to, and the life of a call. */
+/* Dispatches each call to the handler of its method, and frees the call's state when it ends. */
 #include "remote_execution/cache_call.h"
 
 #include "remote_execution/names.h"
 
 #define BYTES_PER_MB 1048576.0
-#define QUEUED_BYTES_MAX (1024 * 1024) /* of one call's responses, for a slow reader */
+#define QUEUED_BYTES_MAX (1024 * 1024) /* of one call's responses that the client hasn't read */
 #define HEADER_BYTES_MAX 16384
-#define BUFFERED_MESSAGES_MAX 4 /* a connection's incomplete messages, in full ones */
+#define BUFFERED_MESSAGES_MAX 4 /* incomplete messages of a connection, in multiples of message_bytes_max */
 
 static const FkCacheMethod methods[] = {
     {FK_PATH_CAPABILITIES, &rx__get_capabilities_request__descriptor, FALSE, fk_cache_get_capabilities},
@@ -37,7 +37,7 @@
   call->service = service;
   call->rpc = rpc;
   fk_rpc_set_data(rpc, call);
-  /* the key first: without one a client learns nothing, not even which methods there are */
+  /* The key is checked before the path: a client without a key can't find out which methods exist. */
   const char *team = fk_keys_find_team(service->keys, fk_rpc_bearer(rpc), g_get_real_time() / G_USEC_PER_SEC);
   if (!team) {
     fk_cache_call_fail(call, FK_GRPC_UNAUTHENTICATED, "a team's key is needed");
@@ -56,7 +56,7 @@
     return;
   }
   call->has_message = TRUE;
-  gpointer message = fk_cache_call_unpack(call->method->request, bytes, len);
+  gpointer message = fk_cache_call_unpack(call->method->request_type, bytes, len);
   if (!message) {
     fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "the message isn't one, or is out of all proportion");
     return;
--- a/src/remote_execution/cache_service.h
+++ b/src/remote_execution/cache_service.h
@@ -1,6 +1,6 @@
-/* The Remote Execution API's cache for build tools: Capabilities, ContentAddressableStorage, ByteStream and
- * ActionCache, as handlers of gRPC calls, for teams with a key. No sockets and no clock but the handlers'
- * own. */
+/* The cache of the Remote Execution API for build tools: the gRPC services Capabilities,
+ * ContentAddressableStorage, ByteStream and ActionCache. A caller needs the key of a team. This module has no
+ * sockets and no timers. It reads the clock only to check keys and to note when an upload becomes idle. */
 #pragma once
 #include "blob_store/blob_store.h"
 #include "grpc/h2.h"
@@ -9,18 +9,20 @@
 
 typedef struct FkCacheService FkCacheService;
 
-/* The callbacks of each connection, whose data is the FkCacheService. */
+/* The callbacks for each HTTP/2 session; the session's `data` is the FkCacheService. */
 extern const FkH2Callbacks fk_cache_service_callbacks;
 
-/* Takes `blobs` and `keys`; `settings` is kept by reference. */
+/* Takes ownership of `blobs` and `keys`. Keeps a reference to `settings`, which the caller owns. */
 FkCacheService *fk_cache_service_new(const FkRemoteExecutionSettings *settings, FkBlobStore *blobs,
                                      FkKeys *keys);
-/* No call may be under way. NULL is fine. */
+/* Frees the service, its keys and uploads, and closes its blob store. No call may be in progress. NULL is
+ * allowed. */
 void fk_cache_service_free(FkCacheService *service);
 
-/* The limits of a connection, from the settings. */
+/* Returns the limits of one connection, derived from the settings. */
 FkH2Limits fk_cache_service_h2_limits(const FkCacheService *service);
-/* Takes `keys`, which count for the calls from now on. */
+/* Replaces the keys, for calls that begin from now on. Takes ownership of `keys`. */
 void fk_cache_service_set_keys(FkCacheService *service, FkKeys *keys);
-/* Gives up the uploads that no call has written to for the settings' `upload_s`. */
+/* Aborts each upload that no call has had open for more than the setting `upload_s`. `now_us` is the
+ * monotonic time. */
 void fk_cache_service_expire_uploads(FkCacheService *service, gint64 now_us);
--- a/src/remote_execution/capabilities.c
+++ b/src/remote_execution/capabilities.c
@@ -1,13 +1,13 @@
-/* Capabilities.GetCapabilities: what this cache can do. */
+/* Capabilities.GetCapabilities: tells a client which features and API versions the cache supports. */
 #include "remote_execution/cache_call.h"
 
 #define API_MAJOR 2
 #define API_MINOR_HIGH 3
 #define SYMLINK_ABSOLUTE_DISALLOWED 1 /* SymlinkAbsolutePathStrategy.Value */
 
-void fk_cache_get_capabilities(FkCacheCall *call, gpointer request) {
-  const Rx__GetCapabilitiesRequest *q = request;
-  if (!fk_cache_call_check_instance(call, q->instance_name))
+void fk_cache_get_capabilities(FkCacheCall *call, gpointer message) {
+  const Rx__GetCapabilitiesRequest *request = message;
+  if (!fk_cache_call_check_instance(call, request->instance_name))
     return;
   int32_t functions[] = {FK_DIGEST_FUNCTION_SHA256};
   int32_t compressors[] = {FK_COMPRESSOR_ZSTD};
--- a/src/remote_execution/content_storage.c
+++ b/src/remote_execution/content_storage.c
@@ -1,22 +1,22 @@
-/* ContentAddressableStorage: which blobs are missing, and small blobs in batches. */
+/* ContentAddressableStorage: reports missing blobs, and stores and returns small blobs in batches. */
 #include "remote_execution/cache_call.h"
 
-#define RESPONSE_BYTES_PER_BLOB 128 /* at most, besides the blob's own */
+#define RESPONSE_BYTES_PER_BLOB 128 /* maximum length of a blob's part of a response, without its data */
 
-void fk_cache_find_missing_blobs(FkCacheCall *call, gpointer request) {
-  const Rx__FindMissingBlobsRequest *q = request;
-  if (!fk_cache_call_check_instance(call, q->instance_name) ||
-      !fk_cache_call_check_digest_function(call, q->digest_function))
+void fk_cache_find_missing_blobs(FkCacheCall *call, gpointer message) {
+  const Rx__FindMissingBlobsRequest *request = message;
+  if (!fk_cache_call_check_instance(call, request->instance_name) ||
+      !fk_cache_call_check_digest_function(call, request->digest_function))
     return;
-  g_autofree Rx__Digest **missing = g_new(Rx__Digest *, q->n_blob_digests + 1);
+  g_autofree Rx__Digest **missing = g_new(Rx__Digest *, request->n_blob_digests + 1);
   Rx__FindMissingBlobsResponse response = RX__FIND_MISSING_BLOBS_RESPONSE__INIT;
   response.missing_blob_digests = missing;
-  for (gsize i = 0; i < q->n_blob_digests; i++) {
+  for (gsize i = 0; i < request->n_blob_digests; i++) {
     FkDigest digest;
-    if (!fk_cache_call_parse_digest(call, q->blob_digests[i], &digest))
+    if (!fk_cache_call_parse_digest(call, request->blob_digests[i], &digest))
       return;
     if (!fk_blob_store_has(call->service->blobs, call->team, &digest))
-      missing[response.n_missing_blob_digests++] = q->blob_digests[i];
+      missing[response.n_missing_blob_digests++] = request->blob_digests[i];
   }
   fk_cache_call_reply(call, &response);
 }
@@ -35,7 +35,7 @@
   return status;
 }
 
-/* Stores one blob of a batch, and says in `status` what came of it. */
+/* Stores one blob of a batch. Sets `status` to the result. */
 static void update_blob(FkCacheCall *call, const Rx__BlobUpdate *update, Rx__Status *status) {
   FkDigest digest;
   FkBlobStatus stored = FK_BLOB_STATUS_MISMATCH;
@@ -51,11 +51,11 @@
   status->code = (int)fk_blob_status_to_grpc(stored);
 }
 
-void fk_cache_batch_update_blobs(FkCacheCall *call, gpointer request) {
-  const Rx__BatchUpdateBlobsRequest *q = request;
-  gsize n = q->n_requests;
-  if (!fk_cache_call_check_instance(call, q->instance_name) ||
-      !fk_cache_call_check_digest_function(call, q->digest_function))
+void fk_cache_batch_update_blobs(FkCacheCall *call, gpointer message) {
+  const Rx__BatchUpdateBlobsRequest *request = message;
+  gsize n = request->n_requests;
+  if (!fk_cache_call_check_instance(call, request->instance_name) ||
+      !fk_cache_call_check_digest_function(call, request->digest_function))
     return;
   g_autofree Rx__BlobUpdated *updated = g_new(Rx__BlobUpdated, n + 1);
   g_autofree Rx__BlobUpdated **list = g_new(Rx__BlobUpdated *, n + 1);
@@ -63,10 +63,10 @@
   for (gsize i = 0; i < n; i++) {
     rx__blob_updated__init(&updated[i]);
     rx__status__init(&statuses[i]);
-    updated[i].digest = q->requests[i]->digest;
+    updated[i].digest = request->requests[i]->digest;
     updated[i].status = &statuses[i];
     list[i] = &updated[i];
-    update_blob(call, q->requests[i], &statuses[i]);
+    update_blob(call, request->requests[i], &statuses[i]);
   }
   Rx__BatchUpdateBlobsResponse response = RX__BATCH_UPDATE_BLOBS_RESPONSE__INIT;
   response.n_responses = n;
@@ -76,13 +76,13 @@
 
 /* ------------------------------------------------------------------ downloads */
 
-/* To be freed; NULL: a digest is malformed, or all blobs are too long for one response: the call was failed.
- */
-static FkDigest *parse_batch(FkCacheCall *call, const Rx__BatchReadBlobsRequest *q) {
-  g_autofree FkDigest *digests = g_new(FkDigest, q->n_digests + 1);
+/* Returns the digests of a request, to be freed. If a digest is malformed or the blobs together are too long
+ * for one response, ends the call with an error and returns NULL. */
+static FkDigest *parse_batch(FkCacheCall *call, const Rx__BatchReadBlobsRequest *request) {
+  g_autofree FkDigest *digests = g_new(FkDigest, request->n_digests + 1);
   guint64 response_bytes = 0;
-  for (gsize i = 0; i < q->n_digests; i++) {
-    if (!fk_cache_call_parse_digest(call, q->digests[i], &digests[i]))
+  for (gsize i = 0; i < request->n_digests; i++) {
+    if (!fk_cache_call_parse_digest(call, request->digests[i], &digests[i]))
       return NULL;
     response_bytes += digests[i].size + RESPONSE_BYTES_PER_BLOB;
     if (response_bytes > call->service->message_bytes_max) {
@@ -93,7 +93,8 @@
   return g_steal_pointer(&digests);
 }
 
-/* Reads one blob into `read`, whose status is set; `contents` keeps its bytes. */
+/* Reads one blob. Sets the data of `read`, which `contents` owns, or sets the status to NOT_FOUND if the blob
+ * can't be read. */
 static void read_blob(FkCacheCall *call, const FkDigest *digest, Rx__BlobRead *read, GPtrArray *contents) {
   GBytes *bytes =
       fk_blob_store_read_all(call->service->blobs, call->team, digest, call->service->message_bytes_max);
@@ -108,13 +109,13 @@
   read->data.len = len;
 }
 
-void fk_cache_batch_read_blobs(FkCacheCall *call, gpointer request) {
-  const Rx__BatchReadBlobsRequest *q = request;
-  gsize n = q->n_digests;
-  if (!fk_cache_call_check_instance(call, q->instance_name) ||
-      !fk_cache_call_check_digest_function(call, q->digest_function))
+void fk_cache_batch_read_blobs(FkCacheCall *call, gpointer message) {
+  const Rx__BatchReadBlobsRequest *request = message;
+  gsize n = request->n_digests;
+  if (!fk_cache_call_check_instance(call, request->instance_name) ||
+      !fk_cache_call_check_digest_function(call, request->digest_function))
     return;
-  g_autofree FkDigest *digests = parse_batch(call, q);
+  g_autofree FkDigest *digests = parse_batch(call, request);
   if (!digests)
     return;
   g_autofree Rx__BlobRead *blobs = g_new(Rx__BlobRead, n + 1);
@@ -124,7 +125,7 @@
   for (gsize i = 0; i < n; i++) {
     rx__blob_read__init(&blobs[i]);
     rx__status__init(&statuses[i]);
-    blobs[i].digest = q->digests[i];
+    blobs[i].digest = request->digests[i];
     blobs[i].status = &statuses[i];
     list[i] = &blobs[i];
     read_blob(call, &digests[i], &blobs[i], contents);
--- a/src/remote_execution/message.c
+++ b/src/remote_execution/message.c
@@ -10,9 +10,9 @@
 #define NAME_BYTES_MAX 255
 #define PATH_BYTES_MAX 4095
 
-/* Bytes that parsing one message may still allocate. */
+/* The memory that parsing one message may still allocate. */
 typedef struct {
-  gsize left;
+  gsize left; /* bytes */
 } MemoryBudget;
 
 static void *budget_alloc(void *data, size_t size) {
@@ -26,7 +26,7 @@
 
 static void budget_free(void *data, void *pointer) { g_free(pointer); }
 
-/* Frees what was allocated with any budget. */
+/* Frees memory that was allocated with any budget; never allocates, as it has no budget. */
 static ProtobufCAllocator free_only = {budget_alloc, budget_free, NULL};
 
 gpointer fk_message_unpack(const ProtobufCMessageDescriptor *type, const guint8 *bytes, gsize len,
@@ -54,7 +54,7 @@
 
 /* ------------------------------------------------------------------ statuses */
 
-/* A google.rpc.Status with one detail of that type. */
+/* Returns a serialized google.rpc.Status with one detail of the type URL `type`. */
 static GBytes *pack_status(FkGrpcStatus code, const char *text, const char *type, gconstpointer detail) {
   g_autoptr(GBytes) packed = fk_message_pack(detail);
   gsize len;
@@ -97,7 +97,7 @@
   return pack_status(FK_GRPC_FAILED_PRECONDITION, text, FK_TYPE_PRECONDITION, &failure);
 }
 
-/* ------------------------------------------------------------------ what a result refers to */
+/* ------------------------------------------------------------------ references of results */
 
 gboolean fk_message_name_is_valid(const char *name) {
   return name && *name && !strchr(name, '/') && strcmp(name, ".") != 0 && strcmp(name, "..") != 0 &&
@@ -114,7 +114,7 @@
   return parts[0] != NULL;
 }
 
-/* FALSE and a reason: it isn't a digest. */
+/* Appends a digest to `blobs`. Returns FALSE and a reason if it is missing or malformed. */
 static gboolean add_digest(GArray *blobs, const Rx__Digest *message, const char **reason) {
   FkDigest digest;
   if (!fk_message_digest(message, &digest)) {
@@ -125,7 +125,7 @@
   return TRUE;
 }
 
-/* FALSE and a reason: the path isn't valid. */
+/* Returns whether an output's path is valid; if not, sets `reason`. */
 static gboolean check_path(const char *path, const char **reason) {
   if (fk_message_path_is_valid(path))
     return TRUE;
@@ -140,7 +140,9 @@
   return TRUE;
 }
 
-/* An output directory's path may be empty: the working directory itself. */
+/* Appends the digest of an output directory's tree to `blobs` and `trees`. The path may be empty: the
+ * directory is then the working directory. Returns FALSE and a reason if the path or the digest is invalid.
+ */
 static gboolean add_directory(const Rx__OutputDirectory *directory, GArray *blobs, GArray *trees,
                               const char **reason) {
   return (!*directory->path || check_path(directory->path, reason)) &&
@@ -164,7 +166,8 @@
          (!result->stderr_digest || add_digest(blobs, result->stderr_digest, reason));
 }
 
-/* The files of one directory of a tree. */
+/* Appends the digest of each file that is directly in one directory of a tree. Returns FALSE and a reason if
+ * a name or a digest is invalid. */
 static gboolean add_files(const Rx__Directory *directory, GArray *blobs, const char **reason) {
   for (gsize i = 0; i < directory->n_files; i++) {
     if (!fk_message_name_is_valid(directory->files[i]->name)) {
--- a/src/remote_execution/message.h
+++ b/src/remote_execution/message.h
@@ -1,4 +1,5 @@
-/* The Remote Execution API's messages to and from bytes, and what results and trees refer to. */
+/* Parses and serializes the messages of the Remote Execution API, and collects the blobs that action results
+ * and trees refer to. */
 #pragma once
 #include <glib.h>
 #include <protobuf-c/protobuf-c.h>
@@ -7,30 +8,35 @@
 #include "grpc/status.h"
 #include "rx.pb-c.h"
 
-/* NULL: the bytes aren't such a message, or it would take more than `max` bytes of memory: a few bytes on the
- * wire can ask for many empty parts. Free with fk_message_free(). */
+/* Parses a message; free it with fk_message_free(). Returns NULL if it is malformed or would take more than
+ * `max` bytes of memory. Without this limit, a short input with many empty submessages would take a lot of
+ * memory. */
 gpointer fk_message_unpack(const ProtobufCMessageDescriptor *type, const guint8 *bytes, gsize len, gsize max);
-/* NULL is fine. */
+/* Frees a parsed message. NULL is allowed. */
 void fk_message_free(gpointer message);
-/* To be unreffed. */
+/* Returns the serialized message; unref it. */
 GBytes *fk_message_pack(gconstpointer message);
 
-/* FALSE: missing or malformed. */
+/* Converts a digest. Returns FALSE if it is NULL or malformed. */
 gboolean fk_message_digest(const Rx__Digest *digest, FkDigest *out);
 
-/* A google.rpc.Status with the time after which to try again; to be unreffed. */
+/* Returns a serialized google.rpc.Status with the delay after which the client may retry; unref it. */
 GBytes *fk_message_retry_status(FkGrpcStatus code, const char *text, gint64 retry_s);
-/* ... with each missing blob (FkDigest). */
+/* Returns a serialized google.rpc.Status with FAILED_PRECONDITION and a violation for each missing blob
+ * (array of FkDigest); unref it. */
 GBytes *fk_message_missing_status(const char *text, const GArray *missing);
 
-/* Appends each blob that a result refers to, outputs, standard streams and trees, to `blobs` (FkDigest), and
- * the trees to `trees` besides. FALSE and a reason (static): malformed, for instance a path that isn't
- * relative and clean. */
+/* Appends the digest of each output file, tree, standard output and standard error of a result to `blobs`
+ * (FkDigest), and the trees' digests also to `trees`. Returns FALSE and a static reason if a digest is
+ * malformed or a path is invalid: fk_message_path_is_valid(), except that an output directory's path may be
+ * empty. */
 gboolean fk_message_result_blobs(const Rx__ActionResult *result, GArray *blobs, GArray *trees,
                                  const char **reason);
-/* Likewise each file of a tree. */
+/* Appends the digest of each file in a tree to `blobs` (FkDigest). Returns FALSE and a static reason if a
+ * file's name or digest is invalid. */
 gboolean fk_message_tree_blobs(const Rx__Tree *tree, GArray *blobs, const char **reason);
-/* A relative path without empty, `.` or `..` parts. */
+/* Returns whether `path` is a relative path of at most 4095 bytes whose parts are all valid names. */
 gboolean fk_message_path_is_valid(const char *path);
-/* One part of such a path. */
+/* Returns whether `name` is a valid part of a path: UTF-8, 1 to 255 bytes, without `/`, neither `.` nor `..`.
+ */
 gboolean fk_message_name_is_valid(const char *name);
--- a/src/remote_execution/names.h
+++ b/src/remote_execution/names.h
@@ -1,4 +1,4 @@
-/* The API's names on the wire: the methods' paths, and the type URLs of google.protobuf.Any. */
+/* Names that the API defines: the paths of the gRPC methods, and type URLs for google.protobuf.Any. */
 #pragma once
 
 #define FK_REMOTE_EXECUTION_PACKAGE "/build.bazel.remote.execution.v2."
--- a/src/remote_execution/settings.c
+++ b/src/remote_execution/settings.c
@@ -37,20 +37,20 @@
     if (!g_str_equal(number->name, field->string))
       continue;
     if (!cJSON_IsNumber(field) || !(field->valuedouble >= number->min && field->valuedouble <= number->max)) {
-      g_set_error(error, settings_error(), 1, "%s: a number from %g to %g is needed", number->name,
+      g_set_error(error, settings_error(), 1, "%s: expected a number from %g to %g", number->name,
                   number->min, number->max);
       return FALSE;
     }
     G_STRUCT_MEMBER(double, settings, number->offset) = field->valuedouble;
     return TRUE;
   }
-  g_set_error(error, settings_error(), 1, "%s: no such setting", field->string);
+  g_set_error(error, settings_error(), 1, "%s: unknown setting", field->string);
   return FALSE;
 }
 
 static gboolean parse_string(const cJSON *field, char **out, GError **error) {
   if (!cJSON_IsString(field) || !*field->valuestring) {
-    g_set_error(error, settings_error(), 1, "%s: a non-empty string is needed", field->string);
+    g_set_error(error, settings_error(), 1, "%s: expected a non-empty string", field->string);
     return FALSE;
   }
   g_free(*out);
@@ -58,7 +58,7 @@
   return TRUE;
 }
 
-/* Where a string setting is kept; NULL: there is none of that name. */
+/* Returns the field of a string setting, or NULL if no string setting has that name. */
 static char **string_setting(FkRemoteExecutionSettings *settings, const char *name) {
   if (g_str_equal(name, "listen"))
     return &settings->listen;
@@ -72,7 +72,8 @@
   return string ? parse_string(field, string, error) : parse_number(settings, field, error);
 }
 
-/* Keys would travel in the clear: until there is TLS, they may only where nobody listens. */
+/* Returns whether the text is a loopback IP address and a port. Other addresses aren't allowed without TLS:
+ * clients send their keys unencrypted, so that others on the network could read them. */
 static gboolean is_loopback(const char *address_and_port) {
   const char *colon = strrchr(address_and_port, ':');
   guint64 port;
@@ -82,7 +83,7 @@
          g_ascii_string_to_unsigned(colon + 1, 10, 1, 65535, &port, NULL);
 }
 
-/* The name of a missing setting, or NULL. */
+/* Returns the name of a required setting that is missing, or NULL if there is none. */
 static const char *missing_setting(const FkRemoteExecutionSettings *settings) {
   if (!settings->listen)
     return "listen";
@@ -96,7 +97,7 @@
   g_autoptr(FkRemoteExecutionSettings) settings = g_new0(FkRemoteExecutionSettings, 1);
   const cJSON *field;
   if (!cJSON_IsObject(json)) {
-    g_set_error(error, settings_error(), 1, "not a JSON object");
+    g_set_error(error, settings_error(), 1, "not a JSON object; expected an object with the settings");
     return NULL;
   }
   for (guint i = 0; i < G_N_ELEMENTS(numbers); i++)
@@ -107,12 +108,13 @@
   }
   const char *missing = missing_setting(settings);
   if (missing) {
-    g_set_error(error, settings_error(), 1, "%s: is needed", missing);
+    g_set_error(error, settings_error(), 1, "%s: required setting is missing", missing);
     return NULL;
   }
   if (!is_loopback(settings->listen)) {
-    g_set_error(error, settings_error(), 1,
-                "listen: a loopback address and port is needed (there is no TLS yet)");
+    g_set_error(
+        error, settings_error(), 1,
+        "listen: expected a loopback IP address and a port, such as 127.0.0.1:8980 (TLS isn't supported)");
     return NULL;
   }
   return g_steal_pointer(&settings);
--- a/src/remote_execution/settings.h
+++ b/src/remote_execution/settings.h
@@ -1,31 +1,33 @@
-/* The file that switches Remote Execution on: schema/remote-execution.schema.json. Plain data. */
+/* The settings file that enables the Remote Execution cache. Its schema is
+ * schema/remote-execution.schema.json. Plain data. */
 #pragma once
 #include <glib.h>
 
 typedef struct {
-  char *listen;       /* a loopback address and port */
-  char *directory;    /* of the blob store */
-  char *keys;         /* the keys' file */
-  double bytes_gb;    /* of blobs and results, kept at most */
-  double blobs;       /* kept at most, results included */
-  double message_mb;  /* one message */
-  double connections; /* at once */
-  double calls;       /* at once, of one connection */
-  double idle_s;      /* a connection without calls is closed */
-  double upload_s;    /* an unfinished upload that no call writes to is given up */
+  char *listen;       /* loopback IP address and port */
+  char *directory;    /* path of the blob store's directory */
+  char *keys;         /* path of the file with the teams' keys */
+  double bytes_gb;    /* maximum size of all stored blobs and results, in GiB */
+  double blobs;       /* maximum number of stored blobs and results */
+  double message_mb;  /* maximum length of a message, in MiB */
+  double connections; /* maximum number of concurrent connections */
+  double calls;       /* maximum number of concurrent calls of a connection */
+  double idle_s;      /* seconds without a call after which a connection gets GOAWAY and is closed */
+  double upload_s;    /* seconds after which an unfinished upload that no call has open is aborted */
 } FkRemoteExecutionSettings;
 
-/* NULL and an error that names the setting. */
+/* Parses the text of a settings file; free the result with fk_remote_execution_settings_free(). Returns NULL
+ * and an error if the text is invalid. The error names the setting unless the text isn't a JSON object. */
 FkRemoteExecutionSettings *fk_remote_execution_settings_parse(const char *text, gsize len, GError **error);
-/* NULL is fine. */
+/* NULL is allowed. */
 void fk_remote_execution_settings_free(FkRemoteExecutionSettings *settings);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkRemoteExecutionSettings, fk_remote_execution_settings_free)
 
-/* A numeric setting; `offset` is its field's. */
+/* The name, range and default of a numeric setting. */
 typedef struct {
   const char *name;
-  gsize offset;
-  double min, max, fallback;
+  gsize offset;              /* of its field in FkRemoteExecutionSettings */
+  double min, max, fallback; /* `fallback` is the default */
 } FkRemoteExecutionNumber;
-/* All of them; static. */
+/* Returns all numeric settings (static), and their number in `n`. */
 const FkRemoteExecutionNumber *fk_remote_execution_numbers(guint *n);
--- a/src/remote_execution/tree.c
+++ b/src/remote_execution/tree.c
@@ -1,21 +1,22 @@
-/* ContentAddressableStorage.GetTree: the directories below a root, in pages.
+/* ContentAddressableStorage.GetTree: returns a root directory and all directories below it, in pages.
  *
- * The order is breadth first, each directory once however often it occurs, so a tree whose parts refer to
- * each other many times is no longer than its distinct parts. A page's token is the number of the next
- * directory in that order, which is the same each time, as directories are named by their contents. */
+ * The order is breadth first. Each distinct directory is returned once, even if several directories refer to
+ * it; otherwise a small set of directories with many references to each other could give a huge response. A
+ * page token is the index, in that order, of the page's first directory. Directories are addressed by
+ * content, so the order is the same in each request unless a directory was evicted or uploaded in between. */
 #include "remote_execution/cache_call.h"
 
 #define TREE_DIRECTORIES_MAX 100000
 #define PAGE_DIRECTORIES_MAX 1000
-#define PAGE_BYTES_MAX (1 << 20)
+#define PAGE_BYTES_MAX (1 << 20) /* a page ends with the directory that reaches this size */
 
 typedef struct {
   FkCacheCall *call;
-  GArray *queue;     /* FkDigest */
-  GHashTable *found; /* the hashes in `queue` but the root's */
-  guint64 next;      /* in `queue` */
-  GPtrArray *page;   /* Rx__Directory */
-  gsize page_bytes;
+  GArray *queue;     /* FkDigest of all directories found so far, in breadth-first order */
+  GHashTable *found; /* set of the hashes in `queue`, without the root's */
+  guint64 next;      /* index in `queue` of the directory to visit next */
+  GPtrArray *page;   /* Rx__Directory of the response */
+  gsize page_bytes;  /* serialized size of the directories in `page` */
 } TreeWalk;
 
 static void tree_walk_clear(TreeWalk *walk) {
@@ -25,7 +26,8 @@
 }
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(TreeWalk, tree_walk_clear)
 
-/* FALSE: the tree is too large, and the call was failed. */
+/* Appends the directory's subdirectories that aren't in the queue yet. Ignores malformed digests. Returns
+ * FALSE if the tree has too many directories, after ending the call with an error. */
 static gboolean append_children(TreeWalk *walk, const Rx__Directory *directory) {
   for (gsize i = 0; i < directory->n_directories; i++) {
     FkDigest child;
@@ -41,9 +43,10 @@
   return TRUE;
 }
 
-/* Goes on by one directory, which belongs to the page unless it is before `first`. FALSE: the call was
- * failed.
- */
+/* Visits the next directory of the queue. Appends its subdirectories to the queue, and adds it to the page
+ * unless its index is less than `first`. Skips a directory other than the root that is missing or can't be
+ * read. Returns FALSE if the root can't be read, a directory is malformed or the tree is too large, after
+ * ending the call with an error. */
 static gboolean visit_next(TreeWalk *walk, guint64 first) {
   FkCacheService *service = walk->call->service;
   guint64 index = walk->next++;
@@ -55,7 +58,7 @@
     return FALSE;
   }
   if (!bytes)
-    return TRUE; /* the API has missing parts left out */
+    return TRUE; /* the API requires that missing directories are left out */
   Rx__Directory *directory = fk_cache_call_unpack_blob(&rx__directory__descriptor, bytes);
   if (!directory) {
     fk_cache_call_fail(walk->call, FK_GRPC_INVALID_ARGUMENT, "a part of the tree is no directory");
@@ -81,20 +84,21 @@
   fk_cache_call_reply(walk->call, &response);
 }
 
-void fk_cache_get_tree(FkCacheCall *call, gpointer request) {
-  const Rx__GetTreeRequest *q = request;
+void fk_cache_get_tree(FkCacheCall *call, gpointer message) {
+  const Rx__GetTreeRequest *request = message;
   FkDigest root;
   guint64 first = 0;
-  if (!fk_cache_call_check_instance(call, q->instance_name) ||
-      !fk_cache_call_check_digest_function(call, q->digest_function) ||
-      !fk_cache_call_parse_digest(call, q->root_digest, &root))
+  if (!fk_cache_call_check_instance(call, request->instance_name) ||
+      !fk_cache_call_check_digest_function(call, request->digest_function) ||
+      !fk_cache_call_parse_digest(call, request->root_digest, &root))
     return;
-  if (*q->page_token &&
-      !g_ascii_string_to_unsigned(q->page_token, 10, 0, TREE_DIRECTORIES_MAX, &first, NULL)) {
+  if (*request->page_token &&
+      !g_ascii_string_to_unsigned(request->page_token, 10, 0, TREE_DIRECTORIES_MAX, &first, NULL)) {
     fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "no such page");
     return;
   }
-  guint page_size = q->page_size > 0 ? (guint)MIN(q->page_size, PAGE_DIRECTORIES_MAX) : PAGE_DIRECTORIES_MAX;
+  guint page_size =
+      request->page_size > 0 ? (guint)MIN(request->page_size, PAGE_DIRECTORIES_MAX) : PAGE_DIRECTORIES_MAX;
   g_auto(TreeWalk) walk = {.call = call,
                            .queue = g_array_new(FALSE, FALSE, sizeof(FkDigest)),
                            .found = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
--- a/src/remote_execution/uploads.c
+++ b/src/remote_execution/uploads.c
@@ -3,7 +3,7 @@
 #define TEAM_UPLOADS_MAX 256
 
 struct FkUploads {
-  GHashTable *by_key; /* key -> FkResumableUpload */
+  GHashTable *by_key; /* upload_key() -> FkResumableUpload, which it owns */
 };
 
 static void upload_free(gpointer data) {
@@ -35,32 +35,36 @@
   return g_hash_table_lookup(uploads->by_key, key);
 }
 
-/* How many uploads a team has; `oldest`: the one that is idle for the longest, or NULL. */
-static guint count_team(const FkUploads *uploads, const char *team, FkResumableUpload **oldest) {
+/* Returns the team's number of uploads. Sets `longest_idle` to the one that has been idle for the longest
+ * time, or to NULL if all are in use. */
+static guint count_team(const FkUploads *uploads, const char *team, FkResumableUpload **longest_idle) {
   GHashTableIter iter;
   gpointer value;
   guint n = 0;
-  *oldest = NULL;
+  *longest_idle = NULL;
   g_hash_table_iter_init(&iter, uploads->by_key);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     FkResumableUpload *upload = value;
     if (!g_str_equal(upload->team, team))
       continue;
     n++;
-    if (!upload->in_use && (!*oldest || upload->idle_since_us < (*oldest)->idle_since_us))
-      *oldest = upload;
+    if (!upload->in_use && (!*longest_idle || upload->idle_since_us < (*longest_idle)->idle_since_us))
+      *longest_idle = upload;
   }
   return n;
 }
 
-static FkUploadsResult begin(FkUploads *uploads, FkBlobStore *blobs, const char *team,
-                             const FkResourceName *name, FkResumableUpload **out, FkBlobStatus *status) {
-  FkResumableUpload *oldest;
+/* Begins an upload that isn't in the table. If the team has TEAM_UPLOADS_MAX uploads, first aborts its
+ * longest idle one. */
+static FkUploadsResult begin_upload(FkUploads *uploads, FkBlobStore *blobs, const char *team,
+                                    const FkResourceName *name, FkResumableUpload **out,
+                                    FkBlobStatus *status) {
+  FkResumableUpload *longest_idle;
   FkUpload *upload;
-  if (count_team(uploads, team, &oldest) >= TEAM_UPLOADS_MAX) {
-    if (!oldest)
+  if (count_team(uploads, team, &longest_idle) >= TEAM_UPLOADS_MAX) {
+    if (!longest_idle)
       return FK_UPLOADS_TOO_MANY;
-    fk_uploads_remove(uploads, oldest);
+    fk_uploads_remove(uploads, longest_idle);
   }
   *status = fk_upload_begin(blobs, team, &name->digest, &upload);
   if (*status != FK_BLOB_STATUS_OK)
@@ -81,7 +85,7 @@
     upload = NULL;
   }
   if (!upload) {
-    FkUploadsResult result = begin(uploads, blobs, team, name, &upload, status);
+    FkUploadsResult result = begin_upload(uploads, blobs, team, name, &upload, status);
     if (result != FK_UPLOADS_OPENED)
       return result;
   }
--- a/src/remote_execution/uploads.h
+++ b/src/remote_execution/uploads.h
@@ -1,38 +1,40 @@
-/* Uploads by ByteStream.Write that are under way, by team and name. An upload outlives its call: the client
- * may go on with it in another one. */
+/* The unfinished uploads of ByteStream.Write. An upload is identified by its team, upload id, digest and
+ * compression. An uncompressed upload with at least one byte outlives its call, so that the client can resume
+ * it in another one. */
 #pragma once
 #include "blob_store/blob_store.h"
 
 typedef struct FkUploads FkUploads;
 
 typedef struct {
-  FkUpload *upload; /* NULL: finished */
-  char *key, *team;
-  gboolean in_use;      /* a call writes to it */
-  gint64 idle_since_us; /* when the latest call ended */
+  FkUpload *upload;     /* NULL once it is finished */
+  char *key, *team;     /* `key` identifies the upload */
+  gboolean in_use;      /* a call has it open */
+  gint64 idle_since_us; /* monotonic time at which the latest call released it; 0 before */
 } FkResumableUpload;
 
 typedef enum {
   FK_UPLOADS_OPENED,
-  FK_UPLOADS_IN_USE,   /* another call writes to it */
-  FK_UPLOADS_TOO_MANY, /* the team has too many, all in use */
-  FK_UPLOADS_FAILED    /* the blob store refused it */
+  FK_UPLOADS_IN_USE,   /* another call has it open */
+  FK_UPLOADS_TOO_MANY, /* the team has the maximum number of uploads, and all are in use */
+  FK_UPLOADS_FAILED    /* the blob store returned an error */
 } FkUploadsResult;
 
 FkUploads *fk_uploads_new(void);
-/* Gives up all of them. */
+/* Aborts all uploads and frees them. */
 void fk_uploads_free(FkUploads *uploads);
 
-/* The upload with that name, or NULL. */
+/* Returns the upload of that team and name, or NULL. */
 FkResumableUpload *fk_uploads_find(FkUploads *uploads, const char *team, const FkResourceName *name);
-/* Finds it or begins it, and marks it as in use. A compressed upload always begins anew: the decompressor's
- * state is gone with the earlier call. A team's longest idle upload may be given up for it. FAILED sets
- * `status`. */
+/* Finds an upload or begins it, and marks it as in use. An idle compressed upload is aborted and starts over,
+ * because its decompressor was freed with the earlier call. If the team already has the maximum number of
+ * uploads, beginning another one aborts the team's longest idle one. Sets `status` to the blob store's error
+ * if it returns FK_UPLOADS_FAILED. */
 FkUploadsResult fk_uploads_open(FkUploads *uploads, FkBlobStore *blobs, const char *team,
                                 const FkResourceName *name, FkResumableUpload **out, FkBlobStatus *status);
-/* Its call has ended without finishing it. */
+/* Marks an upload as idle: its call has ended without finishing it. */
 void fk_uploads_release(FkUploads *uploads, FkResumableUpload *upload);
-/* Aborts the upload unless it is finished, and frees it. */
+/* Removes an upload and frees it. Aborts it unless it is finished. */
 void fk_uploads_remove(FkUploads *uploads, FkResumableUpload *upload);
-/* Removes those that no call has written to since `before_us`. */
+/* Removes each upload that isn't in use and has been idle since before `before_us` (monotonic time). */
 void fk_uploads_expire(FkUploads *uploads, gint64 before_us);
