--- a/src/blob_store/blob_database.c
+++ b/src/blob_store/blob_database.c
@@ -15,16 +15,17 @@
 #define LOAD_SQL "SELECT team,kind,hash,size,used,bytes FROM items ORDER BY used"
 #define TEAMS_SQL "SELECT DISTINCT team FROM items"
 
-/* The parameters of INSERT_SQL; the first five also of TOUCH_SQL, the first four of all. */
+/* The parameters of INSERT_SQL. TOUCH_SQL has only the first five; REMOVE_SQL and RESULT_SQL only the first
+ * four. */
 enum { PARAM_TEAM = 1, PARAM_KIND, PARAM_HASH, PARAM_SIZE, PARAM_USED, PARAM_BYTES, PARAM_RESULT };
 /* The columns of LOAD_SQL. */
 enum { COLUMN_TEAM, COLUMN_KIND, COLUMN_HASH, COLUMN_SIZE, COLUMN_USED, COLUMN_BYTES };
 
 struct FkBlobDatabase {
-  char *dir; /* for messages */
+  char *dir; /* for log and error messages */
   sqlite3 *db;
   sqlite3_stmt *insert, *remove, *touch, *result;
-  guint64 clock; /* the latest use's number */
+  guint64 last_use; /* sequence number of the latest recorded use; orders the entries by their use */
 };
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkBlobDatabase, fk_blob_database_close)
@@ -73,9 +74,9 @@
   g_free(database);
 }
 
-/* ------------------------------------------------------------------ reading all */
+/* ------------------------------------------------------------------ loading */
 
-/* Rows that can't be ours are passed over. */
+/* Adds a row to the index. Skips a row whose team, kind or digest is invalid. */
 static void load_row(sqlite3_stmt *row, FkBlobIndex *index) {
   FkDigest digest;
   const char *team = (const char *)sqlite3_column_text(row, COLUMN_TEAM);
@@ -92,7 +93,7 @@
   if (!prepare(database, LOAD_SQL, &rows, error))
     return FALSE;
   while (sqlite3_step(rows) == SQLITE_ROW) {
-    database->clock = MAX(database->clock, (guint64)sqlite3_column_int64(rows, COLUMN_USED));
+    database->last_use = MAX(database->last_use, (guint64)sqlite3_column_int64(rows, COLUMN_USED));
     load_row(rows, index);
   }
   sqlite3_finalize(rows);
@@ -135,7 +136,7 @@
                                  const FkDigest *digest, guint64 bytes, const guint8 *result) {
   sqlite3_stmt *insert = database->insert;
   bind_key(insert, team, kind, digest);
-  sqlite3_bind_int64(insert, PARAM_USED, (sqlite3_int64)++database->clock);
+  sqlite3_bind_int64(insert, PARAM_USED, (sqlite3_int64)++database->last_use);
   sqlite3_bind_int64(insert, PARAM_BYTES, (sqlite3_int64)bytes);
   if (result)
     sqlite3_bind_blob(insert, PARAM_RESULT, result, (int)bytes, SQLITE_STATIC);
@@ -149,7 +150,7 @@
 
 gboolean fk_blob_database_touch(FkBlobDatabase *database, const FkBlobEntry *entry) {
   bind_key(database->touch, fk_blob_entry_team(entry), entry->kind, &entry->digest);
-  sqlite3_bind_int64(database->touch, PARAM_USED, (sqlite3_int64)++database->clock);
+  sqlite3_bind_int64(database->touch, PARAM_USED, (sqlite3_int64)++database->last_use);
   return run(database, database->touch);
 }
 
--- a/src/blob_store/blob_index.c
+++ b/src/blob_store/blob_index.c
@@ -4,19 +4,19 @@
 
 struct FkBlobIndexTeam {
   char *name;
-  GHashTable *entries[FK_BLOB_KINDS]; /* FkBlobEntry by its digest */
-  GQueue lru;                         /* FkBlobEntry that aren't pinned, the least recently used first */
-  guint64 bytes;                      /* of all entries, with the removed ones that are still pinned */
-  guint64 reserved;                   /* bytes */
+  GHashTable *entries[FK_BLOB_KINDS]; /* FkDigest -> FkBlobEntry, for each kind */
+  GQueue lru;                         /* the entries that aren't pinned, the least recently used first */
+  guint64 bytes;                      /* of all entries, including removed ones that are still pinned */
+  guint64 reserved;                   /* bytes reserved for blobs and results that aren't stored yet */
 };
 
 struct FkBlobIndex {
   FkBlobIndexLimits limits;
-  GHashTable *teams; /* name -> FkBlobIndexTeam */
-  guint64 bytes, reserved;
-  guint64 pinned; /* of `bytes` */
-  guint count;    /* entries */
-  guint reserving_teams;
+  GHashTable *teams;       /* name -> FkBlobIndexTeam */
+  guint64 bytes, reserved; /* totals of all teams */
+  guint64 pinned;          /* the part of `bytes` that belongs to pinned entries */
+  guint count;             /* entries, including removed ones that are still pinned */
+  guint reserving_teams;   /* teams with reserved bytes */
 };
 
 static guint digest_hash(gconstpointer p) {
@@ -50,7 +50,8 @@
   g_free(index);
 }
 
-static FkBlobIndexTeam *team_of(FkBlobIndex *index, const char *name) {
+/* Returns the team's record; adds one if there is none. */
+static FkBlobIndexTeam *find_or_add_team(FkBlobIndex *index, const char *name) {
   FkBlobIndexTeam *owner = g_hash_table_lookup(index->teams, name);
   if (owner)
     return owner;
@@ -82,7 +83,7 @@
   index->pinned += entry->bytes;
 }
 
-/* Its bytes are free. */
+/* Subtracts an entry from the totals. */
 static void subtract_entry(FkBlobIndex *index, FkBlobEntry *entry) {
   index->bytes -= entry->bytes;
   entry->team->bytes -= entry->bytes;
@@ -93,7 +94,7 @@
   if (--entry->pins)
     return;
   index->pinned -= entry->bytes;
-  if (entry->removed) { /* its file was on the disk for as long as it was read */
+  if (entry->removed) { /* the disk space was in use until the last reader closed the file */
     subtract_entry(index, entry);
     g_free(entry);
     return;
@@ -102,14 +103,15 @@
 }
 
 gboolean fk_blob_index_reserve(FkBlobIndex *index, const char *team, guint64 bytes) {
-  FkBlobIndexTeam *owner = team_of(index, team);
+  FkBlobIndexTeam *owner = find_or_add_team(index, team);
   guint64 capacity = index->limits.bytes;
   guint64 unevictable = index->reserved + index->pinned;
   if (bytes > capacity || unevictable > capacity - bytes)
     return FALSE;
-  /* above half of the capacity, the teams that upload have equal shares */
-  guint sharing = index->reserving_teams + (owner->reserved == 0);
-  if (index->reserved + bytes > capacity / 2 && owner->reserved + bytes > capacity / sharing)
+  /* If more than half of the capacity would be reserved, a team may reserve at most an equal share of the
+   * capacity among the teams with reservations, itself included. */
+  guint sharing_teams = index->reserving_teams + (owner->reserved == 0);
+  if (index->reserved + bytes > capacity / 2 && owner->reserved + bytes > capacity / sharing_teams)
     return FALSE;
   index->reserving_teams += owner->reserved == 0 && bytes > 0;
   index->reserved += bytes;
@@ -118,7 +120,7 @@
 }
 
 void fk_blob_index_unreserve(FkBlobIndex *index, const char *team, guint64 bytes) {
-  FkBlobIndexTeam *owner = team_of(index, team);
+  FkBlobIndexTeam *owner = find_or_add_team(index, team);
   index->reserved -= bytes;
   owner->reserved -= bytes;
   index->reserving_teams -= owner->reserved == 0 && bytes > 0;
@@ -145,7 +147,8 @@
   if (entry)
     return entry;
   entry = g_new0(FkBlobEntry, 1);
-  *entry = (FkBlobEntry){.team = team_of(index, team), .kind = kind, .digest = *digest, .bytes = bytes};
+  *entry =
+      (FkBlobEntry){.team = find_or_add_team(index, team), .kind = kind, .digest = *digest, .bytes = bytes};
   entry->lru_link.data = entry;
   g_hash_table_insert(entry->team->entries[kind], &entry->digest, entry);
   g_queue_push_tail_link(&entry->team->lru, &entry->lru_link);
@@ -167,7 +170,9 @@
 
 guint64 fk_blob_index_bytes(const FkBlobIndex *index) { return index->bytes; }
 guint fk_blob_index_count(const FkBlobIndex *index) { return index->count; }
-guint64 fk_blob_index_team_bytes(FkBlobIndex *index, const char *team) { return team_of(index, team)->bytes; }
+guint64 fk_blob_index_team_bytes(FkBlobIndex *index, const char *team) {
+  return find_or_add_team(index, team)->bytes;
+}
 const char *fk_blob_entry_team(const FkBlobEntry *entry) { return entry->team->name; }
 
 void fk_blob_index_verify(FkBlobIndex *index) {
@@ -189,7 +194,7 @@
       }
     }
     g_assert_cmpuint(owner->lru.length, ==, evictable);
-    g_assert_cmpuint(own, <=, owner->bytes); /* `bytes` has the removed ones that are pinned, too */
+    g_assert_cmpuint(own, <=, owner->bytes); /* `bytes` includes removed entries that are pinned */
     bytes += owner->bytes;
     reserved += owner->reserved;
   }
--- a/src/blob_store/blob_index.h
+++ b/src/blob_store/blob_index.h
@@ -1,7 +1,12 @@
-/* Which blobs and action results are kept: an index with least-recently-used eviction, without a disk or a
- * clock. Teams see nothing of each other: each entry belongs to one team, and the same blob of two teams is
- * two entries. Evicted is the least recently used entry of the team that uses most, so that a team within its
- * equal share loses nothing to the others. A pinned entry (it is being read) stays. */
+/* An in-memory index of the stored blobs and action results, with least-recently-used eviction. It does no
+ * I/O and reads no clock.
+ *
+ * Each entry belongs to one team, and a team can't see the entries of another: a blob that two teams store
+ * has two entries. The next entry to evict is the least recently used one of the team with the most stored
+ * and reserved bytes, among the teams with unpinned entries. So a team that uses no more than an equal share
+ * of the bytes loses no entries to teams that use more, unless the limit on the number of entries is exceeded
+ * or all entries of those teams are pinned. A pinned entry, which has an open reader, isn't chosen for
+ * eviction. */
 #pragma once
 #include "blob_store/digest.h"
 
@@ -13,46 +18,54 @@
 typedef struct {
   FkBlobIndexTeam *team;
   FkBlobKind kind;
-  FkDigest digest; /* of a result: its action's */
-  guint64 bytes;   /* that it takes */
-  guint pins;
-  gboolean removed; /* not found any more; freed with its last pin */
-  GList lru_link;
+  FkDigest digest;  /* of the blob, or of a result's action */
+  guint64 bytes;    /* size of the blob or result */
+  guint pins;       /* number of open readers */
+  gboolean removed; /* no longer in the index; freed when it is unpinned for the last time */
+  GList lru_link;   /* in the team's queue of unpinned entries */
 } FkBlobEntry;
 
 typedef struct {
-  guint64 bytes;
-  guint count;
+  guint64 bytes; /* maximum of stored and reserved bytes */
+  guint count;   /* maximum number of entries */
 } FkBlobIndexLimits;
 
 FkBlobIndex *fk_blob_index_new(const FkBlobIndexLimits *limits);
-/* NULL is fine. */
+/* NULL is allowed. */
 void fk_blob_index_free(FkBlobIndex *index);
 
-/* The entry, the index's own, or NULL. Does not count as a use. */
+/* Returns the entry, which the index owns, or NULL if there is none. Doesn't count as a use. */
 FkBlobEntry *fk_blob_index_find(FkBlobIndex *index, const char *team, FkBlobKind kind,
                                 const FkDigest *digest);
-/* The entry is used now. */
+/* Records a use of the entry. */
 void fk_blob_index_touch(FkBlobIndex *index, FkBlobEntry *entry);
+/* Pins the entry: fk_blob_index_next_victim() doesn't return it until each pin is undone. */
 void fk_blob_index_pin(FkBlobIndex *index, FkBlobEntry *entry);
+/* Undoes one pin. The last one counts as a use, and frees the entry if it was removed. */
 void fk_blob_index_unpin(FkBlobIndex *index, FkBlobEntry *entry);
 
-/* Reserves capacity for something of that size. FALSE: there isn't enough, whatever is evicted. Then
- * fk_blob_index_next_victim() returns what must be evicted for it, until it is NULL; each victim is to be
- * removed with fk_blob_index_remove(). */
+/* Reserves capacity for a blob or result of that size. Returns FALSE if evictions can't free enough, or if
+ * more than half of the capacity would be reserved and the team would then exceed an equal share of the
+ * capacity among the teams with reservations. After TRUE, the caller must evict each entry that
+ * fk_blob_index_next_victim() returns, until that returns NULL. */
 gboolean fk_blob_index_reserve(FkBlobIndex *index, const char *team, guint64 bytes);
+/* Releases a reservation of the same size. */
 void fk_blob_index_unreserve(FkBlobIndex *index, const char *team, guint64 bytes);
+/* Returns the next entry to evict, which the caller removes with fk_blob_index_remove(). Returns NULL if the
+ * limits are kept, or if all entries are pinned. */
 FkBlobEntry *fk_blob_index_next_victim(FkBlobIndex *index);
-/* Adds an entry. One that is there already is returned unchanged. */
+/* Adds an entry. If the entry already exists, returns it unchanged. */
 FkBlobEntry *fk_blob_index_insert(FkBlobIndex *index, const char *team, FkBlobKind kind,
                                   const FkDigest *digest, guint64 bytes);
-/* `entry` isn't valid any more; a pinned one is until it is unpinned, but it isn't found. */
+/* Removes the entry from the index, so that it is no longer found. Frees it, or, if it is pinned, leaves that
+ * to fk_blob_index_unpin(). */
 void fk_blob_index_remove(FkBlobIndex *index, FkBlobEntry *entry);
 
+/* The stored bytes and the number of entries, including removed entries that are still pinned. */
 guint64 fk_blob_index_bytes(const FkBlobIndex *index);
 guint fk_blob_index_count(const FkBlobIndex *index);
 guint64 fk_blob_index_team_bytes(FkBlobIndex *index, const char *team);
-/* The name of its team. */
+/* Returns the name of the entry's team; the index owns it. */
 const char *fk_blob_entry_team(const FkBlobEntry *entry);
-/* For tests: aborts unless the totals are those of the entries. */
+/* For tests: aborts if the totals don't match the teams and entries. */
 void fk_blob_index_verify(FkBlobIndex *index);
--- a/src/blob_store/blob_reader.c
+++ b/src/blob_store/blob_reader.c
@@ -1,4 +1,4 @@
-/* Reading blobs, and checking those that are read from their start to their end. */
+/* Reads blobs. Checks the digest of a blob that is read from its first to its last byte. */
 #include <errno.h>
 #include <fcntl.h>
 #include <unistd.h>
@@ -7,17 +7,17 @@
 
 struct FkBlobReader {
   FkBlobStore *store;
-  FkBlobEntry *entry; /* pinned; NULL: the empty blob */
-  int fd;             /* -1: the empty blob */
-  guint64 unread;
-  EVP_MD_CTX *hash; /* NULL: it isn't read from its start */
+  FkBlobEntry *entry; /* pinned; NULL for the empty blob */
+  int fd;             /* -1 for the empty blob */
+  guint64 unread;     /* bytes up to the end of the blob */
+  EVP_MD_CTX *hash; /* of the bytes read; NULL for the empty blob and if the reader began at a later offset */
 };
 
-/* Opens the file of an entry at `offset`. */
+/* Opens the file of an entry at `offset`. Evicts the entry if it has no file. */
 static FkBlobStatus open_file(FkBlobStore *store, FkBlobEntry *entry, guint64 offset, int *fd) {
   g_autofree char *file = fk_blob_store_blob_file(store, fk_blob_entry_team(entry), &entry->digest);
   *fd = open(file, O_RDONLY | O_CLOEXEC);
-  if (*fd < 0 && errno == ENOENT) { /* somebody else has removed it */
+  if (*fd < 0 && errno == ENOENT) { /* something other than this process removed the file */
     fk_blob_store_evict(store, entry);
     return FK_BLOB_STATUS_NOT_FOUND;
   }
@@ -61,7 +61,7 @@
   return n;
 }
 
-/* All of the blob was read, and isn't what its digest says. */
+/* Returns whether the blob has been read from its first to its last byte and doesn't match its digest. */
 static gboolean is_corrupt(FkBlobReader *reader) {
   return reader->hash && reader->unread == 0 && !fk_blob_hash_matches(reader->hash, &reader->entry->digest);
 }
--- a/src/blob_store/blob_store.c
+++ b/src/blob_store/blob_store.c
@@ -7,8 +7,8 @@
 #define DIRECTORY_MODE 0700
 #define BLOBS_DIRECTORY "blobs"
 #define UPLOADS_DIRECTORY "half"
-/* Uses are recorded on the disk now and then: after a crash a few are lost, and something is evicted a little
- * sooner. */
+/* Only one in this many uses is recorded in the database. The others are lost when the process ends, so that
+ * after a restart some entries are evicted earlier than they should be. */
 #define USES_PER_RECORD 256
 
 static GQuark blob_store_error(void) { return g_quark_from_static_string("fk-blob-store"); }
@@ -36,7 +36,7 @@
 
 /* ------------------------------------------------------------------ paths */
 
-/* A team's name may be any string: its hash names the directory. */
+/* Returns the name of a team's directory: a hash of the team's name, which may contain any characters. */
 static char *team_dir_name(const char *team) {
   return g_compute_checksum_for_string(G_CHECKSUM_SHA256, team, -1);
 }
@@ -67,18 +67,18 @@
   fk_blob_database_touch(store->database, entry);
 }
 
-/* The database first: a file without an entry is removed at the next start, but an entry without a file would
- * promise a blob that isn't there. */
+/* Removes the entry from the database before it removes the file. If the process is killed in between, the
+ * next start removes the file. In the other order, the database would list a blob that doesn't exist. */
 void fk_blob_store_evict(FkBlobStore *store, FkBlobEntry *entry) {
   fk_blob_database_remove(store->database, entry);
   if (entry->kind == FK_BLOB_KIND_BLOB) {
     g_autofree char *file = fk_blob_store_blob_file(store, fk_blob_entry_team(entry), &entry->digest);
-    g_unlink(file); /* its readers still have it open */
+    g_unlink(file); /* open readers can still read it */
   }
   fk_blob_index_remove(store->index, entry);
 }
 
-static void evict_victims(FkBlobStore *store) {
+static void evict_to_limits(FkBlobStore *store) {
   FkBlobEntry *victim;
   while ((victim = fk_blob_index_next_victim(store->index)))
     fk_blob_store_evict(store, victim);
@@ -87,7 +87,7 @@
 gboolean fk_blob_store_reserve(FkBlobStore *store, const char *team, guint64 bytes) {
   if (!fk_blob_index_reserve(store->index, team, bytes))
     return FALSE;
-  evict_victims(store);
+  evict_to_limits(store);
   return TRUE;
 }
 
@@ -109,8 +109,9 @@
          fk_blob_index_find(store->index, team, FK_BLOB_KIND_BLOB, &digest);
 }
 
-/* Removes the files below `path` without an entry: their process was killed before it made one. `teams`:
- * directory name -> team; `team`: whose files these are, NULL: not known yet, or none's. */
+/* Removes the files below `path` that have no entry, for instance because the process was killed before it
+ * added one. `teams` maps directory names to teams. `team` is the team whose files are below `path`, or NULL
+ * if `path` is the directory of all teams or of a team without entries. */
 static void remove_unindexed(FkBlobStore *store, const char *path, GHashTable *teams, const char *team) {
   g_autoptr(GDir) dir = g_dir_open(path, 0, NULL);
   const char *name;
@@ -123,6 +124,7 @@
   }
 }
 
+/* Removes all blob files that have no entry. */
 static void remove_all_unindexed(FkBlobStore *store, const char *blobs_dir) {
   g_autoptr(GPtrArray) names = fk_blob_database_teams(store->database);
   g_autoptr(GHashTable) teams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -148,7 +150,7 @@
   if (!store->database || !fk_blob_database_load(store->database, store->index, error))
     return FALSE;
   remove_all_unindexed(store, blobs);
-  evict_victims(store); /* the limits may be lower than they were */
+  evict_to_limits(store); /* the limits may be lower than at the last start */
   return TRUE;
 }
 
--- a/src/blob_store/blob_store.h
+++ b/src/blob_store/blob_store.h
@@ -1,9 +1,10 @@
-/* Blobs and action results on this machine's disk, by team.
+/* Stores the blobs and action results of each team on the local disk.
  *
- * A blob is written to a file of its own, its digest checked as it comes. Only a whole and right one is
- * synced, renamed, and entered in the index. So a process that is killed at any point leaves incomplete
- * files, which are removed at the next start, and never a wrong blob. All calls block on the disk: they
- * belong in a thread of their own, not the scheduler's. */
+ * An upload writes to a temporary file and hashes the data as it arrives. When the upload is finished, the
+ * file is synced, renamed and added to the index, but only if its size and hash match the digest. So a
+ * process that is killed at any point can leave files without an index entry, which the next start removes,
+ * but no wrong blob in the index. The functions block on disk I/O, so they must not be called in the
+ * scheduler's thread. */
 #pragma once
 #include "blob_store/blob_index.h"
 
@@ -14,51 +15,57 @@
 typedef enum {
   FK_BLOB_STATUS_OK,
   FK_BLOB_STATUS_NOT_FOUND,
-  FK_BLOB_STATUS_MISMATCH, /* the bytes aren't what the digest says */
-  FK_BLOB_STATUS_FULL,     /* the disk is full, or the limits are reached */
-  FK_BLOB_STATUS_IO_ERROR  /* the disk fails, or holds something else than was written */
+  FK_BLOB_STATUS_MISMATCH, /* the data doesn't match the digest */
+  FK_BLOB_STATUS_FULL,     /* the disk or the disk quota is full, or the index can't reserve the capacity */
+  FK_BLOB_STATUS_IO_ERROR  /* an operation on a file or on the database failed */
 } FkBlobStatus;
 
-/* Creates `dir` where there is none, and removes what an earlier process left incomplete. */
+/* Opens the store, and creates `dir` if it doesn't exist. Removes the unfinished uploads and unindexed files
+ * of an earlier process, and evicts entries until the limits are kept. */
 FkBlobStore *fk_blob_store_open(const char *dir, const FkBlobIndexLimits *limits, GError **error);
-/* No upload or reader may be open. NULL is fine. */
+/* No upload or reader may be open. NULL is allowed. */
 void fk_blob_store_close(FkBlobStore *store);
-/* The store's own; for metrics and tests. */
+/* Returns the index, which the store owns; for metrics and tests. */
 FkBlobIndex *fk_blob_store_index(FkBlobStore *store);
 
-/* Counts as a use. The empty blob is always there. */
+/* Returns whether the blob is stored, and records a use of it. The empty blob always counts as stored. */
 gboolean fk_blob_store_has(FkBlobStore *store, const char *team, const FkDigest *digest);
-/* All of a blob of at most `max` bytes, to be unreffed; NULL: missing, longer or unreadable. */
+/* Returns the contents of a blob, to be unreffed. Returns NULL if the blob is missing, longer than `max`
+ * bytes, unreadable or corrupt. */
 GBytes *fk_blob_store_read_all(FkBlobStore *store, const char *team, const FkDigest *digest, gsize max);
 
 /* ---- uploads ---- */
 
-/* Reserves the capacity for all of the blob. */
+/* Begins an upload and reserves the capacity for the whole blob. May evict other entries. */
 FkBlobStatus fk_upload_begin(FkBlobStore *store, const char *team, const FkDigest *digest, FkUpload **out);
-/* Appends bytes. More than the digest's size is a MISMATCH. */
+/* Appends bytes. Returns MISMATCH, and writes nothing, if the blob would exceed the digest's size. */
 FkBlobStatus fk_upload_write(FkUpload *upload, const guint8 *data, gsize len);
-/* Bytes written so far. */
+/* Returns the number of bytes written so far. */
 guint64 fk_upload_written(const FkUpload *upload);
-/* Checks, syncs and indexes the blob, and frees the upload, whatever comes of it. */
+/* Checks the blob against its digest, and stores it. Frees the upload, also on failure. */
 FkBlobStatus fk_upload_finish(FkUpload *upload);
-/* Frees it. NULL is fine. */
+/* Discards an upload and frees it. NULL is allowed. */
 void fk_upload_abort(FkUpload *upload);
 
 /* ---- readers ---- */
 
-/* From `offset` on. The blob isn't evicted while it is open. */
+/* Opens a reader at `offset`, and records a use of the blob. While the reader is open, the blob isn't
+ * evicted to free capacity. */
 FkBlobStatus fk_blob_store_open_reader(FkBlobStore *store, const char *team, const FkDigest *digest,
                                        guint64 offset, FkBlobReader **out);
-/* Up to `len` bytes; 0 at the end. < 0: the file can't be read, or all of it was read and doesn't match the
- * digest: then the blob is removed. */
+/* Reads up to `len` bytes. Returns their number, or 0 at the end of the blob. Removes the blob and returns -1
+ * if the file can't be read or is too short, or if the blob has been read from its first to its last byte and
+ * doesn't match its digest. */
 gssize fk_blob_reader_read(FkBlobReader *reader, guint8 *to, gsize len);
-/* Frees it. NULL is fine. */
+/* Frees a reader. NULL is allowed. */
 void fk_blob_reader_close(FkBlobReader *reader);
 
 /* ---- results of actions, as serialized messages ---- */
 
-/* Replaces an earlier one. */
+/* Stores the result of an action. Removes an earlier result first, even if it then fails to store the new
+ * one. */
 FkBlobStatus fk_blob_store_put_result(FkBlobStore *store, const char *team, const FkDigest *action,
                                       const guint8 *bytes, gsize len);
-/* To be unreffed; NULL: there is none. Counts as a use. */
+/* Returns an action's result, to be unreffed, and records a use of it. Returns NULL if there is none or the
+ * database can't read it. */
 GBytes *fk_blob_store_get_result(FkBlobStore *store, const char *team, const FkDigest *action);
--- a/src/blob_store/blob_store_internal.h
+++ b/src/blob_store/blob_store_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the blob store share. Private to src/blob_store. */
+/* Declarations that the source files of the blob store share. Private to src/blob_store. */
 #pragma once
 #include <openssl/evp.h>
 
@@ -9,24 +9,27 @@
   char *dir;
   FkBlobIndex *index;
   FkBlobDatabase *database;
-  guint64 next_upload;   /* names the uploads' files */
-  guint unrecorded_uses; /* that the database doesn't know of */
+  guint64 next_upload;   /* number that names the next upload's file */
+  guint unrecorded_uses; /* uses since the latest one that was recorded in the database */
 };
 
-/* Paths, to be freed. */
+/* The following three functions return a path, to be freed. */
 char *fk_blob_store_blob_dir(const FkBlobStore *store, const char *team, const FkDigest *digest);
 char *fk_blob_store_blob_file(const FkBlobStore *store, const char *team, const FkDigest *digest);
-char *fk_blob_store_upload_file(FkBlobStore *store); /* a new one each time */
+char *fk_blob_store_upload_file(FkBlobStore *store); /* a different one in each call */
 
-/* Reserves the capacity, and evicts what is needed. FALSE: there isn't enough. */
+/* Reserves capacity, and evicts entries until the limits are kept. Returns FALSE, and evicts nothing, if the
+ * index can't reserve it. */
 gboolean fk_blob_store_reserve(FkBlobStore *store, const char *team, guint64 bytes);
+/* Records a use of the entry in the index, and some uses also in the database. */
 void fk_blob_store_record_use(FkBlobStore *store, FkBlobEntry *entry);
-/* Removes the entry and its file. */
+/* Removes the entry from the database and the index, and deletes a blob's file. */
 void fk_blob_store_evict(FkBlobStore *store, FkBlobEntry *entry);
 
-/* errno as a status: FULL or IO_ERROR. */
+/* Returns FULL if `error`, an errno, means that the disk or the disk quota is full; otherwise IO_ERROR. */
 FkBlobStatus fk_blob_status_from_errno(int error);
-/* A hash of no bytes yet. To be freed with EVP_MD_CTX_free(). */
+/* Returns a new SHA-256 context, to be freed with EVP_MD_CTX_free(). */
 EVP_MD_CTX *fk_blob_hash_new(void);
-/* Whether all that was hashed is the blob with that digest. Ends the hash. */
+/* Returns whether the hashed bytes have the digest's hash; doesn't compare the size. Finalizes the context.
+ */
 gboolean fk_blob_hash_matches(EVP_MD_CTX *hash, const FkDigest *digest);
--- a/src/blob_store/digest.c
+++ b/src/blob_store/digest.c
@@ -11,7 +11,7 @@
   memset(digest, 0, sizeof *digest);
   memcpy(digest->hex, hex, FK_DIGEST_HEX_LEN);
   digest->size = (guint64)size;
-  /* the empty blob has one hash; another one with that size names nothing */
+  /* Only one hash is valid for size 0: that of the empty blob. */
   return size > 0 || strcmp(hex, fk_digest_empty.hex) == 0;
 }
 
@@ -19,8 +19,9 @@
   return a->size == b->size && memcmp(a->hex, b->hex, FK_DIGEST_HEX_LEN) == 0;
 }
 
-/* Takes the next segment of a path into `out`; FALSE: it is empty or too long. */
-static gboolean take_segment(const char **path, char *out, gsize out_size) {
+/* Copies the next segment of a path to `out`, and advances `path` beyond it and the slash after it. Returns
+ * FALSE if the segment is empty or too long. */
+static gboolean parse_segment(const char **path, char *out, gsize out_size) {
   gsize len = strcspn(*path, "/");
   if (len == 0 || len >= out_size)
     return FALSE;
@@ -31,7 +32,7 @@
   return TRUE;
 }
 
-/* Whether a name without an instance begins with this segment. */
+/* Returns whether `segment` can be the first segment of a resource name without an instance. */
 static gboolean is_first_segment(const char *segment, FkResourceUse use) {
   if (use == FK_RESOURCE_WRITE)
     return g_str_equal(segment, "uploads");
@@ -43,28 +44,28 @@
   const char *path = name ? name : "";
   guint64 size;
   memset(out, 0, sizeof *out);
-  if (!take_segment(&path, segment, sizeof segment))
+  if (!parse_segment(&path, segment, sizeof segment))
     return FALSE;
   if (!is_first_segment(segment, use)) {
     memcpy(out->instance, segment, sizeof segment);
-    if (!take_segment(&path, segment, sizeof segment))
+    if (!parse_segment(&path, segment, sizeof segment))
       return FALSE;
   }
   if (use == FK_RESOURCE_WRITE &&
-      (!g_str_equal(segment, "uploads") || !take_segment(&path, out->upload_id, sizeof out->upload_id) ||
-       !take_segment(&path, segment, sizeof segment)))
+      (!g_str_equal(segment, "uploads") || !parse_segment(&path, out->upload_id, sizeof out->upload_id) ||
+       !parse_segment(&path, segment, sizeof segment)))
     return FALSE;
   if (g_str_equal(segment, "compressed-blobs")) {
     out->zstd = TRUE;
-    if (!take_segment(&path, segment, sizeof segment) || !g_str_equal(segment, "zstd"))
+    if (!parse_segment(&path, segment, sizeof segment) || !g_str_equal(segment, "zstd"))
       return FALSE;
   } else if (!g_str_equal(segment, "blobs")) {
     return FALSE;
   }
-  if (!take_segment(&path, segment, sizeof segment) || !take_segment(&path, size_text, sizeof size_text) ||
+  if (!parse_segment(&path, segment, sizeof segment) || !parse_segment(&path, size_text, sizeof size_text) ||
       !g_ascii_string_to_unsigned(size_text, 10, 0, FK_BLOB_BYTES_MAX, &size, NULL))
     return FALSE;
   if (use == FK_RESOURCE_READ && *path)
-    return FALSE; /* only a writer may append anything, the name of a file for instance */
+    return FALSE; /* only an upload's name may have further segments, such as a file name */
   return fk_digest_parse(&out->digest, segment, (gint64)size);
 }
--- a/src/blob_store/digest.h
+++ b/src/blob_store/digest.h
@@ -1,32 +1,33 @@
-/* What names a blob, and the resource names that ByteStream gives to blobs. */
+/* Digests, which identify blobs, and the resource names of blobs in the ByteStream API. */
 #pragma once
 #include <glib.h>
 
 #define FK_DIGEST_HEX_LEN 64
-#define FK_BLOB_BYTES_MAX (G_GUINT64_CONSTANT(1) << 40) /* larger digests are refused as malformed */
+#define FK_BLOB_BYTES_MAX (G_GUINT64_CONSTANT(1) << 40) /* a digest with a larger size is malformed */
 
-/* SHA-256 in lower-case hexadecimal, and the size in bytes. Plain data. */
+/* The SHA-256 hash of a blob in lower-case hexadecimal, and its size in bytes. Plain data. */
 typedef struct {
   char hex[FK_DIGEST_HEX_LEN + 1];
   guint64 size;
 } FkDigest;
 
-/* FALSE unless `hex` is 64 lower-case digits and the size is possible. */
+/* Returns FALSE unless `hex` is 64 lower-case hexadecimal digits and `size` is from 0 to FK_BLOB_BYTES_MAX.
+ * Size 0 is valid only with the hash of the empty blob. */
 gboolean fk_digest_parse(FkDigest *digest, const char *hex, gint64 size);
 gboolean fk_digest_equal(const FkDigest *a, const FkDigest *b);
-/* The empty blob, which is always present. */
+/* The digest of the empty blob, which always counts as stored. */
 extern const FkDigest fk_digest_empty;
 
 typedef enum { FK_RESOURCE_READ, FK_RESOURCE_WRITE } FkResourceUse;
 
 typedef struct {
   FkDigest digest;
-  gboolean zstd;      /* compressed on the wire */
-  char instance[65];  /* the team; "" when left out */
-  char upload_id[65]; /* WRITE: the client's name for the upload */
+  gboolean zstd;      /* the data is sent compressed */
+  char instance[65];  /* name of the team, "" if left out */
+  char upload_id[65]; /* the client's identifier of the upload; "" for FK_RESOURCE_READ */
 } FkResourceName;
 
-/* Parses `[{instance}/]blobs/{hash}/{size}` or
- * `[{instance}/]uploads/{id}/blobs/{hash}/{size}[/{anything}]`, with `compressed-blobs/zstd/` instead of
- * `blobs/` for compressed ones. FALSE: malformed. */
+/* Parses a resource name: `[{instance}/]blobs/{hash}/{size}` to read, or
+ * `[{instance}/]uploads/{id}/blobs/{hash}/{size}[/{anything}]` to write. For compressed data,
+ * `compressed-blobs/zstd/` replaces `blobs/`. Returns FALSE if the name is malformed. */
 gboolean fk_resource_name_parse(const char *name, FkResourceUse use, FkResourceName *out);
--- a/src/blob_store/upload.c
+++ b/src/blob_store/upload.c
@@ -1,4 +1,5 @@
-/* Writing blobs: a file of its own each, which becomes the blob's when it is complete. */
+/* Uploads of blobs. Each upload writes to a temporary file, which is renamed to the blob's file when it is
+ * complete. */
 #include <errno.h>
 #include <fcntl.h>
 #include <glib/gstdio.h>
@@ -11,11 +12,11 @@
 
 struct FkUpload {
   FkBlobStore *store;
-  char *team, *file;
+  char *team, *file; /* `file` is the path of the temporary file */
   FkDigest digest;
-  int fd; /* -1: it couldn't be opened */
-  guint64 written;
-  EVP_MD_CTX *hash;
+  int fd;           /* -1 if the file couldn't be opened */
+  guint64 written;  /* bytes */
+  EVP_MD_CTX *hash; /* of the bytes written */
 };
 
 FkBlobStatus fk_upload_begin(FkBlobStore *store, const char *team, const FkDigest *digest, FkUpload **out) {
@@ -42,7 +43,7 @@
     return;
   if (upload->fd >= 0)
     close(upload->fd);
-  g_unlink(upload->file); /* unless it was renamed */
+  g_unlink(upload->file); /* fails if the file was renamed, which is harmless */
   fk_blob_index_unreserve(upload->store->index, upload->team, upload->digest.size);
   EVP_MD_CTX_free(upload->hash);
   g_free(upload->team);
@@ -71,7 +72,7 @@
 
 /* ------------------------------------------------------------------ finishing */
 
-/* A rename is durable only when its directory is synced. */
+/* Syncs a directory. A rename in it is durable only after that. */
 static gboolean sync_dir(const char *path) {
   int fd = open(path, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   gboolean synced = fd >= 0 && fsync(fd) == 0;
@@ -80,7 +81,8 @@
   return synced;
 }
 
-/* FALSE: `errno` says why. */
+/* Syncs the temporary file, renames it to the blob's file, and syncs the directory. Returns FALSE and sets
+ * `errno` if that fails. */
 static gboolean move_to_blobs(const FkUpload *upload) {
   g_autofree char *dir = fk_blob_store_blob_dir(upload->store, upload->team, &upload->digest);
   g_autofree char *file = fk_blob_store_blob_file(upload->store, upload->team, &upload->digest);
@@ -88,13 +90,14 @@
          g_rename(upload->file, file) == 0 && sync_dir(dir);
 }
 
+/* Checks the blob's size and hash, and stores it unless it is stored already. */
 static FkBlobStatus store_upload(FkUpload *upload) {
   FkBlobStore *store = upload->store;
   const FkDigest *digest = &upload->digest;
   if (upload->written != digest->size || !fk_blob_hash_matches(upload->hash, digest))
     return FK_BLOB_STATUS_MISMATCH;
   if (digest->size == 0 || fk_blob_index_find(store->index, upload->team, FK_BLOB_KIND_BLOB, digest))
-    return FK_BLOB_STATUS_OK; /* the same bytes are there already */
+    return FK_BLOB_STATUS_OK; /* the blob is stored already, or is empty */
   if (!move_to_blobs(upload) ||
       !fk_blob_database_insert(store->database, upload->team, FK_BLOB_KIND_BLOB, digest, digest->size, NULL))
     return fk_blob_status_from_errno(errno);
