--- a/test/remote_execution_client.py
+++ b/test/remote_execution_client.py
@@ -1,10 +1,11 @@
 #!/usr/bin/python3
-"""Every call of the Remote Execution cache by an independent gRPC library, against the built service.
+"""Tests each gRPC method of the Remote Execution cache of the built service with an independent gRPC client.
 
-    rexec_client.py FLAXKNOT PROTO_DIR SETTINGS [--bench]
+    remote_execution_client.py FLAXKNOT PROTO_DIR SETTINGS [--bench]
 
-The service's framing, HPACK and flow control are tested against grpc's, not against themselves. The messages are
-generated here from the same numbers.
+The client is the grpc library. So the service's framing, HPACK and flow control are tested against another
+implementation, not against the service's own. protoc generates the message classes from rx.proto in PROTO_DIR.
+With --bench, measures throughput instead and prints it as JSON.
 """
 import atexit, hashlib, json, os, random, signal, socket, subprocess, sys, tempfile, time
 
@@ -21,33 +22,33 @@
 failures = 0
 
 
-def check(holds, what):
+def check(condition, description):
     global failures
-    if not holds:
+    if not condition:
         failures += 1
-        print("FAIL", what, flush=True)
+        print("FAIL", description, flush=True)
 
 
-def port():
+def free_port():
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
         return s.getsockname()[1]
 
 
-def key(team):
+def create_key(team):
     out = subprocess.check_output([BINARY, "key", team], text=True).split("\n")
     return out[1].strip(), json.loads(out[3])
 
 
 class Service:
     def __init__(self, **extra):
-        self.port = port()
-        self.keys = {t: key(t) for t in ("red", "blue")}
+        self.port = free_port()
+        self.keys = {t: create_key(t) for t in ("red", "blue")}
         self.write_keys([e for _, e in self.keys.values()])
         self.file = os.path.join(work, "re.json")
         self.configure(**extra)
         settings = json.load(open(SETTINGS))
-        settings["serve_on"], settings["mesh_addr"] = f"127.0.0.1:{port()}", f"127.0.0.1:{port()}"
+        settings["serve_on"], settings["mesh_addr"] = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
         self.settings = os.path.join(work, "settings.json")
         json.dump(settings, open(self.settings, "w"))
         self.start()
@@ -76,14 +77,17 @@
             stdout=log,
             stderr=log,
         )
-        atexit.register(self.process.kill)  # however this ends
+        atexit.register(self.process.kill)  # also if a test raises an exception
         for _ in range(500):
             try:
                 socket.create_connection(("127.0.0.1", self.port), 1).close()
                 return
             except OSError:
                 time.sleep(0.02)
-        raise SystemExit("the service doesn't listen:\n" + open(os.path.join(work, "log")).read()[-2000:])
+        raise SystemExit(
+            "the service isn't listening after 500 attempts to connect:\n"
+            + open(os.path.join(work, "log")).read()[-2000:]
+        )
 
     def kill(self):
         self.process.send_signal(signal.SIGKILL)
@@ -130,7 +134,7 @@
         return f(iter(messages), metadata=self.meta, timeout=60)
 
     def write(self, blob, upload="u1", chunk=100000, start=0, compressed=None, digest=None, finish=True):
-        h, data = digest or sha(blob), compressed or blob
+        h, data = digest or sha256_hex(blob), compressed or blob
         kind = "compressed-blobs/zstd" if compressed is not None else "blobs"
         name = f"{self.team}/uploads/{upload}/{kind}/{h}/{len(blob)}"
         messages = []
@@ -147,24 +151,24 @@
         return self.write_messages(messages)
 
 
-def sha(blob):
+def sha256_hex(blob):
     return hashlib.sha256(blob).hexdigest()
 
 
 def digest(blob):
-    return rx.Digest(hash=sha(blob), size_bytes=len(blob))
+    return rx.Digest(hash=sha256_hex(blob), size_bytes=len(blob))
 
 
-def refused(code, f, *args, **kw):
+def expect_error(code, call, *args, **kwargs):
     try:
-        f(*args, **kw)
+        call(*args, **kwargs)
     except grpc.RpcError as e:
         check(e.code() == code, f"{code} expected, got {e.code()}: {e.details()}")
         return e
-    check(False, f"{code} expected, got an answer")
+    check(False, f"{code} expected, but the call succeeded")
 
 
-def missing(c, *blobs):
+def find_missing(c, *blobs):
     r = c.call(
         CAS + "FindMissingBlobs",
         rx.FindMissingBlobsRequest(instance_name=c.team, blob_digests=map(digest, blobs)),
@@ -173,7 +177,7 @@
     return [d.hash for d in r.missing_blob_digests]
 
 
-def batch(c, *blobs):
+def batch_update(c, *blobs):
     r = c.call(
         CAS + "BatchUpdateBlobs",
         rx.BatchUpdateBlobsRequest(
@@ -199,9 +203,11 @@
         list(r.cache_capabilities.digest_functions) == [1] and r.high_api_version.major == 2, "capabilities"
     )
     a, b, empty, big = b"a" * 10, b"b" * 1000, b"", rng.randbytes(3_000_000)
-    check(missing(red, a, b, empty) == [sha(a), sha(b)], "missing, but for the empty blob")
-    check(batch(red, a, b, empty) == [0, 0, 0], "batch update")
-    check(missing(red, a, b) == [], "nothing is missing any more")
+    check(
+        find_missing(red, a, b, empty) == [sha256_hex(a), sha256_hex(b)], "all but the empty blob are missing"
+    )
+    check(batch_update(red, a, b, empty) == [0, 0, 0], "batch update")
+    check(find_missing(red, a, b) == [], "no blob is missing after the batch update")
     wrong = red.call(
         CAS + "BatchUpdateBlobs",
         rx.BatchUpdateBlobsRequest(
@@ -221,49 +227,49 @@
     )
     check([x.status.code for x in got.responses] == [0, 5, 0] and got.responses[0].data == a, "batch read")
     check(red.write(big).committed_size == len(big), "write in chunks")
-    check(red.write(big, upload="u2").committed_size == len(big), "write of what is there")
-    name = f"red/blobs/{sha(big)}/{len(big)}"
+    check(red.write(big, upload="u2").committed_size == len(big), "write of a blob that is already stored")
+    name = f"red/blobs/{sha256_hex(big)}/{len(big)}"
     check(red.read(name) == big, "read")
     check(
         red.read(name, 1000, 50) == big[1000:1050] and red.read(name, len(big)) == b"",
         "read with offset and limit",
     )
-    check(red.read(f"blobs/{fk_empty}/0") == b"", "read of the empty blob")
-    refused(C.NOT_FOUND, red.read, f"red/blobs/{sha(b'nobody')}/6")
-    refused(C.OUT_OF_RANGE, red.read, name, len(big) + 1)
+    check(red.read(f"blobs/{EMPTY_HASH}/0") == b"", "read of the empty blob")
+    expect_error(C.NOT_FOUND, red.read, f"red/blobs/{sha256_hex(b'nobody')}/6")
+    expect_error(C.OUT_OF_RANGE, red.read, name, len(big) + 1)
     for bad in (
         "",
         "red/blobs/xyz/3",
-        f"red/blobs/{sha(a)}/-1",
-        f"red/blobs/{sha(a)}",
-        f"a/b/c/blobs/{sha(a)}/10",
-        f"red/blobs/{sha(a)}/10/more",
+        f"red/blobs/{sha256_hex(a)}/-1",
+        f"red/blobs/{sha256_hex(a)}",
+        f"a/b/c/blobs/{sha256_hex(a)}/10",
+        f"red/blobs/{sha256_hex(a)}/10/more",
     ):
-        refused(C.INVALID_ARGUMENT, red.read, bad)
+        expect_error(C.INVALID_ARGUMENT, red.read, bad)
 
 
-fk_empty = sha(b"")
+EMPTY_HASH = sha256_hex(b"")
 
 
 def test_uploads(s):
     red = Client(s, "red")
     blob = rng.randbytes(500_000)
-    name = f"red/uploads/resumed/blobs/{sha(blob)}/{len(blob)}"
-    refused(
+    name = f"red/uploads/resumed/blobs/{sha256_hex(blob)}/{len(blob)}"
+    expect_error(
         C.NOT_FOUND,
         red.call,
         BS + "QueryWriteStatus",
         rx.QueryWriteStatusRequest(resource_name=name),
         rx.QueryWriteStatusResponse,
     )
-    refused(
+    expect_error(
         C.INVALID_ARGUMENT, red.write_messages, [rx.WriteRequest(resource_name=name, data=blob[:200_000])]
     )
     q = red.call(
         BS + "QueryWriteStatus", rx.QueryWriteStatusRequest(resource_name=name), rx.QueryWriteStatusResponse
     )
-    check(q.committed_size == 200_000 and not q.complete, "a broken upload stands where it was")
-    refused(
+    check(q.committed_size == 200_000 and not q.complete, "an unfinished upload keeps its committed size")
+    expect_error(
         C.INVALID_ARGUMENT,
         red.write_messages,
         [rx.WriteRequest(resource_name=name, write_offset=5, data=b"x")],
@@ -272,76 +278,101 @@
         [rx.WriteRequest(resource_name=name, write_offset=200_000, data=blob[200_000:], finish_write=True)]
     )
     check(
-        r.committed_size == len(blob) and red.read(f"red/blobs/{sha(blob)}/{len(blob)}") == blob,
-        "gone on with",
+        r.committed_size == len(blob) and red.read(f"red/blobs/{sha256_hex(blob)}/{len(blob)}") == blob,
+        "the upload is resumed",
     )
     q = red.call(
         BS + "QueryWriteStatus", rx.QueryWriteStatusRequest(resource_name=name), rx.QueryWriteStatusResponse
     )
-    check(q.complete, "complete")
-    lie = b"l" * 1000
-    refused(C.INVALID_ARGUMENT, red.write, lie, "lie", digest=sha(b"other"))
-    refused(
+    check(q.complete, "a finished upload is complete")
+    mismatched = b"l" * 1000
+    expect_error(C.INVALID_ARGUMENT, red.write, mismatched, "lie", digest=sha256_hex(b"other"))
+    expect_error(
         C.INVALID_ARGUMENT,
         red.write_messages,
-        [rx.WriteRequest(resource_name=f"red/uploads/x/blobs/{sha(lie)}/10", data=lie, finish_write=True)],
+        [
+            rx.WriteRequest(
+                resource_name=f"red/uploads/x/blobs/{sha256_hex(mismatched)}/10",
+                data=mismatched,
+                finish_write=True,
+            )
+        ],
     )
-    refused(
+    expect_error(
         C.INVALID_ARGUMENT,
         red.write_messages,
-        [rx.WriteRequest(resource_name=f"red/uploads/x/blobs/{sha(lie)}/2000", data=lie, finish_write=True)],
+        [
+            rx.WriteRequest(
+                resource_name=f"red/uploads/x/blobs/{sha256_hex(mismatched)}/2000",
+                data=mismatched,
+                finish_write=True,
+            )
+        ],
+    )
+    check(
+        find_missing(red, mismatched) == [sha256_hex(mismatched)],
+        "data that doesn't match its digest isn't stored",
     )
-    check(missing(red, lie) == [sha(lie)], "a lie is no blob")
     zstd = "/usr/bin/zstd"
     if os.path.exists(zstd):
         text = b"compressible " * 50_000
         packed = subprocess.run([zstd, "-c"], input=text, stdout=subprocess.PIPE, check=True).stdout
         check(red.write(text, "z", compressed=packed).committed_size == len(packed), "compressed write")
-        check(red.read(f"red/blobs/{sha(text)}/{len(text)}") == text, "and read as it was")
-        back = red.read(f"red/compressed-blobs/zstd/{sha(text)}/{len(text)}")
+        check(
+            red.read(f"red/blobs/{sha256_hex(text)}/{len(text)}") == text,
+            "a blob written compressed is read uncompressed",
+        )
+        back = red.read(f"red/compressed-blobs/zstd/{sha256_hex(text)}/{len(text)}")
         plain = subprocess.run([zstd, "-dc"], input=back, stdout=subprocess.PIPE, check=True).stdout
         check(plain == text and len(back) < len(text) / 10, "compressed read")
         bomb = subprocess.run(
             [zstd, "-c"], input=b"\0" * 10_000_000, stdout=subprocess.PIPE, check=True
         ).stdout
-        refused(C.INVALID_ARGUMENT, red.write, b"\0" * 100, "bomb", compressed=bomb)
+        expect_error(C.INVALID_ARGUMENT, red.write, b"\0" * 100, "bomb", compressed=bomb)
 
 
 def test_teams(s):
-    red, blue, nobody = Client(s, "red"), Client(s, "blue"), Client(s)
+    red, blue, no_key = Client(s, "red"), Client(s, "blue"), Client(s)
     secret = b"red's own"
-    check(batch(red, secret) == [0], "red's blob")
-    check(missing(blue, secret) == [sha(secret)], "blue doesn't see it")
-    refused(C.NOT_FOUND, blue.read, f"blue/blobs/{sha(secret)}/{len(secret)}")
-    one = refused(C.PERMISSION_DENIED, blue.read, f"red/blobs/{sha(secret)}/{len(secret)}")
-    two = refused(C.PERMISSION_DENIED, blue.read, f"nosuch/blobs/{sha(secret)}/{len(secret)}")
-    check(one.details() == two.details(), "another team's instance is refused as one that isn't there")
-    for c in (nobody, Client(s, token="guess")):
-        refused(
+    check(batch_update(red, secret) == [0], "red stores a blob")
+    check(find_missing(blue, secret) == [sha256_hex(secret)], "blue doesn't see red's blob")
+    expect_error(C.NOT_FOUND, blue.read, f"blue/blobs/{sha256_hex(secret)}/{len(secret)}")
+    other_team = expect_error(C.PERMISSION_DENIED, blue.read, f"red/blobs/{sha256_hex(secret)}/{len(secret)}")
+    no_such_team = expect_error(
+        C.PERMISSION_DENIED, blue.read, f"nosuch/blobs/{sha256_hex(secret)}/{len(secret)}"
+    )
+    check(
+        other_team.details() == no_such_team.details(),
+        "the error is the same for another team's instance and one that doesn't exist",
+    )
+    for c in (no_key, Client(s, token="guess")):
+        expect_error(
             C.UNAUTHENTICATED,
             c.call,
             RE + "Capabilities/GetCapabilities",
             rx.GetCapabilitiesRequest(),
             rx.ServerCapabilities,
         )
-        refused(
+        expect_error(
             C.UNAUTHENTICATED, c.call, "/no.such/Call", rx.GetCapabilitiesRequest(), rx.ServerCapabilities
         )
-    refused(C.UNIMPLEMENTED, red.call, "/no.such/Call", rx.GetCapabilitiesRequest(), rx.ServerCapabilities)
-    # a key is replaced: both stand for a while, then only the new one
-    new, entry = key("blue")
+    expect_error(
+        C.UNIMPLEMENTED, red.call, "/no.such/Call", rx.GetCapabilitiesRequest(), rx.ServerCapabilities
+    )
+    # key rotation: after a second key of the team is added to the file, both keys are valid
+    new, entry = create_key("blue")
     entries = [e for _, e in s.keys.values()]
     s.write_keys(entries + [entry])
     deadline = time.time() + 20
     while time.time() < deadline:
         try:
-            check(batch(Client(s, token=new), b"with the new key") == [0], "the new key")
+            check(batch_update(Client(s, token=new), b"with the new key") == [0], "the new key is valid")
             break
         except grpc.RpcError:
             time.sleep(0.2)
     else:
-        check(False, "the new key never counted")
-    check(missing(blue, secret) == [sha(secret)], "the old key still stands")
+        check(False, "the new key isn't valid within 20 s")
+    check(find_missing(blue, secret) == [sha256_hex(secret)], "the old key is still valid")
     s.write_keys(entries)
 
 
@@ -363,27 +394,27 @@
         rx.UpdateActionResultRequest(action_digest=action, action_result=r),
         rx.ActionResult,
     )
-    refused(C.NOT_FOUND, get, red)
-    e = refused(C.FAILED_PRECONDITION, put, red, result)
+    expect_error(C.NOT_FOUND, get, red)
+    e = expect_error(C.FAILED_PRECONDITION, put, red, result)
     details = dict(e.trailing_metadata()).get("grpc-status-details-bin", b"")
     failure = rx.PreconditionFailure.FromString(rx.Status.FromString(details).details[0].value)
     check(
-        {v.subject for v in failure.violations} == {f"blobs/{sha(b)}/{len(b)}" for b in (out, tree)},
+        {v.subject for v in failure.violations} == {f"blobs/{sha256_hex(b)}/{len(b)}" for b in (out, tree)},
         "each missing blob is named",
     )
-    batch(red, out, tree)
-    refused(C.FAILED_PRECONDITION, put, red, result)  # the file in the tree
-    batch(red, inner)
-    check(put(red, result) == result and get(red) == result, "a result is kept")
-    refused(C.NOT_FOUND, get, blue)
+    batch_update(red, out, tree)
+    expect_error(C.FAILED_PRECONDITION, put, red, result)  # the file in the tree is still missing
+    batch_update(red, inner)
+    check(put(red, result) == result and get(red) == result, "a result is stored and returned")
+    expect_error(C.NOT_FOUND, get, blue)
     for path in ("../x", "/x", "a//b", "a/./b", ""):
-        refused(
+        expect_error(
             C.INVALID_ARGUMENT,
             put,
             red,
             rx.ActionResult(output_files=[rx.OutputFile(path=path, digest=digest(out))]),
         )
-    # a tree: shared parts once, pages, missing parts left out
+    # GetTree returns a shared directory once, splits the tree into pages, and leaves out missing directories
     leaf = rx.Directory(files=[rx.FileNode(name="x", digest=digest(out))]).SerializeToString()
     mid = rx.Directory(
         directories=[rx.DirectoryNode(name=n, digest=digest(leaf)) for n in "ab"]
@@ -396,9 +427,9 @@
             rx.DirectoryNode(name="z", digest=gone),
         ]
     ).SerializeToString()
-    batch(red, leaf, mid, root)
+    batch_update(red, leaf, mid, root)
 
-    def walk(size):
+    def get_tree_pages(size):
         dirs, token, pages = [], "", 0
         while True:
             f = red.channel.unary_stream(
@@ -415,20 +446,20 @@
             if not token:
                 return dirs, pages
 
-    check(walk(0) == ([root, mid, leaf], 1), "the tree")
-    dirs, pages = walk(1)
-    check(dirs == [root, mid, leaf] and pages >= 3, f"the tree in pages: {pages}")
+    check(get_tree_pages(0) == ([root, mid, leaf], 1), "the whole tree in one page")
+    dirs, pages = get_tree_pages(1)
+    check(dirs == [root, mid, leaf] and pages >= 3, f"the same tree in at least 3 pages: {pages}")
 
 
-def test_bad(s):
+def test_malformed_input(s):
     red = Client(s, "red")
     raw = lambda path, data: red.channel.unary_unary(path)(data, metadata=red.meta, timeout=30)
-    refused(C.INVALID_ARGUMENT, raw, CAS + "FindMissingBlobs", b"\xff\xff\xff\xff")
-    refused(
+    expect_error(C.INVALID_ARGUMENT, raw, CAS + "FindMissingBlobs", b"\xff\xff\xff\xff")
+    expect_error(
         C.INVALID_ARGUMENT, raw, CAS + "FindMissingBlobs", b"\x12\x00" * 1_500_000
-    )  # as many empty digests
-    refused(C.RESOURCE_EXHAUSTED, raw, CAS + "FindMissingBlobs", b"\x12\x00" * 4_000_000)
-    refused(
+    )  # empty digests: 3 MB on the wire, within message_mb, but too large when parsed
+    expect_error(C.RESOURCE_EXHAUSTED, raw, CAS + "FindMissingBlobs", b"\x12\x00" * 4_000_000)
+    expect_error(
         C.INVALID_ARGUMENT,
         red.call,
         CAS + "FindMissingBlobs",
@@ -448,36 +479,38 @@
                     pass
             except OSError:
                 pass
-    check(missing(red) == [], "the service goes on")
+    check(find_missing(red) == [], "the service still answers after malformed input")
 
 
-def test_evicts(s):
-    """More than there is room for: the oldest go, from the team that has most; the other team loses nothing."""
+def test_eviction(s):
+    """When red uploads more than the cache can hold, red's oldest blobs are evicted. The blobs of blue, which uses
+    less, stay."""
     red, blue = Client(s, "red"), Client(s, "blue")
     small = [b"blue %d" % i for i in range(20)]
-    check(batch(blue, *small) == [0] * 20, "blue's")
+    check(batch_update(blue, *small) == [0] * 20, "blue's batch is stored")
     blobs = [rng.randbytes(1_000_000) for _ in range(12)]
     for b in blobs:
-        check(batch(red, b) == [0], "red's")
-    check(missing(blue, *small) == [], "blue lost nothing")
-    lost = missing(red, *blobs)
+        check(batch_update(red, b) == [0], "each of red's blobs is stored")
+    check(find_missing(blue, *small) == [], "none of blue's blobs was evicted")
+    lost = find_missing(red, *blobs)
     check(
-        0 < len(lost) < 12 and sha(blobs[-1]) not in lost and sha(blobs[0]) in lost,
-        f"the oldest went: {len(lost)}",
+        0 < len(lost) < 12 and sha256_hex(blobs[-1]) not in lost and sha256_hex(blobs[0]) in lost,
+        f"only some blobs were evicted, the oldest but not the newest: {len(lost)}",
     )
-    e = refused(C.RESOURCE_EXHAUSTED, red.write, b"\0" * 9_000_000, "huge")
+    e = expect_error(C.RESOURCE_EXHAUSTED, red.write, b"\0" * 9_000_000, "huge")
     details = dict(e.trailing_metadata()).get("grpc-status-details-bin", b"")
     check(
         rx.RetryInfo.FromString(rx.Status.FromString(details).details[0].value).retry_delay.seconds > 0,
-        "when to come back",
+        "the error has a retry delay",
     )
 
 
-def test_kill(s):
-    """kill -9 at random points of uploads: no blob is ever served that isn't what it should be, and what was
-    acknowledged is there."""
-    kept = []
-    s.configure(bytes_gb=1)  # nothing has to go for want of room
+def test_crash_recovery(s):
+    """The service is killed with SIGKILL at random points of uploads. After the restart, each blob that it has is
+    served as it was sent, each acknowledged blob is stored, and no unfinished upload is left. A blob whose file is
+    then damaged isn't served, and is missing afterwards."""
+    acknowledged = []
+    s.configure(bytes_gb=1)  # large enough that no blob is evicted
     s.kill()
     s.start()
     for round_ in range(6):
@@ -506,32 +539,36 @@
         s.kill()
         for b, future in futures:
             if future.exception() is None and future.result().responses[0].status.code == 0:
-                kept.append(b)
+                acknowledged.append(b)
         s.start()
         c = Client(s, "red")
-        # damage of the disk's own: a file that is shorter than its name says, and one of nobody's
         root = os.path.join(work, "store", "blobs")
         sent = [b for b, _ in futures]
-        gone = set(missing(c, *sent))
+        gone = set(find_missing(c, *sent))
         for b in sent:
-            if sha(b) not in gone:
-                check(c.read(f"blobs/{sha(b)}/{len(b)}") == b, "served as it was sent")
-        check(not gone & {sha(b) for b in kept}, "what was acknowledged is there")
-        check(os.listdir(os.path.join(work, "store", "half")) == [], "nothing half is left")
-    check(len(kept) > 5, f"enough was acknowledged to say something: {len(kept)}")
-    # a disk that lies: the blob is not served, and is missing from then on
-    victim = b"to be damaged" * 100
+            if sha256_hex(b) not in gone:
+                check(
+                    c.read(f"blobs/{sha256_hex(b)}/{len(b)}") == b, "a stored blob is served as it was sent"
+                )
+        check(not gone & {sha256_hex(b) for b in acknowledged}, "each acknowledged blob is stored")
+        check(os.listdir(os.path.join(work, "store", "half")) == [], "no unfinished upload is left")
+    check(
+        len(acknowledged) > 5,
+        f"more than 5 blobs were acknowledged, so that the test is meaningful: {len(acknowledged)}",
+    )
+    # a blob whose file was damaged on the disk isn't served, and is missing from then on
+    damaged_blob = b"to be damaged" * 100
     c = Client(s, "red")
-    batch(c, victim)
+    batch_update(c, damaged_blob)
     for d, _, files in os.walk(root):
-        if sha(victim) in files:
-            with open(os.path.join(d, sha(victim)), "r+b") as f:
+        if sha256_hex(damaged_blob) in files:
+            with open(os.path.join(d, sha256_hex(damaged_blob)), "r+b") as f:
                 f.write(b"X")
-    refused(C.DATA_LOSS, c.read, f"blobs/{sha(victim)}/{len(victim)}")
-    check(missing(c, victim) == [sha(victim)], "dropped")
+    expect_error(C.DATA_LOSS, c.read, f"blobs/{sha256_hex(damaged_blob)}/{len(damaged_blob)}")
+    check(find_missing(c, damaged_blob) == [sha256_hex(damaged_blob)], "a corrupt blob is removed")
 
 
-def processor_s(s):
+def cpu_seconds(s):
     fields = open(f"/proc/{s.process.pid}/stat").read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -549,15 +586,18 @@
     open(path, "rb").read()
     plain_read = time.time() - t
     t = time.time()
-    sha(blob)
+    sha256_hex(blob)
     hashing = time.time() - t
-    t, used = time.time(), processor_s(s)
+    t, used = time.time(), cpu_seconds(s)
     c.write(blob, chunk=1 << 20)
-    write, write_cpu = time.time() - t, processor_s(s) - used
-    t, used = time.time(), processor_s(s)
-    got = c.read(f"red/blobs/{sha(blob)}/{len(blob)}")
-    read, read_cpu = time.time() - t, processor_s(s) - used  # the client's part in it
-    check(got == blob, "as it was")
+    write, write_cpu = time.time() - t, cpu_seconds(s) - used
+    t, used = time.time(), cpu_seconds(s)
+    got = c.read(f"red/blobs/{sha256_hex(blob)}/{len(blob)}")
+    read, read_cpu = (
+        time.time() - t,
+        cpu_seconds(s) - used,
+    )  # `read` includes the client's time, `read_cpu` doesn't
+    check(got == blob, "the blob is read as it was written")
     many = [digest(b"%d" % i) for i in range(20000)]
     t = time.time()
     for _ in range(5):
@@ -591,14 +631,22 @@
     bench(service)
 else:
     service = Service(bytes_gb=0.0078125)
-    for test in (test_calls, test_uploads, test_teams, test_results, test_bad, test_evicts, test_kill):
+    for test in (
+        test_calls,
+        test_uploads,
+        test_teams,
+        test_results,
+        test_malformed_input,
+        test_eviction,
+        test_crash_recovery,
+    ):
         test(service)
         print("done", test.__name__, flush=True)
 service.kill()
 log = open(os.path.join(work, "log")).read()
 check(
     "Sanitizer" not in log and "CRITICAL" not in log and "runtime error" not in log,
-    "a clean log:\n" + log[-3000:],
+    "the log has no sanitizer report and no CRITICAL line:\n" + log[-3000:],
 )
 subprocess.call(["rm", "-rf", work])
 sys.exit(1 if failures else 0)
