--- a/src/blob_store/blob_database.c
+++ b/src/blob_store/blob_database.c
@@ -22,10 +22,10 @@
 enum { COLUMN_TEAM, COLUMN_KIND, COLUMN_HASH, COLUMN_SIZE, COLUMN_USED, COLUMN_BYTES };
 
 struct FkBlobDatabase {
-  char *dir; /* for log and error messages */
+  char *dir; /* path of the directory, for log and error messages */
   sqlite3 *db;
-  sqlite3_stmt *insert, *remove, *touch, *result;
-  guint64 last_use; /* sequence number of the latest recorded use; orders the entries by their use */
+  sqlite3_stmt *insert, *remove, *touch, *select_result;
+  guint64 last_use; /* sequence number of the latest recorded use; column `used` has each entry's */
 };
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkBlobDatabase, fk_blob_database_close)
@@ -34,32 +34,34 @@
 
 /* ------------------------------------------------------------------ opening */
 
-static gboolean fail(FkBlobDatabase *database, GError **error) {
+static gboolean set_sqlite_error(FkBlobDatabase *database, GError **error) {
   g_set_error(error, database_error(), 1, "%s: %s", database->dir, sqlite3_errmsg(database->db));
   return FALSE;
 }
 
 static gboolean prepare(FkBlobDatabase *database, const char *sql, sqlite3_stmt **statement, GError **error) {
-  return sqlite3_prepare_v2(database->db, sql, -1, statement, NULL) == SQLITE_OK || fail(database, error);
+  return sqlite3_prepare_v2(database->db, sql, -1, statement, NULL) == SQLITE_OK ||
+         set_sqlite_error(database, error);
 }
 
-static gboolean set_up(FkBlobDatabase *database, GError **error) {
+static gboolean open_and_prepare(FkBlobDatabase *database, GError **error) {
   g_autofree char *file = g_build_filename(database->dir, "index.sqlite", NULL);
   if (sqlite3_open(file, &database->db) != SQLITE_OK) {
     g_set_error(error, database_error(), 1, "%s: %s", file, sqlite3_errmsg(database->db));
     return FALSE;
   }
-  return (sqlite3_exec(database->db, SETUP_SQL, NULL, NULL, NULL) == SQLITE_OK || fail(database, error)) &&
+  return (sqlite3_exec(database->db, SETUP_SQL, NULL, NULL, NULL) == SQLITE_OK ||
+          set_sqlite_error(database, error)) &&
          prepare(database, INSERT_SQL, &database->insert, error) &&
          prepare(database, REMOVE_SQL, &database->remove, error) &&
          prepare(database, TOUCH_SQL, &database->touch, error) &&
-         prepare(database, RESULT_SQL, &database->result, error);
+         prepare(database, RESULT_SQL, &database->select_result, error);
 }
 
 FkBlobDatabase *fk_blob_database_open(const char *dir, GError **error) {
   g_autoptr(FkBlobDatabase) database = g_new0(FkBlobDatabase, 1);
   database->dir = g_strdup(dir);
-  return set_up(database, error) ? g_steal_pointer(&database) : NULL;
+  return open_and_prepare(database, error) ? g_steal_pointer(&database) : NULL;
 }
 
 void fk_blob_database_close(FkBlobDatabase *database) {
@@ -68,7 +70,7 @@
   sqlite3_finalize(database->insert);
   sqlite3_finalize(database->remove);
   sqlite3_finalize(database->touch);
-  sqlite3_finalize(database->result);
+  sqlite3_finalize(database->select_result);
   sqlite3_close(database->db);
   g_free(database->dir);
   g_free(database);
@@ -119,14 +121,14 @@
   sqlite3_bind_int64(statement, PARAM_SIZE, (sqlite3_int64)digest->size);
 }
 
-static void reset(sqlite3_stmt *statement) {
+static void reset_statement(sqlite3_stmt *statement) {
   sqlite3_reset(statement);
   sqlite3_clear_bindings(statement);
 }
 
-static gboolean run(FkBlobDatabase *database, sqlite3_stmt *statement) {
+static gboolean run_statement(FkBlobDatabase *database, sqlite3_stmt *statement) {
   int code = sqlite3_step(statement);
-  reset(statement);
+  reset_statement(statement);
   if (code != SQLITE_DONE)
     g_warning("blob index write failed dir=%s error=\"%s\"", database->dir, sqlite3_errmsg(database->db));
   return code == SQLITE_DONE;
@@ -140,26 +142,26 @@
   sqlite3_bind_int64(insert, PARAM_BYTES, (sqlite3_int64)bytes);
   if (result)
     sqlite3_bind_blob(insert, PARAM_RESULT, result, (int)bytes, SQLITE_STATIC);
-  return run(database, insert);
+  return run_statement(database, insert);
 }
 
 gboolean fk_blob_database_remove(FkBlobDatabase *database, const FkBlobEntry *entry) {
   bind_key(database->remove, fk_blob_entry_team(entry), entry->kind, &entry->digest);
-  return run(database, database->remove);
+  return run_statement(database, database->remove);
 }
 
 gboolean fk_blob_database_touch(FkBlobDatabase *database, const FkBlobEntry *entry) {
   bind_key(database->touch, fk_blob_entry_team(entry), entry->kind, &entry->digest);
   sqlite3_bind_int64(database->touch, PARAM_USED, (sqlite3_int64)++database->last_use);
-  return run(database, database->touch);
+  return run_statement(database, database->touch);
 }
 
 GBytes *fk_blob_database_get_result(FkBlobDatabase *database, const char *team, const FkDigest *action) {
-  sqlite3_stmt *select = database->result;
+  sqlite3_stmt *select = database->select_result;
   GBytes *bytes = NULL;
   bind_key(select, team, FK_BLOB_KIND_RESULT, action);
   if (sqlite3_step(select) == SQLITE_ROW)
     bytes = g_bytes_new(sqlite3_column_blob(select, 0), (gsize)sqlite3_column_bytes(select, 0));
-  reset(select);
+  reset_statement(select);
   return bytes;
 }
--- a/src/blob_store/blob_database.h
+++ b/src/blob_store/blob_database.h
@@ -5,24 +5,27 @@
 
 typedef struct FkBlobDatabase FkBlobDatabase;
 
-/* Opens or creates `dir`/index.sqlite and locks it for this process. A second process with the same directory
- * gets an error here, before it could remove the blobs of the first one as unindexed. */
+/* Opens or creates `dir`/index.sqlite and locks it for this process. Returns NULL and an error if another
+ * process has locked it, or if it can't be opened. Without the lock, fk_blob_store_open() in a second process
+ * could delete blob files that the first process has just added. */
 FkBlobDatabase *fk_blob_database_open(const char *dir, GError **error);
-/* NULL is allowed. */
+/* Closes the database. NULL is allowed. */
 void fk_blob_database_close(FkBlobDatabase *database);
-/* Adds all entries to `index`, the least recently used first, as far as their uses are recorded. */
+/* Adds all entries to `index`, in the order of their latest recorded use, the oldest first. Only some uses
+ * are recorded. Returns FALSE and an error if the query can't be prepared. */
 gboolean fk_blob_database_load(FkBlobDatabase *database, FkBlobIndex *index, GError **error);
-/* Returns the names of all teams with entries: an array of char* that the caller frees. */
+/* Returns the names of all teams with entries, as an array of char* that owns the strings. The caller frees
+ * the array. */
 GPtrArray *fk_blob_database_teams(FkBlobDatabase *database);
 
 /* The next three functions return FALSE, and log a warning, if the write fails. */
 
-/* Adds an entry or replaces it, as the most recently used one. `result` holds the `bytes` bytes of an action
- * result; it is NULL for a blob. */
+/* Adds an entry, or replaces one with the same key, as the most recently used one. `result` holds the `bytes`
+ * bytes of an action result; it is NULL for a blob. */
 gboolean fk_blob_database_insert(FkBlobDatabase *database, const char *team, FkBlobKind kind,
                                  const FkDigest *digest, guint64 bytes, const guint8 *result);
 gboolean fk_blob_database_remove(FkBlobDatabase *database, const FkBlobEntry *entry);
 /* Records that the entry is the most recently used one. */
 gboolean fk_blob_database_touch(FkBlobDatabase *database, const FkBlobEntry *entry);
-/* Returns an action's result, to be unreffed, or NULL if there is none or it can't be read. */
+/* Returns an action's result, which the caller unrefs. Returns NULL if there is none or the query fails. */
 GBytes *fk_blob_database_get_result(FkBlobDatabase *database, const char *team, const FkDigest *action);
--- a/src/blob_store/blob_index.c
+++ b/src/blob_store/blob_index.c
@@ -6,7 +6,7 @@
   char *name;
   GHashTable *entries[FK_BLOB_KINDS]; /* FkDigest -> FkBlobEntry, for each kind */
   GQueue lru;                         /* the entries that aren't pinned, the least recently used first */
-  guint64 bytes;                      /* of all entries, including removed ones that are still pinned */
+  guint64 bytes;                      /* size of all entries, including removed ones that are still pinned */
   guint64 reserved;                   /* bytes reserved for blobs and results that aren't stored yet */
 };
 
@@ -15,8 +15,8 @@
   GHashTable *teams;       /* name -> FkBlobIndexTeam */
   guint64 bytes, reserved; /* totals of all teams */
   guint64 pinned;          /* the part of `bytes` that belongs to pinned entries */
-  guint count;             /* entries, including removed ones that are still pinned */
-  guint reserving_teams;   /* teams with reserved bytes */
+  guint count;             /* number of entries, including removed ones that are still pinned */
+  guint reserving_teams;   /* number of teams with reserved bytes */
 };
 
 static guint digest_hash(gconstpointer p) {
@@ -29,11 +29,11 @@
 static gboolean digest_equal(gconstpointer a, gconstpointer b) { return fk_digest_equal(a, b); }
 
 static void team_free(gpointer p) {
-  FkBlobIndexTeam *owner = p;
+  FkBlobIndexTeam *record = p;
   for (guint kind = 0; kind < FK_BLOB_KINDS; kind++)
-    g_hash_table_unref(owner->entries[kind]);
-  g_free(owner->name);
-  g_free(owner);
+    g_hash_table_unref(record->entries[kind]);
+  g_free(record->name);
+  g_free(record);
 }
 
 FkBlobIndex *fk_blob_index_new(const FkBlobIndexLimits *limits) {
@@ -50,23 +50,23 @@
   g_free(index);
 }
 
-/* Returns the team's record; adds one if there is none. */
+/* Returns the team's record. Adds a record if the team has none. */
 static FkBlobIndexTeam *find_or_add_team(FkBlobIndex *index, const char *name) {
-  FkBlobIndexTeam *owner = g_hash_table_lookup(index->teams, name);
-  if (owner)
-    return owner;
-  owner = g_new0(FkBlobIndexTeam, 1);
-  owner->name = g_strdup(name);
+  FkBlobIndexTeam *record = g_hash_table_lookup(index->teams, name);
+  if (record)
+    return record;
+  record = g_new0(FkBlobIndexTeam, 1);
+  record->name = g_strdup(name);
   for (guint kind = 0; kind < FK_BLOB_KINDS; kind++)
-    owner->entries[kind] = g_hash_table_new_full(digest_hash, digest_equal, NULL, g_free);
-  g_hash_table_insert(index->teams, owner->name, owner);
-  return owner;
+    record->entries[kind] = g_hash_table_new_full(digest_hash, digest_equal, NULL, g_free);
+  g_hash_table_insert(index->teams, record->name, record);
+  return record;
 }
 
 FkBlobEntry *fk_blob_index_find(FkBlobIndex *index, const char *team, FkBlobKind kind,
                                 const FkDigest *digest) {
-  FkBlobIndexTeam *owner = g_hash_table_lookup(index->teams, team);
-  return owner ? g_hash_table_lookup(owner->entries[kind], digest) : NULL;
+  FkBlobIndexTeam *record = g_hash_table_lookup(index->teams, team);
+  return record ? g_hash_table_lookup(record->entries[kind], digest) : NULL;
 }
 
 void fk_blob_index_touch(FkBlobIndex *index, FkBlobEntry *entry) {
@@ -83,7 +83,7 @@
   index->pinned += entry->bytes;
 }
 
-/* Subtracts an entry from the totals. */
+/* Subtracts an entry from the totals of the index and of its team. */
 static void subtract_entry(FkBlobIndex *index, FkBlobEntry *entry) {
   index->bytes -= entry->bytes;
   entry->team->bytes -= entry->bytes;
@@ -94,7 +94,8 @@
   if (--entry->pins)
     return;
   index->pinned -= entry->bytes;
-  if (entry->removed) { /* the disk space was in use until the last reader closed the file */
+  if (entry->removed) {
+    /* its file was deleted earlier, but used disk space until the last reader closed it */
     subtract_entry(index, entry);
     g_free(entry);
     return;
@@ -103,42 +104,43 @@
 }
 
 gboolean fk_blob_index_reserve(FkBlobIndex *index, const char *team, guint64 bytes) {
-  FkBlobIndexTeam *owner = find_or_add_team(index, team);
+  FkBlobIndexTeam *record = find_or_add_team(index, team);
   guint64 capacity = index->limits.bytes;
   guint64 unevictable = index->reserved + index->pinned;
   if (bytes > capacity || unevictable > capacity - bytes)
     return FALSE;
   /* If more than half of the capacity would be reserved, a team may reserve at most an equal share of the
    * capacity among the teams with reservations, itself included. */
-  guint sharing_teams = index->reserving_teams + (owner->reserved == 0);
-  if (index->reserved + bytes > capacity / 2 && owner->reserved + bytes > capacity / sharing_teams)
+  guint sharing_teams = index->reserving_teams + (record->reserved == 0);
+  if (index->reserved + bytes > capacity / 2 && record->reserved + bytes > capacity / sharing_teams)
     return FALSE;
-  index->reserving_teams += owner->reserved == 0 && bytes > 0;
+  index->reserving_teams += record->reserved == 0 && bytes > 0;
   index->reserved += bytes;
-  owner->reserved += bytes;
+  record->reserved += bytes;
   return TRUE;
 }
 
 void fk_blob_index_unreserve(FkBlobIndex *index, const char *team, guint64 bytes) {
-  FkBlobIndexTeam *owner = find_or_add_team(index, team);
+  FkBlobIndexTeam *record = find_or_add_team(index, team);
   index->reserved -= bytes;
-  owner->reserved -= bytes;
-  index->reserving_teams -= owner->reserved == 0 && bytes > 0;
+  record->reserved -= bytes;
+  index->reserving_teams -= record->reserved == 0 && bytes > 0;
 }
 
 FkBlobEntry *fk_blob_index_next_victim(FkBlobIndex *index) {
   if (index->bytes + index->reserved <= index->limits.bytes && index->count <= index->limits.count)
     return NULL;
-  FkBlobIndexTeam *largest = NULL;
+  FkBlobIndexTeam *largest_team = NULL;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init(&iter, index->teams);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    FkBlobIndexTeam *owner = value;
-    if (owner->lru.head && (!largest || owner->bytes + owner->reserved > largest->bytes + largest->reserved))
-      largest = owner;
+    FkBlobIndexTeam *record = value;
+    if (record->lru.head &&
+        (!largest_team || record->bytes + record->reserved > largest_team->bytes + largest_team->reserved))
+      largest_team = record;
   }
-  return largest ? largest->lru.head->data : NULL;
+  return largest_team ? largest_team->lru.head->data : NULL;
 }
 
 FkBlobEntry *fk_blob_index_insert(FkBlobIndex *index, const char *team, FkBlobKind kind,
@@ -181,22 +183,22 @@
   gpointer value, entry_value;
   g_hash_table_iter_init(&iter, index->teams);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    FkBlobIndexTeam *owner = value;
+    FkBlobIndexTeam *record = value;
     guint64 own = 0;
     guint evictable = 0;
     for (guint kind = 0; kind < FK_BLOB_KINDS; kind++) {
-      g_hash_table_iter_init(&entries, owner->entries[kind]);
+      g_hash_table_iter_init(&entries, record->entries[kind]);
       while (g_hash_table_iter_next(&entries, NULL, &entry_value)) {
         const FkBlobEntry *entry = entry_value;
-        g_assert_true(entry->team == owner && !entry->removed && entry->kind == kind);
+        g_assert_true(entry->team == record && !entry->removed && entry->kind == kind);
         own += entry->bytes;
         evictable += entry->pins == 0;
       }
     }
-    g_assert_cmpuint(owner->lru.length, ==, evictable);
-    g_assert_cmpuint(own, <=, owner->bytes); /* `bytes` includes removed entries that are pinned */
-    bytes += owner->bytes;
-    reserved += owner->reserved;
+    g_assert_cmpuint(record->lru.length, ==, evictable);
+    g_assert_cmpuint(own, <=, record->bytes); /* `bytes` includes removed entries that are pinned */
+    bytes += record->bytes;
+    reserved += record->reserved;
   }
   g_assert_cmpuint(bytes, ==, index->bytes);
   g_assert_cmpuint(reserved, ==, index->reserved);
--- a/src/blob_store/blob_index.h
+++ b/src/blob_store/blob_index.h
@@ -18,30 +18,30 @@
 typedef struct {
   FkBlobIndexTeam *team;
   FkBlobKind kind;
-  FkDigest digest;  /* of the blob, or of a result's action */
+  FkDigest digest;  /* the blob's digest, or the digest of a result's action */
   guint64 bytes;    /* size of the blob or result */
-  guint pins;       /* number of open readers */
-  gboolean removed; /* no longer in the index; freed when it is unpinned for the last time */
-  GList lru_link;   /* in the team's queue of unpinned entries */
+  guint pins;       /* number of pins, one for each open reader */
+  gboolean removed; /* whether fk_blob_index_remove() was called; the last unpin then frees the entry */
+  GList lru_link;   /* link in the team's queue; unlinked while the entry is pinned */
 } FkBlobEntry;
 
 typedef struct {
-  guint64 bytes; /* maximum of stored and reserved bytes */
+  guint64 bytes; /* maximum sum of stored and reserved bytes */
   guint count;   /* maximum number of entries */
 } FkBlobIndexLimits;
 
 FkBlobIndex *fk_blob_index_new(const FkBlobIndexLimits *limits);
-/* NULL is allowed. */
+/* Frees the index and the entries in it. NULL is allowed. */
 void fk_blob_index_free(FkBlobIndex *index);
 
 /* Returns the entry, which the index owns, or NULL if there is none. Doesn't count as a use. */
 FkBlobEntry *fk_blob_index_find(FkBlobIndex *index, const char *team, FkBlobKind kind,
                                 const FkDigest *digest);
-/* Records a use of the entry. */
+/* Records a use of the entry. Has no effect on a pinned entry: its last unpin counts as a use. */
 void fk_blob_index_touch(FkBlobIndex *index, FkBlobEntry *entry);
-/* Pins the entry: fk_blob_index_next_victim() doesn't return it until each pin is undone. */
+/* Pins the entry, so that fk_blob_index_next_victim() doesn't return it before each pin is undone. */
 void fk_blob_index_pin(FkBlobIndex *index, FkBlobEntry *entry);
-/* Undoes one pin. The last one counts as a use, and frees the entry if it was removed. */
+/* Undoes one pin. When no pin is left, frees the entry if it was removed; otherwise counts this as a use. */
 void fk_blob_index_unpin(FkBlobIndex *index, FkBlobEntry *entry);
 
 /* Reserves capacity for a blob or result of that size. Returns FALSE if evictions can't free enough, or if
@@ -49,23 +49,24 @@
  * capacity among the teams with reservations. After TRUE, the caller must evict each entry that
  * fk_blob_index_next_victim() returns, until that returns NULL. */
 gboolean fk_blob_index_reserve(FkBlobIndex *index, const char *team, guint64 bytes);
-/* Releases a reservation of the same size. */
+/* Releases `bytes` of what the team has reserved. */
 void fk_blob_index_unreserve(FkBlobIndex *index, const char *team, guint64 bytes);
-/* Returns the next entry to evict, which the caller removes with fk_blob_index_remove(). Returns NULL if the
- * limits are kept, or if all entries are pinned. */
+/* Returns the next entry to evict, which the caller removes with fk_blob_index_remove(). Returns NULL if
+ * neither limit is exceeded, or if all entries are pinned. */
 FkBlobEntry *fk_blob_index_next_victim(FkBlobIndex *index);
 /* Adds an entry. If the entry already exists, returns it unchanged. */
 FkBlobEntry *fk_blob_index_insert(FkBlobIndex *index, const char *team, FkBlobKind kind,
                                   const FkDigest *digest, guint64 bytes);
-/* Removes the entry from the index, so that it is no longer found. Frees it, or, if it is pinned, leaves that
- * to fk_blob_index_unpin(). */
+/* Removes the entry from the index, so that it is no longer found. Frees the entry; if it is pinned, the last
+ * fk_blob_index_unpin() frees it instead. */
 void fk_blob_index_remove(FkBlobIndex *index, FkBlobEntry *entry);
 
-/* The stored bytes and the number of entries, including removed entries that are still pinned. */
+/* The stored bytes of all teams, the number of entries of all teams, and the stored bytes of one team. Each
+ * includes removed entries that are still pinned. */
 guint64 fk_blob_index_bytes(const FkBlobIndex *index);
 guint fk_blob_index_count(const FkBlobIndex *index);
 guint64 fk_blob_index_team_bytes(FkBlobIndex *index, const char *team);
 /* Returns the name of the entry's team; the index owns it. */
 const char *fk_blob_entry_team(const FkBlobEntry *entry);
-/* For tests: aborts if the totals don't match the teams and entries. */
+/* For tests: aborts if the totals contradict the entries. */
 void fk_blob_index_verify(FkBlobIndex *index);
--- a/src/blob_store/blob_reader.c
+++ b/src/blob_store/blob_reader.c
@@ -7,13 +7,14 @@
 
 struct FkBlobReader {
   FkBlobStore *store;
-  FkBlobEntry *entry; /* pinned; NULL for the empty blob */
-  int fd;             /* -1 for the empty blob */
-  guint64 unread;     /* bytes up to the end of the blob */
-  EVP_MD_CTX *hash; /* of the bytes read; NULL for the empty blob and if the reader began at a later offset */
+  FkBlobEntry *entry; /* pinned entry of the blob; NULL for the empty blob */
+  int fd;             /* file descriptor; -1 for the empty blob */
+  guint64 unread;     /* bytes from the reader's position to the end of the blob */
+  EVP_MD_CTX *hash;   /* hash of the bytes read; NULL for the empty blob, or if the offset wasn't 0 */
 };
 
-/* Opens the file of an entry at `offset`. Evicts the entry if it has no file. */
+/* Opens the file of an entry at `offset`. If the file doesn't exist, evicts the entry and returns NOT_FOUND.
+ */
 static FkBlobStatus open_file(FkBlobStore *store, FkBlobEntry *entry, guint64 offset, int *fd) {
   g_autofree char *file = fk_blob_store_blob_file(store, fk_blob_entry_team(entry), &entry->digest);
   *fd = open(file, O_RDONLY | O_CLOEXEC);
@@ -79,7 +80,8 @@
       return n;
   }
   if (!reader->entry->removed) {
-    g_warning("blob corrupt, removed dir=%s digest=%s", reader->store->dir, reader->entry->digest.hex);
+    g_warning("unreadable or corrupt blob removed dir=%s digest=%s", reader->store->dir,
+              reader->entry->digest.hex);
     fk_blob_store_evict(reader->store, reader->entry);
   }
   return -1;
--- a/src/blob_store/blob_store.c
+++ b/src/blob_store/blob_store.c
@@ -8,7 +8,7 @@
 #define BLOBS_DIRECTORY "blobs"
 #define UPLOADS_DIRECTORY "half"
 /* Only one in this many uses is recorded in the database. The others are lost when the process ends, so that
- * after a restart some entries are evicted earlier than they should be. */
+ * after a restart some entries may be evicted earlier than their last use warrants. */
 #define USES_PER_RECORD 256
 
 static GQuark blob_store_error(void) { return g_quark_from_static_string("fk-blob-store"); }
@@ -73,7 +73,7 @@
   fk_blob_database_remove(store->database, entry);
   if (entry->kind == FK_BLOB_KIND_BLOB) {
     g_autofree char *file = fk_blob_store_blob_file(store, fk_blob_entry_team(entry), &entry->digest);
-    g_unlink(file); /* open readers can still read it */
+    g_unlink(file); /* open readers can still read the deleted file */
   }
   fk_blob_index_remove(store->index, entry);
 }
--- a/src/blob_store/blob_store_internal.h
+++ b/src/blob_store/blob_store_internal.h
@@ -9,27 +9,27 @@
   char *dir;
   FkBlobIndex *index;
   FkBlobDatabase *database;
-  guint64 next_upload;   /* number that names the next upload's file */
+  guint64 next_upload;   /* number of the next upload; names its temporary file */
   guint unrecorded_uses; /* uses since the latest one that was recorded in the database */
 };
 
 /* The following three functions return a path, to be freed. */
 char *fk_blob_store_blob_dir(const FkBlobStore *store, const char *team, const FkDigest *digest);
 char *fk_blob_store_blob_file(const FkBlobStore *store, const char *team, const FkDigest *digest);
-char *fk_blob_store_upload_file(FkBlobStore *store); /* a different one in each call */
+char *fk_blob_store_upload_file(FkBlobStore *store); /* a different path in each call */
 
 /* Reserves capacity, and evicts entries until the limits are kept. Returns FALSE, and evicts nothing, if the
  * index can't reserve it. */
 gboolean fk_blob_store_reserve(FkBlobStore *store, const char *team, guint64 bytes);
-/* Records a use of the entry in the index, and some uses also in the database. */
+/* Records a use of the entry in the index, and every 256th use of the store also in the database. */
 void fk_blob_store_record_use(FkBlobStore *store, FkBlobEntry *entry);
-/* Removes the entry from the database and the index, and deletes a blob's file. */
+/* Removes the entry from the database and the index. If the entry is a blob, deletes its file. */
 void fk_blob_store_evict(FkBlobStore *store, FkBlobEntry *entry);
 
 /* Returns FULL if `error`, an errno, means that the disk or the disk quota is full; otherwise IO_ERROR. */
 FkBlobStatus fk_blob_status_from_errno(int error);
 /* Returns a new SHA-256 context, to be freed with EVP_MD_CTX_free(). */
 EVP_MD_CTX *fk_blob_hash_new(void);
-/* Returns whether the hashed bytes have the digest's hash; doesn't compare the size. Finalizes the context.
+/* Finalizes the context and returns whether the hash of its bytes is the digest's. Doesn't compare the size.
  */
 gboolean fk_blob_hash_matches(EVP_MD_CTX *hash, const FkDigest *digest);
--- a/src/blob_store/digest.h
+++ b/src/blob_store/digest.h
@@ -5,7 +5,8 @@
 #define FK_DIGEST_HEX_LEN 64
 #define FK_BLOB_BYTES_MAX (G_GUINT64_CONSTANT(1) << 40) /* a digest with a larger size is malformed */
 
-/* The SHA-256 hash of a blob in lower-case hexadecimal, and its size in bytes. Plain data. */
+/* The SHA-256 hash of a blob in lower-case hexadecimal, and its size in bytes. Can be copied by assignment.
+ */
 typedef struct {
   char hex[FK_DIGEST_HEX_LEN + 1];
   guint64 size;
@@ -22,8 +23,8 @@
 
 typedef struct {
   FkDigest digest;
-  gboolean zstd;      /* the data is sent compressed */
-  char instance[65];  /* name of the team, "" if left out */
+  gboolean zstd;      /* whether the data is sent compressed with zstd */
+  char instance[65];  /* name of the team; "" if the name has no instance */
   char upload_id[65]; /* the client's identifier of the upload; "" for FK_RESOURCE_READ */
 } FkResourceName;
 
--- a/src/blob_store/upload.c
+++ b/src/blob_store/upload.c
@@ -14,9 +14,9 @@
   FkBlobStore *store;
   char *team, *file; /* `file` is the path of the temporary file */
   FkDigest digest;
-  int fd;           /* -1 if the file couldn't be opened */
-  guint64 written;  /* bytes */
-  EVP_MD_CTX *hash; /* of the bytes written */
+  int fd;           /* descriptor of the file; -1 if it couldn't be opened */
+  guint64 written;  /* number of bytes written */
+  EVP_MD_CTX *hash; /* hash of the bytes written */
 };
 
 FkBlobStatus fk_upload_begin(FkBlobStore *store, const char *team, const FkDigest *digest, FkUpload **out) {
@@ -43,7 +43,7 @@
     return;
   if (upload->fd >= 0)
     close(upload->fd);
-  g_unlink(upload->file); /* fails if the file was renamed, which is harmless */
+  g_unlink(upload->file); /* fails, harmlessly, if the file was renamed */
   fk_blob_index_unreserve(upload->store->index, upload->team, upload->digest.size);
   EVP_MD_CTX_free(upload->hash);
   g_free(upload->team);
@@ -72,7 +72,7 @@
 
 /* ------------------------------------------------------------------ finishing */
 
-/* Syncs a directory. A rename in it is durable only after that. */
+/* Syncs a directory, which makes renames in it durable. */
 static gboolean sync_dir(const char *path) {
   int fd = open(path, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   gboolean synced = fd >= 0 && fsync(fd) == 0;
@@ -90,7 +90,7 @@
          g_rename(upload->file, file) == 0 && sync_dir(dir);
 }
 
-/* Checks the blob's size and hash, and stores it unless it is stored already. */
+/* Stores the blob if its size and hash match the digest, unless the blob is empty or stored already. */
 static FkBlobStatus store_upload(FkUpload *upload) {
   FkBlobStore *store = upload->store;
   const FkDigest *digest = &upload->digest;
--- a/src/remote_execution/action_cache.c
+++ b/src/remote_execution/action_cache.c
@@ -13,7 +13,7 @@
   g_autoptr(GBytes) bytes =
       fk_blob_store_read_all(call->service->blobs, call->team, tree_digest, TREE_BYTES_MAX);
   if (!bytes)
-    return TRUE; /* the tree's own digest is in `blobs` too: find_missing() reports a missing tree */
+    return TRUE; /* `blobs` has the tree's own digest, so find_missing() reports a missing tree */
   Rx__Tree *tree = fk_cache_call_unpack_blob(&rx__tree__descriptor, bytes);
   if (!tree) {
     *reason = "an output directory's tree is none";
@@ -24,9 +24,9 @@
   return valid;
 }
 
-/* Appends each blob that a result refers to and that isn't stored to `missing` (FkDigest). The files of its
- * trees are included. Records a use of each stored blob, so that it isn't evicted before the client reads it.
- * Returns FALSE and a static reason if the result or a tree is malformed. */
+/* Appends each blob that a result refers to and that isn't stored to `missing` (FkDigest). Includes the files
+ * of the result's trees. Records a use of each stored blob, so that it isn't evicted before the client reads
+ * it. Returns FALSE and a static reason if the result or a tree is malformed. */
 static gboolean find_missing(FkCacheCall *call, const Rx__ActionResult *result, GArray *missing,
                              const char **reason) {
   g_autoptr(GArray) blobs = g_array_new(FALSE, FALSE, sizeof(FkDigest));
--- a/src/remote_execution/byte_stream_read.c
+++ b/src/remote_execution/byte_stream_read.c
@@ -4,7 +4,7 @@
 
 #include <zstd.h>
 
-#define READ_BYTES 65536 /* read from the blob for one compression step */
+#define READ_BYTES 65536 /* bytes read from the blob for one compression step */
 #define MESSAGE_DATA_BYTES (512 * 1024)
 
 struct FkDownload {
--- a/src/remote_execution/byte_stream_write.c
+++ b/src/remote_execution/byte_stream_write.c
@@ -1,6 +1,6 @@
 /* ByteStream.Write and QueryWriteStatus: uploads of blobs in several messages. The data is compressed if the
  * resource name has `compressed-blobs/zstd`. After a lost connection, the client can resume an uncompressed
- * upload in another call; a compressed upload starts over. */
+ * upload in another call, unless the upload was aborted in the meantime. A compressed upload starts over. */
 #include "remote_execution/cache_call.h"
 
 #include <string.h>
@@ -11,9 +11,12 @@
 /* The state of one ByteStream.Write call. */
 struct FkUploadStream {
   FkResourceName name;
-  FkResumableUpload
-      *upload;      /* NULL if the blob was already stored, the upload wasn't opened, or it is over */
-  gint64 committed; /* bytes received, as sent (compressed or not): the next message's write_offset */
+  /* The call's upload. NULL if the blob was already stored, the upload wasn't opened, or the upload has
+   * ended. */
+  FkResumableUpload *upload;
+  /* The write_offset expected of the next message: bytes received, counted as sent (compressed or not).
+   * Includes the bytes that earlier calls sent of a resumed upload. */
+  gint64 committed;
   ZSTD_DStream *decompressor; /* NULL before the first compressed data */
 };
 
@@ -23,8 +26,9 @@
   ZSTD_freeDStream(stream->decompressor);
   if (stream->upload) {
     fk_uploads_release(uploads, stream->upload);
-    if (stream->name.zstd || fk_upload_written(stream->upload->upload) == 0)
-      fk_uploads_remove(uploads, stream->upload); /* it can't be resumed, or has no data yet */
+    /* a compressed upload can't be resumed; without data there is nothing to resume */
+    if (stream->name.zstd || fk_upload_written(stream->upload->blob_upload) == 0)
+      fk_uploads_remove(uploads, stream->upload);
   }
   g_free(stream);
 }
@@ -35,15 +39,15 @@
   fk_cache_call_reply(call, &response);
 }
 
-/* Opens the upload that `stream->name` names. Returns FALSE if that fails, after ending the call with an
- * error. */
+/* Opens the upload that `stream->name` names. If that fails, ends the call with an error and returns FALSE.
+ */
 static gboolean open_upload(FkCacheCall *call, FkUploadStream *stream) {
   FkCacheService *service = call->service;
   FkBlobStatus status = FK_BLOB_STATUS_OK;
   switch (fk_uploads_open(service->uploads, service->blobs, call->team, &stream->name, &stream->upload,
                           &status)) {
   case FK_UPLOADS_OPENED:
-    stream->committed = stream->name.zstd ? 0 : (gint64)fk_upload_written(stream->upload->upload);
+    stream->committed = stream->name.zstd ? 0 : (gint64)fk_upload_written(stream->upload->blob_upload);
     return TRUE;
   case FK_UPLOADS_IN_USE:
     fk_cache_call_fail(call, FK_GRPC_ABORTED, "somebody else writes this upload");
@@ -58,8 +62,9 @@
   g_return_val_if_reached(FALSE);
 }
 
-/* Handles the resource name of a call's first message. Returns FALSE if the call has ended: with an error, or
- * with OK if the blob is already stored. */
+/* Handles the resource name of a call's first message: opens the upload. If the blob is already stored, ends
+ * the call with OK and returns FALSE. If the name is invalid or the upload can't be opened, ends the call
+ * with an error and returns FALSE. */
 static gboolean begin_stream(FkCacheCall *call, const char *resource_name) {
   FkResourceName name;
   if (!fk_resource_name_parse(resource_name, FK_RESOURCE_WRITE, &name)) {
@@ -68,9 +73,10 @@
   }
   if (!fk_cache_call_check_instance(call, name.instance))
     return FALSE;
-  FkUploadStream *stream = call->upload = g_new0(FkUploadStream, 1);
+  FkUploadStream *stream = call->upload_stream = g_new0(FkUploadStream, 1);
   stream->name = name;
   if (fk_blob_store_has(call->service->blobs, call->team, &name.digest)) {
+    /* the API requires -1 for a compressed upload of a blob that is already stored */
     reply_written(call, name.zstd ? -1 : (gint64)name.digest.size);
     return FALSE;
   }
@@ -80,7 +86,7 @@
 /* Returns whether a later message of a call has no resource name, or one with the same digest and upload id.
  * Otherwise ends the call with an error. */
 static gboolean check_same_name(FkCacheCall *call, const char *resource_name) {
-  const FkResourceName *name = &call->upload->name;
+  const FkResourceName *name = &call->upload_stream->name;
   FkResourceName repeated;
   if (!*resource_name ||
       (fk_resource_name_parse(resource_name, FK_RESOURCE_WRITE, &repeated) &&
@@ -102,7 +108,7 @@
     gsize remaining = ZSTD_decompressStream(stream->decompressor, &out, &in);
     if (ZSTD_isError(remaining))
       return FK_BLOB_STATUS_MISMATCH;
-    FkBlobStatus status = fk_upload_write(stream->upload->upload, plain, out.pos);
+    FkBlobStatus status = fk_upload_write(stream->upload->blob_upload, plain, out.pos);
     if (status != FK_BLOB_STATUS_OK)
       return status;
     if (in.pos == in.size && out.pos < out.size)
@@ -111,8 +117,9 @@
 }
 
 static FkBlobStatus write_data(FkUploadStream *stream, const ProtobufCBinaryData *data) {
-  FkBlobStatus status = stream->name.zstd ? write_compressed(stream, data)
-                                          : fk_upload_write(stream->upload->upload, data->data, data->len);
+  FkBlobStatus status = stream->name.zstd
+                            ? write_compressed(stream, data)
+                            : fk_upload_write(stream->upload->blob_upload, data->data, data->len);
   stream->committed += (gint64)data->len;
   return status;
 }
@@ -120,10 +127,10 @@
 /* Ends the upload and the call. Stores the blob if `status` is OK, which means that the last message was
  * received. Otherwise discards the upload; `status` says why it failed. */
 static void finish_upload(FkCacheCall *call, FkBlobStatus status) {
-  FkUploadStream *stream = call->upload;
+  FkUploadStream *stream = call->upload_stream;
   FkResumableUpload *upload = g_steal_pointer(&stream->upload);
   if (status == FK_BLOB_STATUS_OK)
-    status = fk_upload_finish(g_steal_pointer(&upload->upload));
+    status = fk_upload_finish(g_steal_pointer(&upload->blob_upload));
   fk_uploads_remove(call->service->uploads, upload);
   if (status == FK_BLOB_STATUS_OK)
     reply_written(call, stream->committed);
@@ -133,14 +140,14 @@
 
 void fk_cache_write(FkCacheCall *call, gpointer message) {
   const Rx__WriteRequest *request = message;
-  if (call->upload ? !check_same_name(call, request->resource_name)
-                   : !begin_stream(call, request->resource_name))
+  if (call->upload_stream ? !check_same_name(call, request->resource_name)
+                          : !begin_stream(call, request->resource_name))
     return;
-  if (request->write_offset != call->upload->committed) {
+  if (request->write_offset != call->upload_stream->committed) {
     fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "the offset isn't where the upload stands");
     return;
   }
-  FkBlobStatus status = write_data(call->upload, &request->data);
+  FkBlobStatus status = write_data(call->upload_stream, &request->data);
   if (status != FK_BLOB_STATUS_OK || request->finish_write)
     finish_upload(call, status);
 }
@@ -164,6 +171,6 @@
   if (response.complete)
     response.committed_size = (gint64)name.digest.size;
   else if (!name.zstd)
-    response.committed_size = (gint64)fk_upload_written(upload->upload);
+    response.committed_size = (gint64)fk_upload_written(upload->blob_upload);
   fk_cache_call_reply(call, &response);
 }
--- a/src/remote_execution/cache_call.c
+++ b/src/remote_execution/cache_call.c
@@ -2,7 +2,7 @@
 #include "remote_execution/cache_call.h"
 
 #define PARSED_SIZE_FACTOR 8 /* maximum memory of a parsed message, as a multiple of its serialized size */
-#define RETRY_S 5            /* suggested to clients by fk_cache_call_fail_retry_later() */
+#define RETRY_S 5            /* retry delay that fk_cache_call_fail_retry_later() sends, in seconds */
 
 /* ------------------------------------------------------------------ replies */
 
@@ -78,7 +78,7 @@
 /* ------------------------------------------------------------------ checks */
 
 /* The error text is the same for another team's instance and for an instance that doesn't exist. So a client
- * can't find out which teams there are. */
+ * can't find out which teams exist. */
 gboolean fk_cache_call_check_instance(FkCacheCall *call, const char *instance) {
   if (!*instance || g_str_equal(instance, call->team))
     return TRUE;
--- a/src/remote_execution/cache_call.h
+++ b/src/remote_execution/cache_call.h
@@ -5,8 +5,8 @@
 #include "remote_execution/message.h"
 #include "remote_execution/uploads.h"
 
-/* Allowance for what a message has besides its blobs, and for the memory of a parsed message beyond the
- * multiple of its serialized size. */
+/* Added to two limits: to a message's length, for its fields other than blob data; and to a parsed message's
+ * memory, besides PARSED_SIZE_FACTOR times its serialized size (cache_call.c). */
 #define FK_MESSAGE_OVERHEAD_BYTES 65536
 /* REv2's DigestFunction.Value and Compressor.Value. */
 #define FK_DIGEST_FUNCTION_SHA256 1
@@ -17,7 +17,7 @@
   FkBlobStore *blobs;
   FkKeys *keys;
   FkUploads *uploads;
-  gsize message_bytes_max; /* the setting `message_mb`, in bytes */
+  gsize message_bytes_max; /* the setting `message_mb`, converted to bytes */
 };
 
 typedef struct FkCacheCall FkCacheCall;
@@ -35,22 +35,22 @@
 struct FkCacheCall {
   FkCacheService *service;
   FkRpc *rpc;
-  const FkCacheMethod *method; /* NULL if the key is invalid or the path is unknown */
-  char *team;                  /* NULL if the key is invalid */
-  gboolean has_message;        /* a message was received */
-  FkDownload *download;        /* NULL unless a ByteStream.Read is in progress */
-  FkUploadStream *upload;      /* NULL unless ByteStream.Write has received its resource name */
+  const FkCacheMethod *method;   /* NULL if the key is invalid or the path is unknown */
+  char *team;                    /* NULL if the key is invalid */
+  gboolean has_message;          /* a message was received */
+  FkDownload *download;          /* NULL until ByteStream.Read has opened the blob */
+  FkUploadStream *upload_stream; /* NULL until ByteStream.Write has accepted a resource name */
 };
 
 /* ---- replies: cache_call.c ---- */
 /* Ends the call with an error. `reason` is sent to the client. */
 void fk_cache_call_fail(FkCacheCall *call, FkGrpcStatus status, const char *reason);
-/* Ends the call with an error and the serialized google.rpc.Status `details`, which it unrefs. */
+/* Ends the call with an error and the serialized google.rpc.Status `details`. Unrefs `details`. */
 void fk_cache_call_fail_with_details(FkCacheCall *call, FkGrpcStatus status, const char *reason,
                                      GBytes *details);
 /* Ends the call with RESOURCE_EXHAUSTED and the delay after which the client may retry. */
 void fk_cache_call_fail_retry_later(FkCacheCall *call, const char *reason);
-/* Ends the call with the error of the blob store, which isn't FK_BLOB_STATUS_OK. */
+/* Ends the call with the error for `status`, which must not be FK_BLOB_STATUS_OK. */
 void fk_cache_call_fail_blob(FkCacheCall *call, FkBlobStatus status);
 /* Sends a message (a protobuf-c struct). Returns FALSE if the call's send queue is full; the caller then
  * waits for the `writable` callback. */
@@ -59,7 +59,7 @@
 void fk_cache_call_reply(FkCacheCall *call, gconstpointer message);
 
 FkGrpcStatus fk_blob_status_to_grpc(FkBlobStatus status);
-/* Returns the error text for clients: static, "" for FK_BLOB_STATUS_OK. */
+/* Returns the error text for clients, a static string. It is empty for FK_BLOB_STATUS_OK. */
 const char *fk_blob_status_reason(FkBlobStatus status);
 
 /* ---- checks: cache_call.c; each ends the call with an error before it returns FALSE ---- */
@@ -69,8 +69,9 @@
 gboolean fk_cache_call_check_digest_function(FkCacheCall *call, int function);
 gboolean fk_cache_call_parse_digest(FkCacheCall *call, const Rx__Digest *digest, FkDigest *out);
 
-/* Parses an untrusted message; free it with fk_message_free(). Returns NULL if it is malformed, or takes more
- * memory than a limit that is proportional to its length. */
+/* Both functions parse an untrusted message; free the result with fk_message_free(). They return NULL if the
+ * message is malformed, or if parsing it would take more memory than PARSED_SIZE_FACTOR times its length plus
+ * FK_MESSAGE_OVERHEAD_BYTES. */
 gpointer fk_cache_call_unpack(const ProtobufCMessageDescriptor *type, const guint8 *bytes, gsize len);
 gpointer fk_cache_call_unpack_blob(const ProtobufCMessageDescriptor *type, GBytes *blob);
 
@@ -89,12 +90,13 @@
 /* byte_stream_read.c */
 void fk_cache_read(FkCacheCall *call, gpointer message);
 /* Sends the next messages of `call->download` until the send queue is full or the download is complete. Ends
- * the call at the end of the download, or with an error if the blob can't be read. */
+ * the call with OK when the download is complete, or with an error if the blob can't be read or compressed.
+ */
 void fk_download_continue(FkCacheCall *call);
 void fk_download_free(FkDownload *download);
 /* byte_stream_write.c */
 void fk_cache_write(FkCacheCall *call, gpointer message);
 void fk_cache_query_write_status(FkCacheCall *call, gpointer message);
-/* Frees the state of a call that has ended; NULL is allowed. An unfinished, uncompressed upload with at least
- * one byte is kept, so that another call can resume it. */
+/* Frees a call's upload state. NULL is allowed. Keeps an unfinished, uncompressed upload with at least one
+ * byte, so that another call can resume it; aborts any other unfinished upload. */
 void fk_upload_stream_free(FkUploadStream *stream, FkUploads *uploads);
--- a/src/remote_execution/cache_service.c
+++ b/src/remote_execution/cache_service.c
@@ -4,9 +4,11 @@
 #include "remote_execution/names.h"
 
 #define BYTES_PER_MB 1048576.0
-#define QUEUED_BYTES_MAX (1024 * 1024) /* of one call's responses that the client hasn't read */
+/* Maximum queued responses of one call, before it waits for the client to read them. */
+#define QUEUED_BYTES_MAX (1024 * 1024)
 #define HEADER_BYTES_MAX 16384
-#define BUFFERED_MESSAGES_MAX 4 /* incomplete messages of a connection, in multiples of message_bytes_max */
+/* Maximum size of a connection's incomplete messages, as a multiple of message_bytes_max. */
+#define BUFFERED_MESSAGES_MAX 4
 
 static const FkCacheMethod methods[] = {
     {FK_PATH_CAPABILITIES, &rx__get_capabilities_request__descriptor, FALSE, fk_cache_get_capabilities},
@@ -83,7 +85,7 @@
 static void on_call_ended(gpointer data, FkRpc *rpc) {
   FkCacheCall *call = fk_rpc_data(rpc);
   fk_download_free(call->download);
-  fk_upload_stream_free(call->upload, call->service->uploads);
+  fk_upload_stream_free(call->upload_stream, call->service->uploads);
   g_free(call->team);
   g_free(call);
 }
--- a/src/remote_execution/capabilities.c
+++ b/src/remote_execution/capabilities.c
@@ -3,21 +3,21 @@
 
 #define API_MAJOR 2
 #define API_MINOR_HIGH 3
-#define SYMLINK_ABSOLUTE_DISALLOWED 1 /* SymlinkAbsolutePathStrategy.Value */
+#define SYMLINK_ABSOLUTE_DISALLOWED 1 /* SymlinkAbsolutePathStrategy.Value.DISALLOWED */
 
 void fk_cache_get_capabilities(FkCacheCall *call, gpointer message) {
   const Rx__GetCapabilitiesRequest *request = message;
   if (!fk_cache_call_check_instance(call, request->instance_name))
     return;
-  int32_t functions[] = {FK_DIGEST_FUNCTION_SHA256};
+  int32_t digest_functions[] = {FK_DIGEST_FUNCTION_SHA256};
   int32_t compressors[] = {FK_COMPRESSOR_ZSTD};
 
   Rx__ActionCacheUpdateCapabilities update = RX__ACTION_CACHE_UPDATE_CAPABILITIES__INIT;
   update.update_enabled = TRUE;
 
   Rx__CacheCapabilities cache = RX__CACHE_CAPABILITIES__INIT;
-  cache.n_digest_functions = G_N_ELEMENTS(functions);
-  cache.digest_functions = functions;
+  cache.n_digest_functions = G_N_ELEMENTS(digest_functions);
+  cache.digest_functions = digest_functions;
   cache.action_cache_update_capabilities = &update;
   cache.max_batch_total_size_bytes = (gint64)call->service->message_bytes_max - FK_MESSAGE_OVERHEAD_BYTES;
   cache.symlink_absolute_path_strategy = SYMLINK_ABSOLUTE_DISALLOWED;
@@ -25,8 +25,8 @@
   cache.supported_compressors = compressors;
 
   Rx__ExecutionCapabilities execution = RX__EXECUTION_CAPABILITIES__INIT;
-  execution.n_digest_functions = G_N_ELEMENTS(functions);
-  execution.digest_functions = functions;
+  execution.n_digest_functions = G_N_ELEMENTS(digest_functions);
+  execution.digest_functions = digest_functions;
   execution.digest_function = FK_DIGEST_FUNCTION_SHA256;
   execution.exec_enabled = FALSE;
 
--- a/src/remote_execution/content_storage.c
+++ b/src/remote_execution/content_storage.c
@@ -35,7 +35,7 @@
   return status;
 }
 
-/* Stores one blob of a batch. Sets `status` to the result. */
+/* Stores one blob of a batch. Sets `status` to OK or to the error. */
 static void update_blob(FkCacheCall *call, const Rx__BlobUpdate *update, Rx__Status *status) {
   FkDigest digest;
   FkBlobStatus stored = FK_BLOB_STATUS_MISMATCH;
@@ -76,9 +76,9 @@
 
 /* ------------------------------------------------------------------ downloads */
 
-/* Returns the digests of a request, to be freed. If a digest is malformed or the blobs together are too long
- * for one response, ends the call with an error and returns NULL. */
-static FkDigest *parse_batch(FkCacheCall *call, const Rx__BatchReadBlobsRequest *request) {
+/* Returns the digests of a request, which the caller frees. If a digest is malformed or the blobs together
+ * are too long for one response, ends the call with an error and returns NULL. */
+static FkDigest *parse_digests(FkCacheCall *call, const Rx__BatchReadBlobsRequest *request) {
   g_autofree FkDigest *digests = g_new(FkDigest, request->n_digests + 1);
   guint64 response_bytes = 0;
   for (gsize i = 0; i < request->n_digests; i++) {
@@ -93,8 +93,8 @@
   return g_steal_pointer(&digests);
 }
 
-/* Reads one blob. Sets the data of `read`, which `contents` owns, or sets the status to NOT_FOUND if the blob
- * can't be read. */
+/* Reads one blob. Sets the data of `read`; `contents` owns that data. If the blob can't be read, sets the
+ * status to NOT_FOUND instead. */
 static void read_blob(FkCacheCall *call, const FkDigest *digest, Rx__BlobRead *read, GPtrArray *contents) {
   GBytes *bytes =
       fk_blob_store_read_all(call->service->blobs, call->team, digest, call->service->message_bytes_max);
@@ -115,7 +115,7 @@
   if (!fk_cache_call_check_instance(call, request->instance_name) ||
       !fk_cache_call_check_digest_function(call, request->digest_function))
     return;
-  g_autofree FkDigest *digests = parse_batch(call, request);
+  g_autofree FkDigest *digests = parse_digests(call, request);
   if (!digests)
     return;
   g_autofree Rx__BlobRead *blobs = g_new(Rx__BlobRead, n + 1);
--- a/src/remote_execution/message.c
+++ b/src/remote_execution/message.c
@@ -12,7 +12,7 @@
 
 /* The memory that parsing one message may still allocate. */
 typedef struct {
-  gsize left; /* bytes */
+  gsize left; /* in bytes */
 } MemoryBudget;
 
 static void *budget_alloc(void *data, size_t size) {
@@ -26,7 +26,7 @@
 
 static void budget_free(void *data, void *pointer) { g_free(pointer); }
 
-/* Frees memory that was allocated with any budget; never allocates, as it has no budget. */
+/* For freeing parsed messages only. It must not allocate: its budget is NULL. */
 static ProtobufCAllocator free_only = {budget_alloc, budget_free, NULL};
 
 gpointer fk_message_unpack(const ProtobufCMessageDescriptor *type, const guint8 *bytes, gsize len,
@@ -54,7 +54,7 @@
 
 /* ------------------------------------------------------------------ statuses */
 
-/* Returns a serialized google.rpc.Status with one detail of the type URL `type`. */
+/* Returns a serialized google.rpc.Status with one detail: the message `detail`, with the type URL `type`. */
 static GBytes *pack_status(FkGrpcStatus code, const char *text, const char *type, gconstpointer detail) {
   g_autoptr(GBytes) packed = fk_message_pack(detail);
   gsize len;
@@ -114,7 +114,7 @@
   return parts[0] != NULL;
 }
 
-/* Appends a digest to `blobs`. Returns FALSE and a reason if it is missing or malformed. */
+/* Appends a digest to `blobs`. Returns FALSE and a reason if the digest is missing or malformed. */
 static gboolean add_digest(GArray *blobs, const Rx__Digest *message, const char **reason) {
   FkDigest digest;
   if (!fk_message_digest(message, &digest)) {
@@ -125,7 +125,7 @@
   return TRUE;
 }
 
-/* Returns whether an output's path is valid; if not, sets `reason`. */
+/* Returns whether an output's path is valid. If it isn't, sets `reason`. */
 static gboolean check_path(const char *path, const char **reason) {
   if (fk_message_path_is_valid(path))
     return TRUE;
--- a/src/remote_execution/settings.c
+++ b/src/remote_execution/settings.c
@@ -101,7 +101,7 @@
     return NULL;
   }
   for (guint i = 0; i < G_N_ELEMENTS(numbers); i++)
-    G_STRUCT_MEMBER(double, settings, numbers[i].offset) = numbers[i].fallback;
+    G_STRUCT_MEMBER(double, settings, numbers[i].offset) = numbers[i].default_value;
   cJSON_ArrayForEach(field, json) {
     if (!parse_field(settings, field, error))
       return NULL;
--- a/src/remote_execution/tree.c
+++ b/src/remote_execution/tree.c
@@ -12,10 +12,10 @@
 
 typedef struct {
   FkCacheCall *call;
-  GArray *queue;     /* FkDigest of all directories found so far, in breadth-first order */
+  GArray *queue;     /* FkDigest of each directory found so far, in breadth-first order */
   GHashTable *found; /* set of the hashes in `queue`, without the root's */
   guint64 next;      /* index in `queue` of the directory to visit next */
-  GPtrArray *page;   /* Rx__Directory of the response */
+  GPtrArray *page;   /* Rx__Directory that belong to the response */
   gsize page_bytes;  /* serialized size of the directories in `page` */
 } TreeWalk;
 
--- a/src/remote_execution/uploads.c
+++ b/src/remote_execution/uploads.c
@@ -3,12 +3,12 @@
 #define TEAM_UPLOADS_MAX 256
 
 struct FkUploads {
-  GHashTable *by_key; /* upload_key() -> FkResumableUpload, which it owns */
+  GHashTable *by_key; /* upload_key() -> FkResumableUpload; the table owns the uploads */
 };
 
 static void upload_free(gpointer data) {
   FkResumableUpload *upload = data;
-  fk_upload_abort(upload->upload);
+  fk_upload_abort(upload->blob_upload);
   g_free(upload->key);
   g_free(upload->team);
   g_free(upload);
@@ -54,23 +54,24 @@
   return n;
 }
 
-/* Begins an upload that isn't in the table. If the team has TEAM_UPLOADS_MAX uploads, first aborts its
- * longest idle one. */
+/* Begins an upload that isn't in the table. If the team has TEAM_UPLOADS_MAX uploads, first aborts the one
+ * that has been idle for the longest time; if all are in use, returns FK_UPLOADS_TOO_MANY. */
 static FkUploadsResult begin_upload(FkUploads *uploads, FkBlobStore *blobs, const char *team,
                                     const FkResourceName *name, FkResumableUpload **out,
                                     FkBlobStatus *status) {
   FkResumableUpload *longest_idle;
-  FkUpload *upload;
+  FkUpload *blob_upload;
   if (count_team(uploads, team, &longest_idle) >= TEAM_UPLOADS_MAX) {
     if (!longest_idle)
       return FK_UPLOADS_TOO_MANY;
     fk_uploads_remove(uploads, longest_idle);
   }
-  *status = fk_upload_begin(blobs, team, &name->digest, &upload);
+  *status = fk_upload_begin(blobs, team, &name->digest, &blob_upload);
   if (*status != FK_BLOB_STATUS_OK)
     return FK_UPLOADS_FAILED;
   *out = g_new0(FkResumableUpload, 1);
-  **out = (FkResumableUpload){.upload = upload, .key = upload_key(team, name), .team = g_strdup(team)};
+  **out =
+      (FkResumableUpload){.blob_upload = blob_upload, .key = upload_key(team, name), .team = g_strdup(team)};
   g_hash_table_insert(uploads->by_key, (*out)->key, *out);
   return FK_UPLOADS_OPENED;
 }
--- a/src/remote_execution/uploads.h
+++ b/src/remote_execution/uploads.h
@@ -7,10 +7,10 @@
 typedef struct FkUploads FkUploads;
 
 typedef struct {
-  FkUpload *upload;     /* NULL once it is finished */
-  char *key, *team;     /* `key` identifies the upload */
-  gboolean in_use;      /* a call has it open */
-  gint64 idle_since_us; /* monotonic time at which the latest call released it; 0 before */
+  FkUpload *blob_upload; /* NULL once the upload is finished */
+  char *key, *team;      /* `key` identifies the upload in the table of uploads */
+  gboolean in_use;       /* a call has it open */
+  gint64 idle_since_us;  /* monotonic time at which the latest call released the upload; 0 if none has */
 } FkResumableUpload;
 
 typedef enum {
@@ -24,17 +24,17 @@
 /* Aborts all uploads and frees them. */
 void fk_uploads_free(FkUploads *uploads);
 
-/* Returns the upload of that team and name, or NULL. */
+/* Returns the team's upload with that name, idle or in use, or NULL if there is none. */
 FkResumableUpload *fk_uploads_find(FkUploads *uploads, const char *team, const FkResourceName *name);
-/* Finds an upload or begins it, and marks it as in use. An idle compressed upload is aborted and starts over,
- * because its decompressor was freed with the earlier call. If the team already has the maximum number of
- * uploads, beginning another one aborts the team's longest idle one. Sets `status` to the blob store's error
- * if it returns FK_UPLOADS_FAILED. */
+/* Finds an upload or begins it, and marks it as in use. A compressed upload always starts from the beginning:
+ * its decompressor's state is freed with its call (byte_stream_write.c). If the team already has the maximum
+ * number of uploads, beginning another one aborts the team's longest idle one. Sets `status` to the blob
+ * store's error if it returns FK_UPLOADS_FAILED. */
 FkUploadsResult fk_uploads_open(FkUploads *uploads, FkBlobStore *blobs, const char *team,
                                 const FkResourceName *name, FkResumableUpload **out, FkBlobStatus *status);
-/* Marks an upload as idle: its call has ended without finishing it. */
+/* Marks an upload as idle, after its call has ended without finishing it. */
 void fk_uploads_release(FkUploads *uploads, FkResumableUpload *upload);
-/* Removes an upload and frees it. Aborts it unless it is finished. */
+/* Removes an upload and frees it. Aborts the upload unless it is finished. */
 void fk_uploads_remove(FkUploads *uploads, FkResumableUpload *upload);
-/* Removes each upload that isn't in use and has been idle since before `before_us` (monotonic time). */
+/* Aborts and removes each idle upload that became idle before `before_us` (monotonic time). */
 void fk_uploads_expire(FkUploads *uploads, gint64 before_us);
--- a/test/test_remote_execution.c
+++ b/test/test_remote_execution.c
@@ -29,7 +29,7 @@
       {"red/uploads/u/compressed-blobs/zstd/" HASH_OF_A "/7", FK_RESOURCE_WRITE, TRUE, TRUE, "red", "u", 7},
       {"blobs/" EMPTY_HASH "/0", FK_RESOURCE_READ, TRUE, FALSE, "", "", 0},
       {"blobs/" HASH_OF_A "/0", FK_RESOURCE_READ, FALSE, FALSE, NULL, NULL,
-       0}, /* size 0 needs the hash of the empty blob */
+       0}, /* size 0 is valid only with the hash of the empty blob */
       {"blobs/" HASH_OF_A "/1/more", FK_RESOURCE_READ, FALSE, FALSE, NULL, NULL, 0},
       {"blobs/" HASH_OF_A "/-1", FK_RESOURCE_READ, FALSE, FALSE, NULL, NULL, 0},
       {"blobs/" HASH_OF_A "/1x", FK_RESOURCE_READ, FALSE, FALSE, NULL, NULL, 0},
@@ -140,7 +140,7 @@
     const cJSON *property = fk_json_get(properties, numbers[i].name);
     g_assert_cmpfloat(fk_json_num_or(property, "minimum", -1), ==, numbers[i].min);
     g_assert_cmpfloat(fk_json_num_or(property, "maximum", -1), ==, numbers[i].max);
-    g_assert_cmpfloat(fk_json_num_or(property, "default", -1), ==, numbers[i].fallback);
+    g_assert_cmpfloat(fk_json_num_or(property, "default", -1), ==, numbers[i].default_value);
   }
   g_assert_true(g_file_get_contents(FK_SOURCE_DIR "/deploy/remote-execution.json", &deployed, &len, NULL));
   g_autoptr(FkRemoteExecutionSettings) settings = fk_remote_execution_settings_parse(deployed, len, NULL);
@@ -173,7 +173,7 @@
     g_assert_cmpint(fk_message_path_is_valid(cases[i].path), ==, cases[i].valid);
 }
 
-/* Returns the digest of a blob that is identified by `n`, with a size from 1 to 50. */
+/* Returns a digest for the number `n`, with a size from 1 to 50. */
 static FkDigest make_digest(guint n) {
   FkDigest digest;
   g_autofree char *name = g_strdup_printf("%u", n),
@@ -182,10 +182,11 @@
   return digest;
 }
 
-/* Random operations by three teams. The index's totals match its entries. After the evictions for a
- * reservation, its capacity is free. A pinned entry is never chosen for eviction. While no entry is pinned
- * and the number of entries is within its limit, a reservation doesn't evict entries of another team that
- * uses less than an equal share of the bytes (less 50). */
+/* Random operations by three teams, with 5 seeds. The index's totals match its entries. After the evictions
+ * for a reservation, the stored bytes leave room for the reserved ones. A pinned entry is never chosen for
+ * eviction. While no entry is pinned and the number of entries is within its limit, a reservation doesn't
+ * evict entries of another team that uses less than an equal share of the bytes minus 50, the maximum size of
+ * a blob in this test. */
 static void test_blob_index(void) {
   static const char *teams[] = {"red", "blue", "green"};
   for (guint32 seed = 1; seed <= 5; seed++) {
@@ -194,7 +195,7 @@
     FkBlobIndex *index = fk_blob_index_new(&limits);
     GPtrArray *pinned = g_ptr_array_new();
     for (guint step = 0; step < 20000; step++) {
-      /* the product of two random numbers favours the first team */
+      /* the product of two uniform numbers is skewed to 0, so the first team gets the most operations */
       const char *team = teams[(guint)(3 * g_rand_double(random) * g_rand_double(random))];
       FkDigest digest = make_digest((guint)g_rand_int_range(random, 0, 300));
       FkBlobEntry *entry = fk_blob_index_find(index, team, FK_BLOB_KIND_BLOB, &digest);
