--- a/src/blob_store/blob_database.c
+++ b/src/blob_store/blob_database.c
@@ -25,7 +25,9 @@
   char *dir; /* path of the directory, for log and error messages */
   sqlite3 *db;
   sqlite3_stmt *insert, *remove, *touch, *select_result;
-  guint64 last_use; /* sequence number of the latest recorded use; column `used` has each entry's */
+  /* Sequence number of the latest recorded use. The column `used` holds the number of each entry's latest
+   * recorded use. */
+  guint64 last_use;
 };
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkBlobDatabase, fk_blob_database_close)
--- a/src/blob_store/blob_database.h
+++ b/src/blob_store/blob_database.h
@@ -5,13 +5,13 @@
 
 typedef struct FkBlobDatabase FkBlobDatabase;
 
-/* Opens or creates `dir`/index.sqlite and locks it for this process. Returns NULL and an error if another
- * process has locked it, or if it can't be opened. Without the lock, fk_blob_store_open() in a second process
- * could delete blob files that the first process has just added. */
+/* Opens or creates `dir`/index.sqlite and locks it for this process. Returns NULL and an error if the
+ * database can't be opened, for instance because another process has locked it. Without the lock,
+ * fk_blob_store_open() in a second process could delete blob files that the first process has just added. */
 FkBlobDatabase *fk_blob_database_open(const char *dir, GError **error);
 /* Closes the database. NULL is allowed. */
 void fk_blob_database_close(FkBlobDatabase *database);
-/* Adds all entries to `index`, in the order of their latest recorded use, the oldest first. Only some uses
+/* Adds the entries to `index`, in the order of their latest recorded use, the oldest first. Only some uses
  * are recorded. Returns FALSE and an error if the query can't be prepared. */
 gboolean fk_blob_database_load(FkBlobDatabase *database, FkBlobIndex *index, GError **error);
 /* Returns the names of all teams with entries, as an array of char* that owns the strings. The caller frees
--- a/src/blob_store/blob_index.c
+++ b/src/blob_store/blob_index.c
@@ -109,8 +109,8 @@
   guint64 unevictable = index->reserved + index->pinned;
   if (bytes > capacity || unevictable > capacity - bytes)
     return FALSE;
-  /* If more than half of the capacity would be reserved, a team may reserve at most an equal share of the
-   * capacity among the teams with reservations, itself included. */
+  /* If the reservations would exceed half of the capacity, this team may reserve at most capacity / n, where
+   * n is the number of teams with reservations, including this team. */
   guint sharing_teams = index->reserving_teams + (record->reserved == 0);
   if (index->reserved + bytes > capacity / 2 && record->reserved + bytes > capacity / sharing_teams)
     return FALSE;
@@ -196,7 +196,7 @@
       }
     }
     g_assert_cmpuint(record->lru.length, ==, evictable);
-    g_assert_cmpuint(own, <=, record->bytes); /* `bytes` includes removed entries that are pinned */
+    g_assert_cmpuint(own, <=, record->bytes); /* `record->bytes` includes removed entries that are pinned */
     bytes += record->bytes;
     reserved += record->reserved;
   }
--- a/src/blob_store/blob_index.h
+++ b/src/blob_store/blob_index.h
@@ -44,10 +44,10 @@
 /* Undoes one pin. When no pin is left, frees the entry if it was removed; otherwise counts this as a use. */
 void fk_blob_index_unpin(FkBlobIndex *index, FkBlobEntry *entry);
 
-/* Reserves capacity for a blob or result of that size. Returns FALSE if evictions can't free enough, or if
- * more than half of the capacity would be reserved and the team would then exceed an equal share of the
- * capacity among the teams with reservations. After TRUE, the caller must evict each entry that
- * fk_blob_index_next_victim() returns, until that returns NULL. */
+/* Reserves capacity for a blob or result of that size. Returns FALSE if evictions can't free enough. Also
+ * returns FALSE if the reservations would exceed half of the capacity and those of this team would exceed
+ * capacity / n, where n is the number of teams with reservations, including this team. After TRUE, the caller
+ * must evict each entry that fk_blob_index_next_victim() returns, until that returns NULL. */
 gboolean fk_blob_index_reserve(FkBlobIndex *index, const char *team, guint64 bytes);
 /* Releases `bytes` of what the team has reserved. */
 void fk_blob_index_unreserve(FkBlobIndex *index, const char *team, guint64 bytes);
--- a/src/blob_store/blob_reader.c
+++ b/src/blob_store/blob_reader.c
@@ -16,7 +16,7 @@
 /* Opens the file of an entry at `offset`. If the file doesn't exist, evicts the entry and returns NOT_FOUND.
  */
 static FkBlobStatus open_file(FkBlobStore *store, FkBlobEntry *entry, guint64 offset, int *fd) {
-  g_autofree char *file = fk_blob_store_blob_file(store, fk_blob_entry_team(entry), &entry->digest);
+  g_autofree char *file = fk_blob_store_blob_path(store, fk_blob_entry_team(entry), &entry->digest);
   *fd = open(file, O_RDONLY | O_CLOEXEC);
   if (*fd < 0 && errno == ENOENT) { /* something other than this process removed the file */
     fk_blob_store_evict(store, entry);
--- a/src/blob_store/blob_store.c
+++ b/src/blob_store/blob_store.c
@@ -7,8 +7,8 @@
 #define DIRECTORY_MODE 0700
 #define BLOBS_DIRECTORY "blobs"
 #define UPLOADS_DIRECTORY "half"
-/* Only one in this many uses is recorded in the database. The others are lost when the process ends, so that
- * after a restart some entries may be evicted earlier than their last use warrants. */
+/* Only one in this many uses is recorded in the database. The other uses are lost when the process ends. So
+ * after a restart, entries may be evicted in an order that differs from the order of their last uses. */
 #define USES_PER_RECORD 256
 
 static GQuark blob_store_error(void) { return g_quark_from_static_string("fk-blob-store"); }
@@ -36,23 +36,24 @@
 
 /* ------------------------------------------------------------------ paths */
 
-/* Returns the name of a team's directory: a hash of the team's name, which may contain any characters. */
+/* Returns the name of a team's directory. It is a hash, because a team's name may contain characters that
+ * aren't allowed in a file name. */
 static char *team_dir_name(const char *team) {
   return g_compute_checksum_for_string(G_CHECKSUM_SHA256, team, -1);
 }
 
-char *fk_blob_store_blob_dir(const FkBlobStore *store, const char *team, const FkDigest *digest) {
+char *fk_blob_store_blob_dir_path(const FkBlobStore *store, const char *team, const FkDigest *digest) {
   g_autofree char *team_name = team_dir_name(team);
   char first_two[] = {digest->hex[0], digest->hex[1], 0};
   return g_build_filename(store->dir, BLOBS_DIRECTORY, team_name, first_two, NULL);
 }
 
-char *fk_blob_store_blob_file(const FkBlobStore *store, const char *team, const FkDigest *digest) {
-  g_autofree char *dir = fk_blob_store_blob_dir(store, team, digest);
+char *fk_blob_store_blob_path(const FkBlobStore *store, const char *team, const FkDigest *digest) {
+  g_autofree char *dir = fk_blob_store_blob_dir_path(store, team, digest);
   return g_build_filename(dir, digest->hex, NULL);
 }
 
-char *fk_blob_store_upload_file(FkBlobStore *store) {
+char *fk_blob_store_upload_path(FkBlobStore *store) {
   g_autofree char *name = g_strdup_printf("%" G_GUINT64_FORMAT, store->next_upload++);
   return g_build_filename(store->dir, UPLOADS_DIRECTORY, name, NULL);
 }
@@ -72,7 +73,7 @@
 void fk_blob_store_evict(FkBlobStore *store, FkBlobEntry *entry) {
   fk_blob_database_remove(store->database, entry);
   if (entry->kind == FK_BLOB_KIND_BLOB) {
-    g_autofree char *file = fk_blob_store_blob_file(store, fk_blob_entry_team(entry), &entry->digest);
+    g_autofree char *file = fk_blob_store_blob_path(store, fk_blob_entry_team(entry), &entry->digest);
     g_unlink(file); /* open readers can still read the deleted file */
   }
   fk_blob_index_remove(store->index, entry);
--- a/src/blob_store/blob_store.h
+++ b/src/blob_store/blob_store.h
@@ -1,10 +1,10 @@
 /* Stores the blobs and action results of each team on the local disk.
  *
  * An upload writes to a temporary file and hashes the data as it arrives. When the upload is finished, the
- * file is synced, renamed and added to the index, but only if its size and hash match the digest. So a
- * process that is killed at any point can leave files without an index entry, which the next start removes,
- * but no wrong blob in the index. The functions block on disk I/O, so they must not be called in the
- * scheduler's thread. */
+ * file is synced, renamed, and added to the database and the index, but only if its size and hash match the
+ * digest. If the process is killed, files without a database entry may remain, and the next start removes
+ * them. The database never lists a blob whose file was incomplete or had the wrong hash when it was added.
+ * The functions block on disk I/O, so they must not be called in the scheduler's thread. */
 #pragma once
 #include "blob_store/blob_index.h"
 
@@ -21,7 +21,7 @@
 } FkBlobStatus;
 
 /* Opens the store, and creates `dir` if it doesn't exist. Removes all files of unfinished uploads, and blob
- * files without an index entry. Evicts entries until the limits are kept. Returns NULL and an error if the
+ * files without an index entry. Evicts entries until both limits are met. Returns NULL and an error if the
  * store can't be opened, for instance because another process has locked it. The files of unfinished uploads
  * are then already removed. */
 FkBlobStore *fk_blob_store_open(const char *dir, const FkBlobIndexLimits *limits, GError **error);
--- a/src/blob_store/blob_store_internal.h
+++ b/src/blob_store/blob_store_internal.h
@@ -14,12 +14,12 @@
 };
 
 /* The following three functions return a path, to be freed. */
-char *fk_blob_store_blob_dir(const FkBlobStore *store, const char *team, const FkDigest *digest);
-char *fk_blob_store_blob_file(const FkBlobStore *store, const char *team, const FkDigest *digest);
-char *fk_blob_store_upload_file(FkBlobStore *store); /* a different path in each call */
+char *fk_blob_store_blob_dir_path(const FkBlobStore *store, const char *team, const FkDigest *digest);
+char *fk_blob_store_blob_path(const FkBlobStore *store, const char *team, const FkDigest *digest);
+char *fk_blob_store_upload_path(FkBlobStore *store); /* a different path in each call */
 
-/* Reserves capacity, and evicts entries until the limits are kept. Returns FALSE, and evicts nothing, if the
- * index can't reserve it. */
+/* Reserves capacity, and evicts entries until both limits are met. Returns FALSE, and evicts nothing, if
+ * the index can't reserve the bytes. */
 gboolean fk_blob_store_reserve(FkBlobStore *store, const char *team, guint64 bytes);
 /* Records a use of the entry in the index, and every 256th use of the store also in the database. */
 void fk_blob_store_record_use(FkBlobStore *store, FkBlobEntry *entry);
@@ -30,6 +30,6 @@
 FkBlobStatus fk_blob_status_from_errno(int error);
 /* Returns a new SHA-256 context, to be freed with EVP_MD_CTX_free(). */
 EVP_MD_CTX *fk_blob_hash_new(void);
-/* Finalizes the context and returns whether the hash of its bytes is the digest's. Doesn't compare the size.
+/* Finalizes the context and returns whether its hash equals the digest's hash. Doesn't compare the size.
  */
 gboolean fk_blob_hash_matches(EVP_MD_CTX *hash, const FkDigest *digest);
--- a/src/blob_store/digest.h
+++ b/src/blob_store/digest.h
@@ -24,7 +24,7 @@
 typedef struct {
   FkDigest digest;
   gboolean zstd;      /* whether the data is sent compressed with zstd */
-  char instance[65];  /* name of the team; "" if the name has no instance */
+  char instance[65];  /* instance name, which is the team's name; "" if the resource name contains none */
   char upload_id[65]; /* the client's identifier of the upload; "" for FK_RESOURCE_READ */
 } FkResourceName;
 
--- a/src/blob_store/upload.c
+++ b/src/blob_store/upload.c
@@ -1,5 +1,5 @@
-/* Uploads of blobs. Each upload writes to a temporary file, which is renamed to the blob's file when it is
- * complete. */
+/* Uploads of blobs. Each upload writes to a temporary file, which is renamed to the blob's file when
+ * the upload is complete. */
 #include <errno.h>
 #include <fcntl.h>
 #include <glib/gstdio.h>
@@ -27,7 +27,7 @@
   upload->team = g_strdup(team);
   upload->digest = *digest;
   upload->hash = fk_blob_hash_new();
-  upload->file = fk_blob_store_upload_file(store);
+  upload->file = fk_blob_store_upload_path(store);
   upload->fd = open(upload->file, O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, FILE_MODE);
   if (upload->fd < 0) {
     FkBlobStatus status = fk_blob_status_from_errno(errno);
@@ -84,8 +84,8 @@
 /* Syncs the temporary file, renames it to the blob's file, and syncs the directory. Returns FALSE and sets
  * `errno` if that fails. */
 static gboolean move_to_blobs(const FkUpload *upload) {
-  g_autofree char *dir = fk_blob_store_blob_dir(upload->store, upload->team, &upload->digest);
-  g_autofree char *file = fk_blob_store_blob_file(upload->store, upload->team, &upload->digest);
+  g_autofree char *dir = fk_blob_store_blob_dir_path(upload->store, upload->team, &upload->digest);
+  g_autofree char *file = fk_blob_store_blob_path(upload->store, upload->team, &upload->digest);
   return fsync(upload->fd) == 0 && g_mkdir_with_parents(dir, DIRECTORY_MODE) == 0 &&
          g_rename(upload->file, file) == 0 && sync_dir(dir);
 }
@@ -97,7 +97,7 @@
   if (upload->written != digest->size || !fk_blob_hash_matches(upload->hash, digest))
     return FK_BLOB_STATUS_MISMATCH;
   if (digest->size == 0 || fk_blob_index_find(store->index, upload->team, FK_BLOB_KIND_BLOB, digest))
-    return FK_BLOB_STATUS_OK; /* the blob is stored already, or is empty */
+    return FK_BLOB_STATUS_OK;
   if (!move_to_blobs(upload) ||
       !fk_blob_database_insert(store->database, upload->team, FK_BLOB_KIND_BLOB, digest, digest->size, NULL))
     return fk_blob_status_from_errno(errno);
--- a/src/remote_execution/action_cache.c
+++ b/src/remote_execution/action_cache.c
@@ -1,6 +1,7 @@
 /* The ActionCache service: stores and returns the results of actions. A result is accepted or returned only
  * if the blobs that it refers to are stored at that time. Otherwise a client could get a result whose outputs
- * it can't download.
+ * it can't download. The files of an output directory are not checked if its Tree message is larger than
+ * TREE_BYTES_MAX.
  */
 #include "remote_execution/cache_call.h"
 
@@ -25,8 +26,8 @@
 }
 
 /* Appends each blob that a result refers to and that isn't stored to `missing` (FkDigest). Includes the files
- * of the result's trees. Records a use of each stored blob, so that it isn't evicted before the client reads
- * it. Returns FALSE and a static reason if the result or a tree is malformed. */
+ * of each tree that add_tree_blobs() can read. Records a use of each stored blob, so that it isn't evicted
+ * before the client reads it. Returns FALSE and a static reason if the result or a tree is malformed. */
 static gboolean find_missing(FkCacheCall *call, const Rx__ActionResult *result, GArray *missing,
                              const char **reason) {
   g_autoptr(GArray) blobs = g_array_new(FALSE, FALSE, sizeof(FkDigest));
--- a/src/remote_execution/byte_stream_read.c
+++ b/src/remote_execution/byte_stream_read.c
@@ -22,7 +22,8 @@
   g_free(download);
 }
 
-/* Reads up to `size` bytes of the blob. Returns their number, 0 at the end, or < 0 if the blob can't be read.
+/* Reads up to `size` bytes of the blob. Returns the number of bytes read, 0 at the end of the requested
+ * range, or < 0 if the blob can't be read.
  */
 static gssize read_plain(FkDownload *download, guint8 *to, gsize size) {
   gssize n = fk_blob_reader_read(download->reader, to, (gsize)MIN(size, download->unread));
@@ -43,8 +44,8 @@
   return !ZSTD_isError(remaining);
 }
 
-/* Writes up to `size` bytes of the compressed blob to `to`. Returns their number, or < 0 if the blob can't be
- * read or zstd fails. */
+/* Writes up to `size` bytes of the compressed blob to `to`. Returns the number of bytes written, or < 0 if
+ * the blob can't be read or zstd fails. */
 static gssize read_compressed(FkDownload *download, guint8 *to, gsize size) {
   ZSTD_outBuffer out = {to, size, 0};
   guint8 plain[READ_BYTES];
--- a/src/remote_execution/byte_stream_write.c
+++ b/src/remote_execution/byte_stream_write.c
@@ -14,8 +14,8 @@
   /* The call's upload. NULL if the blob was already stored, the upload wasn't opened, or the upload has
    * ended. */
   FkResumableUpload *upload;
-  /* The write_offset expected of the next message: bytes received, counted as sent (compressed or not).
-   * Includes the bytes that earlier calls sent of a resumed upload. */
+  /* The write_offset that the next message must have: the number of data bytes received, before any
+   * decompression. For a resumed upload, includes the bytes that earlier calls received. */
   gint64 committed;
   ZSTD_DStream *decompressor; /* NULL before the first compressed data */
 };
@@ -124,8 +124,8 @@
   return status;
 }
 
-/* Ends the upload and the call. Stores the blob if `status` is OK, which means that the last message was
- * received. Otherwise discards the upload; `status` says why it failed. */
+/* Ends the upload and the call. If `status` is OK, the last message was received; stores the blob if it
+ * matches its digest. Any other `status` is the error of the upload, which is discarded. */
 static void finish_upload(FkCacheCall *call, FkBlobStatus status) {
   FkUploadStream *stream = call->upload_stream;
   FkResumableUpload *upload = g_steal_pointer(&stream->upload);
--- a/src/remote_execution/cache_call.c
+++ b/src/remote_execution/cache_call.c
@@ -1,8 +1,10 @@
 /* Functions that the handlers of all methods share: replies, checks of requests, and parsing of messages. */
 #include "remote_execution/cache_call.h"
 
-#define PARSED_SIZE_FACTOR 8 /* maximum memory of a parsed message, as a multiple of its serialized size */
-#define RETRY_S 5            /* retry delay that fk_cache_call_fail_retry_later() sends, in seconds */
+/* A parsed message may take this multiple of its serialized size, plus FK_MESSAGE_OVERHEAD_BYTES, of memory.
+ */
+#define PARSED_SIZE_FACTOR 8
+#define RETRY_S 5 /* retry delay that fk_cache_call_fail_retry_later() sends, in seconds */
 
 /* ------------------------------------------------------------------ replies */
 
--- a/src/remote_execution/cache_call.h
+++ b/src/remote_execution/cache_call.h
@@ -5,8 +5,8 @@
 #include "remote_execution/message.h"
 #include "remote_execution/uploads.h"
 
-/* Added to two limits: to a message's length, for its fields other than blob data; and to a parsed message's
- * memory, besides PARSED_SIZE_FACTOR times its serialized size (cache_call.c). */
+/* Allowance in bytes, added to the maximum length of a message (for fields other than blob data) and to the
+ * maximum memory of a parsed message (cache_call.c). */
 #define FK_MESSAGE_OVERHEAD_BYTES 65536
 /* REv2's DigestFunction.Value and Compressor.Value. */
 #define FK_DIGEST_FUNCTION_SHA256 1
@@ -24,7 +24,7 @@
 typedef struct FkDownload FkDownload;
 typedef struct FkUploadStream FkUploadStream;
 
-/* A gRPC method of the API. */
+/* A gRPC method of the cache and its handler. */
 typedef struct {
   const char *path;
   const ProtobufCMessageDescriptor *request_type;
@@ -52,8 +52,8 @@
 void fk_cache_call_fail_retry_later(FkCacheCall *call, const char *reason);
 /* Ends the call with the error for `status`, which must not be FK_BLOB_STATUS_OK. */
 void fk_cache_call_fail_blob(FkCacheCall *call, FkBlobStatus status);
-/* Sends a message (a protobuf-c struct). Returns FALSE if the call's send queue is full; the caller then
- * waits for the `writable` callback. */
+/* Queues a message (a protobuf-c struct) for sending. Returns FALSE if the send queue is full after that. A
+ * caller with more messages then waits for the `writable` callback. */
 gboolean fk_cache_call_send(FkCacheCall *call, gconstpointer message);
 /* Sends `message` and ends the call with OK. */
 void fk_cache_call_reply(FkCacheCall *call, gconstpointer message);
@@ -69,9 +69,9 @@
 gboolean fk_cache_call_check_digest_function(FkCacheCall *call, int function);
 gboolean fk_cache_call_parse_digest(FkCacheCall *call, const Rx__Digest *digest, FkDigest *out);
 
-/* Both functions parse an untrusted message; free the result with fk_message_free(). They return NULL if the
- * message is malformed, or if parsing it would take more memory than PARSED_SIZE_FACTOR times its length plus
- * FK_MESSAGE_OVERHEAD_BYTES. */
+/* Each of the next two functions parses an untrusted message; free the result with fk_message_free(). Each
+ * returns NULL if the message is malformed, or if the parsed message would take more memory than
+ * PARSED_SIZE_FACTOR times the serialized length plus FK_MESSAGE_OVERHEAD_BYTES. */
 gpointer fk_cache_call_unpack(const ProtobufCMessageDescriptor *type, const guint8 *bytes, gsize len);
 gpointer fk_cache_call_unpack_blob(const ProtobufCMessageDescriptor *type, GBytes *blob);
 
--- a/src/remote_execution/cache_service.c
+++ b/src/remote_execution/cache_service.c
@@ -4,11 +4,11 @@
 #include "remote_execution/names.h"
 
 #define BYTES_PER_MB 1048576.0
-/* Maximum queued responses of one call, before it waits for the client to read them. */
+/* A download pauses while this many bytes of its responses, or more, are queued. */
 #define QUEUED_BYTES_MAX (1024 * 1024)
 #define HEADER_BYTES_MAX 16384
 /* Maximum size of a connection's incomplete messages, as a multiple of message_bytes_max. */
-#define BUFFERED_MESSAGES_MAX 4
+#define BUFFERED_BYTES_FACTOR 4
 
 static const FkCacheMethod methods[] = {
     {FK_PATH_CAPABILITIES, &rx__get_capabilities_request__descriptor, FALSE, fk_cache_get_capabilities},
@@ -121,7 +121,7 @@
 FkH2Limits fk_cache_service_h2_limits(const FkCacheService *service) {
   return (FkH2Limits){.streams = (guint)service->settings->calls,
                       .message_bytes = service->message_bytes_max + FK_MESSAGE_OVERHEAD_BYTES,
-                      .buffered_bytes = BUFFERED_MESSAGES_MAX * service->message_bytes_max,
+                      .buffered_bytes = BUFFERED_BYTES_FACTOR * service->message_bytes_max,
                       .queued_bytes = QUEUED_BYTES_MAX,
                       .header_bytes = HEADER_BYTES_MAX};
 }
--- a/src/remote_execution/cache_service.h
+++ b/src/remote_execution/cache_service.h
@@ -21,7 +21,7 @@
 
 /* Returns the limits of one connection, derived from the settings. */
 FkH2Limits fk_cache_service_h2_limits(const FkCacheService *service);
-/* Replaces the keys, for calls that begin from now on. Takes ownership of `keys`. */
+/* Replaces the keys. Calls in progress are not affected. Takes ownership of `keys`. */
 void fk_cache_service_set_keys(FkCacheService *service, FkKeys *keys);
 /* Aborts each upload that has been idle (no call has it open) for more than the setting `upload_s`. `now_us`
  * is the current monotonic time. */
--- a/src/remote_execution/message.c
+++ b/src/remote_execution/message.c
@@ -26,7 +26,8 @@
 
 static void budget_free(void *data, void *pointer) { g_free(pointer); }
 
-/* For freeing parsed messages only. It must not allocate: its budget is NULL. */
+/* Allocator for freeing parsed messages. Must not be used to allocate: budget_alloc() would dereference the
+ * NULL budget. */
 static ProtobufCAllocator free_only = {budget_alloc, budget_free, NULL};
 
 gpointer fk_message_unpack(const ProtobufCMessageDescriptor *type, const guint8 *bytes, gsize len,
--- a/src/remote_execution/names.h
+++ b/src/remote_execution/names.h
@@ -1,4 +1,5 @@
-/* Names that the API defines: the paths of the gRPC methods, and type URLs for google.protobuf.Any. */
+/* Names defined by the Remote Execution API v2 and the Google APIs that it uses: paths of gRPC methods, and
+ * type URLs for google.protobuf.Any. */
 #pragma once
 
 #define FK_REMOTE_EXECUTION_PACKAGE "/build.bazel.remote.execution.v2."
--- a/src/remote_execution/settings.c
+++ b/src/remote_execution/settings.c
@@ -72,8 +72,8 @@
   return string ? parse_string(field, string, error) : parse_number(settings, field, error);
 }
 
-/* Returns whether the text is a loopback IP address and a port. Other addresses aren't allowed without TLS:
- * clients send their keys unencrypted, so that others on the network could read them. */
+/* Returns whether the text is a loopback IP address and a port. Other addresses aren't allowed: TLS isn't
+ * supported, so others on the network could read the clients' keys. */
 static gboolean is_loopback(const char *address_and_port) {
   const char *colon = strrchr(address_and_port, ':');
   guint64 port;
--- a/src/remote_execution/settings.h
+++ b/src/remote_execution/settings.h
@@ -9,7 +9,7 @@
   char *keys;         /* path of the file with the teams' keys */
   double bytes_gb;    /* maximum total size of blobs and results, stored or reserved for uploads, in GiB */
   double blobs;       /* maximum number of stored blobs and results */
-  double message_mb;  /* maximum length of a message, in MiB */
+  double message_mb;  /* maximum length of a message without FK_MESSAGE_OVERHEAD_BYTES, in MiB */
   double connections; /* maximum number of concurrent connections */
   double calls;       /* maximum number of concurrent calls of a connection */
   double idle_s;      /* time without a call after which a connection gets GOAWAY and is closed, in seconds */
--- a/src/remote_execution/tree.c
+++ b/src/remote_execution/tree.c
@@ -2,21 +2,22 @@
  *
  * The order is breadth first. Each distinct directory is returned once, even if several directories refer to
  * it; otherwise a small set of directories with many references to each other could give a huge response. A
- * page token is the index, in that order, of the page's first directory. Directories are addressed by
+ * page token is the index of the page's first directory in this order. Directories are addressed by
  * content, so the order is the same in each request unless a directory was evicted or uploaded in between. */
 #include "remote_execution/cache_call.h"
 
 #define TREE_DIRECTORIES_MAX 100000
 #define PAGE_DIRECTORIES_MAX 1000
-#define PAGE_BYTES_MAX (1 << 20) /* a page ends with the directory that reaches this size */
+#define PAGE_BYTES_MAX (1 << 20) /* a page ends when its directories reach this total size */
 
 typedef struct {
   FkCacheCall *call;
-  GArray *queue;     /* FkDigest of each directory found so far, in breadth-first order */
-  GHashTable *found; /* set of the hashes in `queue`, without the root's */
-  guint64 next;      /* index in `queue` of the directory to visit next */
-  GPtrArray *page;   /* Rx__Directory that belong to the response */
-  gsize page_bytes;  /* serialized size of the directories in `page` */
+  GArray *queue; /* FkDigest of each directory found so far, in breadth-first order */
+  GHashTable
+      *found;   /* hashes of the directories in `queue` except the root, which can't be its own descendant */
+  guint64 next; /* index in `queue` of the directory to visit next */
+  GPtrArray *page;  /* Rx__Directory that belong to the response */
+  gsize page_bytes; /* serialized size of the directories in `page` */
 } TreeWalk;
 
 static void tree_walk_clear(TreeWalk *walk) {
--- a/src/remote_execution/uploads.c
+++ b/src/remote_execution/uploads.c
@@ -35,8 +35,8 @@
   return g_hash_table_lookup(uploads->by_key, key);
 }
 
-/* Returns the team's number of uploads. Sets `longest_idle` to the one that has been idle for the longest
- * time, or to NULL if all are in use. */
+/* Returns the team's number of uploads. Sets `longest_idle` to the team's upload that has been idle
+ * for the longest time, or to NULL if all of the team's uploads are in use. */
 static guint count_team(const FkUploads *uploads, const char *team, FkResumableUpload **longest_idle) {
   GHashTableIter iter;
   gpointer value;
@@ -54,8 +54,8 @@
   return n;
 }
 
-/* Begins an upload that isn't in the table. If the team has TEAM_UPLOADS_MAX uploads, first aborts the one
- * that has been idle for the longest time; if all are in use, returns FK_UPLOADS_TOO_MANY. */
+/* Begins an upload that isn't in the table. If the team has TEAM_UPLOADS_MAX uploads, first aborts the team's
+ * upload that has been idle for the longest time; if all are in use, returns FK_UPLOADS_TOO_MANY. */
 static FkUploadsResult begin_upload(FkUploads *uploads, FkBlobStore *blobs, const char *team,
                                     const FkResourceName *name, FkResumableUpload **out,
                                     FkBlobStatus *status) {
--- a/src/remote_execution/uploads.h
+++ b/src/remote_execution/uploads.h
@@ -1,6 +1,6 @@
 /* The unfinished uploads of ByteStream.Write. An upload is identified by its team, upload id, digest and
  * compression. An uncompressed upload with at least one byte outlives its call, so that the client can resume
- * it in another one. */
+ * the upload in another call. */
 #pragma once
 #include "blob_store/blob_store.h"
 
@@ -9,13 +9,13 @@
 typedef struct {
   FkUpload *blob_upload; /* NULL once the upload is finished */
   char *key, *team;      /* `key` identifies the upload in the table of uploads */
-  gboolean in_use;       /* a call has it open */
+  gboolean in_use;       /* whether a call has the upload open */
   gint64 idle_since_us;  /* monotonic time at which the latest call released the upload; 0 if none has */
 } FkResumableUpload;
 
 typedef enum {
   FK_UPLOADS_OPENED,
-  FK_UPLOADS_IN_USE,   /* another call has it open */
+  FK_UPLOADS_IN_USE,   /* another call has the upload open */
   FK_UPLOADS_TOO_MANY, /* the team has the maximum number of uploads, and all are in use */
   FK_UPLOADS_FAILED    /* the blob store returned an error */
 } FkUploadsResult;
@@ -26,10 +26,10 @@
 
 /* Returns the team's upload with that name, idle or in use, or NULL if there is none. */
 FkResumableUpload *fk_uploads_find(FkUploads *uploads, const char *team, const FkResourceName *name);
-/* Finds an upload or begins it, and marks it as in use. A compressed upload always starts from the beginning:
- * its decompressor's state is freed with its call (byte_stream_write.c). If the team already has the maximum
- * number of uploads, beginning another one aborts the team's longest idle one. Sets `status` to the blob
- * store's error if it returns FK_UPLOADS_FAILED. */
+/* Finds the upload, or begins an upload, and marks the upload as in use. A compressed upload always starts
+ * from the beginning: its decompressor's state is freed with its call (byte_stream_write.c). If the team
+ * already has the maximum number of uploads, beginning another one aborts the team's longest idle one. With
+ * FK_UPLOADS_FAILED, `status` is the blob store's error. */
 FkUploadsResult fk_uploads_open(FkUploads *uploads, FkBlobStore *blobs, const char *team,
                                 const FkResourceName *name, FkResumableUpload **out, FkBlobStatus *status);
 /* Marks an upload as idle, after its call has ended without finishing it. */
--- a/test/test_remote_execution.c
+++ b/test/test_remote_execution.c
@@ -103,7 +103,7 @@
   g_autoptr(FkKeys) keys = fk_keys_parse(text, strlen(text), &parse_error);
   g_assert_no_error(parse_error);
   g_assert_cmpstr(fk_keys_find_team(keys, "open", 0), ==, "red");
-  /* a key is valid until the second before `until`, and not at `until` */
+  /* a key expires at `until`: it is still valid one second earlier */
   g_assert_cmpstr(fk_keys_find_team(keys, "sesame", 999999999), ==, "red");
   g_assert_null(fk_keys_find_team(keys, "sesame", 1000000000));
   g_assert_null(fk_keys_find_team(keys, "opem", 0));
@@ -195,7 +195,7 @@
     FkBlobIndex *index = fk_blob_index_new(&limits);
     GPtrArray *pinned = g_ptr_array_new();
     for (guint step = 0; step < 20000; step++) {
-      /* the product of two uniform numbers is skewed to 0, so the first team gets the most operations */
+      /* the product of two uniform numbers is skewed towards 0, so the first team gets the most operations */
       const char *team = teams[(guint)(3 * g_rand_double(random) * g_rand_double(random))];
       FkDigest digest = make_digest((guint)g_rand_int_range(random, 0, 300));
       FkBlobEntry *entry = fk_blob_index_find(index, team, FK_BLOB_KIND_BLOB, &digest);
