--- a/src/blob_store/blob_database.h
+++ b/src/blob_store/blob_database.h
@@ -1,5 +1,5 @@
-/* The blob store's persistent index, an SQLite database: the list of stored blobs, the action results
- * themselves, and the order in which both were used. Private to src/blob_store. */
+/* The blob store's persistent index, an SQLite database. It lists the stored blobs, contains the action
+ * results, and records some of the uses of blobs and results. Private to src/blob_store. */
 #pragma once
 #include "blob_store/blob_index.h"
 
@@ -20,12 +20,13 @@
 
 /* The next three functions return FALSE, and log a warning, if the write fails. */
 
-/* Adds an entry, or replaces one with the same key, as the most recently used one. `result` holds the `bytes`
- * bytes of an action result; it is NULL for a blob. */
+/* Adds an entry, and records it as the most recently used entry. Replaces an entry with the same key.
+ * `result` holds the `bytes` bytes of an action result; it is NULL for a blob. */
 gboolean fk_blob_database_insert(FkBlobDatabase *database, const char *team, FkBlobKind kind,
                                  const FkDigest *digest, guint64 bytes, const guint8 *result);
 gboolean fk_blob_database_remove(FkBlobDatabase *database, const FkBlobEntry *entry);
 /* Records that the entry is the most recently used one. */
 gboolean fk_blob_database_touch(FkBlobDatabase *database, const FkBlobEntry *entry);
-/* Returns an action's result, which the caller unrefs. Returns NULL if there is none or the query fails. */
+/* Returns an action's result, which the caller unrefs. Returns NULL if there is no result or the query fails.
+ */
 GBytes *fk_blob_database_get_result(FkBlobDatabase *database, const char *team, const FkDigest *action);
--- a/src/blob_store/blob_index.c
+++ b/src/blob_store/blob_index.c
@@ -6,8 +6,8 @@
   char *name;
   GHashTable *entries[FK_BLOB_KINDS]; /* FkDigest -> FkBlobEntry, for each kind */
   GQueue lru;                         /* the entries that aren't pinned, the least recently used first */
-  guint64 bytes;                      /* size of all entries, including removed ones that are still pinned */
-  guint64 reserved;                   /* bytes reserved for blobs and results that aren't stored yet */
+  guint64 bytes;    /* total size of the entries, including removed entries that are still pinned */
+  guint64 reserved; /* bytes reserved for blobs and results that aren't stored yet */
 };
 
 struct FkBlobIndex {
@@ -15,7 +15,7 @@
   GHashTable *teams;       /* name -> FkBlobIndexTeam */
   guint64 bytes, reserved; /* totals of all teams */
   guint64 pinned;          /* the part of `bytes` that belongs to pinned entries */
-  guint count;             /* number of entries, including removed ones that are still pinned */
+  guint count;             /* number of entries, including removed entries that are still pinned */
   guint reserving_teams;   /* number of teams with reserved bytes */
 };
 
@@ -95,7 +95,7 @@
     return;
   index->pinned -= entry->bytes;
   if (entry->removed) {
-    /* its file was deleted earlier, but used disk space until the last reader closed it */
+    /* the blob's file was deleted earlier, but used disk space until the last reader closed the file */
     subtract_entry(index, entry);
     g_free(entry);
     return;
--- a/src/blob_store/blob_index.h
+++ b/src/blob_store/blob_index.h
@@ -3,10 +3,9 @@
  *
  * Each entry belongs to one team, and a team can't see the entries of another: a blob that two teams store
  * has two entries. The next entry to evict is the least recently used one of the team with the most stored
- * and reserved bytes, among the teams with unpinned entries. So a team that uses no more than an equal share
- * of the bytes loses no entries to teams that use more, unless the limit on the number of entries is exceeded
- * or all entries of those teams are pinned. A pinned entry, which has an open reader, isn't chosen for
- * eviction. */
+ * and reserved bytes, among the teams with unpinned entries. So no entry of a team is evicted to free
+ * capacity while a team with more stored and reserved bytes has an unpinned entry. A pinned entry has an open
+ * reader and isn't evicted to free capacity. */
 #pragma once
 #include "blob_store/digest.h"
 
@@ -39,9 +38,9 @@
                                 const FkDigest *digest);
 /* Records a use of the entry. Has no effect on a pinned entry: its last unpin counts as a use. */
 void fk_blob_index_touch(FkBlobIndex *index, FkBlobEntry *entry);
-/* Pins the entry, so that fk_blob_index_next_victim() doesn't return it before each pin is undone. */
+/* Pins the entry, so that fk_blob_index_next_victim() doesn't return the entry until all pins are undone. */
 void fk_blob_index_pin(FkBlobIndex *index, FkBlobEntry *entry);
-/* Undoes one pin. When no pin is left, frees the entry if it was removed; otherwise counts this as a use. */
+/* Undoes one pin. Undoing the last pin frees a removed entry, and counts as a use of any other entry. */
 void fk_blob_index_unpin(FkBlobIndex *index, FkBlobEntry *entry);
 
 /* Reserves capacity for a blob or result of that size. Returns FALSE if evictions can't free enough. Also
@@ -49,20 +48,20 @@
  * capacity / n, where n is the number of teams with reservations, including this team. After TRUE, the caller
  * must evict each entry that fk_blob_index_next_victim() returns, until that returns NULL. */
 gboolean fk_blob_index_reserve(FkBlobIndex *index, const char *team, guint64 bytes);
-/* Releases `bytes` of what the team has reserved. */
+/* Releases `bytes` bytes of the team's reservations. */
 void fk_blob_index_unreserve(FkBlobIndex *index, const char *team, guint64 bytes);
 /* Returns the next entry to evict, which the caller removes with fk_blob_index_remove(). Returns NULL if
  * neither limit is exceeded, or if all entries are pinned. */
 FkBlobEntry *fk_blob_index_next_victim(FkBlobIndex *index);
-/* Adds an entry. If the entry already exists, returns it unchanged. */
+/* Adds an entry. If the entry already exists, returns the existing entry unchanged. */
 FkBlobEntry *fk_blob_index_insert(FkBlobIndex *index, const char *team, FkBlobKind kind,
                                   const FkDigest *digest, guint64 bytes);
-/* Removes the entry from the index, so that it is no longer found. Frees the entry; if it is pinned, the last
- * fk_blob_index_unpin() frees it instead. */
+/* Removes the entry from the index. Frees the entry, or leaves that to the last fk_blob_index_unpin() if the
+ * entry is pinned. */
 void fk_blob_index_remove(FkBlobIndex *index, FkBlobEntry *entry);
 
-/* The stored bytes of all teams, the number of entries of all teams, and the stored bytes of one team. Each
- * includes removed entries that are still pinned. */
+/* The next three functions return the stored bytes of all teams, the number of entries of all teams, and the
+ * stored bytes of one team. Each result includes removed entries that are still pinned. */
 guint64 fk_blob_index_bytes(const FkBlobIndex *index);
 guint fk_blob_index_count(const FkBlobIndex *index);
 guint64 fk_blob_index_team_bytes(FkBlobIndex *index, const char *team);
--- a/src/blob_store/blob_store.h
+++ b/src/blob_store/blob_store.h
@@ -70,6 +70,6 @@
  * then fails, neither is stored. */
 FkBlobStatus fk_blob_store_put_result(FkBlobStore *store, const char *team, const FkDigest *action,
                                       const guint8 *bytes, gsize len);
-/* Returns an action's result, which the caller unrefs, and records a use of the result. Returns NULL if there
- * is none or the database can't read it. */
+/* Returns an action's result, which the caller unrefs, and records a use of the result. Returns NULL if no
+ * result is stored or the database can't read the result. */
 GBytes *fk_blob_store_get_result(FkBlobStore *store, const char *team, const FkDigest *action);
--- a/src/blob_store/blob_store_internal.h
+++ b/src/blob_store/blob_store_internal.h
@@ -13,7 +13,7 @@
   guint unrecorded_uses; /* uses since the latest one that was recorded in the database */
 };
 
-/* The following three functions return a path, to be freed. */
+/* Each of the next three functions returns a path, which the caller frees. */
 char *fk_blob_store_blob_dir_path(const FkBlobStore *store, const char *team, const FkDigest *digest);
 char *fk_blob_store_blob_path(const FkBlobStore *store, const char *team, const FkDigest *digest);
 char *fk_blob_store_upload_path(FkBlobStore *store); /* a different path in each call */
--- a/src/blob_store/digest.h
+++ b/src/blob_store/digest.h
@@ -12,8 +12,8 @@
   guint64 size;
 } FkDigest;
 
-/* Returns FALSE unless `hex` is 64 lower-case hexadecimal digits and `size` is from 0 to FK_BLOB_BYTES_MAX.
- * Size 0 is valid only with the hash of the empty blob. */
+/* Parses a digest. Returns FALSE unless `hex` is 64 lower-case hexadecimal digits and `size` is from 0 to
+ * FK_BLOB_BYTES_MAX. Size 0 is valid only with the hash of the empty blob. */
 gboolean fk_digest_parse(FkDigest *digest, const char *hex, gint64 size);
 gboolean fk_digest_equal(const FkDigest *a, const FkDigest *b);
 /* The digest of the empty blob, which always counts as stored. */
--- a/src/blob_store/upload.c
+++ b/src/blob_store/upload.c
@@ -14,7 +14,7 @@
   FkBlobStore *store;
   char *team, *file; /* `file` is the path of the temporary file */
   FkDigest digest;
-  int fd;           /* descriptor of the file; -1 if it couldn't be opened */
+  int fd;           /* descriptor of the temporary file; -1 if the file couldn't be opened */
   guint64 written;  /* number of bytes written */
   EVP_MD_CTX *hash; /* hash of the bytes written */
 };
@@ -43,7 +43,7 @@
     return;
   if (upload->fd >= 0)
     close(upload->fd);
-  g_unlink(upload->file); /* fails, harmlessly, if the file was renamed */
+  g_unlink(upload->file); /* has no effect if the temporary file was renamed */
   fk_blob_index_unreserve(upload->store->index, upload->team, upload->digest.size);
   EVP_MD_CTX_free(upload->hash);
   g_free(upload->team);
--- a/src/remote_execution/action_cache.c
+++ b/src/remote_execution/action_cache.c
@@ -25,7 +25,7 @@
   return valid;
 }
 
-/* Appends each blob that a result refers to and that isn't stored to `missing` (FkDigest). Includes the files
+/* Appends to `missing` (FkDigest) each blob that `result` refers to and that isn't stored. Includes the files
  * of each tree that add_tree_blobs() can read. Records a use of each stored blob, so that it isn't evicted
  * before the client reads it. Returns FALSE and a static reason if the result or a tree is malformed. */
 static gboolean find_missing(FkCacheCall *call, const Rx__ActionResult *result, GArray *missing,
@@ -61,8 +61,8 @@
   fk_message_free(result);
 }
 
-/* Returns whether the result may be stored. Otherwise ends the call with an error: the result is absent or
- * malformed, or it refers to blobs that aren't stored. */
+/* Returns whether the result may be stored. Ends the call with an error if the result is absent or malformed,
+ * or refers to blobs that aren't stored. */
 static gboolean check_result(FkCacheCall *call, const Rx__ActionResult *result) {
   g_autoptr(GArray) missing = g_array_new(FALSE, FALSE, sizeof(FkDigest));
   const char *reason = NULL;
--- a/src/remote_execution/byte_stream_write.c
+++ b/src/remote_execution/byte_stream_write.c
@@ -39,7 +39,7 @@
   fk_cache_call_reply(call, &response);
 }
 
-/* Opens the upload that `stream->name` names. If that fails, ends the call with an error and returns FALSE.
+/* Opens the upload named by `stream->name`. On failure, ends the call with an error and returns FALSE.
  */
 static gboolean open_upload(FkCacheCall *call, FkUploadStream *stream) {
   FkCacheService *service = call->service;
--- a/src/remote_execution/cache_call.h
+++ b/src/remote_execution/cache_call.h
@@ -28,7 +28,7 @@
 typedef struct {
   const char *path;
   const ProtobufCMessageDescriptor *request_type;
-  gboolean client_streaming; /* the client may send several messages, not only one */
+  gboolean client_streaming; /* whether the client may send several messages */
   void (*handle)(FkCacheCall *call, gpointer message);
 } FkCacheMethod;
 
@@ -37,7 +37,7 @@
   FkRpc *rpc;
   const FkCacheMethod *method;   /* NULL if the key is invalid or the path is unknown */
   char *team;                    /* NULL if the key is invalid */
-  gboolean has_message;          /* a message was received */
+  gboolean has_message;          /* whether a message was received */
   FkDownload *download;          /* NULL until ByteStream.Read has opened the blob */
   FkUploadStream *upload_stream; /* NULL until ByteStream.Write has accepted a resource name */
 };
--- a/src/remote_execution/cache_service.c
+++ b/src/remote_execution/cache_service.c
@@ -1,10 +1,10 @@
-/* Dispatches each call to the handler of its method, and frees the call's state when it ends. */
+/* Dispatches each call to the handler of its method, and frees the call's state when the call ends. */
 #include "remote_execution/cache_call.h"
 
 #include "remote_execution/names.h"
 
 #define BYTES_PER_MB 1048576.0
-/* A download pauses while this many bytes of its responses, or more, are queued. */
+/* A download pauses when at least this many bytes of its responses are queued. */
 #define QUEUED_BYTES_MAX (1024 * 1024)
 #define HEADER_BYTES_MAX 16384
 /* Maximum size of a connection's incomplete messages, as a multiple of message_bytes_max. */
--- a/src/remote_execution/content_storage.c
+++ b/src/remote_execution/content_storage.c
@@ -76,8 +76,8 @@
 
 /* ------------------------------------------------------------------ downloads */
 
-/* Returns the digests of a request, which the caller frees. If a digest is malformed or the blobs together
- * are too long for one response, ends the call with an error and returns NULL. */
+/* Returns the digests of a request; the caller frees the array. If a digest is malformed or the blobs
+ * together are too long for one response, ends the call with an error and returns NULL. */
 static FkDigest *parse_digests(FkCacheCall *call, const Rx__BatchReadBlobsRequest *request) {
   g_autofree FkDigest *digests = g_new(FkDigest, request->n_digests + 1);
   guint64 response_bytes = 0;
--- a/src/remote_execution/message.c
+++ b/src/remote_execution/message.c
@@ -167,7 +167,7 @@
          (!result->stderr_digest || add_digest(blobs, result->stderr_digest, reason));
 }
 
-/* Appends the digest of each file that is directly in one directory of a tree. Returns FALSE and a reason if
+/* Appends the digests of the files that `directory` itself contains. Returns FALSE and a reason if
  * a name or a digest is invalid. */
 static gboolean add_files(const Rx__Directory *directory, GArray *blobs, const char **reason) {
   for (gsize i = 0; i < directory->n_files; i++) {
--- a/src/remote_execution/tree.c
+++ b/src/remote_execution/tree.c
@@ -12,12 +12,11 @@
 
 typedef struct {
   FkCacheCall *call;
-  GArray *queue; /* FkDigest of each directory found so far, in breadth-first order */
-  GHashTable
-      *found;   /* hashes of the directories in `queue` except the root, which can't be its own descendant */
-  guint64 next; /* index in `queue` of the directory to visit next */
-  GPtrArray *page;  /* Rx__Directory that belong to the response */
-  gsize page_bytes; /* serialized size of the directories in `page` */
+  GArray *queue;     /* FkDigest of each directory found so far, in breadth-first order */
+  GHashTable *found; /* hashes of the directories in `queue`, except the root */
+  guint64 next;      /* index in `queue` of the directory to visit next */
+  GPtrArray *page;   /* Rx__Directory that belong to the response */
+  gsize page_bytes;  /* serialized size of the directories in `page` */
 } TreeWalk;
 
 static void tree_walk_clear(TreeWalk *walk) {
@@ -46,8 +45,8 @@
 
 /* Visits the next directory of the queue. Appends its subdirectories to the queue, and adds it to the page
  * unless its index is less than `first`. Skips a directory other than the root that is missing or can't be
- * read. Returns FALSE if the root can't be read, a directory is malformed or the tree is too large, after
- * ending the call with an error. */
+ * read. Returns FALSE if the root can't be read, a directory is malformed, or the tree has too many
+ * directories, after ending the call with an error. */
 static gboolean visit_next(TreeWalk *walk, guint64 first) {
   FkCacheService *service = walk->call->service;
   guint64 index = walk->next++;
--- a/src/remote_execution/uploads.h
+++ b/src/remote_execution/uploads.h
@@ -26,13 +26,15 @@
 
 /* Returns the team's upload with that name, idle or in use, or NULL if there is none. */
 FkResumableUpload *fk_uploads_find(FkUploads *uploads, const char *team, const FkResourceName *name);
-/* Finds the upload, or begins an upload, and marks the upload as in use. A compressed upload always starts
- * from the beginning: its decompressor's state is freed with its call (byte_stream_write.c). If the team
- * already has the maximum number of uploads, beginning another one aborts the team's longest idle one. With
+/* Opens an existing upload or begins a new one, and marks the upload as in use. A compressed upload always
+ * starts from the beginning: its decompressor's state is freed with its call (byte_stream_write.c). If the
+ * team already has the maximum number of uploads, beginning another upload first aborts the team's upload
+ * that has been idle for the longest time; if all are in use, the result is FK_UPLOADS_TOO_MANY. With
  * FK_UPLOADS_FAILED, `status` is the blob store's error. */
 FkUploadsResult fk_uploads_open(FkUploads *uploads, FkBlobStore *blobs, const char *team,
                                 const FkResourceName *name, FkResumableUpload **out, FkBlobStatus *status);
-/* Marks an upload as idle, after its call has ended without finishing it. */
+/* Marks an upload as idle. Called when the call that had the upload open ends without finishing the upload.
+ */
 void fk_uploads_release(FkUploads *uploads, FkResumableUpload *upload);
 /* Removes an upload and frees it. Aborts the upload unless it is finished. */
 void fk_uploads_remove(FkUploads *uploads, FkResumableUpload *upload);
--- a/test/remote_execution_client.py
+++ b/test/remote_execution_client.py
@@ -4,7 +4,8 @@
     remote_execution_client.py FLAXKNOT PROTO_DIR SETTINGS [--bench]
 
 The client is the grpc library. So the service's framing, HPACK and flow control are tested against another
-implementation, not against the service's own. protoc generates the message classes from rx.proto in PROTO_DIR.
+implementation, not against the service's own.
+protoc generates the message classes from rx.proto in PROTO_DIR.
 With --bench, measures throughput instead and prints it as JSON.
 """
 import atexit, hashlib, json, os, random, signal, socket, subprocess, sys, tempfile, time
@@ -77,7 +78,7 @@
             stdout=log,
             stderr=log,
         )
-        atexit.register(self.process.kill)  # also if a test raises an exception
+        atexit.register(self.process.kill)  # kills the service even if a test raises an exception
         for _ in range(500):
             try:
                 socket.create_connection(("127.0.0.1", self.port), 1).close()
@@ -483,8 +484,8 @@
 
 
 def test_eviction(s):
-    """When red uploads more than the cache can hold, red's oldest blobs are evicted. The blobs of blue, which uses
-    less, stay."""
+    """When red uploads more than the cache can hold, red's oldest blobs are evicted. The blobs of blue, which
+    uses less, stay."""
     red, blue = Client(s, "red"), Client(s, "blue")
     small = [b"blue %d" % i for i in range(20)]
     check(batch_update(blue, *small) == [0] * 20, "blue's batch is stored")
@@ -506,9 +507,9 @@
 
 
 def test_crash_recovery(s):
-    """The service is killed with SIGKILL at random points of uploads. After the restart, each blob that it has is
-    served as it was sent, each acknowledged blob is stored, and no unfinished upload is left. A blob whose file is
-    then damaged isn't served, and is missing afterwards."""
+    """The service is killed with SIGKILL at random points of uploads. After the restart, each stored blob is
+    served with its original contents, each acknowledged blob is stored, and no unfinished upload is left. A
+    blob whose file is then damaged isn't served, and is missing afterwards."""
     acknowledged = []
     s.configure(bytes_gb=1)  # large enough that no blob is evicted
     s.kill()
--- a/test/test_remote_execution.c
+++ b/test/test_remote_execution.c
@@ -1,4 +1,4 @@
-/* Tests of the parts of the Remote Execution cache that need no sockets and no disk of their own: resource
+/* Unit tests of parts of the Remote Execution cache, without sockets and without a blob store: resource
  * names, gRPC frames, keys, settings, paths, and the blob index. */
 #include <string.h>
 
@@ -183,10 +183,10 @@
 }
 
 /* Random operations by three teams, with 5 seeds. The index's totals match its entries. After the evictions
- * for a reservation, the stored bytes leave room for the reserved ones. A pinned entry is never chosen for
- * eviction. While no entry is pinned and the number of entries is within its limit, a reservation doesn't
- * evict entries of another team that uses less than an equal share of the bytes minus 50, the maximum size of
- * a blob in this test. */
+ * for a reservation, the stored and reserved bytes together are within the limit. A pinned entry is never
+ * chosen for eviction. While no entry is pinned and the number of entries is within its limit, a reservation
+ * doesn't evict entries of another team that uses less than an equal share of the bytes minus 50, the maximum
+ * size of a blob in this test. */
 static void test_blob_index(void) {
   static const char *teams[] = {"red", "blue", "green"};
   for (guint32 seed = 1; seed <= 5; seed++) {
