--- a/src/blob_store/blob_database.h
+++ b/src/blob_store/blob_database.h
@@ -25,7 +25,7 @@
 gboolean fk_blob_database_insert(FkBlobDatabase *database, const char *team, FkBlobKind kind,
                                  const FkDigest *digest, guint64 bytes, const guint8 *result);
 gboolean fk_blob_database_remove(FkBlobDatabase *database, const FkBlobEntry *entry);
-/* Records that the entry is the most recently used one. */
+/* Records that the entry is the most recently used entry. */
 gboolean fk_blob_database_touch(FkBlobDatabase *database, const FkBlobEntry *entry);
 /* Returns an action's result, which the caller unrefs. Returns NULL if there is no result or the query fails.
  */
--- a/src/blob_store/blob_index.h
+++ b/src/blob_store/blob_index.h
@@ -1,11 +1,11 @@
 /* An in-memory index of the stored blobs and action results, with least-recently-used eviction. It does no
  * I/O and reads no clock.
  *
- * Each entry belongs to one team, and a team can't see the entries of another: a blob that two teams store
- * has two entries. The next entry to evict is the least recently used one of the team with the most stored
- * and reserved bytes, among the teams with unpinned entries. So no entry of a team is evicted to free
- * capacity while a team with more stored and reserved bytes has an unpinned entry. A pinned entry has an open
- * reader and isn't evicted to free capacity. */
+ * Each entry belongs to one team, and a lookup finds only entries of the given team. So a blob that two teams
+ * store has two entries. The next entry to evict is the least recently used unpinned entry of the team with
+ * the most stored and reserved bytes, among the teams with unpinned entries. Therefore, no entry of a team is
+ * evicted to free capacity while a team with more stored and reserved bytes has an unpinned entry. A pinned
+ * entry has an open reader and isn't evicted to free capacity. */
 #pragma once
 #include "blob_store/digest.h"
 
--- a/src/blob_store/blob_store.c
+++ b/src/blob_store/blob_store.c
@@ -110,9 +110,9 @@
          fk_blob_index_find(store->index, team, FK_BLOB_KIND_BLOB, &digest);
 }
 
-/* Removes the files below `path` that have no entry, for instance because the process was killed before it
- * added one. `teams` maps directory names to teams. `team` is the team whose files are below `path`, or NULL
- * if `path` is the directory of all teams or of a team without entries. */
+/* Removes the files below `path` that have no entry, for instance because the process was killed before
+ * the entry was added. `teams` maps directory names to teams. `team` is the team whose files are below
+ * `path`, or NULL if `path` is the directory of all teams or of a team without entries. */
 static void remove_unindexed(FkBlobStore *store, const char *path, GHashTable *teams, const char *team) {
   g_autoptr(GDir) dir = g_dir_open(path, 0, NULL);
   const char *name;
--- a/src/blob_store/blob_store_internal.h
+++ b/src/blob_store/blob_store_internal.h
@@ -10,7 +10,7 @@
   FkBlobIndex *index;
   FkBlobDatabase *database;
   guint64 next_upload;   /* number of the next upload; names its temporary file */
-  guint unrecorded_uses; /* uses since the latest one that was recorded in the database */
+  guint unrecorded_uses; /* uses since fk_blob_store_record_use() last updated the database */
 };
 
 /* Each of the next three functions returns a path, which the caller frees. */
--- a/src/blob_store/digest.c
+++ b/src/blob_store/digest.c
@@ -11,7 +11,7 @@
   memset(digest, 0, sizeof *digest);
   memcpy(digest->hex, hex, FK_DIGEST_HEX_LEN);
   digest->size = (guint64)size;
-  /* Only one hash is valid for size 0: that of the empty blob. */
+  /* For size 0, only the hash of the empty blob is valid. */
   return size > 0 || strcmp(hex, fk_digest_empty.hex) == 0;
 }
 
--- a/src/blob_store/upload.c
+++ b/src/blob_store/upload.c
@@ -72,7 +72,7 @@
 
 /* ------------------------------------------------------------------ finishing */
 
-/* Syncs a directory, which makes renames in it durable. */
+/* Syncs a directory, so that renames in the directory are durable. */
 static gboolean sync_dir(const char *path) {
   int fd = open(path, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   gboolean synced = fd >= 0 && fsync(fd) == 0;
--- a/src/remote_execution/byte_stream_read.c
+++ b/src/remote_execution/byte_stream_read.c
@@ -1,4 +1,4 @@
-/* ByteStream.Read: sends a blob, or a range of one, in messages of at most MESSAGE_DATA_BYTES of data. The
+/* ByteStream.Read: sends a blob, or a range of a blob, in messages of at most MESSAGE_DATA_BYTES of data. The
  * data is compressed if the resource name has `compressed-blobs/zstd`. */
 #include "remote_execution/cache_call.h"
 
--- a/src/remote_execution/cache_service.h
+++ b/src/remote_execution/cache_service.h
@@ -23,6 +23,6 @@
 FkH2Limits fk_cache_service_h2_limits(const FkCacheService *service);
 /* Replaces the keys. Calls in progress are not affected. Takes ownership of `keys`. */
 void fk_cache_service_set_keys(FkCacheService *service, FkKeys *keys);
-/* Aborts each upload that has been idle (no call has it open) for more than the setting `upload_s`. `now_us`
+/* Aborts each upload that no call has had open for more than `upload_s` seconds (a setting). `now_us`
  * is the current monotonic time. */
 void fk_cache_service_expire_uploads(FkCacheService *service, gint64 now_us);
--- a/src/remote_execution/tree.c
+++ b/src/remote_execution/tree.c
@@ -43,10 +43,10 @@
   return TRUE;
 }
 
-/* Visits the next directory of the queue. Appends its subdirectories to the queue, and adds it to the page
- * unless its index is less than `first`. Skips a directory other than the root that is missing or can't be
- * read. Returns FALSE if the root can't be read, a directory is malformed, or the tree has too many
- * directories, after ending the call with an error. */
+/* Visits the next directory of the queue. Appends the directory's subdirectories to the queue. Adds the
+ * directory to the page unless the directory's index is less than `first`. Skips a directory other than the
+ * root that is missing or can't be read. Returns FALSE if the root can't be read, a directory is malformed,
+ * or the tree has too many directories, after ending the call with an error. */
 static gboolean visit_next(TreeWalk *walk, guint64 first) {
   FkCacheService *service = walk->call->service;
   guint64 index = walk->next++;
