--- a/src/blob_store/blob_database.h
+++ b/src/blob_store/blob_database.h
@@ -1,27 +1,32 @@
-/* The blob store's index on the disk (SQLite): which blobs there are, the action results themselves, and the
- * order of their use. Private to src/blob_store. */
+/* The blob store's persistent index, an SQLite database. It lists the stored blobs, contains the action
+ * results, and records some of the uses of blobs and results. Private to src/blob_store. */
 #pragma once
 #include "blob_store/blob_index.h"
 
 typedef struct FkBlobDatabase FkBlobDatabase;
 
-/* Opens or creates `dir`/index.sqlite, for this process alone: a second one fails here instead of removing
- * the first one's files. */
+/* Opens or creates `dir`/index.sqlite and locks it for this process. Returns NULL and an error if the
+ * database can't be opened, for instance because another process has locked it. Without the lock,
+ * fk_blob_store_open() in a second process could delete blob files that the first process has just added. */
 FkBlobDatabase *fk_blob_database_open(const char *dir, GError **error);
-/* NULL is fine. */
+/* Closes the database. NULL is allowed. */
 void fk_blob_database_close(FkBlobDatabase *database);
-/* Adds all entries to `index`, the least recently used first. */
+/* Adds the entries to `index`, in the order of their latest recorded use, the oldest first. Only some uses
+ * are recorded. Returns FALSE and an error if the query can't be prepared. */
 gboolean fk_blob_database_load(FkBlobDatabase *database, FkBlobIndex *index, GError **error);
-/* The names of all teams with entries: char*, owned. */
+/* Returns the names of all teams with entries, as an array of char* that owns the strings. The caller frees
+ * the array. */
 GPtrArray *fk_blob_database_teams(FkBlobDatabase *database);
 
-/* Of the following, FALSE: it failed, which was logged. */
+/* The next three functions return FALSE, and log a warning, if the write fails. */
 
-/* `result`: of `bytes` bytes; NULL: a blob. It is the most recently used entry. */
+/* Adds an entry, and records it as the most recently used entry. Replaces an entry with the same key.
+ * `result` holds the `bytes` bytes of an action result; it is NULL for a blob. */
 gboolean fk_blob_database_insert(FkBlobDatabase *database, const char *team, FkBlobKind kind,
                                  const FkDigest *digest, guint64 bytes, const guint8 *result);
 gboolean fk_blob_database_remove(FkBlobDatabase *database, const FkBlobEntry *entry);
-/* The entry is the most recently used one now. */
+/* Records that the entry is the most recently used entry. */
 gboolean fk_blob_database_touch(FkBlobDatabase *database, const FkBlobEntry *entry);
-/* An action's result, to be unreffed, or NULL. */
+/* Returns an action's result, which the caller unrefs. Returns NULL if there is no result or the query fails.
+ */
 GBytes *fk_blob_database_get_result(FkBlobDatabase *database, const char *team, const FkDigest *action);
--- a/src/blob_store/blob_index.h
+++ b/src/blob_store/blob_index.h
@@ -1,7 +1,11 @@
-/* Which blobs and action results are kept: an index with least-recently-used eviction, without a disk or a
- * clock. Teams see nothing of each other: each entry belongs to one team, and the same blob of two teams is
- * two entries. Evicted is the least recently used entry of the team that uses most, so that a team within its
- * equal share loses nothing to the others. A pinned entry (it is being read) stays. */
+/* An in-memory index of the stored blobs and action results, with least-recently-used eviction. It does no
+ * I/O and reads no clock.
+ *
+ * Each entry belongs to one team, and a lookup finds only entries of the given team. So a blob that two teams
+ * store has two entries. The next entry to evict is the least recently used unpinned entry of the team with
+ * the most stored and reserved bytes, among the teams with unpinned entries. Therefore, no entry of a team is
+ * evicted to free capacity while a team with more stored and reserved bytes has an unpinned entry. A pinned
+ * entry has an open reader and isn't evicted to free capacity. */
 #pragma once
 #include "blob_store/digest.h"
 
@@ -13,46 +17,55 @@
 typedef struct {
   FkBlobIndexTeam *team;
   FkBlobKind kind;
-  FkDigest digest; /* of a result: its action's */
-  guint64 bytes;   /* that it takes */
-  guint pins;
-  gboolean removed; /* not found any more; freed with its last pin */
-  GList lru_link;
+  FkDigest digest;  /* the blob's digest, or the digest of a result's action */
+  guint64 bytes;    /* size of the blob or result */
+  guint pins;       /* number of pins, one for each open reader */
+  gboolean removed; /* whether fk_blob_index_remove() was called; the last unpin then frees the entry */
+  GList lru_link;   /* link in the team's queue; unlinked while the entry is pinned */
 } FkBlobEntry;
 
 typedef struct {
-  guint64 bytes;
-  guint count;
+  guint64 bytes; /* maximum sum of stored and reserved bytes */
+  guint count;   /* maximum number of entries */
 } FkBlobIndexLimits;
 
 FkBlobIndex *fk_blob_index_new(const FkBlobIndexLimits *limits);
-/* NULL is fine. */
+/* Frees the index and the entries in it. NULL is allowed. */
 void fk_blob_index_free(FkBlobIndex *index);
 
-/* The entry, the index's own, or NULL. Does not count as a use. */
+/* Returns the entry, which the index owns, or NULL if there is none. Doesn't count as a use. */
 FkBlobEntry *fk_blob_index_find(FkBlobIndex *index, const char *team, FkBlobKind kind,
                                 const FkDigest *digest);
-/* The entry is used now. */
+/* Records a use of the entry. Has no effect on a pinned entry: its last unpin counts as a use. */
 void fk_blob_index_touch(FkBlobIndex *index, FkBlobEntry *entry);
+/* Pins the entry, so that fk_blob_index_next_victim() doesn't return the entry until all pins are undone. */
 void fk_blob_index_pin(FkBlobIndex *index, FkBlobEntry *entry);
+/* Undoes one pin. Undoing the last pin frees a removed entry, and counts as a use of any other entry. */
 void fk_blob_index_unpin(FkBlobIndex *index, FkBlobEntry *entry);
 
-/* Reserves capacity for something of that size. FALSE: there isn't enough, whatever is evicted. Then
- * fk_blob_index_next_victim() returns what must be evicted for it, until it is NULL; each victim is to be
- * removed with fk_blob_index_remove(). */
+/* Reserves capacity for a blob or result of that size. Returns FALSE if evictions can't free enough. Also
+ * returns FALSE if the reservations would exceed half of the capacity and those of this team would exceed
+ * capacity / n, where n is the number of teams with reservations, including this team. After TRUE, the caller
+ * must evict each entry that fk_blob_index_next_victim() returns, until that returns NULL. */
 gboolean fk_blob_index_reserve(FkBlobIndex *index, const char *team, guint64 bytes);
+/* Releases `bytes` bytes of the team's reservations. */
 void fk_blob_index_unreserve(FkBlobIndex *index, const char *team, guint64 bytes);
+/* Returns the next entry to evict, which the caller removes with fk_blob_index_remove(). Returns NULL if
+ * neither limit is exceeded, or if all entries are pinned. */
 FkBlobEntry *fk_blob_index_next_victim(FkBlobIndex *index);
-/* Adds an entry. One that is there already is returned unchanged. */
+/* Adds an entry. If the entry already exists, returns the existing entry unchanged. */
 FkBlobEntry *fk_blob_index_insert(FkBlobIndex *index, const char *team, FkBlobKind kind,
                                   const FkDigest *digest, guint64 bytes);
-/* `entry` isn't valid any more; a pinned one is until it is unpinned, but it isn't found. */
+/* Removes the entry from the index. Frees the entry, or leaves that to the last fk_blob_index_unpin() if the
+ * entry is pinned. */
 void fk_blob_index_remove(FkBlobIndex *index, FkBlobEntry *entry);
 
+/* The next three functions return the stored bytes of all teams, the number of entries of all teams, and the
+ * stored bytes of one team. Each result includes removed entries that are still pinned. */
 guint64 fk_blob_index_bytes(const FkBlobIndex *index);
 guint fk_blob_index_count(const FkBlobIndex *index);
 guint64 fk_blob_index_team_bytes(FkBlobIndex *index, const char *team);
-/* The name of its team. */
+/* Returns the name of the entry's team; the index owns it. */
 const char *fk_blob_entry_team(const FkBlobEntry *entry);
-/* For tests: aborts unless the totals are those of the entries. */
+/* For tests: aborts if the totals contradict the entries. */
 void fk_blob_index_verify(FkBlobIndex *index);
--- a/src/blob_store/blob_reader.c
+++ b/src/blob_store/blob_reader.c
@@ -1,4 +1,4 @@
-/* Reading blobs, and checking those that are read from their start to their end. */
+/* Reads blobs. Checks the digest of a blob that is read from its first to its last byte. */
 #include <errno.h>
 #include <fcntl.h>
 #include <unistd.h>
@@ -7,17 +7,18 @@
 
 struct FkBlobReader {
   FkBlobStore *store;
-  FkBlobEntry *entry; /* pinned; NULL: the empty blob */
-  int fd;             /* -1: the empty blob */
-  guint64 unread;
-  EVP_MD_CTX *hash; /* NULL: it isn't read from its start */
+  FkBlobEntry *entry; /* pinned entry of the blob; NULL for the empty blob */
+  int fd;             /* file descriptor; -1 for the empty blob */
+  guint64 unread;     /* bytes from the reader's position to the end of the blob */
+  EVP_MD_CTX *hash;   /* hash of the bytes read; NULL for the empty blob, or if the offset wasn't 0 */
 };
 
-/* Opens the file of an entry at `offset`. */
+/* Opens the file of an entry at `offset`. If the file doesn't exist, evicts the entry and returns NOT_FOUND.
+ */
 static FkBlobStatus open_file(FkBlobStore *store, FkBlobEntry *entry, guint64 offset, int *fd) {
-  g_autofree char *file = fk_blob_store_blob_file(store, fk_blob_entry_team(entry), &entry->digest);
+  g_autofree char *file = fk_blob_store_blob_path(store, fk_blob_entry_team(entry), &entry->digest);
   *fd = open(file, O_RDONLY | O_CLOEXEC);
-  if (*fd < 0 && errno == ENOENT) { /* somebody else has removed it */
+  if (*fd < 0 && errno == ENOENT) { /* something other than this process removed the file */
     fk_blob_store_evict(store, entry);
     return FK_BLOB_STATUS_NOT_FOUND;
   }
@@ -61,7 +62,7 @@
   return n;
 }
 
-/* All of the blob was read, and isn't what its digest says. */
+/* Returns whether the blob has been read from its first to its last byte and doesn't match its digest. */
 static gboolean is_corrupt(FkBlobReader *reader) {
   return reader->hash && reader->unread == 0 && !fk_blob_hash_matches(reader->hash, &reader->entry->digest);
 }
@@ -79,7 +80,8 @@
       return n;
   }
   if (!reader->entry->removed) {
-    g_warning("blob corrupt, removed dir=%s digest=%s", reader->store->dir, reader->entry->digest.hex);
+    g_warning("unreadable or corrupt blob removed dir=%s digest=%s", reader->store->dir,
+              reader->entry->digest.hex);
     fk_blob_store_evict(reader->store, reader->entry);
   }
   return -1;
--- a/src/blob_store/blob_store_internal.h
+++ b/src/blob_store/blob_store_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the blob store share. Private to src/blob_store. */
+/* Declarations that the source files of the blob store share. Private to src/blob_store. */
 #pragma once
 #include <openssl/evp.h>
 
@@ -9,24 +9,27 @@
   char *dir;
   FkBlobIndex *index;
   FkBlobDatabase *database;
-  guint64 next_upload;   /* names the uploads' files */
-  guint unrecorded_uses; /* that the database doesn't know of */
+  guint64 next_upload;   /* number of the next upload; names its temporary file */
+  guint unrecorded_uses; /* uses since fk_blob_store_record_use() last updated the database */
 };
 
-/* Paths, to be freed. */
-char *fk_blob_store_blob_dir(const FkBlobStore *store, const char *team, const FkDigest *digest);
-char *fk_blob_store_blob_file(const FkBlobStore *store, const char *team, const FkDigest *digest);
-char *fk_blob_store_upload_file(FkBlobStore *store); /* a new one each time */
+/* Each of the next three functions returns a path, which the caller frees. */
+char *fk_blob_store_blob_dir_path(const FkBlobStore *store, const char *team, const FkDigest *digest);
+char *fk_blob_store_blob_path(const FkBlobStore *store, const char *team, const FkDigest *digest);
+char *fk_blob_store_upload_path(FkBlobStore *store); /* a different path in each call */
 
-/* Reserves the capacity, and evicts what is needed. FALSE: there isn't enough. */
+/* Reserves capacity, and evicts entries until both limits are met. Returns FALSE, and evicts nothing, if
+ * the index can't reserve the bytes. */
 gboolean fk_blob_store_reserve(FkBlobStore *store, const char *team, guint64 bytes);
+/* Records a use of the entry in the index, and every 256th use of the store also in the database. */
 void fk_blob_store_record_use(FkBlobStore *store, FkBlobEntry *entry);
-/* Removes the entry and its file. */
+/* Removes the entry from the database and the index. If the entry is a blob, deletes its file. */
 void fk_blob_store_evict(FkBlobStore *store, FkBlobEntry *entry);
 
-/* errno as a status: FULL or IO_ERROR. */
+/* Returns FULL if `error`, an errno, means that the disk or the disk quota is full; otherwise IO_ERROR. */
 FkBlobStatus fk_blob_status_from_errno(int error);
-/* A hash of no bytes yet. To be freed with EVP_MD_CTX_free(). */
+/* Returns a new SHA-256 context, to be freed with EVP_MD_CTX_free(). */
 EVP_MD_CTX *fk_blob_hash_new(void);
-/* Whether all that was hashed is the blob with that digest. Ends the hash. */
+/* Finalizes the context and returns whether its hash equals the digest's hash. Doesn't compare the size.
+ */
 gboolean fk_blob_hash_matches(EVP_MD_CTX *hash, const FkDigest *digest);
--- a/src/blob_store/upload.c
+++ b/src/blob_store/upload.c
@@ -1,4 +1,5 @@
-/* Writing blobs: a file of its own each, which becomes the blob's when it is complete. */
+/* Uploads of blobs. Each upload writes to a temporary file, which is renamed to the blob's file when
+ * the upload is complete. */
 #include <errno.h>
 #include <fcntl.h>
 #include <glib/gstdio.h>
@@ -11,11 +12,11 @@
 
 struct FkUpload {
   FkBlobStore *store;
-  char *team, *file;
+  char *team, *file; /* `file` is the path of the temporary file */
   FkDigest digest;
-  int fd; /* -1: it couldn't be opened */
-  guint64 written;
-  EVP_MD_CTX *hash;
+  int fd;           /* descriptor of the temporary file; -1 if the file couldn't be opened */
+  guint64 written;  /* number of bytes written */
+  EVP_MD_CTX *hash; /* hash of the bytes written */
 };
 
 FkBlobStatus fk_upload_begin(FkBlobStore *store, const char *team, const FkDigest *digest, FkUpload **out) {
@@ -26,7 +27,7 @@
   upload->team = g_strdup(team);
   upload->digest = *digest;
   upload->hash = fk_blob_hash_new();
-  upload->file = fk_blob_store_upload_file(store);
+  upload->file = fk_blob_store_upload_path(store);
   upload->fd = open(upload->file, O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, FILE_MODE);
   if (upload->fd < 0) {
     FkBlobStatus status = fk_blob_status_from_errno(errno);
@@ -42,7 +43,7 @@
     return;
   if (upload->fd >= 0)
     close(upload->fd);
-  g_unlink(upload->file); /* unless it was renamed */
+  g_unlink(upload->file); /* has no effect if the temporary file was renamed */
   fk_blob_index_unreserve(upload->store->index, upload->team, upload->digest.size);
   EVP_MD_CTX_free(upload->hash);
   g_free(upload->team);
@@ -71,7 +72,7 @@
 
 /* ------------------------------------------------------------------ finishing */
 
-/* A rename is durable only when its directory is synced. */
+/* Syncs a directory, so that renames in the directory are durable. */
 static gboolean sync_dir(const char *path) {
   int fd = open(path, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   gboolean synced = fd >= 0 && fsync(fd) == 0;
@@ -80,21 +81,23 @@
   return synced;
 }
 
-/* FALSE: `errno` says why. */
+/* Syncs the temporary file, renames it to the blob's file, and syncs the directory. Returns FALSE and sets
+ * `errno` if that fails. */
 static gboolean move_to_blobs(const FkUpload *upload) {
-  g_autofree char *dir = fk_blob_store_blob_dir(upload->store, upload->team, &upload->digest);
-  g_autofree char *file = fk_blob_store_blob_file(upload->store, upload->team, &upload->digest);
+  g_autofree char *dir = fk_blob_store_blob_dir_path(upload->store, upload->team, &upload->digest);
+  g_autofree char *file = fk_blob_store_blob_path(upload->store, upload->team, &upload->digest);
   return fsync(upload->fd) == 0 && g_mkdir_with_parents(dir, DIRECTORY_MODE) == 0 &&
          g_rename(upload->file, file) == 0 && sync_dir(dir);
 }
 
+/* Stores the blob if its size and hash match the digest, unless the blob is empty or stored already. */
 static FkBlobStatus store_upload(FkUpload *upload) {
   FkBlobStore *store = upload->store;
   const FkDigest *digest = &upload->digest;
   if (upload->written != digest->size || !fk_blob_hash_matches(upload->hash, digest))
     return FK_BLOB_STATUS_MISMATCH;
   if (digest->size == 0 || fk_blob_index_find(store->index, upload->team, FK_BLOB_KIND_BLOB, digest))
-    return FK_BLOB_STATUS_OK; /* the same bytes are there already */
+    return FK_BLOB_STATUS_OK;
   if (!move_to_blobs(upload) ||
       !fk_blob_database_insert(store->database, upload->team, FK_BLOB_KIND_BLOB, digest, digest->size, NULL))
     return fk_blob_status_from_errno(errno);
--- a/src/remote_execution/byte_stream_write.c
+++ b/src/remote_execution/byte_stream_write.c
@@ -1,5 +1,6 @@
-/* ByteStream.Write and QueryWriteStatus: uploads in parts, compressed if the name says so, that can be
- * resumed after a connection was lost. */
+/* ByteStream.Write and QueryWriteStatus: uploads of blobs in several messages. The data is compressed if the
+ * resource name has `compressed-blobs/zstd`. After a lost connection, the client can resume an uncompressed
+ * upload in another call, unless the upload was aborted in the meantime. A compressed upload starts over. */
 #include "remote_execution/cache_call.h"
 
 #include <string.h>
@@ -7,12 +8,16 @@
 
 #define DECOMPRESSED_BYTES 65536
 
-/* The sender's side of an upload, for the time of one call. */
+/* The state of one ByteStream.Write call. */
 struct FkUploadStream {
   FkResourceName name;
-  FkResumableUpload *upload; /* NULL: none is needed, or it is over */
-  gint64 committed;          /* bytes as they were sent, compressed or not: where the next message begins */
-  ZSTD_DStream *decompressor;
+  /* The call's upload. NULL if the blob was already stored, the upload wasn't opened, or the upload has
+   * ended. */
+  FkResumableUpload *upload;
+  /* The write_offset that the next message must have: the number of data bytes received, before any
+   * decompression. For a resumed upload, includes the bytes that earlier calls received. */
+  gint64 committed;
+  ZSTD_DStream *decompressor; /* NULL before the first compressed data */
 };
 
 void fk_upload_stream_free(FkUploadStream *stream, FkUploads *uploads) {
@@ -21,8 +26,9 @@
   ZSTD_freeDStream(stream->decompressor);
   if (stream->upload) {
     fk_uploads_release(uploads, stream->upload);
-    if (stream->name.zstd || fk_upload_written(stream->upload->upload) == 0)
-      fk_uploads_remove(uploads, stream->upload); /* nothing to resume */
+    /* a compressed upload can't be resumed; without data there is nothing to resume */
+    if (stream->name.zstd || fk_upload_written(stream->upload->blob_upload) == 0)
+      fk_uploads_remove(uploads, stream->upload);
   }
   g_free(stream);
 }
@@ -33,14 +39,15 @@
   fk_cache_call_reply(call, &response);
 }
 
-/* FALSE: the call was failed. */
+/* Opens the upload named by `stream->name`. On failure, ends the call with an error and returns FALSE.
+ */
 static gboolean open_upload(FkCacheCall *call, FkUploadStream *stream) {
   FkCacheService *service = call->service;
   FkBlobStatus status = FK_BLOB_STATUS_OK;
   switch (fk_uploads_open(service->uploads, service->blobs, call->team, &stream->name, &stream->upload,
                           &status)) {
   case FK_UPLOADS_OPENED:
-    stream->committed = stream->name.zstd ? 0 : (gint64)fk_upload_written(stream->upload->upload);
+    stream->committed = stream->name.zstd ? 0 : (gint64)fk_upload_written(stream->upload->blob_upload);
     return TRUE;
   case FK_UPLOADS_IN_USE:
     fk_cache_call_fail(call, FK_GRPC_ABORTED, "somebody else writes this upload");
@@ -55,7 +62,9 @@
   g_return_val_if_reached(FALSE);
 }
 
-/* The first message of a call, which names the upload. FALSE: the call has been answered. */
+/* Handles the resource name of a call's first message: opens the upload. If the blob is already stored, ends
+ * the call with OK and returns FALSE. If the name is invalid or the upload can't be opened, ends the call
+ * with an error and returns FALSE. */
 static gboolean begin_stream(FkCacheCall *call, const char *resource_name) {
   FkResourceName name;
   if (!fk_resource_name_parse(resource_name, FK_RESOURCE_WRITE, &name)) {
@@ -64,18 +73,20 @@
   }
   if (!fk_cache_call_check_instance(call, name.instance))
     return FALSE;
-  FkUploadStream *stream = call->upload = g_new0(FkUploadStream, 1);
+  FkUploadStream *stream = call->upload_stream = g_new0(FkUploadStream, 1);
   stream->name = name;
   if (fk_blob_store_has(call->service->blobs, call->team, &name.digest)) {
+    /* the API requires -1 for a compressed upload of a blob that is already stored */
     reply_written(call, name.zstd ? -1 : (gint64)name.digest.size);
     return FALSE;
   }
   return open_upload(call, stream);
 }
 
-/* Later messages may repeat the name. FALSE: it is another one, and the call was failed. */
+/* Returns whether a later message of a call has no resource name, or one with the same digest and upload id.
+ * Otherwise ends the call with an error. */
 static gboolean check_same_name(FkCacheCall *call, const char *resource_name) {
-  const FkResourceName *name = &call->upload->name;
+  const FkResourceName *name = &call->upload_stream->name;
   FkResourceName repeated;
   if (!*resource_name ||
       (fk_resource_name_parse(resource_name, FK_RESOURCE_WRITE, &repeated) &&
@@ -85,7 +96,8 @@
   return FALSE;
 }
 
-/* What it decompresses to is bounded by the digest's size: a write beyond it is a mismatch. */
+/* Decompresses `data` into the upload. A small message can't expand without limit: fk_upload_write() returns
+ * MISMATCH for bytes beyond the digest's size. Invalid zstd data is a MISMATCH too. */
 static FkBlobStatus write_compressed(FkUploadStream *stream, const ProtobufCBinaryData *data) {
   if (!stream->decompressor)
     stream->decompressor = ZSTD_createDStream();
@@ -96,7 +108,7 @@
     gsize remaining = ZSTD_decompressStream(stream->decompressor, &out, &in);
     if (ZSTD_isError(remaining))
       return FK_BLOB_STATUS_MISMATCH;
-    FkBlobStatus status = fk_upload_write(stream->upload->upload, plain, out.pos);
+    FkBlobStatus status = fk_upload_write(stream->upload->blob_upload, plain, out.pos);
     if (status != FK_BLOB_STATUS_OK)
       return status;
     if (in.pos == in.size && out.pos < out.size)
@@ -105,18 +117,20 @@
 }
 
 static FkBlobStatus write_data(FkUploadStream *stream, const ProtobufCBinaryData *data) {
-  FkBlobStatus status = stream->name.zstd ? write_compressed(stream, data)
-                                          : fk_upload_write(stream->upload->upload, data->data, data->len);
+  FkBlobStatus status = stream->name.zstd
+                            ? write_compressed(stream, data)
+                            : fk_upload_write(stream->upload->blob_upload, data->data, data->len);
   stream->committed += (gint64)data->len;
   return status;
 }
 
-/* The last part came, or the upload failed (`status`). */
+/* Ends the upload and the call. If `status` is OK, the last message was received; stores the blob if it
+ * matches its digest. Any other `status` is the error of the upload, which is discarded. */
 static void finish_upload(FkCacheCall *call, FkBlobStatus status) {
-  FkUploadStream *stream = call->upload;
+  FkUploadStream *stream = call->upload_stream;
   FkResumableUpload *upload = g_steal_pointer(&stream->upload);
   if (status == FK_BLOB_STATUS_OK)
-    status = fk_upload_finish(g_steal_pointer(&upload->upload));
+    status = fk_upload_finish(g_steal_pointer(&upload->blob_upload));
   fk_uploads_remove(call->service->uploads, upload);
   if (status == FK_BLOB_STATUS_OK)
     reply_written(call, stream->committed);
@@ -124,23 +138,24 @@
     fk_cache_call_fail_blob(call, status);
 }
 
-void fk_cache_write(FkCacheCall *call, gpointer request) {
-  const Rx__WriteRequest *q = request;
-  if (call->upload ? !check_same_name(call, q->resource_name) : !begin_stream(call, q->resource_name))
+void fk_cache_write(FkCacheCall *call, gpointer message) {
+  const Rx__WriteRequest *request = message;
+  if (call->upload_stream ? !check_same_name(call, request->resource_name)
+                          : !begin_stream(call, request->resource_name))
     return;
-  if (q->write_offset != call->upload->committed) {
+  if (request->write_offset != call->upload_stream->committed) {
     fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "the offset isn't where the upload stands");
     return;
   }
-  FkBlobStatus status = write_data(call->upload, &q->data);
-  if (status != FK_BLOB_STATUS_OK || q->finish_write)
+  FkBlobStatus status = write_data(call->upload_stream, &request->data);
+  if (status != FK_BLOB_STATUS_OK || request->finish_write)
     finish_upload(call, status);
 }
 
-void fk_cache_query_write_status(FkCacheCall *call, gpointer request) {
-  const Rx__QueryWriteStatusRequest *q = request;
+void fk_cache_query_write_status(FkCacheCall *call, gpointer message) {
+  const Rx__QueryWriteStatusRequest *request = message;
   FkResourceName name;
-  if (!fk_resource_name_parse(q->resource_name, FK_RESOURCE_WRITE, &name)) {
+  if (!fk_resource_name_parse(request->resource_name, FK_RESOURCE_WRITE, &name)) {
     fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "no upload's name");
     return;
   }
@@ -156,6 +171,6 @@
   if (response.complete)
     response.committed_size = (gint64)name.digest.size;
   else if (!name.zstd)
-    response.committed_size = (gint64)fk_upload_written(upload->upload);
+    response.committed_size = (gint64)fk_upload_written(upload->blob_upload);
   fk_cache_call_reply(call, &response);
 }
--- a/src/remote_execution/cache_service.c
+++ b/src/remote_execution/cache_service.c
@@ -1,12 +1,14 @@
-/* Which handler a call goes to, and the life of a call. */
+/* Dispatches each call to the handler of its method, and frees the call's state when the call ends. */
 #include "remote_execution/cache_call.h"
 
 #include "remote_execution/names.h"
 
 #define BYTES_PER_MB 1048576.0
-#define QUEUED_BYTES_MAX (1024 * 1024) /* of one call's responses, for a slow reader */
+/* A download pauses when at least this many bytes of its responses are queued. */
+#define QUEUED_BYTES_MAX (1024 * 1024)
 #define HEADER_BYTES_MAX 16384
-#define BUFFERED_MESSAGES_MAX 4 /* a connection's incomplete messages, in full ones */
+/* Maximum size of a connection's incomplete messages, as a multiple of message_bytes_max. */
+#define BUFFERED_BYTES_FACTOR 4
 
 static const FkCacheMethod methods[] = {
     {FK_PATH_CAPABILITIES, &rx__get_capabilities_request__descriptor, FALSE, fk_cache_get_capabilities},
@@ -37,7 +39,7 @@
   call->service = service;
   call->rpc = rpc;
   fk_rpc_set_data(rpc, call);
-  /* the key first: without one a client learns nothing, not even which methods there are */
+  /* The key is checked before the path: a client without a key can't find out which methods exist. */
   const char *team = fk_keys_find_team(service->keys, fk_rpc_bearer(rpc), g_get_real_time() / G_USEC_PER_SEC);
   if (!team) {
     fk_cache_call_fail(call, FK_GRPC_UNAUTHENTICATED, "a team's key is needed");
@@ -56,7 +58,7 @@
     return;
   }
   call->has_message = TRUE;
-  gpointer message = fk_cache_call_unpack(call->method->request, bytes, len);
+  gpointer message = fk_cache_call_unpack(call->method->request_type, bytes, len);
   if (!message) {
     fk_cache_call_fail(call, FK_GRPC_INVALID_ARGUMENT, "the message isn't one, or is out of all proportion");
     return;
@@ -83,7 +85,7 @@
 static void on_call_ended(gpointer data, FkRpc *rpc) {
   FkCacheCall *call = fk_rpc_data(rpc);
   fk_download_free(call->download);
-  fk_upload_stream_free(call->upload, call->service->uploads);
+  fk_upload_stream_free(call->upload_stream, call->service->uploads);
   g_free(call->team);
   g_free(call);
 }
@@ -119,7 +121,7 @@
 FkH2Limits fk_cache_service_h2_limits(const FkCacheService *service) {
   return (FkH2Limits){.streams = (guint)service->settings->calls,
                       .message_bytes = service->message_bytes_max + FK_MESSAGE_OVERHEAD_BYTES,
-                      .buffered_bytes = BUFFERED_MESSAGES_MAX * service->message_bytes_max,
+                      .buffered_bytes = BUFFERED_BYTES_FACTOR * service->message_bytes_max,
                       .queued_bytes = QUEUED_BYTES_MAX,
                       .header_bytes = HEADER_BYTES_MAX};
 }
--- a/src/remote_execution/uploads.c
+++ b/src/remote_execution/uploads.c
@@ -3,12 +3,12 @@
 #define TEAM_UPLOADS_MAX 256
 
 struct FkUploads {
-  GHashTable *by_key; /* key -> FkResumableUpload */
+  GHashTable *by_key; /* upload_key() -> FkResumableUpload; the table owns the uploads */
 };
 
 static void upload_free(gpointer data) {
   FkResumableUpload *upload = data;
-  fk_upload_abort(upload->upload);
+  fk_upload_abort(upload->blob_upload);
   g_free(upload->key);
   g_free(upload->team);
   g_free(upload);
@@ -35,38 +35,43 @@
   return g_hash_table_lookup(uploads->by_key, key);
 }
 
-/* How many uploads a team has; `oldest`: the one that is idle for the longest, or NULL. */
-static guint count_team(const FkUploads *uploads, const char *team, FkResumableUpload **oldest) {
+/* Returns the team's number of uploads. Sets `longest_idle` to the team's upload that has been idle
+ * for the longest time, or to NULL if all of the team's uploads are in use. */
+static guint count_team(const FkUploads *uploads, const char *team, FkResumableUpload **longest_idle) {
   GHashTableIter iter;
   gpointer value;
   guint n = 0;
-  *oldest = NULL;
+  *longest_idle = NULL;
   g_hash_table_iter_init(&iter, uploads->by_key);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     FkResumableUpload *upload = value;
     if (!g_str_equal(upload->team, team))
       continue;
     n++;
-    if (!upload->in_use && (!*oldest || upload->idle_since_us < (*oldest)->idle_since_us))
-      *oldest = upload;
+    if (!upload->in_use && (!*longest_idle || upload->idle_since_us < (*longest_idle)->idle_since_us))
+      *longest_idle = upload;
   }
   return n;
 }
 
-static FkUploadsResult begin(FkUploads *uploads, FkBlobStore *blobs, const char *team,
-                             const FkResourceName *name, FkResumableUpload **out, FkBlobStatus *status) {
-  FkResumableUpload *oldest;
-  FkUpload *upload;
-  if (count_team(uploads, team, &oldest) >= TEAM_UPLOADS_MAX) {
-    if (!oldest)
+/* Begins an upload that isn't in the table. If the team has TEAM_UPLOADS_MAX uploads, first aborts the team's
+ * upload that has been idle for the longest time; if all are in use, returns FK_UPLOADS_TOO_MANY. */
+static FkUploadsResult begin_upload(FkUploads *uploads, FkBlobStore *blobs, const char *team,
+                                    const FkResourceName *name, FkResumableUpload **out,
+                                    FkBlobStatus *status) {
+  FkResumableUpload *longest_idle;
+  FkUpload *blob_upload;
+  if (count_team(uploads, team, &longest_idle) >= TEAM_UPLOADS_MAX) {
+    if (!longest_idle)
       return FK_UPLOADS_TOO_MANY;
-    fk_uploads_remove(uploads, oldest);
+    fk_uploads_remove(uploads, longest_idle);
   }
-  *status = fk_upload_begin(blobs, team, &name->digest, &upload);
+  *status = fk_upload_begin(blobs, team, &name->digest, &blob_upload);
   if (*status != FK_BLOB_STATUS_OK)
     return FK_UPLOADS_FAILED;
   *out = g_new0(FkResumableUpload, 1);
-  **out = (FkResumableUpload){.upload = upload, .key = upload_key(team, name), .team = g_strdup(team)};
+  **out =
+      (FkResumableUpload){.blob_upload = blob_upload, .key = upload_key(team, name), .team = g_strdup(team)};
   g_hash_table_insert(uploads->by_key, (*out)->key, *out);
   return FK_UPLOADS_OPENED;
 }
@@ -81,7 +86,7 @@
     upload = NULL;
   }
   if (!upload) {
-    FkUploadsResult result = begin(uploads, blobs, team, name, &upload, status);
+    FkUploadsResult result = begin_upload(uploads, blobs, team, name, &upload, status);
     if (result != FK_UPLOADS_OPENED)
       return result;
   }
--- a/src/remote_execution/uploads.h
+++ b/src/remote_execution/uploads.h
@@ -1,38 +1,42 @@
-/* Uploads by ByteStream.Write that are under way, by team and name. An upload outlives its call: the client
- * may go on with it in another one. */
+/* The unfinished uploads of ByteStream.Write. An upload is identified by its team, upload id, digest and
+ * compression. An uncompressed upload with at least one byte outlives its call, so that the client can resume
+ * the upload in another call. */
 #pragma once
 #include "blob_store/blob_store.h"
 
 typedef struct FkUploads FkUploads;
 
 typedef struct {
-  FkUpload *upload; /* NULL: finished */
-  char *key, *team;
-  gboolean in_use;      /* a call writes to it */
-  gint64 idle_since_us; /* when the latest call ended */
+  FkUpload *blob_upload; /* NULL once the upload is finished */
+  char *key, *team;      /* `key` identifies the upload in the table of uploads */
+  gboolean in_use;       /* whether a call has the upload open */
+  gint64 idle_since_us;  /* monotonic time at which the latest call released the upload; 0 if none has */
 } FkResumableUpload;
 
 typedef enum {
   FK_UPLOADS_OPENED,
-  FK_UPLOADS_IN_USE,   /* another call writes to it */
-  FK_UPLOADS_TOO_MANY, /* the team has too many, all in use */
-  FK_UPLOADS_FAILED    /* the blob store refused it */
+  FK_UPLOADS_IN_USE,   /* another call has the upload open */
+  FK_UPLOADS_TOO_MANY, /* the team has the maximum number of uploads, and all are in use */
+  FK_UPLOADS_FAILED    /* the blob store returned an error */
 } FkUploadsResult;
 
 FkUploads *fk_uploads_new(void);
-/* Gives up all of them. */
+/* Aborts all uploads and frees them. */
 void fk_uploads_free(FkUploads *uploads);
 
-/* The upload with that name, or NULL. */
+/* Returns the team's upload with that name, idle or in use, or NULL if there is none. */
 FkResumableUpload *fk_uploads_find(FkUploads *uploads, const char *team, const FkResourceName *name);
-/* Finds it or begins it, and marks it as in use. A compressed upload always begins anew: the decompressor's
- * state is gone with the earlier call. A team's longest idle upload may be given up for it. FAILED sets
- * `status`. */
+/* Opens an existing upload or begins a new one, and marks the upload as in use. A compressed upload always
+ * starts from the beginning: its decompressor's state is freed with its call (byte_stream_write.c). If the
+ * team already has the maximum number of uploads, beginning another upload first aborts the team's upload
+ * that has been idle for the longest time; if all are in use, the result is FK_UPLOADS_TOO_MANY. With
+ * FK_UPLOADS_FAILED, `status` is the blob store's error. */
 FkUploadsResult fk_uploads_open(FkUploads *uploads, FkBlobStore *blobs, const char *team,
                                 const FkResourceName *name, FkResumableUpload **out, FkBlobStatus *status);
-/* Its call has ended without finishing it. */
+/* Marks an upload as idle. Called when the call that had the upload open ends without finishing the upload.
+ */
 void fk_uploads_release(FkUploads *uploads, FkResumableUpload *upload);
-/* Aborts the upload unless it is finished, and frees it. */
+/* Removes an upload and frees it. Aborts the upload unless it is finished. */
 void fk_uploads_remove(FkUploads *uploads, FkResumableUpload *upload);
-/* Removes those that no call has written to since `before_us`. */
+/* Aborts and removes each idle upload that became idle before `before_us` (monotonic time). */
 void fk_uploads_expire(FkUploads *uploads, gint64 before_us);
