--- a/src/core/scheduling/backfill_reservation.c
+++ b/src/core/scheduling/backfill_reservation.c
@@ -11,7 +11,8 @@
 #define RESERVING_JOBS_MAX 3 /* maximum number of jobs with reservations: the first ones in queue order */
 #define MACHINES_PER_JOB_MAX 32
 #define RUN_TIME_MARGIN 1.5 /* most tasks end within this multiple of the expected run time */
-/* time in which a stopping task is expected to end; other tasks are expected to run for at least as long */
+/* a stopping task is expected to end within this time; any other task is expected to run on for at least this
+ * long */
 #define STOPPING_S 1.0
 #define LOGGED_JOBS_MAX 5
 
@@ -19,7 +20,7 @@
   char *job; /* id of the job that holds the reservation */
   FkJobPriority priority;
   guint queue_position;
-  FkTime available_at; /* expected time at which the holder can start on the machine */
+  FkTime available_at; /* time at which the holder is expected to be able to start on the machine */
 } Reservation;
 
 struct FkBackfillReservations {
--- a/src/core/scheduling/backfill_reservation.h
+++ b/src/core/scheduling/backfill_reservation.h
@@ -1,9 +1,9 @@
 /* Aging and backfill reservations. Machines are reserved for jobs that have waited too long to start and for
- * the largest jobs of a starving class. A job that comes after the holder of a reservation is backfilled on
- * the reserved machine only if it is an array that is expected to end before the holder can start there.
- * Without reservations, the largest jobs of a class starve under a steady stream of small jobs, which end
- * sooner and fill each gap as it opens: an array whose tasks each need a whole machine waited for 400 s and
- * more. */
+ * the largest jobs of a class that starves (starvation.h). A job that comes later in the queue than the
+ * holder of a reservation is backfilled on the reserved machine only if it is an array that is expected to
+ * end before the holder can start there. Without reservations, the largest jobs of a class starve under a
+ * steady stream of small jobs, which end sooner and fill each gap as it opens: an array whose tasks each need
+ * a whole machine waited for 400 s and more. */
 #pragma once
 #include "core/controller_internal.h"
 
@@ -11,7 +11,7 @@
 void fk_backfill_reservation_free(FkBackfillReservations *reservations);
 
 /* Returns whether the job is aged: none of its tasks is allocated or done, the job isn't failing, and more
- * than 55% of the start deadline has passed since the job could start. */
+ * than 55% of the start deadline (240 s) has passed since the job could start. */
 gboolean fk_backfill_reservation_is_aged(FkController *c, const FkJob *job);
 /* Returns for how many seconds the job has been aged; 0 or less if the job isn't aged. */
 double fk_backfill_reservation_aged_s(FkController *c, const FkJob *job);
@@ -19,9 +19,9 @@
 /* Recomputes the reservations, at most every 2 s. `jobs` are the jobs of the current scheduling cycle, in
  * queue order. */
 void fk_backfill_reservation_refresh(FkController *c, GPtrArray *jobs);
-/* Returns whether a reservation keeps the job off the machine. That is so if the machine is reserved for a
- * waiting job that precedes this one in the queue, unless this job is an array that is expected to end before
- * the other job can start there. */
+/* Returns whether a reservation keeps the job off the machine: the machine is reserved for another job that
+ * precedes this one in the queue, still waits and is still urgent. An array that is expected to end before
+ * the other job can start there isn't kept off. */
 gboolean fk_backfill_reservation_blocks(FkController *c, const FkJob *job, const FkMachine *machine);
 /* Returns all reserved machines (FkMachine, borrowed); the caller frees the array. */
 GPtrArray *fk_backfill_reservation_machines(FkController *c);
--- a/src/core/scheduling/elastic_sizing.c
+++ b/src/core/scheduling/elastic_sizing.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-#define SHORT_SHARE_SMOOTHING 0.3 /* weight of the latest window */
+#define SHORT_SHARE_SMOOTHING 0.3 /* weight of the latest window in `short_share` */
 
 guint fk_elastic_sizing_update(FkElasticSizing *sizing, double sum_s, guint64 count, double max_wait_s,
                                double span, guint machines, double short_allocated_time,
--- a/src/core/scheduling/elastic_sizing.h
+++ b/src/core/scheduling/elastic_sizing.h
@@ -6,7 +6,7 @@
 typedef struct {
   double short_share; /* short tasks' share of allocated time, smoothed over the windows; initially 0 */
   double mean_wait_s; /* mean wait of short tasks in the latest window */
-  double wait_ratio;  /* mean wait divided by its bound, at most 1 */
+  double wait_ratio;  /* `mean_wait_s` divided by its bound, at most 1 */
   guint floor;        /* number of machines that corresponds to `short_share` */
   guint blacklisted;  /* machines blacklisted in addition to `floor`, in proportion to `wait_ratio` */
 } FkElasticSizing;
--- a/src/core/scheduling/launch_batch.c
+++ b/src/core/scheduling/launch_batch.c
@@ -3,7 +3,7 @@
 #include "core/scheduling/reservation.h"
 
 #define TRANSACTION_BYTES_MAX 40000 /* below the store's limit of 64 KiB */
-#define GUARDS_PER_WRITE_MAX 4      /* maximum guards of a transaction for each write that it may contain */
+#define GUARDS_PER_WRITE_MAX 4      /* limit on a transaction's guards, per write that it may contain */
 #define ALLOCATION_GUARDS 4         /* maximum guards that one task adds: job, chunk, team and shard */
 #define PREEMPTION_GUARDS 6 /* upper bound on the guards of a preempting task, including the launch fence */
 #define GUARDS_PER_VICTIM 2 /* maximum guards that one victim adds: job and chunk */
@@ -64,10 +64,11 @@
   return copy;
 }
 
-/* Adds a guard on the team's record, so that concurrent launches can't exceed the team's quota. Serialized:
- * every launch also writes the record, so that one of two concurrent launches is rejected. Partitioned:
- * launches don't write the record; a launch is rejected only if the record has changed since the launch was
- * decided. A team without a quota needs no guard, and its launches don't conflict over the record. */
+/* Adds a guard on the team's record, so that concurrent launches can't exceed the team's quota. If the quota
+ * is serialized (quota_partition.h), every launch also writes the record, so that one of two concurrent
+ * launches is rejected. If the quota is partitioned, launches don't write the record; a launch is rejected
+ * only if the record has changed since the launch was decided. A team without a quota needs no guard, and its
+ * launches don't conflict over the record. */
 static void guard_team_quota(FkController *c, FkLaunchBatch *batch, const char *name) {
   const FkTeam *team = fk_settings_find_team(c->settings, name);
   if (!fk_team_has_quota(team) || g_hash_table_contains(batch->teams, name))
@@ -92,7 +93,7 @@
 
 /* Maximum number of waits of one job that count towards the capped mean of a window. Without this limit, one
  * large array of one team would dominate the mean, and all machines would be blacklisted for long jobs. Jobs
- * of a few short tasks, for which Elastic Sizing exists, are counted in full. */
+ * with few short tasks, for which Elastic Sizing exists, are counted in full. */
 #define WAITS_PER_JOB_MAX 20
 
 static void record_wait(FkController *c, FkWaitTimes *waits, FkJob *job) {
--- a/src/core/scheduling/long_path.c
+++ b/src/core/scheduling/long_path.c
@@ -200,9 +200,9 @@
   return FALSE;
 }
 
-/* Places one task by preemption. The victims are tasks of lower priority that stop immediately, and the cost
- * must be below `cost_max`. A service then needn't wait for capacity or for the fetch of its image. Returns
- * whether a task was placed. */
+/* Places one task by preemption, so that a task above the normal priority needn't wait for free capacity or
+ * for a long image fetch. Only tasks of lower priority that stop immediately are preempted, at a total cost
+ * below `cost_max`. Returns whether a task was placed. */
 static gboolean preempt(FkController *c, FkLaunchBatch *batch, Cycle *cycle, FkJob *job, double cost_max) {
   g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(FkAllocationRef));
   if (!cycle->usable)
@@ -264,7 +264,7 @@
 /* ------------------------------------------------------------------ capacity reserved for the long path */
 
 /* Reserves capacity for one task on the machine (NULL: no capacity). Also reserves quota, except for a
- * service of a team whose quota is partitioned: its use counts against the leader's share. */
+ * service of a team whose quota is partitioned: the leader's share covers the service. */
 static void reserve(FkController *c, GArray *reserved, FkMachine *machine, const FkSpec *spec) {
   FkReservation reservation = {machine ? machine->id : NULL,
                                g_intern_string(spec->team),
--- a/src/core/scheduling/long_path.h
+++ b/src/core/scheduling/long_path.h
@@ -1,6 +1,6 @@
 /* The long path: the leader places services, gangs and long arrays, each task on the machine with the lowest
  * cost. A machine that is blacklisted for long jobs is used only as a last resort. The other controllers
- * leave free the capacity that they expect the leader to take for services and gangs. */
+ * don't use the capacity that they expect the leader to take for services and gangs. */
 #pragma once
 #include "core/scheduling/launch_batch.h"
 
@@ -12,9 +12,9 @@
  * leader calls this function. */
 void fk_long_path_place(FkController *c, FkLaunchBatch *batch, GPtrArray *jobs, GPtrArray *machines);
 /* Reserves the capacity and quota that the leader is expected to take for waiting services and gangs.
- * Otherwise both paths would allocate the same capacity, and the worker would reject one of the tasks as
- * "full". On the leader, this function reserves only the quota of gangs. The reservations are appended to
- * `reserved` (FkReservation). */
+ * Otherwise the long and the short path would allocate the same capacity, and the worker would reject one of
+ * the tasks as "full". On the leader, this function reserves only the quota of gangs. The reservations are
+ * appended to `reserved` (FkReservation). */
 void fk_long_path_reserve(FkController *c, GPtrArray *jobs, GPtrArray *machines, GArray *reserved);
 /* Ends the reservations made by fk_long_path_reserve(). */
 void fk_long_path_release(FkController *c, GArray *reserved);
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -33,11 +33,11 @@
 }
 
 /* Returns whether tasks of the job may be stopped for the blocked job. The job must be an array of another
- * team. If its priority is lower, its team must use more than OVER_SHARE_FACTOR times its share, and its
- * class must not starve. If its priority is the same or higher, the blocked job must have the best standing
- * (FK_STANDING_WITHIN_GUARANTEE) and an effective priority equal to that of its spec, and the team of `job`
- * must use well above its share and above its guarantee. reclaimable_cpus() ensures that no team falls below
- * its share. */
+ * team. If the job's priority is lower than the blocked job's, the job's team must use more than
+ * OVER_SHARE_FACTOR times its share, and the job's class must not starve. If the job's priority is the same
+ * or higher, the blocked job must have the best standing (FK_STANDING_WITHIN_GUARANTEE) and an effective
+ * priority equal to that of its spec, and the team of `job` must use well above its share and above its
+ * guarantee. reclaimable_cpus() ensures that no team falls below its share. */
 static gboolean is_preemptible_for(FkController *c, const FkJob *job, const FkJob *blocked) {
   const FkFairShareDemand *team = fk_scheduling_queue_team_share(c, job->spec->team);
   if (job->spec->shape != FK_SHAPE_ARRAY || job->cancelled ||
@@ -90,8 +90,8 @@
   return MIN(team->used - team->share, (row ? row->cpus : 0) - FK_SERVICE_FLOOR_SHARE * cluster_cpus);
 }
 
-/* Asks tasks of the chunk to stop, starting from the end of its allocations, up to `cpus_max` CPUs in total.
- * Returns the CPUs of these tasks. */
+/* Asks tasks of the chunk to stop, starting with its last allocation, up to `cpus_max` CPUs in total. Returns
+ * the CPUs of these tasks. */
 static double stop_tasks(FkController *c, FkStopTransaction *stops, const Candidate *candidate,
                          double cpus_max) {
   const FkSpec *spec = candidate->job->spec;
--- a/src/core/scheduling/preemption_cost.c
+++ b/src/core/scheduling/preemption_cost.c
@@ -3,7 +3,8 @@
 #include "core/scheduling/placement.h"
 
 #define IMMEDIATE_VICTIMS_MAX 3 /* maximum number of victims with `immediate_only` */
-/* added if the victim's job has waiting tasks: its chunks are written often, so that a stop may conflict */
+/* added to a victim's cost if its job has waiting tasks: the job's chunks are written often, so the write
+ * that stops the victim may conflict */
 #define LAUNCHING_JOB_COST_CORE_S 20.0
 #define IMAGE_FETCH_COST_CORE_S 1000.0
 
--- a/src/core/scheduling/quota_partition.c
+++ b/src/core/scheduling/quota_partition.c
@@ -2,18 +2,19 @@
 
 #include "fair_share/quota.h"
 
-/* minimum time for which a team stays serialized */
+/* minimum time for which a team's launches stay serialized (each writes the team's record) before its quota
+ * may be partitioned again */
 #define SERIALIZED_MIN_S 4.0
 /* the minimum time doubles whenever the shares are found too small again, up to this limit */
 #define SERIALIZED_MAX_S 120.0
-/* minimum free quota per controller, in launches of the team's largest size; the leader counts as
+/* minimum free quota per controller, as a multiple of the team's largest launch; the leader counts as
  * LEADER_WEIGHT controllers */
 #define SHARE_LAUNCHES_MIN 4
 /* the leader's weight when free quota is divided, compared to 1 for other controllers: the leader also places
  * all services */
 #define LEADER_WEIGHT 2.0
 #define PARTITIONED_MIN_S 1.0 /* minimum time for which the shares of a partition stay the same */
-#define PAUSE_MAX_S 3.0       /* after this time, the leader ends the pause of another controller */
+#define PAUSE_MAX_S 3.0       /* once another controller's pause has lasted this long, the leader ends it */
 #define FREE_SHARE_MIN 0.2    /* a quota is partitioned only while more than this share of it is free */
 
 /* Returns an empty partition: controller -> double* (its share in CPUs). A partition without shares means
@@ -109,7 +110,7 @@
 }
 
 /* Returns whether the team's quota can be partitioned. Shares are in CPUs, so a team whose GPUs are limited
- * too stays serialized; a team without a quota has nothing to divide. */
+ * too isn't partitioned; a team without a quota has nothing to divide. */
 static gboolean can_partition(const FkTeam *team) {
   return fk_quota_is_limited(team->max_cpus) && !fk_quota_is_limited(team->max_gpus);
 }
--- a/src/core/scheduling/quota_partition.h
+++ b/src/core/scheduling/quota_partition.h
@@ -1,7 +1,8 @@
 /* How a team's quota is enforced when several controllers launch tasks for the team. Serialized: every launch
  * writes the team's record and is guarded by it, so that launches commit one after another. Partitioned: the
- * record gives each controller a share, launches are only guarded by it, and each controller accounts for its
- * own launches. In both modes the sum of allocations stays within the quota; see docs/design.md, "quota". */
+ * record gives each controller a share. Launches are guarded by the record but don't write it, and each
+ * controller accounts for its own launches. In both modes the sum of allocations stays within the quota; see
+ * docs/design.md, "quota". */
 #pragma once
 #include "core/controller_internal.h"
 
--- a/src/core/scheduling/scheduling_cycle.c
+++ b/src/core/scheduling/scheduling_cycle.c
@@ -102,10 +102,10 @@
 
 /* ------------------------------------------------------------------ the cycle */
 
-/* Returns whether jobs above the normal priority may bypass the pause between launches now. The pause leaves
- * writes for these jobs. Launches bypass it at most a few times a second, and the time for their writes is
- * added to the pause. Without the bypass, jobs above the normal priority would wait for up to 3 s after a
- * launch of twenty writes. */
+/* Returns whether jobs above the normal priority may bypass the pause between launches now. The pause keeps
+ * writes available for these jobs. Launches bypass it at most a few times a second, and the time for their
+ * writes is added to the pause. Without the bypass, jobs above the normal priority would wait for up to 3 s
+ * after a launch of twenty writes. */
 static gboolean can_bypass_pause(FkController *c) {
   return fk_time_between(c->now, c->launches.launch_after) > BYPASS_PAUSE_MIN_S &&
          fk_time_reached(c->now, c->launches.bypass_after) && fk_scheduling_queue_has_high_priority(c);
@@ -132,7 +132,7 @@
   g_hash_table_insert(c->launches.no_launch_reasons, (gpointer)reason, GUINT_TO_POINTER(count + 1));
 }
 
-/* Removes all jobs but those above the normal priority, which are first in the queue. */
+/* Keeps only the jobs above the normal priority, which are first in the queue. */
 static void keep_high_priority_jobs(GPtrArray *jobs) {
   guint count = 0;
   while (count < jobs->len && ((FkJob *)jobs->pdata[count])->effective_priority < FK_JOB_PRIORITY_NORMAL)
--- a/src/core/scheduling/scheduling_queue.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -19,9 +19,10 @@
 #define EXAMINED_PER_CYCLE_MAX (4 * SELECTED_PER_CYCLE)
 
 #define CLUSTER_COUNT_INTERVAL_S 1.0
-/* at most this many blocked jobs, the first ones of the queue, make others yield */
+/* at most this many blocked jobs, the first ones of the queue, make other jobs leave capacity free */
 #define BLOCKED_JOBS_MAX 4
-/* a job that is known for a shorter time may still find capacity without others yielding */
+/* a job that is known for a shorter time doesn't count as blocked: it may still find capacity without other
+ * jobs yielding */
 #define BLOCKED_AFTER_S 1.0
 /* once this share of a class is served, no expensive machines are provisioned for its other jobs */
 #define SERVICE_LEVEL_SUFFICIENT 0.5
--- a/src/core/scheduling/scheduling_queue.h
+++ b/src/core/scheduling/scheduling_queue.h
@@ -23,11 +23,12 @@
  * cost. */
 guint64 fk_scheduling_queue_refreshed_count(const FkSchedulingQueue *queue);
 /* Returns whether the job must leave the machine's free capacity to another job: to the holder of a backfill
- * reservation, or to a blocked job of a higher priority. Urgent jobs and services yield only to
- * reservations. Without this rule, small tasks of a low priority fill every gap as it opens, and larger ones
- * never start: with 7,000 tasks of two CPUs waiting, arrays of four-CPU tasks waited for 400 s. */
+ * reservation or, if the job's priority is below normal and it is neither urgent nor a service, to a blocked
+ * array of normal or higher priority. Without this rule, small tasks of a low priority fill every gap as it
+ * opens, and larger ones never start: with 7,000 tasks of two CPUs waiting, arrays of four-CPU tasks waited
+ * for 400 s. */
 gboolean fk_scheduling_queue_must_yield(FkController *c, const FkJob *job, const FkMachine *machine);
-/* Returns whether no expensive machines are provisioned for the job. This applies only to arrays without a
+/* Returns whether no expensive machine may be provisioned for the job. This applies only to arrays without a
  * deadline whose team has no guarantee and whose class has no objective, and only while at least half of the
  * class is served and the job's priority isn't raised because of starvation. The job may still run on
  * expensive machines that exist. */
--- a/src/core/scheduling/service_reserve.h
+++ b/src/core/scheduling/service_reserve.h
@@ -1,6 +1,7 @@
 /* Capacity that arrays leave free for the services that arrive next. The reserve follows from the arrival
- * rate of services. It is limited to a small number of slots per machine, since in a small fleet it would
- * cost more than it gains. A slot is the capacity for one task of the service that was seen last. */
+ * rate of services. It is limited to a small number of slots per machine, since in a small fleet a larger
+ * reserve would cost more than it gains. A slot is the capacity for one task of the service that was seen
+ * last. */
 #pragma once
 #include "core/controller_internal.h"
 
--- a/src/core/scheduling/short_path.c
+++ b/src/core/scheduling/short_path.c
@@ -11,7 +11,8 @@
 #include <string.h>
 
 #define PROBES_PER_MACHINE_MAX 24
-/* free slots that the sampled machines must have for each wanted probe */
+/* number of free slots that the sampled machines must have for each wanted probe; a slot has the CPUs for one
+ * task of the job with the largest tasks */
 #define SAMPLED_SLOTS_PER_PROBE 1.5
 #define SAMPLED_MACHINES_MIN 16 /* minimum number of sampled machines */
 #define STEAL_ROTATION_S 0.5    /* length of a controller's turn to take tasks of other owners' jobs */
--- a/src/fair_share/service_level.c
+++ b/src/fair_share/service_level.c
@@ -8,10 +8,10 @@
 #define STARVATION_WAIT_S 60.0
 /* a class or team starves only if less than this share of the expected jobs is served */
 #define STARVATION_SHARE 0.5
-#define SIZE_STEPS_PER_DOUBLING 4 /* resolution of the size histogram */
-#define SIZE_STEPS 160            /* up to 2^40 CPU-seconds; larger jobs are in the last step */
-#define LARGEST_SHARE 0.1         /* share of the jobs in the histogram that count as the largest */
-#define NAMES_MAX 1000 /* maximum number of classes, and of teams: users may invent any number of names */
+#define SIZE_STEPS_PER_DOUBLING 4 /* steps of the size histogram per doubling of a job's size */
+#define SIZE_STEPS 160 /* number of steps: sizes up to 2^40 CPU-seconds; larger jobs are in the last step */
+#define LARGEST_SHARE 0.1 /* share of the jobs in the histogram that count as the largest */
+#define NAMES_MAX 1000    /* maximum number of classes, and of teams: users may invent any number of names */
 
 struct FkServiceLevel {
   GHashTable *classes, *largest, *teams; /* name -> FkServiceLevelRow, whose `name` is the key */
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -45,9 +45,9 @@
   g_assert_true(isinf(fk_quota_left(fk_quota_from_setting(0), 1e15)));
 }
 
-/* A sequence of task results and the expected verdicts after it. An event has three characters, and events
- * are separated by a space: 'x' (a task failed) or '+' (a task succeeded), the job's letter and the machine's
- * digit; '>' is a task of the job that has been running for a minute. */
+/* A sequence of task results and the expected verdicts after it. Events are separated by spaces. An event has
+ * three characters: its kind, the job's letter and the machine's digit. The kinds are 'x' (a task failed),
+ * '+' (a task succeeded) and '>' (a task of the job has been running for a minute). */
 typedef struct {
   const char *results;
   const char *failing_jobs, *faulty_machines; /* letters of failing jobs, digits of faulty machines */
@@ -56,7 +56,7 @@
 static const AttributionCase attribution_cases[] = {
     {"", "", ""},
     {"xa1 xa1", "", ""},
-    /* a hundred failures on a single machine would prove nothing either: the job was tried nowhere else */
+    /* failures on a single machine prove nothing, not even a hundred: the job was tried nowhere else */
     {"xa1 xa1 xa1 xa1 xa1", "", ""},
     /* failures on two machines: the job is failing and neither machine is faulty (1,100 healthy machines were
      * returned because of 4% of the jobs) */
@@ -330,8 +330,8 @@
   g_assert_cmpfloat(fk_boot_time_join_probability(&b, 3.8, 2), <, 0.1);
   g_assert_cmpfloat_with_epsilon(fk_boot_time_remaining(&b, 0), 1.25, 0.35);
   g_assert_cmpfloat(fk_boot_time_remaining(&b, 1.2), <, fk_boot_time_remaining(&b, 0));
-  /* machines take three times as long: one of twice the usual age is still expected, and the remaining time
-   * follows the observations */
+  /* machines take three times as long to boot: one of twice the usual age is now more likely to join, and the
+   * expected remaining time grows */
   FkBootTimeModel late = b;
   for (guint i = 0; i < 200; i++)
     fk_boot_time_observe_joined(&late, 3);
