--- a/src/core/controller_status.c
+++ b/src/core/controller_status.c
@@ -9,8 +9,8 @@
 #define PEER_STORE_LEAD_S 1
 #define PEER_STORE_RECENT_S 5
 /* The controller counts as partitioned from the store and all other controllers if the store has not replied
- * for more than this time, and no controller has replied to the queries that are sent once a second from
- * FK_PEER_QUERY_AFTER_S on. */
+ * for more than this time, and no controller has replied to the queries that are sent once a second after
+ * FK_PEER_QUERY_AFTER_S without a reply of the store that confirms the view. */
 #define ISOLATED_FROM_ALL_S 6.0
 
 FkOutput *fk_output_new(FkController *c, FkOutputKind kind) {
--- a/src/core/cpu_profile.h
+++ b/src/core/cpu_profile.h
@@ -15,7 +15,7 @@
   FK_CPU_PREEMPTION,    /* leader election, preemption and finalization of jobs */
   FK_CPU_AUTOSCALER,    /* scale-out, scale-in and cost accounting */
   FK_CPU_WORKERS,       /* workers of owned shards, and completions */
-  FK_CPU_SHARDS,        /* ownership of shards, machine pages, quota partitions, windows */
+  FK_CPU_SHARDS,        /* ownership of shards, machine pages, quota partitions, statistics windows */
   FK_CPU_IDLE,          /* waiting for events; 0 if the clock counts CPU time only */
   FK_CPU_PURPOSES
 } FkCpuPurpose;
--- a/src/core/shards/completions.c
+++ b/src/core/shards/completions.c
@@ -51,7 +51,7 @@
 /* While a completion is pending, the task may already have been started elsewhere, so it must not be started
  * on this machine again even if the view still shows the allocation. The write of a guarded completion is
  * conditional on the shard's revision. Once the shard has a new revision, the completion can't be written and
- * no longer counts. */
+ * no longer counts as pending. */
 gboolean fk_completion_is_pending(FkController *c, const FkMachine *machine,
                                   const FkAllocationRef *allocation) {
   /* Fast path: this runs for every allocation at each check of a worker, and hardly any machine has a pending
--- a/src/core/shards/machine_registry.c
+++ b/src/core/shards/machine_registry.c
@@ -82,8 +82,8 @@
 
 /* The gain from writing a shard's pages is the sum of its machines' gains, plus GAIN_PER_SECOND for each
  * second of waiting. The pages with the largest gain are written first. Changes that tasks wait for have the
- * largest gains, then changes that save money, then cleanup. With pages written in hash-table order, the
- * first shards were dirty again before the next write was allowed, and the last shards starved: 250 idle
+ * largest gains, then changes that save money, then cleanup. When pages were written in hash-table order,
+ * the first shards were dirty again before the next write was allowed, and the last shards starved: 250 idle
  * machines were not drained for minutes, and each page written drained only one or two machines. The waiting
  * time keeps a shard with a single idle machine from starving. */
 #define GAIN_USABLE 4.0      /* a new machine, or one that is no longer drained */
--- a/src/core/shards/shards.h
+++ b/src/core/shards/shards.h
@@ -23,8 +23,9 @@
   FkTime page_write_after; /* earliest time of the next transaction that writes pages */
 } FkShardWrites;
 
-/* The proven end of one allocation, kept until the view shows the end, or until the completion can't be
- * recorded any more. */
+/* A completion: the proven end of one allocation, still to be recorded in the store. Kept until the view no
+ * longer shows the allocation, or until the completion can't be written any more, e.g. because the shard has
+ * a new revision. */
 typedef struct FkCompletion FkCompletion;
 
 /* The pending completions, and the state of the transactions that write them. */
--- a/src/core/state/live_job.h
+++ b/src/core/state/live_job.h
@@ -23,8 +23,8 @@
   FkTime retry_at;        /* end of the job's backoff; 0 if there was none */
   gboolean has_failed;    /* an attempt has failed */
   gboolean failing;       /* the job seems to fail on every machine; see fk_job_waiting_tasks() */
-  FkTime last_trial_at;   /* last attempt of a scheduling cycle to start a task while `failing` */
-  guint64 wait_times_window; /* number of the window to which `wait_times_counted` refers */
+  FkTime last_trial_at;   /* when a scheduling cycle last tried to start a task while `failing` */
+  guint64 wait_times_window; /* number of the statistics window of `wait_times_counted` */
   guint wait_times_counted;  /* number of the job's waits added to FkWaitTimes in `wait_times_window` */
   FkAttempt gang_attempt;    /* attempt number of the gang launch in progress */
   guint32 gang_allocated;    /* number of tasks allocated so far by the gang launch in progress */
@@ -35,11 +35,11 @@
   guint queue_position;             /* queue position when the job was last selected, from 1; 0 if never */
   gboolean urgent;                  /* sorts before other jobs of equal effective priority and standing */
   gboolean quota_available;         /* the team's quota allowed another task when last checked */
-  double demand_cpus;               /* number of CPUs counted for the job in its team's demand in the queue */
-  guint waiting_service_tasks; /* number of the job's tasks counted as waiting service tasks in the queue */
-  guint64 last_cycle;          /* number of the last scheduling cycle that selected the job */
-  gboolean size_recorded;      /* the job's size is included in the service-level statistics */
-  FkTime probed_at;            /* when probes for the job were last placed */
+  double demand_cpus;               /* CPUs that the job adds to its team's demand in the queue */
+  guint waiting_service_tasks;    /* tasks that the job adds to the queue's count of waiting service tasks */
+  guint64 last_cycle;             /* number of the last scheduling cycle that selected the job */
+  gboolean size_recorded;         /* the job's size is included in the service-level statistics */
+  FkTime probed_at;               /* when probes for the job were last placed */
   double seconds_to_latest_start; /* seconds until the latest start for a deadline or objective; G_MAXDOUBLE
                                      if none */
   FkTime gang_launch_until;       /* time until which a gang launch may continue in further transactions */
--- a/src/core/state/records.h
+++ b/src/core/state/records.h
@@ -42,8 +42,8 @@
 FkCompletionRecord *fk_completion_record_copy(const FkCompletionRecord *completion);
 void fk_completion_record_free(gpointer completion); /* NULL is fine */
 
-/* Wait times of the short tasks that a controller launched in one window. The capped sum includes only the
- * first tasks of each job, so that no large job dominates the mean. */
+/* Wait times of the short tasks that a controller launched in one statistics window. The capped sum includes
+ * only the first tasks of each job, so that no large job dominates the mean. */
 typedef struct {
   guint64 window;
   double capped_sum_s;
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -51,8 +51,8 @@
   /* Time until which this controller does not take the shard back from a live owner. Set when this controller
    * loses the shard while healthy: the workers probably could not reach this controller. */
   FkTime no_handback_until;
-  /* Time until which returned workers do not show that the owner is unreachable. Set when this controller
-   * loses the shard: the new owner acquired it just now, so workers were able to reach the owner. */
+  /* Time until which returns of workers are no reason to acquire the shard. Set when this controller loses
+   * the shard: the new owner acquired it just now, so workers were able to reach the owner. */
   FkTime ignore_returns_until;
   GHashTable *returned_machines; /* id -> FkReturnedWorker* */
   /* The highest fencing token that the shard's workers have reported while this controller's view was stale.
@@ -111,7 +111,7 @@
   double reserved_cpus, reserved_gpus; /* reserved for launches in progress */
   gboolean share_exhausted; /* this controller's share of the quota did not allow a launch that the quota
                                allowed */
-  FkTime serialized_since;  /* latest check that found the launches not serialized; 0 if none */
+  FkTime serialized_since;  /* when the quota was last seen partitioned, or paused; 0 if never */
   FkTime changed_at;        /* when the team's record last changed */
   char *last_exhausted_by;  /* the last controller to use up its share; NULL if none */
   double serialized_min_s;  /* shortest time for which launches stay serialized */
--- a/src/core/store_session/calls.c
+++ b/src/core/store_session/calls.c
@@ -1,9 +1,9 @@
 /* Calls to the store, and the callbacks that await their replies.
  *
- * A transaction without a reply is retried unchanged after a few times the usual latency. Otherwise a request
- * or reply that is lost or very late would delay a user, or all launches of a controller, until the request
- * times out. The retry is as safe as a duplicate made by the network (docs/design.md, "Asked again"): the
- * guards let the transaction commit at most once. */
+ * A transaction that gets no reply within several times the usual latency is sent again, unchanged.
+ * Otherwise a request or reply that is lost or very late would delay a user, or all launches of a
+ * controller, until the request times out. The retry is as safe as a duplicate made by the network
+ * (docs/design.md, "Asked again"): the guards let the transaction commit at most once. */
 #include "core/controller.h"
 #include "core/controller_internal.h"
 
@@ -12,8 +12,8 @@
 #define RETRY_LATENCY_FACTOR 4.0
 #define RETRY_MIN_S 0.08
 #define RETRY_MAX_S 1.0
-/* Replaces RETRY_MIN_S while few transactions are retried. A missing reply is then probably only slow, and
- * each retry uses write budget. */
+/* Replaces RETRY_MIN_S while few transactions are retried: a missing reply is probably only late, and each
+ * retry uses write budget. */
 #define RETRY_LOSSLESS_MIN_S 0.4
 /* The network counts as lossy while the share of retried transactions is above this value. */
 #define LOSSY_RETRY_SHARE 0.1
--- a/src/core/workers/commands.c
+++ b/src/core/workers/commands.c
@@ -5,7 +5,8 @@
 #include "core/workers/workers_internal.h"
 
 #define COMMANDS_MAX 200 /* most commands in one message; keeps the message far below 64 KiB */
-/* Seconds added to a task's time to save a checkpoint, for a stop's grace period. */
+/* For a task with checkpoints, the grace period of a stop is the time to save a checkpoint plus this many
+ * seconds. */
 #define SAVE_SLACK_S 1.0
 /* Pause before the next direct call after a call that the worker refused, or that got no usable reply. */
 #define RETRY_REFUSED_S 0.2
--- a/src/core/workers/heartbeats.c
+++ b/src/core/workers/heartbeats.c
@@ -4,7 +4,7 @@
 #include "core/controller.h"
 #include "core/workers/workers_internal.h"
 
-#define HOLD_MAX_S 3.0 /* a held heartbeat of a shard not yet acquired is rejected after this long */
+#define HOLD_MAX_S 3.0              /* longest time that a heartbeat is held before it is rejected */
 #define DUPLICATE_PROBE_AFTER_S 1.0 /* minimum age of the last contact for a duplicate to cause a probe */
 
 /* HTTP statuses of a reply to a heartbeat. */
@@ -86,7 +86,8 @@
   if (!token.n && fk_worker_view_is_stale(c))
     return STATUS_UNAVAILABLE;
   /* A token above the shard's revision shows that there is a later owner. A fresh view would show that owner,
-   * so a token above the revision in a fresh view was never issued, and is counted. */
+   * so a token above the revision in a fresh view was never issued; the heartbeat is counted in
+   * `impossible_tokens`. */
   if (MAX(token.n, shard->later_token.n) > shard->rev.n) {
     c->workers.impossible_tokens += !shard->later_token.n && !fk_worker_view_is_stale(c);
     return STATUS_MISDIRECTED;
--- a/src/core/workers/reconciliation.c
+++ b/src/core/workers/reconciliation.c
@@ -13,7 +13,7 @@
 #define RETRY_FULL_MACHINE_S 2.0
 /* A job that a worker refused as unknown gets no new allocation for this long. */
 #define RETRY_UNKNOWN_JOB_S 1.0
-/* Maximum age of the last contact for the drain of a silent machine to end. */
+/* The drain of a silent machine ends only if the last contact is less than this many seconds old. */
 #define REACHABLE_AGAIN_S 1.0
 
 gboolean fk_allocation_is_stopping(const FkAllocationRef *allocation) {
--- a/src/core/workers/zone_reachability.c
+++ b/src/core/workers/zone_reachability.c
@@ -2,9 +2,9 @@
  *
  * A worker counts as silent when there has been no contact with it for some time and it has missed a probe,
  * while other workers of its zone are heard from. If almost no other worker is heard from, this controller is
- * probably cut off itself. It then waits longer, because terminating the machines would destroy running work.
- * Workers are counted by zone: a controller that a partition separates from another zone still hears from the
- * workers of its own zone, and must not treat all workers of the other zone as silent. */
+ * probably cut off itself. In that case it waits longer, because terminating the machines would destroy
+ * running work. Workers are counted by zone: a controller that a partition separates from another zone still
+ * hears from the workers of its own zone, and must not treat all workers of the other zone as silent. */
 #include "core/workers/workers_internal.h"
 
 #define PROBE_AFTER_INTERVALS 1.4 /* heartbeat intervals without contact after which a worker is probed */
@@ -70,10 +70,10 @@
 }
 
 /* Returns whether only a small share of the zone's workers is heard from, so that this controller itself may
- * be cut off. The longer window alone reacts too late: a worker whose last contact was already some seconds
- * old at the cut counts as silent while the contacts of the others still count as recent (in one such case
- * thirty machines with 107 replicas were terminated within three seconds). The shorter window (JUST_NOW_S) is
- * therefore checked as well if enough contacts are expected in it. */
+ * be cut off. The longer window (recent_contact_s) alone reacts too late: a worker whose last contact was
+ * already some seconds old at the cut counts as silent while the contacts of the others still count as recent
+ * (in one such case thirty machines with 107 replicas were terminated within three seconds). The shorter
+ * window (JUST_NOW_S) is therefore checked as well if enough contacts are expected in it. */
 static gboolean controller_may_be_isolated(const FkZoneReachability *zone) {
   if (!zone->machines)
     return FALSE;
@@ -145,8 +145,8 @@
 /* The limit is doubled for the only worker of a zone. During an outage the limit is tripled, and some worker
  * of the zone must have been heard from throughout that time. After an outage a zone's workers are heard from
  * again one after the other, and workers that haven't had time to reply must not count as silent. For a
- * worker not heard from since the outage, the limit therefore starts at the end of the outage, and is up to
- * twice as long after a long outage. */
+ * worker not heard from since the outage, the limit therefore counts from the end of the outage, and is
+ * longer by the duration of the outage, but at most doubled. */
 gboolean fk_worker_is_silent(FkController *c, const FkMachine *machine, const FkZoneReachability *zone) {
   FkTime since = fk_worker_silent_since(machine);
   double silent_s = fk_time_between(since, c->now);
--- a/test/test_failure_modes.c
+++ b/test/test_failure_modes.c
@@ -451,9 +451,9 @@
   return n;
 }
 
-/* A transaction without a reply is retried_count a few times, with growing delays, unless its first send is
- * still queued. The first result ends the call, except a refusal while another send may still be carried out.
- * Later results are ignored. Without resending, the user and all launches waited 2 s for each lost
+/* A transaction without a reply is retried a few times, with growing delays, unless its first send is still
+ * queued. The first result ends the call, except a refusal while another send may still be carried out.
+ * Later results are ignored. Without retries, the user and all launches waited 2 s for each lost
  * transaction (scenario meet-late in test/days: only 0.68 of the submissions were in time). */
 static void test_transaction_retry(void) {
   static const struct {
@@ -486,7 +486,7 @@
     if (cases[i].sent)
       fk_controller_transaction_sent(r->c, r->now, call);
     tick(r, 0.2);
-    g_assert_cmpuint(count_sends(r, call), ==, 1); /* not retried_count yet: the reply may only be slow */
+    g_assert_cmpuint(count_sends(r, call), ==, 1); /* not retried yet: the reply may only be slow */
     tick(r, 0.4);
     g_assert_cmpuint(count_sends(r, call), ==, cases[i].sent ? 2 : 1);
     if (cases[i].first != FK_OUTCOME_UNKNOWN)
@@ -515,8 +515,8 @@
   }
 }
 
-/* While many messages are lost, a transaction without a reply is retried_count quickly. While hardly any are
- * lost, the transaction is retried_count later, since each send uses a write of the store's budget. */
+/* While many messages are lost, a transaction without a reply is retried quickly. While hardly any are
+ * lost, the transaction is retried later, since each send uses a write of the store's budget. */
 static void test_retry_under_loss(void) {
   for (guint lossy = 0; lossy < 2; lossy++) {
     Rig *r = rig_new(TRUE);
--- a/test/test_job_dependencies.c
+++ b/test/test_job_dependencies.c
@@ -267,9 +267,9 @@
 }
 
 /* An earlier version wrote a page of machines under a larger size limit. The page stays whole while a
- * controller does not support several pages per shard. After that, one transaction divides the page: each new
- * page is within the future limit, no machine is lost, and later writes contain no page of more than 23
- * machines. */
+ * controller does not support several pages per shard. Once all controllers do, one transaction divides the
+ * page: each new page is within the future limit, no machine is lost, and later writes contain no page of
+ * more than 23 machines. */
 static void test_registry_page_divided(void) {
   for (int all_support_pages = 0; all_support_pages < 2; all_support_pages++) {
     Rig *r = rig_new(TRUE);
