--- a/src/core/api/cancellation_barrier.c
+++ b/src/core/api/cancellation_barrier.c
@@ -5,10 +5,10 @@
  * the cancellation is acknowledged. An owner that cannot reach the store does not see the cancellation
  * and goes on renewing its workers' leases for up to `fk_stale_view_trust_s` after its view was last
  * confirmed. If that time were only the deadline minus the length of a lease, every cancellation could be
- * acknowledged at once, but all tasks would be lost in a zone that is cut off from the store for longer. The
- * commit and the acknowledgement are therefore separate: the cancellation is committed at once, and every
- * controller acts on the cancellation as soon as its view shows the job as cancelled. The cancellation is
- * acknowledged as soon as one of these conditions holds:
+ * acknowledged at once, but all tasks would be lost in a zone that is cut off from the store for longer than
+ * that time. The commit and the acknowledgement are therefore separate: the cancellation is committed at
+ * once, and every controller acts on the cancellation as soon as its view shows the job as cancelled. The
+ * cancellation is acknowledged as soon as one of these conditions holds:
  *
  * - No task of the job is allocated any more. An allocation is ended only on proof that its task has ended,
  *   and launches are guarded by the job's record, so that no further task can start.
@@ -22,8 +22,8 @@
  *
  * If `cancellation_barrier_s` is 0, cancellations are acknowledged at once.
  *
- * A revision that a controller has applied stays applied: a report from an earlier incarnation still counts,
- * because the next incarnation reads a store that is at least as recent. */
+ * A revision that a controller has applied stays applied: a report from before a restart of the controller
+ * still counts, because the restarted controller reads a store that is at least as recent. */
 #include "core/controller_internal.h"
 
 struct FkCancellationBarrier {
--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -3,8 +3,8 @@
 #include "core/api/requests_internal.h"
 #include "core/controller.h"
 
-/* A cancellation is retried after at most this many commit conflicts; then the reply is 503. More conflicts
- * are unlikely, because a job's record changes rarely. */
+/* Most retries of a cancellation whose commit conflicts. If the last retry conflicts too, the reply is 503.
+ * So many conflicts are unlikely, because a job's record changes rarely. */
 #define COMMIT_CONFLICTS_MAX 4
 
 static void on_cancellation_commit_reply(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
--- a/src/core/api/job_reads.c
+++ b/src/core/api/job_reads.c
@@ -13,6 +13,7 @@
 #define HTTP_NOT_FOUND 404
 /* Share of the store's request rate for the read checks of all controllers together. */
 #define READ_CHECK_REQUEST_SHARE 0.15
+/* A guard compares the revision of one record. */
 #define READ_CHECK_GUARDS_FACTOR 4 /* most guards per read check, as a multiple of `transaction_ops_max` */
 #define READ_CHECK_GUARDS_MAX 400  /* most guards per read check, whatever the settings */
 #define READS_WITHOUT_VIEW_MAX 16  /* most concurrent reads of records while the view isn't ready */
--- a/src/core/api/requests.h
+++ b/src/core/api/requests.h
@@ -16,7 +16,8 @@
   GQueue *awaiting_view;         /* FkPendingRequest: requests waiting for the view to reach `barrier_rev` */
   /* set of ids of jobs that other jobs depend on and whose terminal states are being read from the store */
   GHashTable *terminal_states_requested;
-  FkTime inherited_at; /* when inherited priorities and deadlines were last computed */
+  /* when the priorities and deadlines that jobs inherit from their dependents were last computed */
+  FkTime inherited_at;
   gboolean inheriting; /* whether any job inherited a priority or deadline at `inherited_at` */
 } FkPendingRequests;
 
--- a/src/core/api/requests_internal.h
+++ b/src/core/api/requests_internal.h
@@ -3,9 +3,9 @@
 #pragma once
 #include "core/controller_internal.h"
 
-#define FK_REQUESTS_QUEUED_MAX 2000 /* most requests in each queue; then the reply is 503 */
-#define FK_REQUEST_WAIT_MAX_S 0.7   /* longest wait for a barrier; then the reply is 503 */
-#define FK_REQUEST_STEPS_MAX 64     /* limit of FkPendingRequest.steps; then the reply is 503 */
+#define FK_REQUESTS_QUEUED_MAX 2000 /* most requests in each queue; further requests get 503 */
+#define FK_REQUEST_WAIT_MAX_S 0.7   /* longest wait for a barrier; a longer wait ends with 503 */
+#define FK_REQUEST_STEPS_MAX 64     /* most steps (FkPendingRequest.steps); a further one ends with 503 */
 
 typedef enum { FK_REQUEST_POLL, FK_REQUEST_SUBMIT, FK_REQUEST_CANCEL } FkRequestKind;
 
@@ -39,7 +39,7 @@
                                          const char *job_id, FkSpec *spec);
 /* Replies with an HTTP status only. */
 void fk_pending_request_reply_status(FkController *c, FkPendingRequest *request, int status);
-/* Replies with an HTTP status, a phase, and no running or done tasks. */
+/* Replies with an HTTP status and a phase. The reply gives 0 running and 0 done tasks. */
 void fk_pending_request_reply_phase(FkController *c, FkPendingRequest *request, int status, FkPhase phase);
 /* Replies 503 with a random delay of 1 or 2 seconds until the client's next attempt. */
 void fk_pending_request_reply_unavailable(FkController *c, FkPendingRequest *request);
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -80,7 +80,8 @@
 /* Requests `count` machines of the offer from the cloud, but at most FK_PROVISION_MACHINES_MAX. */
 void fk_autoscaler_provision(FkController *c, const FkOffer *offer, guint count);
 
-/* Sends requests without a definite reply again, under the same names, when their `retry_at` is reached. */
+/* Resends the provision requests that got no definite reply, under the same names, once their `retry_at` is
+ * reached. */
 void fk_autoscaler_retry_requests(FkController *c);
 
 /* arrival_rates.c */
@@ -91,9 +92,9 @@
 
 /* scale_out_plan.c */
 
-/* Simulates the placement of services on silent machines, of expected services and of waiting tasks on
- * capacity that is free now or will be, and adds to `plan` the machines to provision for tasks that would
- * otherwise wait for too long. */
+/* Simulates where tasks would be placed on capacity that is free now or will be: the services of silent
+ * machines (which no longer respond), the services expected to arrive, and the waiting tasks. Adds to `plan`
+ * the machines to provision for tasks that would otherwise wait for too long. */
 void fk_autoscaler_plan_demand(FkController *c, FkCapacityPlan *plan);
 
 /* termination.c */
--- a/src/core/autoscaler/capacity_plan.c
+++ b/src/core/autoscaler/capacity_plan.c
@@ -7,9 +7,9 @@
 
 #include "core/controller_internal.h"
 
-#define CPU_STEPS 4.0   /* steps per CPU or GPU in a bin's key */
-#define MEM_STEPS 2.0   /* steps per GB in a bin's key */
-#define TIME_STEP_S 2.0 /* step of the time of availability in a bin's key */
+#define CPU_STEPS 4.0   /* free CPUs and GPUs are rounded to multiples of 1/CPU_STEPS in a bin's key */
+#define MEM_STEPS 2.0   /* free memory is rounded to multiples of 1/MEM_STEPS GB in a bin's key */
+#define TIME_STEP_S 2.0 /* resolution of the time of availability in a bin's key */
 /* Capacity is omitted from the plan, as too small for any task, if both its CPUs and its GPUs are less than
  * BIN_CPUS_MIN, or if its memory is less than BIN_MEM_GB_MIN. */
 #define BIN_CPUS_MIN 0.25
@@ -50,8 +50,8 @@
   return (gint64)floor(amount * steps + rounding);
 }
 
-/* Returns the key of a bin. Free capacity is rounded down to whole steps. Capacity that a task will release
- * is rounded up, so that another task with the same spec fits into it. */
+/* Returns the key of a bin. Free capacity is rounded down (CPU_STEPS, MEM_STEPS). Capacity that a task will
+ * release is rounded up, so that another task with the same spec fits into it. */
 static FkCapacityBinKey bin_key(FkCapacityBinKind kind, const FkOffer *offer, FkCapacity free,
                                 double available_s) {
   double rounding = kind == FK_CAPACITY_BIN_RELEASED ? ROUND_UP_OFFSET : ROUND_DOWN_OFFSET;
--- a/src/core/autoscaler/consolidation.c
+++ b/src/core/autoscaler/consolidation.c
@@ -7,7 +7,7 @@
 /* Least ratio of a drained machine's price to the price of the cheapest capacity for the machine's tasks. */
 #define PRICE_RATIO_MIN 4.0
 #define CONSOLIDATION_INTERVAL_S 0.5
-#define ROOM_RATIO 2            /* required slots on cheaper machines / tasks on the machine */
+#define ROOM_RATIO 2            /* tasks for which cheaper machines must have room / tasks on the machine */
 #define RESTART_MARGIN_S 5.0    /* time for restarting a task */
 #define RUN_TIME_MAX_RATIO 1.6  /* longest assumed run time / expected run time */
 #define REMAINING_MIN_RATIO 0.6 /* shortest assumed remaining run time / expected remaining run time */
--- a/src/core/autoscaler/provisioning.c
+++ b/src/core/autoscaler/provisioning.c
@@ -21,8 +21,8 @@
   request->call = output->call;
 }
 
-/* Returns a name that no other request has: it contains the number of the lease, which the store never issues
- * twice, this controller's incarnation, and a counter. Owned by the caller. */
+/* Returns a name that no other request has: it contains the number of this controller's lease, which the
+ * store never issues twice, this controller's incarnation, and a counter. Owned by the caller. */
 static char *request_name(FkController *c) {
   return g_strdup_printf("r-%" G_GUINT64_FORMAT "-%s-%" G_GUINT64_FORMAT, c->store_session.lease.n,
                          c->incarnation, ++c->autoscaling.autoscaler->request_counter);
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -5,7 +5,9 @@
 /* Idle limits are shorter in clusters with more machines than this, because their demand is smoother. */
 #define SMALL_CLUSTER_MACHINES 50.0
 #define IDLE_BASE_SHARE 0.5 /* share of the idle limit that doesn't depend on the cluster's size */
-#define SPOT_IDLE_RATIO 1.5 /* idle limit of spot / of on-demand machines, in a very large cluster */
+/* Idle limit of spot machines divided by that of on-demand machines in a very large cluster, if their
+ * retention factors (fk_autoscaler_retention_factor()) are equal. */
+#define SPOT_IDLE_RATIO 1.5
 /* Added to SPOT_IDLE_RATIO in a small cluster, where a boot costs more than idle spot capacity; in a larger
  * cluster, only a part of this is added. */
 #define SPOT_IDLE_RATIO_SMALL 2.5
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -1,8 +1,8 @@
-/* Plans what to provision. The plan simulates the placement of services on silent machines, of expected
- * services and of waiting tasks on capacity that is free now, will be released by running tasks, or is
- * booting. For waiting tasks, machines are provisioned only if the tasks would otherwise wait for longer than
- * their allowed wait time, which is derived from their deadlines. Spot machines are provisioned for shorter
- * waits too. */
+/* Plans what to provision. The plan simulates where tasks would be placed on capacity that is free now, will
+ * be released by running tasks, or is booting. The tasks are the services of silent machines (which no longer
+ * respond), the services expected to arrive, and the waiting tasks. For waiting tasks, machines are
+ * provisioned only if the tasks would otherwise wait for longer than their allowed wait time, which is
+ * derived from their deadlines. Spot machines are provisioned for shorter waits too. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
@@ -256,7 +256,7 @@
   }
 }
 
-/* Plans capacity for the services on silent machines, to restart them. */
+/* Plans capacity for restarting the services of silent machines. */
 static void plan_failover(FkController *c, FkCapacityPlan *plan) {
   g_autoptr(GPtrArray) jobs = fk_service_failover_demand(c);
   for (guint i = 0; i < jobs->len; i++)
@@ -318,8 +318,9 @@
   }
 }
 
-/* Orders jobs by inherited priority, highest (lowest number) first, then by the time at which they became
- * startable, earliest first. */
+/* Orders jobs by inherited priority (the highest priority of the job and its dependents), highest (lowest
+ * number) first. Jobs of equal priority are ordered by the time at which they became startable, earliest
+ * first. */
 static int compare_by_priority(gconstpointer a, gconstpointer b) {
   const FkJob *x = *(FkJob *const *)a, *y = *(FkJob *const *)b;
   if (x->inherited_priority != y->inherited_priority)
--- a/src/core/autoscaler/termination.c
+++ b/src/core/autoscaler/termination.c
@@ -7,8 +7,8 @@
 #define TERMINATION_RETRY_S 1.0
 /* How long confirmed terminations are remembered: much longer than the lag of the cloud's list. */
 #define TERMINATED_RETENTION_S 300.0
-/* Least time between the drain of an empty machine and its termination: the view may not show a task yet that
- * was launched on the machine just before the drain. */
+/* Least time between the drain of an empty machine and its termination: a task that was launched on the
+ * machine just before the drain may not be in the view yet. */
 #define DRAIN_STABLE_S 0.5
 
 #define MIN_BILLED_S 60.0   /* the shortest time billed: terminating an instance earlier saves nothing */
@@ -130,8 +130,8 @@
          fk_boot_time_join_probability(boot_times, age, BOOT_PROBABILITY_WITHIN) < BOOT_PROBABILITY_TERMINATE;
 }
 
-/* Adds the ids of instances that failed to boot to `ids`, and removes those that have joined or are
- * terminated from `booting`. Updates the model of boot times with the instances that joined or failed to
+/* Adds the ids of instances that failed to boot to `ids`. Removes from `booting` the instances that have
+ * joined or are terminated. Updates the model of boot times with the instances that joined or failed to
  * boot, unless their request times are only estimated. */
 static void select_booting_instances(FkController *c, GPtrArray *ids) {
   FkAutoscaler *a = c->autoscaling.autoscaler;
--- a/src/core/leader/leader_internal.h
+++ b/src/core/leader/leader_internal.h
@@ -17,5 +17,6 @@
 
 /* window.c */
 
-/* Clears the blacklist, so that long jobs may use all machines of the short partition again. */
+/* Clears the blacklist (the machines of the short partition), so that newly arrived long jobs may use all
+ * machines again. */
 void fk_window_clear_blacklist(FkController *c);
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -65,9 +65,9 @@
 
 /* Stops the machine's services, and the tasks of arrays that probably can't end within the remaining notice
  * time (NOTICE_RUN_RATIO): their work during that time would be lost. A stopped task saves its progress if it
- * can. Without a termination notice, `notice_s` starts at -1 s and falls. Tasks that aren't overdue are then
- * stopped at once, and tasks overdue by more than NOTICE_RUN_RATIO seconds later, the most overdue last.
- * Tasks of gangs and of cancelled jobs aren't stopped. */
+ * can. Without a termination notice, `notice_s` starts at -1 s and falls. In that case, tasks that aren't
+ * overdue are stopped at once. Tasks overdue by more than NOTICE_RUN_RATIO seconds are stopped later, the
+ * most overdue last. Tasks of gangs and of cancelled jobs aren't stopped. */
 static void evacuate(FkController *c, FkStopTransaction *stops, const FkMachine *machine) {
   double notice_s = machine->notice_s - fk_time_between(machine->drain_reason_since, c->now);
   for (guint i = 0; i < machine->allocations->len; i++) {
--- a/src/core/leader/window.c
+++ b/src/core/leader/window.c
@@ -222,8 +222,8 @@
 static void on_wait_times_write_reply(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                                       GPtrArray *failed) {}
 
-/* Writes the window's wait times to the store. Does nothing if this controller has no lease, or if both this
- * window and the one in the store have no wait times. */
+/* Writes the window's wait times to the store. Does nothing if this controller has no lease, or if neither
+ * this window nor this controller's record in the view has wait times. */
 static void write_wait_times(FkController *c) {
   const FkWaitTimes *written = g_hash_table_lookup(c->view->wait_times, c->settings->node);
   if (!c->store_session.lease.n || (!c->window.waits.count && !(written && written->count)))
--- a/src/daemon/api_requests.c
+++ b/src/daemon/api_requests.c
@@ -10,7 +10,7 @@
 
 #define HEALTH_RETRY_AFTER_S 1
 #define LOGGED_BODY_BYTES 200
-/* Key under which a paused message's GObject data holds its request id (guint64). */
+/* Key of a paused message's GObject data. The value is the id of the message's request (guint64). */
 #define REQUEST_ID_KEY "fk-request"
 
 /* ------------------------------------------------------------------ responses */
--- a/src/daemon/rate_limiter.c
+++ b/src/daemon/rate_limiter.c
@@ -1,16 +1,16 @@
 #include "daemon/rate_limiter.h"
 
 #define QUEUE_INTERVAL_MS 15 /* interval at which the queues are checked for requests that can be sent */
-/* Maximum number of write tokens that must be available before a request at a level that isn't urgent is
- * sent. A request with more writes overdraws the bucket. If a large request had to wait for the tokens of all
- * its writes, smaller requests would starve it. */
+/* At a level that isn't urgent, a request is sent only if one write token per write is available, but no more
+ * than this many tokens are required. A request with more writes overdraws the bucket. If a large request had
+ * to wait for the tokens of all its writes, smaller requests would starve it. */
 #define LARGE_REQUEST_WRITES 2.0
 /* Share of the write rate that is reserved for the levels that aren't urgent. Right after an outage, one
  * controller may receive the submissions of all users. Submissions are urgent writes. Without the reserve,
  * submissions would use all write tokens, and the tasks of the accepted jobs could not be started. */
 #define RESERVED_SHARE 0.35
-/* Maximum time, in seconds, to send the queued urgent writes at the write rate. Once the queued urgent writes
- * reach this limit (at least one write), new writes of the last urgent level are shed instead of queued,
+/* Limit of the queued urgent writes: as many as the write rate allows in this many seconds, but at least one.
+ * Once this limit is reached, new writes of the last urgent level are shed instead of queued,
  * because another controller may have spare capacity. In the store's limiter, the last urgent level holds the
  * users' writes. */
 #define URGENT_WAIT_MAX_S 1.0
--- a/src/instance_models/idle_retention.c
+++ b/src/instance_models/idle_retention.c
@@ -10,7 +10,7 @@
 #define DECAY_INTERVAL_S 1.0
 /* A termination within this time after an entry is added to that entry, which bounds the array. */
 #define TERMINATION_MERGE_S 1.0
-#define SATURATION_SHARE 0.5 /* share of terminated CPUs provisioned again at which the factor is highest */
+#define SATURATION_SHARE 0.5 /* from this share of reprovisioned CPUs on, the factor is highest */
 #define SAMPLE_CPUS_MIN 16.0 /* with fewer terminated CPUs, the factor is 1 */
 
 /* Machines terminated within TERMINATION_MERGE_S after `at`, and how many of their CPUs have not been matched
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -9,8 +9,8 @@
  * the field if the file is malformed. */
 FkSettings *fk_settings_parse(const char *body, gsize len, GError **error);
 /* Parses the operators' settings file. Each setting in the file replaces the value in `tuning`. Returns FALSE
- * and an error if the file isn't a JSON object, or a setting is unknown or invalid; earlier settings in the
- * file have then already replaced their values. */
+ * and an error if the file isn't a JSON object, or a setting is unknown or invalid. In that case, the
+ * settings before the invalid one in the file have already replaced their values. */
 gboolean fk_tuning_parse(FkTuning *tuning, const char *body, gsize len, GError **error);
 
 /* A setting of the operators' file: its name, the offset of its field (a double) in FkTuning, and the range
--- a/test/test_core.c
+++ b/test/test_core.c
@@ -189,7 +189,7 @@
 
 /* Replies to all commands that were sent: with success for the machines in `responding`, which is then
  * cleared, and with an unknown outcome for the others. Returns whether the controller has sent a commit of
- * the shard's page `page`: a machine is marked as silent by such a commit. */
+ * the shard's page `page`, which marks a machine as silent. */
 static gboolean reply_to_commands(Rig *r, const char *page, GHashTable *responding) {
   gboolean marked = find(r, FK_OUTPUT_COMMIT, page) != NULL;
   g_autoptr(GPtrArray) outs = g_steal_pointer(&r->outs);
@@ -222,12 +222,12 @@
    *
    * - 0: all but one.
    * - 1: none.
-   * - 2: all up to some step, none afterwards.
+   * - 2: all for the first 10 s, none afterwards.
    * - 3: as 2, but later all machines respond again, the one with the service a little after the others.
    * - 4: as 3, but the one with the service never responds again.
    *
-   * In scenarios 2 to 4, the first machine runs a service, and is therefore probed before the next heartbeats
-   * of the other machines are due. */
+   * In scenarios 2 to 4, the first machine runs a service, and is therefore probed (by a message that the
+   * controller sends to it) before the next heartbeats of the other machines are due. */
   for (guint scenario = 0; scenario < 5; scenario++) {
     Rig *r = rig_new(TRUE);
     r->s->heartbeat_interval_s = scenario >= 2 ? 10 : r->s->heartbeat_interval_s;
@@ -391,9 +391,9 @@
 }
 
 /* Silent machines with services are terminated no faster than their services can be restarted on other
- * machines. A machine with many services is terminated too, but no other machine with services at the same
- * time. Capacity for the services of all silent machines is provisioned at once. The two machines without
- * services are terminated at once. */
+ * machines. A machine with many services is terminated too, but no other machine with services is terminated
+ * at the same time. Capacity for the services of all silent machines is provisioned at once. The two machines
+ * without services are terminated at once. */
 static void test_service_failover_pacing(void) {
   static const struct {
     guint services_on_first, waiting, terminated;
@@ -424,7 +424,7 @@
       g_autofree char *job = g_strdup_printf("fk/l/j/run-6%u", i);
       watched(r, (const char *const[]){job, SERVICE, NULL});
     }
-    /* at 8 writes/s, at most four services may be without a machine: the writes of half a second */
+    /* at most four services may be without a machine: as many as 8 writes/s allow in half a second */
     r->s->store_write_rps = 8;
     guint terminated = 0, provisioned = 0;
     for (guint s = 0; s < 7; s++)
@@ -435,8 +435,8 @@
       provisioned += o->kind == FK_OUTPUT_PROVISION ? o->count : 0;
     }
     g_assert_cmpuint(terminated, ==, cases[k].terminated);
-    /* machines of eight CPUs each, for at least 19 CPUs: ten or more for services of one CPU each, one for
-     * headroom, and eight for the tasks of run-1 */
+    /* at least 19 CPUs are needed, on machines of eight CPUs each: at least ten CPUs for services of one
+     * CPU each, one for headroom, and eight for the tasks of run-1 */
     g_assert_cmpuint(provisioned, >=, 3);
     rig_free(r);
   }
