--- a/src/blob_store/blob_database.h
+++ b/src/blob_store/blob_database.h
@@ -12,10 +12,11 @@
 /* Closes the database. NULL is allowed. */
 void fk_blob_database_close(FkBlobDatabase *database);
 /* Adds the entries to `index`, in the order of their latest recorded use, the oldest first. Only some uses
- * are recorded. Returns FALSE and an error if the query can't be prepared. */
+ * are recorded. Returns FALSE and an error if the query can't be prepared. An error while the rows are read
+ * ends the list early and isn't reported. */
 gboolean fk_blob_database_load(FkBlobDatabase *database, FkBlobIndex *index, GError **error);
 /* Returns the names of all teams with entries, as an array of char* that owns the strings. The caller frees
- * the array. */
+ * the array. A failed query isn't reported: the array then lacks some or all teams. */
 GPtrArray *fk_blob_database_teams(FkBlobDatabase *database);
 
 /* The next three functions return FALSE, and log a warning, if the write fails. */
--- a/src/blob_store/blob_index.c
+++ b/src/blob_store/blob_index.c
@@ -109,8 +109,8 @@
   guint64 unevictable = index->reserved + index->pinned;
   if (bytes > capacity || unevictable > capacity - bytes)
     return FALSE;
-  /* If the reservations would exceed half of the capacity, this team may reserve at most capacity / n, where
-   * n is the number of teams with reservations, including this team. */
+  /* If all reservations, including this one, would exceed half of the capacity, each team may reserve at
+   * most an equal share. */
   guint sharing_teams = index->reserving_teams + (record->reserved == 0);
   if (index->reserved + bytes > capacity / 2 && record->reserved + bytes > capacity / sharing_teams)
     return FALSE;
--- a/src/blob_store/blob_index.h
+++ b/src/blob_store/blob_index.h
@@ -43,10 +43,11 @@
 /* Undoes one pin. Undoing the last pin frees a removed entry, and counts as a use of any other entry. */
 void fk_blob_index_unpin(FkBlobIndex *index, FkBlobEntry *entry);
 
-/* Reserves capacity for a blob or result of that size. Returns FALSE if evictions can't free enough. Also
- * returns FALSE if the reservations would exceed half of the capacity and those of this team would exceed
- * capacity / n, where n is the number of teams with reservations, including this team. After TRUE, the caller
- * must evict each entry that fk_blob_index_next_victim() returns, until that returns NULL. */
+/* Reserves `bytes` bytes of capacity for a blob or result. Returns FALSE if reserved and pinned bytes leave
+ * too little capacity. If all reservations, including this one, would exceed half of the capacity, each
+ * team may reserve at most an equal share: capacity / n, where n is the number of teams with reservations,
+ * including this team. Returns FALSE if this team would exceed that share. After TRUE, the caller must call
+ * fk_blob_index_next_victim() and evict the returned entry, until the function returns NULL. */
 gboolean fk_blob_index_reserve(FkBlobIndex *index, const char *team, guint64 bytes);
 /* Releases `bytes` bytes of the team's reservations. */
 void fk_blob_index_unreserve(FkBlobIndex *index, const char *team, guint64 bytes);
--- a/src/blob_store/blob_store.c
+++ b/src/blob_store/blob_store.c
@@ -69,7 +69,8 @@
 }
 
 /* Removes the entry from the database before the file is removed. If the process is killed in between, the
- * next start removes the file. In the other order, the database would list a blob that doesn't exist. */
+ * next start removes the file. In the other order, the database could list a blob whose file doesn't exist.
+ */
 void fk_blob_store_evict(FkBlobStore *store, FkBlobEntry *entry) {
   fk_blob_database_remove(store->database, entry);
   if (entry->kind == FK_BLOB_KIND_BLOB) {
--- a/src/blob_store/blob_store.h
+++ b/src/blob_store/blob_store.h
@@ -22,8 +22,9 @@
 
 /* Opens the store, and creates `dir` if it doesn't exist. Removes all files of unfinished uploads, and blob
  * files without an index entry. Evicts entries until both limits are met. Returns NULL and an error if the
- * store can't be opened, for instance because another process has locked it. The files of unfinished uploads
- * are then already removed. */
+ * store can't be opened, for instance because another process has locked the database. The files of
+ * unfinished uploads are removed before the database is locked. So if another process has the store open,
+ * this function deletes that process's upload files before it returns the error. */
 FkBlobStore *fk_blob_store_open(const char *dir, const FkBlobIndexLimits *limits, GError **error);
 /* Closes the store and frees it. No upload or reader may be open. NULL is allowed. */
 void fk_blob_store_close(FkBlobStore *store);
@@ -39,14 +40,15 @@
 
 /* ---- uploads ---- */
 
-/* Begins an upload and reserves the capacity for the whole blob; evicts other entries if necessary. */
+/* Begins an upload and reserves the capacity for the whole blob; evicts other entries if necessary. Returns
+ * FULL or IO_ERROR on failure. */
 FkBlobStatus fk_upload_begin(FkBlobStore *store, const char *team, const FkDigest *digest, FkUpload **out);
 /* Appends bytes. Returns MISMATCH, and writes nothing, if the blob would exceed the digest's size. */
 FkBlobStatus fk_upload_write(FkUpload *upload, const guint8 *data, gsize len);
 /* Returns the number of bytes written so far. */
 guint64 fk_upload_written(const FkUpload *upload);
-/* Stores the blob if its size and hash match the digest; otherwise returns MISMATCH. Frees the upload in
- * every case. */
+/* Stores the blob if its size and hash match the digest; otherwise returns MISMATCH. Returns FULL or
+ * IO_ERROR if the file or the database entry can't be written. Frees the upload in every case. */
 FkBlobStatus fk_upload_finish(FkUpload *upload);
 /* Discards an upload and frees it. NULL is allowed. */
 void fk_upload_abort(FkUpload *upload);
--- a/src/blob_store/blob_store_internal.h
+++ b/src/blob_store/blob_store_internal.h
@@ -18,8 +18,8 @@
 char *fk_blob_store_blob_path(const FkBlobStore *store, const char *team, const FkDigest *digest);
 char *fk_blob_store_upload_path(FkBlobStore *store); /* a different path in each call */
 
-/* Reserves capacity, and evicts entries until both limits are met. Returns FALSE, and evicts nothing, if
- * the index can't reserve the bytes. */
+/* Reserves capacity. Evicts entries until both limits of the index are met or all entries are pinned.
+ * Returns FALSE, and evicts nothing, if fk_blob_index_reserve() returns FALSE. */
 gboolean fk_blob_store_reserve(FkBlobStore *store, const char *team, guint64 bytes);
 /* Records a use of the entry in the index, and every 256th use of the store also in the database. */
 void fk_blob_store_record_use(FkBlobStore *store, FkBlobEntry *entry);
--- a/src/blob_store/digest.c
+++ b/src/blob_store/digest.c
@@ -19,8 +19,8 @@
   return a->size == b->size && memcmp(a->hex, b->hex, FK_DIGEST_HEX_LEN) == 0;
 }
 
-/* Copies the next segment of a path to `out`, and advances `path` beyond the segment and a slash that
- * follows. Returns FALSE if the segment is empty or too long. */
+/* Copies the next segment of a resource name to `out`, and advances `path` beyond the segment and the slash
+ * after it, if any. Returns FALSE if the segment is empty or too long. */
 static gboolean parse_segment(const char **path, char *out, gsize out_size) {
   gsize len = strcspn(*path, "/");
   if (len == 0 || len >= out_size)
--- a/src/remote_execution/byte_stream_read.c
+++ b/src/remote_execution/byte_stream_read.c
@@ -4,7 +4,7 @@
 
 #include <zstd.h>
 
-#define READ_BYTES 65536 /* bytes read from the blob for one compression step */
+#define READ_BYTES 65536 /* maximum number of bytes read from the blob before they are compressed */
 #define MESSAGE_DATA_BYTES (512 * 1024)
 
 struct FkDownload {
--- a/src/remote_execution/byte_stream_write.c
+++ b/src/remote_execution/byte_stream_write.c
@@ -1,6 +1,7 @@
-/* ByteStream.Write and QueryWriteStatus: uploads of blobs in several messages. The data is compressed if the
- * resource name has `compressed-blobs/zstd`. After a lost connection, the client can resume an uncompressed
- * upload in another call, unless the upload was aborted in the meantime. A compressed upload starts over. */
+/* ByteStream.Write and QueryWriteStatus: uploads of blobs in several messages. The data is compressed if
+ * the resource name has `compressed-blobs/zstd`. After a lost connection, the client can resume an
+ * uncompressed upload with at least one byte in another call, unless the upload was aborted in the
+ * meantime. Any other upload starts over. */
 #include "remote_execution/cache_call.h"
 
 #include <string.h>
@@ -124,8 +125,8 @@
   return status;
 }
 
-/* Ends the upload and the call. If `status` is OK, the last message was received; stores the blob if it
- * matches its digest. Any other `status` is the error of the upload, which is discarded. */
+/* Ends the upload and the call. If `status` is OK, stores the blob, provided that it matches its digest.
+ * Otherwise discards the upload and fails the call with the error for `status`. */
 static void finish_upload(FkCacheCall *call, FkBlobStatus status) {
   FkUploadStream *stream = call->upload_stream;
   FkResumableUpload *upload = g_steal_pointer(&stream->upload);
--- a/src/remote_execution/cache_call.h
+++ b/src/remote_execution/cache_call.h
@@ -5,8 +5,8 @@
 #include "remote_execution/message.h"
 #include "remote_execution/uploads.h"
 
-/* Allowance in bytes, added to the maximum length of a message (for fields other than blob data) and to the
- * maximum memory of a parsed message (cache_call.c). */
+/* Added to the maximum length of a message, for its fields other than blob data, and to the maximum memory
+ * of a parsed message (PARSED_SIZE_FACTOR in cache_call.c). */
 #define FK_MESSAGE_OVERHEAD_BYTES 65536
 /* REv2's DigestFunction.Value and Compressor.Value. */
 #define FK_DIGEST_FUNCTION_SHA256 1
@@ -52,8 +52,8 @@
 void fk_cache_call_fail_retry_later(FkCacheCall *call, const char *reason);
 /* Ends the call with the error for `status`, which must not be FK_BLOB_STATUS_OK. */
 void fk_cache_call_fail_blob(FkCacheCall *call, FkBlobStatus status);
-/* Queues a message (a protobuf-c struct) for sending. Returns FALSE if the send queue is full after that. A
- * caller with more messages then waits for the `writable` callback. */
+/* Queues a message (a protobuf-c struct) for sending. Returns FALSE if the send queue is now full. A caller
+ * with more messages must then wait for the `writable` callback. */
 gboolean fk_cache_call_send(FkCacheCall *call, gconstpointer message);
 /* Sends `message` and ends the call with OK. */
 void fk_cache_call_reply(FkCacheCall *call, gconstpointer message);
@@ -75,7 +75,7 @@
 gpointer fk_cache_call_unpack(const ProtobufCMessageDescriptor *type, const guint8 *bytes, gsize len);
 gpointer fk_cache_call_unpack_blob(const ProtobufCMessageDescriptor *type, GBytes *blob);
 
-/* ---- handlers: each takes its method's request message ---- */
+/* ---- method handlers (`message` is the parsed request) and the state of ByteStream calls ---- */
 /* capabilities.c */
 void fk_cache_get_capabilities(FkCacheCall *call, gpointer message);
 /* content_storage.c */
--- a/src/remote_execution/cache_service.c
+++ b/src/remote_execution/cache_service.c
@@ -7,7 +7,7 @@
 /* A download pauses when at least this many bytes of its responses are queued. */
 #define QUEUED_BYTES_MAX (1024 * 1024)
 #define HEADER_BYTES_MAX 16384
-/* Maximum size of a connection's incomplete messages, as a multiple of message_bytes_max. */
+/* Maximum total size of a connection's incomplete messages, as a multiple of message_bytes_max. */
 #define BUFFERED_BYTES_FACTOR 4
 
 static const FkCacheMethod methods[] = {
@@ -39,7 +39,8 @@
   call->service = service;
   call->rpc = rpc;
   fk_rpc_set_data(rpc, call);
-  /* The key is checked before the path: a client without a key can't find out which methods exist. */
+  /* The key is checked before the path, so that a client without a valid key can't find out which methods
+   * exist. */
   const char *team = fk_keys_find_team(service->keys, fk_rpc_bearer(rpc), g_get_real_time() / G_USEC_PER_SEC);
   if (!team) {
     fk_cache_call_fail(call, FK_GRPC_UNAUTHENTICATED, "a team's key is needed");
--- a/src/remote_execution/cache_service.h
+++ b/src/remote_execution/cache_service.h
@@ -12,7 +12,8 @@
 /* The callbacks for each HTTP/2 session; the session's `data` is the FkCacheService. */
 extern const FkH2Callbacks fk_cache_service_callbacks;
 
-/* Takes ownership of `blobs` and `keys`. Keeps a reference to `settings`, which the caller owns. */
+/* Takes ownership of `blobs` and `keys`. Stores the pointer `settings` without a copy: the settings must
+ * outlive the service. */
 FkCacheService *fk_cache_service_new(const FkRemoteExecutionSettings *settings, FkBlobStore *blobs,
                                      FkKeys *keys);
 /* Frees the service, its keys and uploads, and closes its blob store. No call may be in progress. NULL is
@@ -23,6 +24,6 @@
 FkH2Limits fk_cache_service_h2_limits(const FkCacheService *service);
 /* Replaces the keys. Calls in progress are not affected. Takes ownership of `keys`. */
 void fk_cache_service_set_keys(FkCacheService *service, FkKeys *keys);
-/* Aborts each upload that no call has had open for more than `upload_s` seconds (a setting). `now_us`
- * is the current monotonic time. */
+/* Aborts each unfinished upload that has been idle (open in no call) for longer than the setting
+ * `upload_s`. `now_us` is the current monotonic time. */
 void fk_cache_service_expire_uploads(FkCacheService *service, gint64 now_us);
--- a/src/remote_execution/message.h
+++ b/src/remote_execution/message.h
@@ -23,8 +23,8 @@
 /* Returns a serialized google.rpc.Status with the delay after which the client may retry. The caller unrefs
  * the result. */
 GBytes *fk_message_retry_status(FkGrpcStatus code, const char *text, gint64 retry_s);
-/* Returns a serialized google.rpc.Status with FAILED_PRECONDITION and a violation for each missing blob
- * (array of FkDigest). The caller unrefs the result. */
+/* Returns a serialized google.rpc.Status with code FAILED_PRECONDITION and a violation for each digest in
+ * `missing` (an array of FkDigest). The caller unrefs the result. */
 GBytes *fk_message_missing_status(const char *text, const GArray *missing);
 
 /* Appends the digest of each output file, tree, standard output and standard error of a result to `blobs`
--- a/src/remote_execution/tree.c
+++ b/src/remote_execution/tree.c
@@ -3,7 +3,8 @@
  * The order is breadth first. Each distinct directory is returned once, even if several directories refer to
  * it; otherwise a small set of directories with many references to each other could give a huge response. A
  * page token is the index of the page's first directory in this order. Directories are addressed by
- * content, so the order is the same in each request unless a directory was evicted or uploaded in between. */
+ * content, so the order is the same in each request unless a directory was evicted or uploaded in between.
+ * Each request walks the tree from the root again, because no state is kept between pages. */
 #include "remote_execution/cache_call.h"
 
 #define TREE_DIRECTORIES_MAX 100000
@@ -43,10 +44,11 @@
   return TRUE;
 }
 
-/* Visits the next directory of the queue. Appends the directory's subdirectories to the queue. Adds the
- * directory to the page unless the directory's index is less than `first`. Skips a directory other than the
- * root that is missing or can't be read. Returns FALSE if the root can't be read, a directory is malformed,
- * or the tree has too many directories, after ending the call with an error. */
+/* Visits the next directory of the queue. Appends its subdirectories to the queue. Adds the directory to
+ * the page unless its index in the queue is less than `first`, the index of the page's first directory.
+ * Skips a directory other than the root that is missing or can't be read. Returns FALSE, after ending the
+ * call with an error, if the root can't be read, the directory is malformed, or the tree has too many
+ * directories. */
 static gboolean visit_next(TreeWalk *walk, guint64 first) {
   FkCacheService *service = walk->call->service;
   guint64 index = walk->next++;
--- a/src/remote_execution/uploads.h
+++ b/src/remote_execution/uploads.h
@@ -8,7 +8,7 @@
 
 typedef struct {
   FkUpload *blob_upload; /* NULL once the upload is finished */
-  char *key, *team;      /* `key` identifies the upload in the table of uploads */
+  char *key, *team;      /* `key` identifies the upload in FkUploads */
   gboolean in_use;       /* whether a call has the upload open */
   gint64 idle_since_us;  /* monotonic time at which the latest call released the upload; 0 if none has */
 } FkResumableUpload;
--- a/test/remote_execution_client.py
+++ b/test/remote_execution_client.py
@@ -507,9 +507,9 @@
 
 
 def test_crash_recovery(s):
-    """The service is killed with SIGKILL at random points of uploads. After the restart, each stored blob is
-    served with its original contents, each acknowledged blob is stored, and no unfinished upload is left. A
-    blob whose file is then damaged isn't served, and is missing afterwards."""
+    """The service is killed with SIGKILL at random times while blobs are uploaded. After the restart, each
+    stored blob is served with its original contents, each acknowledged blob is stored, and no unfinished
+    upload is left. If a blob's file is damaged, the blob isn't served, and is missing afterwards."""
     acknowledged = []
     s.configure(bytes_gb=1)  # large enough that no blob is evicted
     s.kill()
--- a/test/test_remote_execution.c
+++ b/test/test_remote_execution.c
@@ -103,7 +103,8 @@
   g_autoptr(FkKeys) keys = fk_keys_parse(text, strlen(text), &parse_error);
   g_assert_no_error(parse_error);
   g_assert_cmpstr(fk_keys_find_team(keys, "open", 0), ==, "red");
-  /* a key expires at `until`: it is still valid one second earlier */
+  /* the key expires at `until`, which is 1000000000 in Unix time; one second earlier, the key is still
+   * valid */
   g_assert_cmpstr(fk_keys_find_team(keys, "sesame", 999999999), ==, "red");
   g_assert_null(fk_keys_find_team(keys, "sesame", 1000000000));
   g_assert_null(fk_keys_find_team(keys, "opem", 0));
@@ -124,9 +125,9 @@
   }
 }
 
-/* The schema and the code have the same number of settings, and the same ranges and defaults of each number.
- * The deployed file is valid. The error for an invalid file begins with the setting's name, or says that the
- * file isn't a JSON object. */
+/* The schema and the code have the same count of settings, and each numeric setting has the same range and
+ * default in both. The example file in deploy/ is valid. The error for an invalid file begins with the
+ * setting's name, or says that the file isn't a JSON object. */
 static void test_settings(void) {
   g_autofree char *text = NULL, *deployed = NULL;
   gsize len;
@@ -183,10 +184,10 @@
 }
 
 /* Random operations by three teams, with 5 seeds. The index's totals match its entries. After the evictions
- * for a reservation, the stored and reserved bytes together are within the limit. A pinned entry is never
- * chosen for eviction. While no entry is pinned and the number of entries is within its limit, a reservation
- * doesn't evict entries of another team that uses less than an equal share of the bytes minus 50, the maximum
- * size of a blob in this test. */
+ * for a reservation, the stored and reserved bytes together are within the byte limit. A pinned entry is
+ * never chosen for eviction. While no entry is pinned and the number of entries is within its limit, a
+ * reservation evicts entries of another team only if that team stores at least a third of the byte limit
+ * minus 50 bytes, the maximum size of a blob in this test. */
 static void test_blob_index(void) {
   static const char *teams[] = {"red", "blue", "green"};
   for (guint32 seed = 1; seed <= 5; seed++) {
