--- a/src/net/connection.c
+++ b/src/net/connection.c
@@ -10,44 +10,44 @@
 #include "admission/request_parser.h"
 
 #define READ_BYTES 16384
-#define UNSENT_BYTES_MAX 65536      /* of a response; then its handler has to wait */
-#define DISCARDED_BYTES_MAX 1048576 /* of what comes after a rejection */
+#define UNSENT_BYTES_MAX 65536      /* the handler's writes block while this much cannot be sent */
+#define DISCARDED_BYTES_MAX 1048576 /* a lingering connection that sends more is closed */
 #define CONTINUE_RESPONSE "HTTP/1.1 100 Continue\r\n\r\n"
 
 struct FkConnection {
   FkConnectionSlot slot;            /* must be first: see fk_connection_from_slot() */
-  const FkConnectionOwner *owner;   /* NULL: detached */
-  const FkListenerHandler *handler; /* valid while there is an owner */
+  const FkConnectionOwner *owner;   /* NULL after fk_connection_detach() */
+  const FkListenerHandler *handler; /* NULL after fk_connection_detach() */
   GSocketAddress *local;
   struct sockaddr_storage remote;
   gint refs;
-  int fd; /* -1: closed */
+  int fd; /* -1 after the socket is closed */
 
   /* input */
   FkRequestParser parser;
-  GByteArray *received; /* NULL: nothing */
-  gsize request_bytes;  /* of `received`: the request that is complete; 0: none is */
-  gsize consumed;       /* of these: read by the handler */
-  gsize parsed;         /* of `received`: went through the parser */
-  gsize discarded;      /* after a rejection */
-  gboolean readable;
-  gboolean peer_half_closed; /* the client won't send any more */
+  GByteArray *received;      /* bytes of the current request and of later ones; NULL if there are none */
+  gsize request_bytes;       /* length of the complete request in `received`; 0 if none is complete */
+  gsize consumed;            /* bytes of the complete request that the handler has read */
+  gsize parsed;              /* bytes of `received` that the parser has processed */
+  gsize discarded;           /* bytes discarded while lingering */
+  gboolean readable;         /* the socket may have input */
+  gboolean peer_half_closed; /* the client has closed its sending side, or the socket has failed */
 
   /* output */
-  GByteArray *unsent; /* written by the handler; NULL: nothing */
-  gsize sent;         /* of `unsent` */
-  gboolean writable;
-  gboolean output_pending; /* the owner knows of output */
+  GByteArray *unsent;      /* output of the handler; NULL if all of it is sent */
+  gsize sent;              /* bytes of `unsent` that are sent already */
+  gboolean writable;       /* FALSE from a send that would block until epoll reports EPOLLOUT */
+  gboolean output_pending; /* the owner was notified, and has not flushed the output yet */
 
-  /* the present request */
+  /* the current request */
   gboolean continue_sent;
   gboolean responding; /* the handler has begun to write */
-  gboolean released;   /* to its handler */
+  gboolean released;   /* the handler may read the request */
 
-  gboolean raw;           /* the handler's, which the connection may outlive */
-  gboolean broken;        /* the handler can't use it any more */
-  gboolean has_stream;    /* the handler was given one */
-  gboolean stream_closed; /* by the handler */
+  gboolean raw;           /* copied from the handler, which the connection may outlive */
+  gboolean broken;        /* the handler's writes fail; its reads end after its current request */
+  gboolean has_stream;    /* the first request was released: the handler gets a stream */
+  gboolean stream_closed; /* the handler has closed its stream */
 };
 
 static gint64 now_us(void) { return g_get_monotonic_time(); }
@@ -64,10 +64,10 @@
   c->writable = TRUE;
   c->raw = handler->raw;
   fk_request_parser_init(&c->parser);
-  /* A response to a request is one write. Other protocols have small frames that the other side waits for. */
-  int yes = 1;
+  /* An HTTP/1 response is one write. Other protocols send small frames that the peer waits for. */
+  int enable = 1;
   if (c->raw)
-    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
+    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
   return c;
 }
 
@@ -161,7 +161,7 @@
   }
 }
 
-static char *print_rejection(const FkConnection *c, const FkRejection *rejection) {
+static char *format_rejection(const FkConnection *c, const FkRejection *rejection) {
   g_autofree char *body = c->handler->rejection_body(rejection->reason);
   g_autofree char *retry_after = rejection->retry_after_s
                                      ? g_strdup_printf("Retry-After: %u\r\n", rejection->retry_after_s)
@@ -176,10 +176,11 @@
   return send(c->fd, text, strlen(text), MSG_NOSIGNAL | MSG_DONTWAIT) >= 0;
 }
 
-/* Closing with input unread would reset the connection, and the client would lose the response. So only our
- * side is shut down, and what still comes is discarded until the lingering time is over. */
+/* Shuts down only the sending side. Closing the socket with unread input would reset the connection, and the
+ * client would lose the response. Further input is discarded until the linger timeout, up to
+ * DISCARDED_BYTES_MAX. */
 void fk_connection_send_rejection(FkConnection *c, const FkRejection *rejection) {
-  g_autofree char *response = print_rejection(c, rejection);
+  g_autofree char *response = format_rejection(c, rejection);
   drop_received(c);
   c->broken = TRUE;
   if (!send_now(c, response) || shutdown(c->fd, SHUT_WR) < 0)
@@ -203,7 +204,8 @@
     fk_connection_close_socket(c);
 }
 
-/* The head is complete. FALSE: the request was rejected. */
+/* Asks admission control about the request whose head is complete. Returns FALSE if the request was rejected.
+ */
 static gboolean admit_request(FkConnection *c) {
   FkRejection rejection;
   FkRequestClass request_class = c->handler->classify(fk_request_parser_method(&c->parser), c->parser.path);
@@ -223,13 +225,14 @@
 
 gboolean fk_connection_release(FkConnection *c) {
   if (c->slot.stage != FK_STAGE_HANDLING || c->released)
-    return FALSE; /* it was closed while it waited */
+    return FALSE; /* the connection was closed while its request was queued */
   gboolean is_first = !c->has_stream;
   c->released = c->has_stream = TRUE;
   return is_first;
 }
 
-/* Parses what was received and not parsed yet, up to the end of a request. */
+/* Parses the unparsed bytes of `received`, up to the end of one request. Rejects a request that is malformed
+ * or not admitted. */
 static void parse_received(FkConnection *c) {
   FkAdmission *admission = c->owner->admission;
   FkParserStage before = c->parser.stage;
@@ -259,7 +262,8 @@
     send_continue(c);
 }
 
-/* No input is read while a request is handled: it stays with the kernel, and the client has to wait. */
+/* Returns whether the socket may be read. While a request is handled and its response is sent, input stays in
+ * the kernel's buffer, and TCP flow control stops the client. */
 static gboolean wants_input(const FkConnection *c) {
   return c->fd >= 0 && c->slot.stage != FK_STAGE_HANDLING && c->slot.stage != FK_STAGE_SENDING;
 }
@@ -280,14 +284,15 @@
 static void read_available(FkConnection *c) {
   if (c->raw) {
     if (c->readable && c->slot.stage == FK_STAGE_CONNECTED)
-      request_complete(c); /* for as long as the connection lasts */
+      request_complete(c); /* a raw connection counts as one request while it lasts */
     return;
   }
   guint8 data[READ_BYTES];
   while (c->readable && wants_input(c)) {
     gssize n = recv(c->fd, data, sizeof data, 0);
     if (n > 0) {
-      /* less than there was room for is all that there is; the next edge tells of more */
+      /* A short read has emptied the socket, and epoll reports later input. After a half-close it reports
+       * nothing more, so the socket is read until end of file. */
       c->readable = n == READ_BYTES || c->peer_half_closed;
       append_received(c, data, (gsize)n);
     } else if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
@@ -295,14 +300,15 @@
     } else {
       c->readable = FALSE;
       c->peer_half_closed = TRUE;
-      fk_connection_close_socket(c); /* no request is being handled, so no response is waited for */
+      fk_connection_close_socket(c); /* no request is being handled, so no response is pending */
     }
   }
 }
 
 /* ------------------------------------------------------------------ responses */
 
-/* TRUE when all has been sent. */
+/* Sends queued output until the socket would block. Returns TRUE if no output is left: it has been sent, or
+ * an error has closed the socket. */
 static gboolean send_unsent(FkConnection *c) {
   while (c->unsent && c->fd >= 0 && c->writable) {
     gssize n = send(c->fd, c->unsent->data + c->sent, c->unsent->len - c->sent, MSG_NOSIGNAL | MSG_DONTWAIT);
@@ -319,7 +325,7 @@
   return !c->unsent;
 }
 
-/* What is left of `received` is the next request's. */
+/* Removes the handled request from `received`. The remaining bytes belong to the next request. */
 static void begin_next_request(FkConnection *c) {
   if (c->received)
     g_byte_array_remove_range(c->received, 0, (guint)c->request_bytes);
@@ -330,8 +336,8 @@
     drop_received(c);
 }
 
-/* The handler has closed the connection after a response that is sent. Input that is left would turn the
- * close into a reset. */
+/* Closes the connection after its response has been sent and the handler has closed the stream. If input may
+ * be left, the connection lingers instead: unread input would turn the close into a reset. */
 static void close_after_response(FkConnection *c) {
   gboolean input_left = c->received || (c->readable && !c->peer_half_closed);
   if (!input_left) {
@@ -346,7 +352,8 @@
     read_available(c);
 }
 
-/* The handler has written all of a response, which may not be sent yet. */
+/* Sends a response that the handler has written completely. After the last byte, closes the connection if the
+ * handler has closed the stream, else goes on to the next request. */
 static void response_written(FkConnection *c) {
   FkRejection rejection;
   if (c->fd < 0)
@@ -381,7 +388,7 @@
   c->readable |= (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
   c->writable |= (events & EPOLLOUT) != 0;
   if (events & (EPOLLHUP | EPOLLERR)) {
-    fk_connection_close_socket(c); /* both directions are closed: no response can reach the client */
+    fk_connection_close_socket(c); /* closed in both directions, or failed: no response can be sent */
     return;
   }
   fk_connection_ref(c);
@@ -393,7 +400,7 @@
   fk_connection_unref(c);
 }
 
-/* ------------------------------------------------------------------ the stream's side */
+/* ------------------------------------------------------------------ calls by the stream */
 
 gboolean fk_connection_can_read(const FkConnection *c) {
   return c->broken || (c->released && (c->raw ? c->readable : c->consumed < c->request_bytes));
@@ -428,7 +435,8 @@
     c->consumed += n;
     return (gssize)n;
   }
-  /* a handler that wants more of a complete request reads another request than we have parsed: end it */
+  /* A handler that expects more input than the request has disagrees with the parser about the request's
+   * end. It gets end of file. */
   if (c->broken || (c->released && !c->responding))
     return 0;
   return FK_CONNECTION_WOULD_BLOCK;
@@ -458,7 +466,7 @@
   if (!c->owner)
     return;
   if (c->slot.stage == FK_STAGE_LINGERING)
-    return; /* rejected: it is closed when the lingering time is over */
+    return; /* rejected: the socket is closed at the linger timeout */
   if (c->fd < 0) {
     if (c->slot.stage != FK_STAGE_UNTRACKED)
       remove_from_owner(c);
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,6 +1,7 @@
-/* One connection that a server has accepted: its requests are read whole, its handler reads them through a
- * stream (net/stream.h), and what the handler writes is sent. Not blocking, reference counted; private to
- * src/net. */
+/* A connection that a server has accepted. An HTTP/1 request is received whole before its handler reads it;
+ * a raw connection (see FkListenerHandler) passes bytes through as they arrive. The handler reads and writes
+ * through a stream (net/stream.h). All operations are non-blocking. Connections are reference counted, and
+ * private to src/net. */
 #pragma once
 #include <gio/gio.h>
 #include <sys/socket.h>
@@ -13,63 +14,75 @@
 /* The server that a connection belongs to. */
 typedef struct {
   FkAdmission *admission;
-  /* A request is complete, and waits for fk_connection_release(). */
+  /* Called when a request has been received whole. It waits for fk_connection_release(). A raw connection
+   * calls this once, when its first input arrives. */
   void (*request_complete)(gpointer server, FkConnection *connection, FkRequestClass request_class);
-  /* The handler has written: fk_connection_flush() is to be called before the main loop waits. */
+  /* Called when the handler has written output. The owner must call fk_connection_flush() before the main
+   * loop waits. The callback is not repeated before that. */
   void (*output_pending)(gpointer server, FkConnection *connection);
-  /* A descriptor has become free. */
+  /* Called when a connection under admission control has closed its socket: a file descriptor is free. */
   void (*socket_closed)(gpointer server);
-  /* The connection is over, and the server's reference to it is to be given back. */
+  /* Called when the connection has ended and has left admission control. The owner must release its
+   * reference. */
   void (*removed)(gpointer server, FkConnection *connection);
-  gpointer server;
+  gpointer server; /* passed to the callbacks */
 } FkConnectionOwner;
 
 FkConnection *fk_connection_ref(FkConnection *connection);
 void fk_connection_unref(FkConnection *connection);
 
-/* ---- the server's side ---- */
-/* Takes `fd`. `handler` and `owner` are kept by reference until the connection is detached. */
+/* ---- calls by the server ---- */
+/* Creates a connection, which takes ownership of `fd`. `handler` and `owner` are kept by reference until the
+ * connection is detached. */
 FkConnection *fk_connection_new(int fd, const struct sockaddr_storage *remote, GSocketAddress *local,
                                 const FkListenerHandler *handler, const FkConnectionOwner *owner);
-/* Closes the socket of a connection that never came under admission control, and gives the reference back. */
+/* Closes the socket of a connection that was never put under admission control. Releases the caller's
+ * reference. */
 void fk_connection_abandon(FkConnection *connection);
-/* Puts it under admission control; `address`: the remote one, without the port. */
+/* Puts the connection under admission control. `address` is the remote address without the port. */
 void fk_connection_admit(FkConnection *connection, const char *address);
-/* The connection with that slot. */
+/* Returns the connection that contains `slot`. */
 FkConnection *fk_connection_from_slot(FkConnectionSlot *slot);
-/* The kernel reports these epoll events. */
+/* Handles epoll events of the connection's socket. */
 void fk_connection_on_events(FkConnection *connection, guint32 events);
-/* Lets the handler read the request that is complete. TRUE: it is the first, and the handler has no stream of
- * this connection yet. */
+/* Lets the handler read the complete request. Returns TRUE if it is the first request of the connection: the
+ * caller must then give the handler a stream. Returns FALSE for a later request, and if the connection was
+ * closed while the request was queued. */
 gboolean fk_connection_release(FkConnection *connection);
-/* Sends what the handler has written, as far as the socket takes it. */
+/* Sends the output that the handler has written until the socket would block. */
 void fk_connection_flush(FkConnection *connection);
-/* Answers a connection that admission control ends with the rejection; it lingers then. */
+/* Sends a rejection to a connection that admission control has put into FK_STAGE_LINGERING. Closes the socket
+ * if that fails. */
 void fk_connection_send_rejection(FkConnection *connection, const FkRejection *rejection);
-/* A request that its handler has keeps its place in admission control until the handler lets go of it: what
- * it costs isn't over because the client has gone. */
+/* Closes the socket. If the handler has a request in progress, the connection stays under admission control
+ * until the handler closes its stream: the cost of a request does not end when the client disconnects. */
 void fk_connection_close_socket(FkConnection *connection);
-/* The server is freed: closes the socket, and takes the connection out of admission control. The handler's
- * stream is at its end. */
+/* Closes the socket and takes the connection out of admission control, because the server is being freed. The
+ * handler's stream then reads end of file, after any unread rest of its request. */
 void fk_connection_detach(FkConnection *connection);
 
+/* Returns the handler; NULL after fk_connection_detach(). */
 const FkListenerHandler *fk_connection_handler(const FkConnection *connection);
-/* To be unreffed. */
+/* Returns the remote address, which the caller must unref. */
 GSocketAddress *fk_connection_remote_address(const FkConnection *connection);
-/* The connection's own. */
+/* Returns the address of the listening socket, which the connection owns. */
 GSocketAddress *fk_connection_local_address(const FkConnection *connection);
 
-/* ---- the stream's side ---- */
+/* ---- calls by the stream ---- */
 #define FK_CONNECTION_WOULD_BLOCK (-1)
 #define FK_CONNECTION_BROKEN (-2)
 
-/* The handler is about to wait for input: if it has responded, the request is over. */
+/* Records that the handler is about to wait for input. Ends the request if the handler has read all of it and
+ * has begun a response. Has no effect on a raw connection. */
 void fk_connection_want_read(FkConnection *connection);
-/* Bytes, 0 at the end, or FK_CONNECTION_WOULD_BLOCK. */
+/* Returns the number of bytes read, 0 at end of file, or FK_CONNECTION_WOULD_BLOCK. */
 gssize fk_connection_read(FkConnection *connection, void *to, gsize len);
-/* Bytes, FK_CONNECTION_WOULD_BLOCK, or FK_CONNECTION_BROKEN. */
+/* Queues bytes to be sent. Returns how many it has queued, FK_CONNECTION_WOULD_BLOCK, or
+ * FK_CONNECTION_BROKEN if the handler can no longer write. */
 gssize fk_connection_write(FkConnection *connection, const void *from, gsize len);
+/* Returns whether the handler has input to read, or will get no more. */
 gboolean fk_connection_can_read(const FkConnection *connection);
+/* Returns whether the output queue has room, or the handler can no longer write. */
 gboolean fk_connection_can_write(const FkConnection *connection);
-/* The handler has closed its stream, or let go of it. */
+/* Records that the handler has closed its stream or released its last reference to it. */
 void fk_connection_stream_closed(FkConnection *connection);
--- a/src/net/h2_connection.c
+++ b/src/net/h2_connection.c
@@ -1,20 +1,20 @@
 #include "net/h2_connection.h"
 
 #define READ_BYTES 32768
-#define READS_PER_ITERATION 8          /* of the main loop; then other connections are served */
-#define FIRST_CALL_TIMEOUT_US 10000000 /* a connection that never makes a call is no build tool's */
-#define WRITE_TIMEOUT_US 60000000      /* a client that takes nothing for so long is gone */
+#define READS_PER_ITERATION 8 /* of one connection per main loop iteration, so that others are served */
+#define FIRST_CALL_TIMEOUT_US 10000000 /* for the first call: a client that makes none is no build tool */
+#define WRITE_TIMEOUT_US 60000000      /* a client that accepts no output for this long is disconnected */
 
 struct FkH2Connection {
   GIOStream *stream;
   FkH2Session *session;
   GSource *readable;
-  GSource *writable; /* NULL: the stream takes all that there is */
+  GSource *writable; /* waits for the stream to accept output; NULL if not waiting */
   GSource *timer;
-  GSource *wake;  /* NULL: none is pending */
-  GBytes *unsent; /* of the session's output, what the stream hasn't taken; NULL: nothing */
+  GSource *wake;  /* a scheduled write; NULL if none is scheduled */
+  GBytes *unsent; /* session output that the stream has not accepted; NULL if none */
   gint64 begun_us, idle_us;
-  gint64 blocked_us; /* since when the stream takes nothing; 0: it does */
+  gint64 blocked_us; /* when the stream stopped accepting output; 0 if it accepts output */
   gboolean goaway_sent;
   gboolean had_call;
   void (*closed)(gpointer data, FkH2Connection *connection);
@@ -80,7 +80,7 @@
     connection->unsent = g_bytes_new_from_bytes(before, sent, len - sent);
 }
 
-/* FALSE: the session has nothing to send. */
+/* Moves the session's next output to `unsent`. Returns FALSE if there is none. */
 static gboolean take_output(FkH2Connection *connection) {
   const guint8 *bytes;
   gsize len = fk_h2_session_next_output(connection->session, &bytes);
@@ -89,7 +89,7 @@
   return len > 0;
 }
 
-/* FALSE: the client is gone. */
+/* Writes the session's output until the stream would block. Returns FALSE if a write failed. */
 static gboolean write_available(FkH2Connection *connection) {
   while (connection->unsent || take_output(connection)) {
     gsize len;
@@ -121,8 +121,9 @@
   g_source_set_ready_time(connection->timer, at_us);
 }
 
-/* Writes what there is, and closes the connection when neither side has more to say. FALSE: it is gone. */
-static gboolean progress(FkH2Connection *connection) {
+/* Writes the session's output and restarts the timeout. Closes the connection if a write failed or the
+ * session is done. Returns FALSE if the connection was closed, which frees it. */
+static gboolean write_or_close(FkH2Connection *connection) {
   if (!write_available(connection) || (!connection->unsent && fk_h2_session_is_done(connection->session))) {
     close_connection(connection);
     return FALSE;
@@ -134,14 +135,14 @@
 static gboolean on_writable(GObject *stream, gpointer data) {
   FkH2Connection *connection = data;
   clear_source(&connection->writable);
-  progress(connection);
+  write_or_close(connection);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean on_wake(gpointer data) {
   FkH2Connection *connection = data;
   clear_source(&connection->wake);
-  progress(connection);
+  write_or_close(connection);
   return G_SOURCE_REMOVE;
 }
 
@@ -169,17 +170,18 @@
       return G_SOURCE_REMOVE;
     }
     if (!fk_h2_session_receive(connection->session, bytes, (gsize)len)) {
-      write_available(connection); /* what the session says about the violation */
+      write_available(connection); /* sends what the session still has queued */
       close_connection(connection);
       return G_SOURCE_REMOVE;
     }
   }
-  return progress(connection) ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
+  return write_or_close(connection) ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
 }
 
 /* ------------------------------------------------------------------ timeouts */
 
-/* An idle connection is told first, and closed when the time is over again. */
+/* Closes the connection if it is blocked, has made no call, or was sent GOAWAY before. Otherwise the
+ * connection is idle, and is sent GOAWAY first. */
 static gboolean on_timeout(gpointer data) {
   FkH2Connection *connection = data;
   g_source_set_ready_time(connection->timer, -1);
@@ -189,7 +191,7 @@
   }
   connection->goaway_sent = TRUE;
   fk_h2_session_goaway(connection->session);
-  progress(connection);
+  write_or_close(connection);
   return G_SOURCE_CONTINUE;
 }
 
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -1,12 +1,12 @@
 #include "net/http_client.h"
 
-/* A libsoup session remembers each host for five minutes, with a timer in the main loop. With a thousand
- * workers that are called now and then, these timers took half of a controller's CPU time. So a session for
- * many hosts is replaced after so many calls, and its hosts are forgotten. */
+/* A libsoup session keeps a record of each host for five minutes, with a timer in the main loop. With a
+ * thousand workers called occasionally, these timers took half of a controller's CPU time. A session for many
+ * hosts is therefore replaced after this number of calls, which drops its host records. */
 #define CALLS_PER_SESSION 32
 
-/* A call that may wait long for its response (a watch) still has to connect, and to read the body once the
- * response has begun, within short times. */
+/* A call with a long deadline (a watch) may wait long for its response. Connecting, and reading the body
+ * after the response's head, still have these short time limits. */
 #define CONNECT_TIMEOUT_S 3.0
 #define BODY_READ_TIMEOUT_S 3.0
 #define READ_BYTES 8192
@@ -16,22 +16,22 @@
   guint connections_max, connections_per_host_max, idle_s;
   gsize response_bytes_max;
   gboolean many_hosts;
-  guint calls;       /* of this session */
+  guint calls;       /* begun in `session`; counted for many hosts only */
   guint in_progress; /* calls, at most connections_max */
-  GQueue waiting;    /* Call */
+  GQueue waiting;    /* Call, not begun yet */
 };
 
 typedef struct {
   FkHttpClient *client;
-  SoupSession *session; /* the client may have replaced it meanwhile */
+  SoupSession *session; /* in which the call began; the client may have replaced it since */
   SoupMessage *message;
   GCancellable *cancellable;
   guint timer;
   double deadline_s;
   gint64 begun_us;
-  GInputStream *stream; /* of the response's body */
+  GInputStream *stream; /* the response's body; NULL until its head is received */
   GByteArray *body;
-  gsize received_before; /* bytes of it, before the read in progress */
+  gsize received_before; /* bytes in `body` before the read in progress */
   FkHttpCallback callback;
   gpointer data;
 } Call;
@@ -54,8 +54,8 @@
   client->calls = 0;
 }
 
-/* Calls in progress keep the session that they began in. */
-static void renew_session(FkHttpClient *client) {
+/* Replaces the session. Calls in progress keep a reference to the session in which they began. */
+static void replace_session(FkHttpClient *client) {
   g_object_unref(client->session);
   open_session(client);
 }
@@ -94,16 +94,16 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Gives the next step of a call so many seconds, but never more than its deadline leaves. */
+/* Limits the next step of a call to `seconds`, or to the time left until its deadline if that is shorter. */
 static void restart_timer(Call *call, double seconds) {
   double left = call->deadline_s - (double)(g_get_monotonic_time() - call->begun_us) / 1e6;
   g_clear_handle_id(&call->timer, g_source_remove);
   call->timer = g_timeout_add((guint)(CLAMP(left, 0, seconds) * 1000), on_timeout, call);
 }
 
-static void begin(Call *call);
+static void begin_call(Call *call);
 
-static void finish(Call *call, guint status, const GError *error) {
+static void finish_call(Call *call, guint status, const GError *error) {
   FkHttpClient *client = call->client;
   if (error)
     g_debug("%s: %s", g_uri_get_path(soup_message_get_uri(call->message)), error->message);
@@ -113,16 +113,16 @@
   call->callback(call->data, status, body, status && call->body ? call->body->len : 0);
   call_free(call);
   while (client->in_progress < client->connections_max && !g_queue_is_empty(&client->waiting))
-    begin(g_queue_pop_head(&client->waiting));
+    begin_call(g_queue_pop_head(&client->waiting));
 }
 
-/* The rest isn't read: cancelling closes the connection. */
+/* Fails a call whose response is too long. The rest is not read: cancelling closes the connection. */
 static void fail_too_long(Call *call) {
   GUri *uri = soup_message_get_uri(call->message);
   g_warning("response too long, discarded url=http://%s:%d%s bytes_max=%" G_GSIZE_FORMAT, g_uri_get_host(uri),
             g_uri_get_port(uri), g_uri_get_path(uri), call->client->response_bytes_max);
   g_cancellable_cancel(call->cancellable);
-  finish(call, 0, NULL);
+  finish_call(call, 0, NULL);
 }
 
 static void read_body(Call *call, gsize bytes);
@@ -133,13 +133,14 @@
   gssize len = g_input_stream_read_finish(G_INPUT_STREAM(stream), result, &error);
   g_byte_array_set_size(call->body, (guint)(call->received_before + (gsize)MAX(0, len)));
   if (len < 0)
-    finish(call, 0, error);
+    finish_call(call, 0, error);
   else if (len == 0)
-    finish(call, soup_message_get_status(call->message), NULL);
+    finish_call(call, soup_message_get_status(call->message), NULL);
   else if (call->body->len > call->client->response_bytes_max)
     fail_too_long(call);
   else
-    read_body(call, MAX(READ_BYTES, call->body->len)); /* doubled each time: long ones aren't copied often */
+    read_body(call, MAX(READ_BYTES,
+                        call->body->len)); /* doubling the buffer bounds how often a long body is copied */
 }
 
 static void read_body(Call *call, gsize bytes) {
@@ -155,7 +156,7 @@
   g_autoptr(GError) error = NULL;
   call->stream = soup_session_send_finish(SOUP_SESSION(session), result, &error);
   if (!call->stream) {
-    finish(call, 0, error);
+    finish_call(call, 0, error);
     return;
   }
   SoupMessageHeaders *head = soup_message_get_response_headers(call->message);
@@ -180,11 +181,11 @@
     restart_timer(call, call->deadline_s);
 }
 
-static void begin(Call *call) {
+static void begin_call(Call *call) {
   FkHttpClient *client = call->client;
   client->in_progress++;
   if (client->many_hosts && client->calls++ >= CALLS_PER_SESSION)
-    renew_session(client);
+    replace_session(client);
   call->session = g_object_ref(client->session);
   call->cancellable = g_cancellable_new();
   call->begun_us = g_get_monotonic_time();
@@ -195,9 +196,9 @@
                           on_head_received, call);
 }
 
-/* The session would react to a 421 by sending the request again, without its body. Its handler of the end of
- * such a response was connected later than this one, and isn't called. */
-static void keep_misdirected(SoupMessage *message, gpointer unused) {
+/* Prevents libsoup from sending the request again, without its body, after a 421 response. libsoup's own
+ * "got-body" handler was connected after this one, so stopping the signal keeps it from running. */
+static void suppress_421_resend(SoupMessage *message, gpointer unused) {
   g_signal_stop_emission_by_name(message, "got-body");
 }
 
@@ -215,7 +216,7 @@
     soup_message_set_request_body_from_bytes(message, "application/json", bytes);
   }
   soup_message_add_status_code_handler(message, "got-body", SOUP_STATUS_MISDIRECTED_REQUEST,
-                                       G_CALLBACK(keep_misdirected), NULL);
+                                       G_CALLBACK(suppress_421_resend), NULL);
   if (client->many_hosts)
     soup_message_headers_replace(soup_message_get_request_headers(message), "Connection", "close");
   Call *call = g_new0(Call, 1);
@@ -226,7 +227,7 @@
   call->data = data;
   /* the deadline counts from when the call begins, not from when it is queued */
   if (client->in_progress < client->connections_max)
-    begin(call);
+    begin_call(call);
   else
     g_queue_push_tail(&client->waiting, call);
 }
--- a/src/net/listener_handler.h
+++ b/src/net/listener_handler.h
@@ -1,20 +1,21 @@
-/* What an owner of a listening address decides about its connections. */
+/* How the connections of a listening address are handled. */
 #pragma once
 #include <gio/gio.h>
 
 #include "admission/limits.h"
 
 typedef struct {
-  /* Requests aren't parsed: a connection is handed over with its first byte, and its bytes pass through as
-   * they come. For protocols other than HTTP/1; `classify` and `rejection_body` aren't used. */
+  /* TRUE for protocols other than HTTP/1. Requests are not parsed: the connection is handed over when its
+   * first input arrives, and its bytes pass through unchanged. `classify` and `rejection_body` are unused. */
   gboolean raw;
-  FkConnectionClass connection_class; /* of a new connection, until a request tells more */
-  /* The class of a request by its method and path (cut short when long). */
+  FkConnectionClass connection_class; /* initial class of a connection; a request may change it */
+  /* Returns the class of a request from its method and path. A long path is truncated. */
   FkRequestClass (*classify)(const char *method, const char *path);
-  /* The body of a rejection, JSON, to be freed. */
+  /* Returns the JSON body of a rejection, which the caller frees. */
   char *(*rejection_body)(const char *reason);
-  /* The first request of a connection is complete. The callee takes its own reference to the stream, reads
-   * the request, answers, and closes it; later requests come through it too. */
+  /* Called when the first request of a connection is complete, or a raw connection has its first input. The
+   * callee takes its own reference to the stream, reads the request, writes the response, and closes the
+   * stream. Later requests of the connection arrive on the same stream. */
   void (*serve)(gpointer data, GIOStream *stream, GSocketAddress *local, GSocketAddress *remote);
-  gpointer data;
+  gpointer data; /* passed to `serve` */
 } FkListenerHandler;
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -12,13 +12,14 @@
 
 #define EPOLL_EVENTS_MAX 256
 #define POLL_TIMEOUT_MAX_MS 60000
-#define ACCEPT_PAUSE_US 100000 /* between two attempts to accept when no descriptor was free */
+#define ACCEPT_PAUSE_US 100000 /* until accepting is tried again after a failure */
 #define ACCEPT_WARNING_INTERVAL_US 10000000
 
-/* How many complete requests of each class go to their handlers in one iteration of the main loop, the first
- * classes first. Usually that is all of them. After all controllers have crashed hundreds come at once, and
- * an iteration with all of them would take a second or two: health checks and heartbeats that come meanwhile
- * would wait for submissions. Each class has some, so that none starves. */
+/* The maximum number of complete requests of each class that are released to their handlers in one iteration
+ * of the main loop, in the order of the classes. Usually it covers all of them. After all controllers have
+ * crashed, hundreds of requests arrive at once. Handling them in one iteration would take a second or two,
+ * and health checks and heartbeats that arrive meanwhile would wait behind submissions. Each class has a
+ * quota, so that none starves. */
 static const guint released_per_iteration[FK_REQUEST_CLASSES] = {
     [FK_REQUEST_CLASS_HEALTH] = G_MAXUINT, [FK_REQUEST_CLASS_PEER] = G_MAXUINT,
     [FK_REQUEST_CLASS_HEARTBEAT] = 32,     [FK_REQUEST_CLASS_CANCEL] = 16,
@@ -34,25 +35,26 @@
 } Listener;
 
 struct FkServer {
-  GSource source; /* must be first: g_source_new() allocates the whole */
+  GSource source; /* must be first: g_source_new() allocates the whole structure */
   FkAdmission *admission;
-  FkConnectionOwner owner; /* of all connections: this server */
+  FkConnectionOwner owner; /* shared by all connections */
   GPollFD epoll;
   GPtrArray *listeners; /* Listener */
-  /* All of FkConnection, each with a reference. */
+  /* The connections that have not ended: a set of FkConnection, each with a reference. */
   GHashTable *connections;
-  GQueue complete[FK_REQUEST_CLASSES]; /* with a complete request that is to be released */
-  GQueue unserved;                     /* released, and to be handed over as a stream */
-  GPtrArray *flush_list;               /* with output that is to be sent at the end of the iteration */
-  gboolean accept_paused;              /* no descriptor was free */
-  gint64 accept_paused_us, accept_warned_us;
+  GQueue complete[FK_REQUEST_CLASSES]; /* FkConnection with a request to be released */
+  GQueue unserved;                     /* FkConnection whose first request is released, to get a stream */
+  GPtrArray *flush_list;               /* FkConnection with output to send before the main loop waits */
+  gboolean accept_paused;              /* after a failed accept */
+  gint64 accept_paused_us, accept_warned_us; /* time of the latest pause and warning; 0 if none */
 };
 
 static gint64 now_us(void) { return g_get_monotonic_time(); }
 
-/* ------------------------------------------------------------------ what connections tell */
+/* ------------------------------------------------------------------ callbacks of connections */
 
-/* While paused, the listening sockets aren't polled: they would be readable at once, again and again. */
+/* Pauses or resumes accepting. While paused, the listening sockets are not polled: a socket with pending
+ * connections stays readable, and would wake the main loop without end. */
 static void pause_accepting(FkServer *server, gboolean paused) {
   server->accept_paused = paused;
   for (guint i = 0; i < server->listeners->len; i++)
@@ -82,7 +84,7 @@
 
 /* ------------------------------------------------------------------ connections */
 
-/* Ends the connections whose time is over, or whose place others need. */
+/* Ends the connections that have timed out or that exceed a limit. */
 static void evict(FkServer *server) {
   FkRejection rejection;
   FkConnectionSlot *slot;
@@ -95,7 +97,8 @@
   }
 }
 
-/* Gives complete requests to their handlers. */
+/* Releases complete requests to their handlers, up to the quota of each class. Queues the connections that
+ * need a stream in `unserved`. */
 static void release_complete(FkServer *server) {
   for (guint class = 0; class < FK_REQUEST_CLASSES; class ++) {
     FkConnection *connection;
@@ -137,7 +140,7 @@
 
 /* ------------------------------------------------------------------ accepting */
 
-/* The IP address, to be freed; "" when it isn't one. */
+/* Returns the IP address as text, which the caller frees; "" if it is not an IP address. */
 static char *address_text(const struct sockaddr_storage *native, socklen_t len) {
   g_autoptr(GSocketAddress) address = g_socket_address_new_from_native((gpointer)native, len);
   if (!G_IS_INET_SOCKET_ADDRESS(address))
@@ -161,8 +164,10 @@
   evict(server);
 }
 
-/* No descriptor is free although the limits leave some: the system's are lower. Clients that wait are
- * accepted when a connection is closed, or a little later; trying on and on would only take CPU time. */
+/* Pauses accepting after an error, which is logged at most once per ACCEPT_WARNING_INTERVAL_US. Usually no
+ * file descriptor is free, because the system's limit is lower than the one that admission control assumes.
+ * Pending clients are accepted when a connection is closed, or after ACCEPT_PAUSE_US. Retrying at once would
+ * only use CPU time. */
 static void on_accept_failed(FkServer *server, int error) {
   gint64 now = now_us();
   if (!server->accept_warned_us || now >= server->accept_warned_us + ACCEPT_WARNING_INTERVAL_US) {
@@ -188,13 +193,13 @@
   }
 }
 
-/* ------------------------------------------------------------------ the main loop's source */
+/* ------------------------------------------------------------------ main loop source */
 
 static gboolean server_prepare(GSource *source, gint *timeout) {
   FkServer *server = (FkServer *)source;
   flush_all(server);
   if (has_complete(server)) {
-    *timeout = 0; /* but first see what else has come */
+    *timeout = 0; /* requests wait to be released: check for further events without waiting */
     return FALSE;
   }
   gint64 deadline = fk_admission_next_deadline_us(server->admission);
@@ -205,8 +210,8 @@
   return FALSE;
 }
 
-/* The work is done here, not when dispatched: the streams' sources are checked after this one, so that
- * requests that are complete now are handled in the same iteration. */
+/* Does the work that would usually be in dispatch. The streams' sources are checked after this one, so
+ * requests that are released here are handled in the same iteration. */
 static gboolean server_check(GSource *source) {
   FkServer *server = (FkServer *)source;
   if (server->accept_paused && now_us() >= server->accept_paused_us + ACCEPT_PAUSE_US)
@@ -273,7 +278,7 @@
   gpointer connection;
   g_hash_table_iter_init(&iter, server->connections);
   while (g_hash_table_iter_next(&iter, &connection, NULL))
-    fk_connection_detach(connection); /* a stream that is still held has its own reference */
+    fk_connection_detach(connection); /* a stream that a handler still holds has its own reference */
 }
 
 void fk_server_free(FkServer *server) {
@@ -293,9 +298,9 @@
   g_source_unref(&server->source);
 }
 
-static GSocket *open_socket(const char *where, guint backlog, GError **error) {
-  const char *colon = strrchr(where, ':');
-  g_autofree char *host = g_strndup(where, (gsize)(colon - where));
+static GSocket *open_socket(const char *host_port, guint backlog, GError **error) {
+  const char *colon = strrchr(host_port, ':');
+  g_autofree char *host = g_strndup(host_port, (gsize)(colon - host_port));
   guint port = (guint)g_ascii_strtoull(colon + 1, NULL, 10);
   g_autoptr(GSocketAddress) address = g_inet_socket_address_new_from_string(host, port);
   g_autoptr(GSocket) socket =
--- a/src/net/soup_listener.c
+++ b/src/net/soup_listener.c
@@ -7,10 +7,10 @@
     g_warning("connection not served error=\"%s\"", error->message);
 }
 
-/* A SoupServer that listens nowhere closes each connection after one response, whatever the client asked for.
- * So it is given the real listening socket, in a main context that is never run: it takes itself for
- * listening, and accepts nothing. */
-static gboolean pretend_listening(SoupServer *soup_server, GSocket *socket, GError **error) {
+/* Makes a SoupServer treat itself as listening without accepting connections. A SoupServer without a listener
+ * closes each connection after one response, even if the client asked to keep it open. It therefore gets the
+ * real listening socket, but in a main context that is never run. */
+static gboolean listen_without_accepting(SoupServer *soup_server, GSocket *socket, GError **error) {
   g_autoptr(GMainContext) never_run = g_main_context_new();
   g_main_context_push_thread_default(never_run);
   gboolean done = soup_server_listen_socket(soup_server, socket, 0, error);
@@ -28,5 +28,5 @@
                                      .serve = accept_stream,
                                      .data = soup_server};
   GSocket *socket = fk_server_listen(server, address, &handler, error);
-  return socket && pretend_listening(soup_server, socket, error);
+  return socket && listen_without_accepting(soup_server, socket, error);
 }
--- a/src/net/soup_listener.h
+++ b/src/net/soup_listener.h
@@ -1,12 +1,12 @@
-/* A libsoup server whose connections come from an FkServer. */
+/* Runs a libsoup server on connections that an FkServer accepts. */
 #pragma once
 #include <libsoup/soup.h>
 
 #include "net/server.h"
 
-/* `soup_server` serves the requests that come to `address`. It must outlive the server's connections, and
- * listens nowhere itself. `classify` and `rejection_body`: see FkListenerHandler. FALSE and an error: the
- * address isn't to be had. */
+/* Lets `soup_server` serve the requests that arrive at `address`. `soup_server` must outlive the connections
+ * of `server`; it accepts no connections itself. For `connection_class`, `classify` and `rejection_body` see
+ * FkListenerHandler. Returns FALSE with `error` set if listening fails. */
 gboolean fk_soup_listener_open(FkServer *server, SoupServer *soup_server, const char *address,
                                FkConnectionClass connection_class,
                                FkRequestClass (*classify)(const char *method, const char *path),
--- a/src/net/stream.c
+++ b/src/net/stream.c
@@ -1,29 +1,29 @@
 #include "net/stream.h"
 
-/* A source that is ready when the connection can be read or (`output`) written. */
+/* A source that is ready when the connection can be read, or written if `output` is set. */
 typedef struct {
   GSource source;
   FkConnection *connection;
   gboolean output;
-} Ready;
+} ReadySource;
 
-static gboolean is_ready(const Ready *ready) {
+static gboolean is_ready(const ReadySource *ready) {
   return ready->output ? fk_connection_can_write(ready->connection)
                        : fk_connection_can_read(ready->connection);
 }
 
 static gboolean ready_prepare(GSource *source, gint *timeout) {
   *timeout = -1;
-  return is_ready((Ready *)source);
+  return is_ready((ReadySource *)source);
 }
 
-static gboolean ready_check(GSource *source) { return is_ready((Ready *)source); }
+static gboolean ready_check(GSource *source) { return is_ready((ReadySource *)source); }
 
 static gboolean ready_dispatch(GSource *source, GSourceFunc callback, gpointer data) {
   return callback ? callback(data) : G_SOURCE_CONTINUE;
 }
 
-static void ready_finalize(GSource *source) { fk_connection_unref(((Ready *)source)->connection); }
+static void ready_finalize(GSource *source) { fk_connection_unref(((ReadySource *)source)->connection); }
 
 static gboolean continue_source(gpointer data) { return G_SOURCE_CONTINUE; }
 
@@ -35,18 +35,19 @@
 
 static GSource *ready_source(gpointer stream, FkConnection *connection, gboolean output,
                              GCancellable *cancellable) {
-  g_autoptr(GSource) source = g_source_new(&ready_funcs, sizeof(Ready));
-  ((Ready *)source)->connection = fk_connection_ref(connection);
-  ((Ready *)source)->output = output;
+  g_autoptr(GSource) source = g_source_new(&ready_funcs, sizeof(ReadySource));
+  ((ReadySource *)source)->connection = fk_connection_ref(connection);
+  ((ReadySource *)source)->output = output;
   return g_pollable_source_new_full(stream, source, cancellable);
 }
 
-/* A connection's result as a stream's: bytes, or -1 and an error. */
-static gssize set_error(gssize result, GError **error) {
+/* Converts a result of fk_connection_read() or fk_connection_write() to that of a GIO stream: a number of
+ * bytes, or -1 with `error` set. */
+static gssize to_stream_result(gssize result, GError **error) {
   if (result == FK_CONNECTION_WOULD_BLOCK)
-    g_set_error_literal(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK, "later");
+    g_set_error_literal(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK, "operation would block");
   else if (result == FK_CONNECTION_BROKEN)
-    g_set_error_literal(error, G_IO_ERROR, G_IO_ERROR_BROKEN_PIPE, "the other end is gone");
+    g_set_error_literal(error, G_IO_ERROR, G_IO_ERROR_BROKEN_PIPE, "connection closed");
   return result < 0 ? -1 : result;
 }
 
@@ -64,11 +65,11 @@
 
 static gssize input_read(GInputStream *stream, void *to, gsize len, GCancellable *cancellable,
                          GError **error) {
-  return set_error(fk_connection_read(((FkStreamInput *)stream)->connection, to, len), error);
+  return to_stream_result(fk_connection_read(((FkStreamInput *)stream)->connection, to, len), error);
 }
 
 static gssize input_read_nonblocking(GPollableInputStream *stream, void *to, gsize len, GError **error) {
-  return set_error(fk_connection_read(((FkStreamInput *)stream)->connection, to, len), error);
+  return to_stream_result(fk_connection_read(((FkStreamInput *)stream)->connection, to, len), error);
 }
 
 static gboolean input_is_readable(GPollableInputStream *stream) {
@@ -115,12 +116,12 @@
 
 static gssize output_write(GOutputStream *stream, const void *from, gsize len, GCancellable *cancellable,
                            GError **error) {
-  return set_error(fk_connection_write(((FkStreamOutput *)stream)->connection, from, len), error);
+  return to_stream_result(fk_connection_write(((FkStreamOutput *)stream)->connection, from, len), error);
 }
 
 static gssize output_write_nonblocking(GPollableOutputStream *stream, const void *from, gsize len,
                                        GError **error) {
-  return set_error(fk_connection_write(((FkStreamOutput *)stream)->connection, from, len), error);
+  return to_stream_result(fk_connection_write(((FkStreamOutput *)stream)->connection, from, len), error);
 }
 
 static gboolean output_is_writable(GPollableOutputStream *stream) {
@@ -152,7 +153,7 @@
   G_OUTPUT_STREAM_CLASS(klass)->write_fn = output_write;
 }
 
-/* ------------------------------------------------------------------ both */
+/* ------------------------------------------------------------------ both directions */
 
 typedef struct {
   GIOStream parent;
@@ -177,7 +178,7 @@
   return TRUE;
 }
 
-/* Closing never blocks, so it needs no thread, which would be GIO's default. */
+/* Closing never blocks, so it does not need the worker thread that is GIO's default. */
 static void stream_close_async(GIOStream *stream, int priority, GCancellable *cancellable,
                                GAsyncReadyCallback callback, gpointer data) {
   g_autoptr(GTask) task = g_task_new(stream, cancellable, callback, data);
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,9 +1,9 @@
-/* A connection as a GIOStream for its handler: non-blocking both ways, ready when the connection says so. The
- * main loop has no file descriptor for it: an iteration costs no more with a thousand idle connections. */
+/* A connection as a GIOStream for its handler. Reads and writes are non-blocking. The main loop polls no file
+ * descriptor for a stream, so a poll costs no more with a thousand idle connections. */
 #pragma once
 #include <gio/gio.h>
 
 #include "net/connection.h"
 
-/* Holds a reference to the connection. To be unreffed. */
+/* Creates a stream, which takes a reference to `connection`. The caller must unref the stream. */
 GIOStream *fk_stream_new(FkConnection *connection);
