--- a/src/grpc/frames.c
+++ b/src/grpc/frames.c
@@ -10,7 +10,7 @@
   g_clear_pointer(&parser->bytes, g_byte_array_unref);
 }
 
-/* As the prefix says. */
+/* Returns the message length that the prefix declares. */
 static gsize message_length(const FkGrpcFrameParser *parser) {
   const guint8 *prefix = parser->bytes->data;
   return (gsize)prefix[1] << 24 | (gsize)prefix[2] << 16 | (gsize)prefix[3] << 8 | prefix[4];
@@ -20,7 +20,7 @@
   return parser->bytes->len >= PREFIX_BYTES && parser->bytes->len == PREFIX_BYTES + message_length(parser);
 }
 
-/* Appends bytes until there are `up_to`, and returns how many it took. */
+/* Appends bytes until `up_to` are buffered. Returns how many it appended. */
 static gsize append_up_to(FkGrpcFrameParser *parser, gsize up_to, const guint8 *data, gsize len) {
   gsize taken = MIN(len, up_to - parser->bytes->len);
   g_byte_array_append(parser->bytes, data, (guint)taken);
@@ -31,7 +31,7 @@
                                        const guint8 **message, gsize *message_len) {
   *used = 0;
   *message = NULL;
-  if (is_complete(parser)) /* the caller has had it */
+  if (is_complete(parser)) /* returned by the previous call */
     g_byte_array_set_size(parser->bytes, 0);
   if (parser->bytes->len < PREFIX_BYTES)
     *used = append_up_to(parser, PREFIX_BYTES, data, len);
--- a/src/grpc/frames.h
+++ b/src/grpc/frames.h
@@ -1,5 +1,6 @@
-/* gRPC's length-prefixed messages: five bytes (whether it is compressed, its length), then the message. A
- * state machine whose memory is bounded by the longest message allowed. */
+/* A parser for gRPC's length-prefixed messages. Each message follows a prefix of five bytes: a compression
+ * flag and the message's length. The parser buffers one message at most, so the longest message allowed
+ * bounds its memory. */
 #pragma once
 #include <glib.h>
 
@@ -8,19 +9,19 @@
 #define FK_GRPC_FRAME_PREFIX_BYTES 5
 
 typedef struct {
-  GByteArray *bytes; /* of the present message with its prefix, as far as they have come */
-  gsize message_bytes_max;
+  GByteArray *bytes;       /* received part of the current message, with its prefix */
+  gsize message_bytes_max; /* of one message, without its prefix */
 } FkGrpcFrameParser;
 
 void fk_grpc_frame_parser_init(FkGrpcFrameParser *parser, gsize message_bytes_max);
 void fk_grpc_frame_parser_clear(FkGrpcFrameParser *parser);
-/* Takes bytes up to the end of one message at most, and says in `used` how many. `message` is NULL, or a
- * complete message that is valid until the next call. Any status but OK ends the call: the message is too
- * long (RESOURCE_EXHAUSTED, known from its prefix before it comes), or compressed, which the server never
- * offered (UNIMPLEMENTED). */
+/* Consumes bytes up to the end of one message at most, and sets `used` to their number. Sets `message` to a
+ * complete message, which is valid until the next call, or to NULL. Returns RESOURCE_EXHAUSTED if the prefix
+ * declares a message that is too long, UNIMPLEMENTED if the message is compressed (the server never offers
+ * compression), else OK. The caller must end the gRPC call on any status but OK. */
 FkGrpcStatus fk_grpc_frame_parser_feed(FkGrpcFrameParser *parser, const guint8 *data, gsize len, gsize *used,
                                        const guint8 **message, gsize *message_len);
-/* No incomplete message is buffered. */
+/* Returns whether no incomplete message is buffered. */
 gboolean fk_grpc_frame_parser_is_empty(const FkGrpcFrameParser *parser);
-/* The prefix of an uncompressed message. */
+/* Writes the prefix of an uncompressed message of `len` bytes to `out`. */
 void fk_grpc_frame_prefix(guint8 out[FK_GRPC_FRAME_PREFIX_BYTES], gsize len);
--- a/src/grpc/h2.c
+++ b/src/grpc/h2.c
@@ -5,15 +5,15 @@
 
 #include "grpc/frames.h"
 
-/* Flow control of what the client sends. */
+/* HTTP/2 flow-control windows for data from the client. */
 #define STREAM_WINDOW_BYTES (1 << 20)
 #define CONNECTION_WINDOW_BYTES (4 * STREAM_WINDOW_BYTES)
 #define PATH_BYTES_MAX 256
 #define KEY_BYTES_MAX 1024
-#define STATUS_MESSAGE_BYTES_MAX 1024 /* before it is encoded */
+#define STATUS_MESSAGE_BYTES_MAX 1024 /* before percent-encoding */
 #define SENT_HEADER_BYTES_MAX 65536
-#define HEADER_OVERHEAD_BYTES 32 /* of each field, as HPACK counts (RFC 7541, 4.1) */
-#define STATUS_CODE_CHARS 4      /* two digits at most, and a zero */
+#define HEADER_OVERHEAD_BYTES 32 /* of each header field, as HPACK counts (RFC 7541, 4.1) */
+#define STATUS_CODE_CHARS 4      /* at most two digits and the terminating zero */
 
 #define CONTENT_TYPE "application/grpc"
 #define BEARER "Bearer "
@@ -25,20 +25,20 @@
   char *path, *bearer;
   gsize header_bytes;
   gboolean is_post, is_grpc;
-  gboolean begun;        /* the owner knows of it */
-  gboolean half_closed;  /* the client won't send any more */
-  gboolean ended;        /* its status is known */
-  gboolean headers_sent; /* the response has begun */
-  gboolean finished;     /* the stream is closed */
+  gboolean begun;        /* call_begun() was called */
+  gboolean half_closed;  /* the client has closed its side of the call */
+  gboolean ended;        /* the status is set */
+  gboolean headers_sent; /* the response was submitted to nghttp2 */
+  gboolean finished;     /* finish_call() has run */
   FkGrpcFrameParser frames;
-  gsize buffered;     /* bytes of an incomplete message */
-  GByteArray *unsent; /* framed messages that nghttp2 hasn't taken */
-  gsize sent;         /* of `unsent` */
-  gboolean wants_writable;
+  gsize buffered;          /* bytes of the incomplete message */
+  GByteArray *unsent;      /* framed messages that nghttp2 has not taken completely */
+  gsize sent;              /* bytes of `unsent` that nghttp2 has taken */
+  gboolean wants_writable; /* fk_rpc_send() returned FALSE, and writable() was not called since */
   FkGrpcStatus status;
   char *status_message; /* percent-encoded, or NULL */
   char *status_details; /* base64, or NULL */
-  gpointer data;        /* the owner's */
+  gpointer data;        /* set by the owner with fk_rpc_set_data() */
 };
 
 struct FkH2Session {
@@ -46,9 +46,9 @@
   FkH2Limits limits;
   const FkH2Callbacks *callbacks;
   gpointer data;
-  GQueue calls;    /* FkRpc */
-  gsize buffered;  /* bytes of incomplete messages, of all calls */
-  gboolean broken; /* the client has violated the protocol */
+  GQueue calls;    /* FkRpc whose stream is open */
+  gsize buffered;  /* bytes of the incomplete messages of all calls */
+  gboolean broken; /* nghttp2 has failed, usually because the client violated the protocol */
 };
 
 /* ------------------------------------------------------------------ calls */
@@ -92,7 +92,8 @@
 #define NV(n, v)                                                                                             \
   { (guint8 *)(n), (guint8 *)(v), strlen(n), strlen(v), NGHTTP2_NV_FLAG_NONE }
 
-/* Fills in up to three fields, and returns how many. `code` must live as long as they do. */
+/* Fills in up to three trailer fields and returns their number. `code` must stay valid as long as the fields.
+ */
 static guint fill_trailers(FkRpc *rpc, nghttp2_nv *nv, char code[STATUS_CODE_CHARS]) {
   guint n = 0;
   g_snprintf(code, STATUS_CODE_CHARS, "%d", rpc->status);
@@ -104,7 +105,8 @@
   return n;
 }
 
-/* nghttp2 asks for more of a response's body. */
+/* Callback of nghttp2 for more of a response's body. Adds the trailers when an ended call has nothing more
+ * queued. Defers the body if nothing is queued and the call has not ended. */
 static ssize_t read_response(nghttp2_session *nghttp2, gint32 id, guint8 *to, size_t len, guint32 *flags,
                              nghttp2_data_source *source, void *data) {
   FkRpc *rpc = source->ptr;
@@ -126,7 +128,8 @@
   return n ? (ssize_t)n : NGHTTP2_ERR_DEFERRED;
 }
 
-/* Begins the response, or goes on with it. One without a message is a single block of headers. */
+/* Submits the response, or resumes it if it was submitted before. The response of a call that has ended
+ * without a message is a single block of headers. */
 static void send_response(FkRpc *rpc) {
   nghttp2_session *nghttp2 = rpc->session->nghttp2;
   if (rpc->headers_sent) {
@@ -157,7 +160,8 @@
   return !rpc->wants_writable;
 }
 
-/* The grpc-message header is percent-encoded. To be freed; NULL: there is none. */
+/* Percent-encodes the first STATUS_MESSAGE_BYTES_MAX bytes of a status message, for the grpc-message header.
+ * Returns a string that the caller frees; NULL if `text` is NULL or empty. */
 static char *percent_encode(const char *text) {
   if (!text || !*text)
     return NULL;
@@ -212,9 +216,9 @@
   return len >= strlen(prefix) && g_ascii_strncasecmp((const char *)bytes, prefix, strlen(prefix)) == 0;
 }
 
-/* One field of a request's head. */
-static void take_field(FkRpc *rpc, const guint8 *name, size_t name_len, const guint8 *value,
-                       size_t value_len) {
+/* Stores what is used of one header field of a request. */
+static void store_header_field(FkRpc *rpc, const guint8 *name, size_t name_len, const guint8 *value,
+                               size_t value_len) {
   if (equals(name, name_len, ":path") && value_len <= PATH_BYTES_MAX && !rpc->path)
     rpc->path = g_strndup((const char *)value, value_len);
   else if (equals(name, name_len, ":method"))
@@ -232,15 +236,15 @@
   FkH2Session *session = data;
   FkRpc *rpc = call_by_stream(session, frame->hd.stream_id);
   if (!rpc || rpc->begun)
-    return 0; /* a client's trailers, which aren't used */
+    return 0; /* an unknown stream, or the client's trailers, which are ignored */
   rpc->header_bytes += name_len + value_len + HEADER_OVERHEAD_BYTES;
   if (rpc->header_bytes > session->limits.header_bytes)
-    return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE; /* resets this stream */
-  take_field(rpc, name, name_len, value, value_len);
+    return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE; /* resets this stream only */
+  store_header_field(rpc, name, name_len, value, value_len);
   return 0;
 }
 
-static int refuse_http(FkRpc *rpc, const char *status) {
+static int respond_http_error(FkRpc *rpc, const char *status) {
   nghttp2_nv nv[] = {NV(":status", status)};
   rpc->headers_sent = rpc->ended = TRUE;
   return nghttp2_submit_response(rpc->session->nghttp2, rpc->id, nv, 1, NULL);
@@ -249,11 +253,11 @@
 static void begin_call(FkRpc *rpc) {
   FkH2Session *session = rpc->session;
   if (!rpc->is_post || !rpc->path) {
-    refuse_http(rpc, "405");
+    respond_http_error(rpc, "405");
     return;
   }
   if (!rpc->is_grpc) {
-    refuse_http(rpc, "415");
+    respond_http_error(rpc, "415");
     return;
   }
   rpc->begun = TRUE;
@@ -271,7 +275,7 @@
     session->callbacks->half_closed(session->data, rpc);
 }
 
-static int on_frame(nghttp2_session *nghttp2, const nghttp2_frame *frame, void *data) {
+static int on_frame_received(nghttp2_session *nghttp2, const nghttp2_frame *frame, void *data) {
   FkRpc *rpc = call_by_stream(data, frame->hd.stream_id);
   if (!rpc || (frame->hd.type != NGHTTP2_HEADERS && frame->hd.type != NGHTTP2_DATA))
     return 0;
@@ -289,10 +293,12 @@
   while (rpc && rpc->begun && !rpc->ended && len) {
     const guint8 *message;
     gsize used, message_len;
-    FkGrpcStatus bad = fk_grpc_frame_parser_feed(&rpc->frames, bytes, len, &used, &message, &message_len);
-    if (bad) {
-      fk_rpc_end(rpc, bad,
-                 bad == FK_GRPC_UNIMPLEMENTED ? "compressed messages aren't taken" : "a message is too long",
+    FkGrpcStatus error_status =
+        fk_grpc_frame_parser_feed(&rpc->frames, bytes, len, &used, &message, &message_len);
+    if (error_status) {
+      fk_rpc_end(rpc, error_status,
+                 error_status == FK_GRPC_UNIMPLEMENTED ? "compressed messages aren't taken"
+                                                       : "a message is too long",
                  NULL, 0);
       break;
     }
@@ -307,7 +313,7 @@
   return 0;
 }
 
-static int on_stream_close(nghttp2_session *nghttp2, gint32 id, guint32 why, void *data) {
+static int on_stream_close(nghttp2_session *nghttp2, gint32 id, guint32 error_code, void *data) {
   FkRpc *rpc = call_by_stream(data, id);
   if (rpc)
     finish_call(rpc);
@@ -334,7 +340,7 @@
   nghttp2_session_callbacks_new(&handlers);
   nghttp2_session_callbacks_set_on_begin_headers_callback(handlers, on_begin_headers);
   nghttp2_session_callbacks_set_on_header_callback(handlers, on_header);
-  nghttp2_session_callbacks_set_on_frame_recv_callback(handlers, on_frame);
+  nghttp2_session_callbacks_set_on_frame_recv_callback(handlers, on_frame_received);
   nghttp2_session_callbacks_set_on_data_chunk_recv_callback(handlers, on_data_chunk);
   nghttp2_session_callbacks_set_on_stream_close_callback(handlers, on_stream_close);
   nghttp2_session_callbacks_set_on_frame_send_callback(handlers, on_frame_sent);
--- a/src/grpc/h2.h
+++ b/src/grpc/h2.h
@@ -1,5 +1,6 @@
-/* The server's side of gRPC over HTTP/2, on nghttp2: received bytes go in, calls and bytes to be sent come
- * out. No sockets and no clock. One FkH2Session a connection, one FkRpc a call (an HTTP/2 stream). */
+/* The server side of gRPC over HTTP/2, on nghttp2. The input is received bytes; the output is calls, and
+ * bytes to be sent. The module uses no sockets and no clock. There is one FkH2Session per connection and one
+ * FkRpc per call (an HTTP/2 stream). */
 #pragma once
 #include <glib.h>
 
@@ -9,58 +10,66 @@
 typedef struct FkRpc FkRpc;
 
 typedef struct {
-  guint streams;        /* calls at once */
-  gsize message_bytes;  /* of one message of a client */
-  gsize buffered_bytes; /* of incomplete messages, all calls of the connection together */
-  gsize queued_bytes;   /* of a call's responses; its owner is told to wait when there are more */
-  gsize header_bytes;   /* of a request's head */
+  guint streams;        /* concurrent calls of a connection */
+  gsize message_bytes;  /* of one message from a client */
+  gsize buffered_bytes; /* of the incomplete messages of all calls of a connection */
+  gsize queued_bytes;   /* of a call's queued responses, from which fk_rpc_send() returns FALSE */
+  gsize header_bytes;   /* of the header fields of one request */
 } FkH2Limits;
 
-/* What the owner of a session is told. `data` is the session's. */
+/* Callbacks to the owner of a session. `data` is the pointer given to fk_h2_session_new(). */
 typedef struct {
-  /* A call has begun: its path and its bearer key are known. */
+  /* A gRPC call has begun. Its path and its bearer key are available. */
   void (*call_begun)(gpointer data, FkRpc *rpc);
-  /* A whole message came; the bytes are valid until the callback returns. */
+  /* A whole message was received. `bytes` is valid until the callback returns. */
   void (*message_received)(gpointer data, FkRpc *rpc, const guint8 *bytes, gsize len);
-  /* The client won't send any more. */
+  /* The client has closed its side of the call after its last complete message. */
   void (*half_closed)(gpointer data, FkRpc *rpc);
-  /* After fk_rpc_send() has returned FALSE: most of what was queued is sent. */
+  /* Less than half of `queued_bytes` is queued, after fk_rpc_send() returned FALSE. Not called after
+   * fk_rpc_end(). */
   void (*writable)(gpointer data, FkRpc *rpc);
-  /* The call is over, or the client has reset it; `rpc` isn't valid any more. The last callback of a call. */
+  /* The call is over: its stream is closed, or the session is being freed. This is the last callback of a
+   * call. `rpc` is freed when it returns. */
   void (*call_ended)(gpointer data, FkRpc *rpc);
 } FkH2Callbacks;
 
-/* `callbacks` is kept by reference. */
+/* Creates a session. `limits` is copied; `callbacks` is kept by reference. */
 FkH2Session *fk_h2_session_new(const FkH2Limits *limits, const FkH2Callbacks *callbacks, gpointer data);
-/* Ends all calls. NULL is fine. */
+/* Ends all calls and frees the session. `session` may be NULL. */
 void fk_h2_session_free(FkH2Session *session);
-/* FALSE: the client violates the protocol. What is left is to be sent, and the connection closed. */
+/* Processes received bytes. Returns FALSE if the client violates the protocol or the session has failed
+ * before. The caller must then send the remaining output and close the connection. */
 gboolean fk_h2_session_receive(FkH2Session *session, const guint8 *bytes, gsize len);
-/* The next bytes to be sent, the session's until the next call. Returns how many; 0: none. */
+/* Sets `bytes` to the next bytes to be sent, which the session owns; they are valid until the next call.
+ * Returns their number; 0 if there are none. */
 gsize fk_h2_session_next_output(FkH2Session *session, const guint8 **bytes);
-/* Neither side has more to say: the connection is to be closed. */
+/* Returns whether the connection must be closed: the session has failed, or neither expects input nor has
+ * output. */
 gboolean fk_h2_session_is_done(const FkH2Session *session);
-/* Takes no further calls; those in progress go on. */
+/* Queues a GOAWAY frame that asks the client to open no further calls. Calls in progress continue. */
 void fk_h2_session_goaway(FkH2Session *session);
-/* Calls in progress. */
+/* Returns the number of calls whose stream is open. */
 guint fk_h2_session_calls(const FkH2Session *session);
-/* Bytes of incomplete messages. */
+/* Returns the number of buffered bytes of incomplete messages, of all calls. */
 gsize fk_h2_session_buffered_bytes(const FkH2Session *session);
 
 /* ---- calls ---- */
 
-/* The path, "/package.Service/Method"; the call's. */
+/* Returns the path, "/package.Service/Method", which the call owns. */
 const char *fk_rpc_path(const FkRpc *rpc);
-/* The key of "authorization: Bearer KEY", the call's; NULL: there is none. */
+/* Returns KEY of "authorization: Bearer KEY", which the call owns; NULL if the request has none, or too long
+ * a one. */
 const char *fk_rpc_bearer(const FkRpc *rpc);
-/* The owner's, NULL at first. */
+/* Returns the pointer that the owner has set with fk_rpc_set_data(); NULL if it has set none. */
 gpointer fk_rpc_data(const FkRpc *rpc);
 void fk_rpc_set_data(FkRpc *rpc, gpointer data);
-/* Queues one message (copied). FALSE: enough is queued, wait for `writable`. Ignored after fk_rpc_end(). */
+/* Queues a copy of one message. Returns FALSE if `queued_bytes` or more are queued: the caller should then
+ * wait for the `writable` callback. Does nothing and returns TRUE after fk_rpc_end(). */
 gboolean fk_rpc_send(FkRpc *rpc, const guint8 *bytes, gsize len);
-/* Sets the status, which is sent after what is queued; only the first counts. `message` may be NULL;
- * `details`: a serialized google.rpc.Status, or none (length 0). */
+/* Sets the call's status, which is sent after the queued messages. Has no effect if the status is set
+ * already. `message` may be NULL. `details` is a serialized google.rpc.Status; `details_len` is 0 if there is
+ * none. */
 void fk_rpc_end(FkRpc *rpc, FkGrpcStatus status, const char *message, const guint8 *details,
                 gsize details_len);
-/* fk_rpc_end() was called. */
+/* Returns whether the call has its status: fk_rpc_end() was called, or the stream is closed. */
 gboolean fk_rpc_ended(const FkRpc *rpc);
--- a/src/grpc/status.h
+++ b/src/grpc/status.h
@@ -1,4 +1,4 @@
-/* gRPC's status codes, as published. */
+/* gRPC's status codes, with their published values. */
 #pragma once
 
 typedef enum {
