--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -1,13 +1,15 @@
 #include "admission/admission.h"
 
-/* Usually there is capacity to spare. Above this part of it, each address has only an equal share. */
-#define UNCONTENDED_PART 0.5
-/* The part of the capacity that each class of request may fill: the later in the order, the less. */
-static const double capacity_part[FK_REQUEST_CLASSES] = {
+/* While less than this fraction of a capacity is in use, an address may use any part of it. Above, each
+ * address is limited to an equal share. */
+#define UNCONTENDED_FRACTION 0.5
+/* The fraction of the capacity up to which requests of each class are admitted. From FK_REQUEST_CLASS_CANCEL
+ * on, each class has less than the class before it. Health checks are always admitted. */
+static const double capacity_fraction[FK_REQUEST_CLASSES] = {
     [FK_REQUEST_CLASS_HEALTH] = 1,    [FK_REQUEST_CLASS_PEER] = 1,    [FK_REQUEST_CLASS_HEARTBEAT] = 1,
     [FK_REQUEST_CLASS_CANCEL] = 0.85, [FK_REQUEST_CLASS_POLL] = 0.75, [FK_REQUEST_CLASS_SUBMIT] = 0.65,
     [FK_REQUEST_CLASS_OTHER] = 0.5};
-#define HEAD_CAPACITY_PART 0.9 /* of a request whose class isn't known yet: it may be a heartbeat */
+#define HEAD_CAPACITY_FRACTION 0.9 /* for a head, whose class is not known yet: it may be a heartbeat */
 
 #define REQUEST_RETRY_AFTER_S 2
 #define HEARTBEAT_RETRY_AFTER_S 1
@@ -17,27 +19,28 @@
 
 struct FkAddressUsage {
   char *address;
-  guint connections; /* of any class; the record is freed with the last one */
-  guint clients;     /* connections of FK_CONNECTION_CLASS_CLIENT */
-  guint requests;    /* of users, in progress */
+  guint connections; /* of any class and stage; the structure is freed with the last one */
+  guint clients;     /* connections of FK_CONNECTION_CLASS_CLIENT, without the lingering ones */
+  guint requests;    /* requests of users in progress, see is_user_request() */
   gsize buffered;    /* bytes */
-  /* Client connections that may be evicted, the longest waiting first: those that never had a response, and
-   * those that had one. */
+  /* Client connections that may be evicted, the longest in its stage first. `unanswered` has those that never
+   * had a whole response, `answered` the others. */
   GQueue unanswered, answered;
-  GList count_link; /* in FkAdmission.by_client_count */
+  GList count_link; /* this structure's link in FkAdmission.by_client_count */
 };
 
 struct FkAdmission {
   FkAdmissionLimits limits;
-  GHashTable *addresses;      /* address -> FkAddressUsage */
-  GPtrArray *by_client_count; /* GQueue of FkAddressUsage, indexed by `clients`; the last isn't empty */
-  GQueue stages[FK_STAGES];   /* FkConnectionSlot, the longest in its stage first; not the idle ones */
-  GQueue idle[FK_CONNECTION_CLASSES];       /* FkConnectionSlot, likewise */
-  guint connections[FK_CONNECTION_CLASSES]; /* but the lingering ones */
+  GHashTable *addresses; /* maps an address to its FkAddressUsage */
+  GPtrArray
+      *by_client_count; /* GQueue of FkAddressUsage, indexed by `clients`; the last of several is not empty */
+  GQueue stages[FK_STAGES]; /* FkConnectionSlot, the longest in its stage first; empty for FK_STAGE_IDLE */
+  GQueue idle[FK_CONNECTION_CLASSES];       /* FkConnectionSlot in FK_STAGE_IDLE, the longest idle first */
+  guint connections[FK_CONNECTION_CLASSES]; /* without the lingering ones */
   guint requests;                           /* in progress */
-  guint requesting_addresses;               /* that have users' requests in progress */
+  guint requesting_addresses;               /* addresses with requests of users in progress */
   gsize buffered;                           /* bytes */
-  guint buffering_addresses;
+  guint buffering_addresses;                /* addresses with buffered bytes */
   guint64 rejections[FK_REJECTION_REASONS], accepted; /* since the start */
 };
 
@@ -75,7 +78,8 @@
   return admission->by_client_count->pdata[count];
 }
 
-/* Empty queues at the end go, so that the address with the most clients is found without a search. */
+/* Changes the number of client connections of an address. Removes empty queues at the end of
+ * `by_client_count`, so that the last queue has the addresses with the most clients. */
 static void add_clients(FkAdmission *admission, FkAddressUsage *usage, int delta) {
   g_queue_unlink(addresses_with_clients(admission, usage->clients), &usage->count_link);
   usage->clients += delta;
@@ -139,20 +143,20 @@
 
 static void unlink_slot(FkAdmission *admission, FkConnectionSlot *slot) {
   g_queue_unlink(queue_of(admission, slot), &slot->stage_link);
-  GQueue *victims = evictable_queue(slot);
-  if (victims)
-    g_queue_unlink(victims, &slot->address_link);
+  GQueue *eviction_queue = evictable_queue(slot);
+  if (eviction_queue)
+    g_queue_unlink(eviction_queue, &slot->address_link);
 }
 
 static void link_slot(FkAdmission *admission, FkConnectionSlot *slot) {
   g_queue_push_tail_link(queue_of(admission, slot), &slot->stage_link);
-  GQueue *victims = evictable_queue(slot);
-  if (victims)
-    g_queue_push_tail_link(victims, &slot->address_link);
+  GQueue *eviction_queue = evictable_queue(slot);
+  if (eviction_queue)
+    g_queue_push_tail_link(eviction_queue, &slot->address_link);
 }
 
-/* The one place where a slot changes its stage. Lingering connections have a limit of their own: counted with
- * the others, they would have these evicted one by one. */
+/* Moves a slot to another stage; only opening and closing a connection set the stage elsewhere. Lingering
+ * connections have a limit of their own: counted with the others, they would cause evictions of these. */
 static void set_stage(FkAdmission *admission, FkConnectionSlot *slot, FkConnectionStage to, gint64 now_us) {
   unlink_slot(admission, slot);
   if (to == FK_STAGE_LINGERING && slot->stage != FK_STAGE_LINGERING)
@@ -231,7 +235,7 @@
 
 static FkConnectionClass class_after_request(FkConnectionClass current_class, FkRequestClass request_class) {
   if (current_class == FK_CONNECTION_CLASS_PEER)
-    return current_class; /* peers have a listener of their own */
+    return current_class; /* peers connect to a separate listener, and keep their class */
   switch (request_class) {
   case FK_REQUEST_CLASS_HEALTH:
     return FK_CONNECTION_CLASS_HEALTH_CHECK;
@@ -248,15 +252,16 @@
   g_return_val_if_reached(FK_CONNECTION_CLASS_CLIENT);
 }
 
-/* A class that is full evicts its own idle connections (see over_limit()); without any, it takes no more. */
-static gboolean has_place(FkAdmission *admission, FkConnectionClass connection_class) {
+/* Returns whether a connection may change to a class. A full class evicts its own idle connections (see
+ * choose_over_limit()); without idle connections, it admits no more. The client class admits any. */
+static gboolean may_change_to(FkAdmission *admission, FkConnectionClass connection_class) {
   return connection_class == FK_CONNECTION_CLASS_CLIENT ||
          admission->connections[connection_class] < admission->limits.connections[connection_class] ||
          !g_queue_is_empty(&admission->idle[connection_class]);
 }
 
 static void change_class(FkAdmission *admission, FkConnectionSlot *slot, FkConnectionClass to) {
-  if (slot->connection_class == to || !has_place(admission, to))
+  if (slot->connection_class == to || !may_change_to(admission, to))
     return;
   unlink_slot(admission, slot);
   count_connection(admission, slot, -1);
@@ -265,20 +270,20 @@
   link_slot(admission, slot);
 }
 
-/* Whether there is capacity for one more: `used` of `max` is used, `own_use` of it by this address, and
- * `sharing` addresses use some. */
+/* Returns whether an address may use more of a capacity of `max`, of which `used` is in use, `own_use` of it
+ * by this address. `sharing` is the number of addresses that share the capacity, including this one. */
 static gboolean has_capacity(double used, double own_use, guint sharing, double max) {
-  return used < max && (used < UNCONTENDED_PART * max || own_use < max / MAX(1, sharing));
+  return used < max && (used < UNCONTENDED_FRACTION * max || own_use < max / MAX(1, sharing));
 }
 
 gboolean fk_admission_admit_request(FkAdmission *admission, FkConnectionSlot *slot,
                                     FkRequestClass request_class, gint64 now_us, FkRejection *rejection) {
   slot->request_class = request_class;
-  double max = capacity_part[request_class] * admission->limits.requests;
+  double max = capacity_fraction[request_class] * admission->limits.requests;
   const FkAddressUsage *usage = slot->address;
   gboolean by_user = is_user_request(request_class);
   guint sharing = admission->requesting_addresses + (usage->requests == 0);
-  /* a health check costs little, and its response tells whether to send more requests here */
+  /* a health check is cheap, and its response tells the sender whether to send more requests here */
   if (request_class == FK_REQUEST_CLASS_HEALTH ||
       (by_user ? has_capacity(admission->requests, usage->requests, sharing, max)
                : admission->requests < max))
@@ -299,7 +304,7 @@
                                    gint64 now_us) {
   FkConnectionStage to = all ? FK_STAGE_IDLE : FK_STAGE_SENDING;
   if (slot->stage == to)
-    return; /* there is one time limit for taking a whole response */
+    return; /* the timeout for sending covers the whole response, so it is not restarted */
   unlink_slot(admission, slot);
   slot->answered |= all;
   link_slot(admission, slot);
@@ -312,11 +317,12 @@
   gboolean head =
       slot->stage == FK_STAGE_HEAD || slot->stage == FK_STAGE_CONNECTED || slot->stage == FK_STAGE_IDLE;
   FkRequestClass request_class = slot->request_class;
-  double max =
-      (head ? HEAD_CAPACITY_PART : capacity_part[request_class]) * (double)admission->limits.buffered_bytes;
+  double max = (head ? HEAD_CAPACITY_FRACTION : capacity_fraction[request_class]) *
+               (double)admission->limits.buffered_bytes;
   guint sharing = admission->buffering_addresses + (slot->address->buffered == 0);
   set_buffered(admission, slot, bytes);
-  /* responses have their time to be sent, and a handler is never interrupted */
+  /* Only growth is rejected. A handler is never interrupted, and a timeout bounds the sending of its
+   * response. A health check is never rejected. */
   if (!more || is_in_progress(slot->stage) || (!head && request_class == FK_REQUEST_CLASS_HEALTH))
     return TRUE;
   gboolean by_user = head || is_user_request(request_class);
@@ -331,7 +337,7 @@
 
 /* ------------------------------------------------------------------ evictions */
 
-/* < 0: none. */
+/* Returns the time limit of a stage; -1 if it has none. */
 static gint64 stage_timeout_us(const FkAdmission *admission, FkConnectionStage stage) {
   switch (stage) {
   case FK_STAGE_CONNECTED:
@@ -346,7 +352,7 @@
     return admission->limits.idle_us;
   case FK_STAGE_LINGERING:
     return admission->limits.linger_us;
-  case FK_STAGE_HANDLING: /* a request's handler has deadlines of its own */
+  case FK_STAGE_HANDLING: /* the handler has its own deadlines */
   case FK_STAGE_UNTRACKED:
   case FK_STAGES:
     return -1;
@@ -362,7 +368,7 @@
   return timeout_us >= 0 && now_us >= slot->since_us + timeout_us ? slot : NULL;
 }
 
-static FkConnectionSlot *expired(const FkAdmission *admission, gint64 now_us) {
+static FkConnectionSlot *choose_expired(const FkAdmission *admission, gint64 now_us) {
   FkConnectionSlot *slot = NULL;
   for (guint i = 0; i < FK_STAGES && !slot; i++)
     slot = expired_in(admission, &admission->stages[i], now_us);
@@ -371,10 +377,11 @@
   return slot;
 }
 
-/* Of the address with the most connections: the one that waits longest among those that never had a response,
- * then among the others. So a flood from one address evicts only itself, and new connections have a moment to
- * send a request. */
-static FkConnectionSlot *largest_address_victim(const FkAdmission *admission) {
+/* Returns a client connection to evict: of the address with the most client connections, among the addresses
+ * that have an evictable one. Prefers connections that never had a whole response, and of these the longest
+ * in its stage. A flood from one address thus evicts its own connections, and new connections have some time
+ * to send a request. Returns NULL if no client connection may be evicted. */
+static FkConnectionSlot *choose_of_largest_address(const FkAdmission *admission) {
   for (guint count = admission->by_client_count->len; count-- > 1;)
     for (GList *l = ((GQueue *)admission->by_client_count->pdata[count])->head; l; l = l->next) {
       const FkAddressUsage *usage = l->data;
@@ -387,15 +394,16 @@
   return NULL;
 }
 
-/* A connection that must be closed because there are too many, or NULL. */
-static FkConnectionSlot *over_limit(const FkAdmission *admission) {
+/* Returns a connection to close because a limit is exceeded; NULL if none is exceeded, or none may be closed.
+ */
+static FkConnectionSlot *choose_over_limit(const FkAdmission *admission) {
   if (admission->stages[FK_STAGE_LINGERING].length > admission->limits.lingering)
     return oldest(&admission->stages[FK_STAGE_LINGERING]);
   for (guint i = 0; i < FK_CONNECTION_CLASSES; i++) {
     if (admission->connections[i] <= admission->limits.connections[i])
       continue;
     FkConnectionSlot *slot =
-        i == FK_CONNECTION_CLASS_CLIENT ? largest_address_victim(admission) : oldest(&admission->idle[i]);
+        i == FK_CONNECTION_CLASS_CLIENT ? choose_of_largest_address(admission) : oldest(&admission->idle[i]);
     if (!slot && i == FK_CONNECTION_CLASS_PEER)
       slot = oldest(&admission->stages[FK_STAGE_CONNECTED]);
     if (slot)
@@ -407,10 +415,10 @@
 FkConnectionSlot *fk_admission_next_eviction(FkAdmission *admission, gint64 now_us, FkRejection *rejection) {
   static const FkRejection timeout = {408, 0, "the request took too long to come"};
   static const FkRejection evicted = {503, CONNECTION_RETRY_AFTER_S, "too many connections"};
-  FkConnectionSlot *slot = expired(admission, now_us);
+  FkConnectionSlot *slot = choose_expired(admission, now_us);
   gboolean is_late = slot != NULL;
   if (!slot)
-    slot = over_limit(admission);
+    slot = choose_over_limit(admission);
   if (!slot)
     return NULL;
   gboolean in_request = slot->stage == FK_STAGE_HEAD || slot->stage == FK_STAGE_BODY;
@@ -432,7 +440,7 @@
   return deadline_us;
 }
 
-/* ------------------------------------------------------------------ figures */
+/* ------------------------------------------------------------------ metrics */
 
 guint fk_admission_connections(const FkAdmission *admission, FkConnectionClass connection_class) {
   return admission->connections[connection_class];
@@ -480,13 +488,13 @@
 
 /* ------------------------------------------------------------------ self-check */
 
-/* What the counts should be, added up from the slots. */
+/* Expected counts, summed over all slots. */
 typedef struct {
   guint by_class[FK_CONNECTION_CLASSES], connections, requests;
   gsize buffered;
 } SlotTotals;
 
-static void add_queue(SlotTotals *totals, const GQueue *queue, FkConnectionStage stage) {
+static void add_queue_totals(SlotTotals *totals, const GQueue *queue, FkConnectionStage stage) {
   for (GList *l = queue->head; l; l = l->next) {
     const FkConnectionSlot *slot = l->data, *next = l->next ? l->next->data : NULL;
     g_assert_true(!next || next->since_us >= slot->since_us);
@@ -500,9 +508,9 @@
 
 static void verify_slots(const FkAdmission *admission, SlotTotals *totals) {
   for (guint i = 0; i < FK_STAGES; i++)
-    add_queue(totals, &admission->stages[i], i);
+    add_queue_totals(totals, &admission->stages[i], i);
   for (guint i = 0; i < FK_CONNECTION_CLASSES; i++)
-    add_queue(totals, &admission->idle[i], FK_STAGE_IDLE);
+    add_queue_totals(totals, &admission->idle[i], FK_STAGE_IDLE);
   for (guint i = 0; i < FK_CONNECTION_CLASSES; i++)
     g_assert_cmpuint(totals->by_class[i], ==, admission->connections[i]);
   g_assert_cmpuint(totals->requests, ==, admission->requests);
--- a/src/admission/dependency_health.c
+++ b/src/admission/dependency_health.c
@@ -1,15 +1,17 @@
 #include "admission/dependency_health.h"
 
-/* A single call may be lost. Only a dependency that never answered is warned of at its first failure. */
+/* Consecutive failures until an outage is reported, because single calls may be lost. The outage of a
+ * dependency that never answered is reported at the first failure. */
 #define FAILURES_BEFORE_WARNING 3
 
 typedef struct {
   char *name, *impact;
-  char *failure;                                   /* the latest call's; NULL: none failed yet */
-  guint failures;                                  /* since it last answered */
-  gint64 failing_since_us, answered_us, warned_us; /* answered_us 0: never */
-  gboolean is_warned;                              /* of the present outage */
-  gboolean has_recovered;                          /* from an outage that was warned of: to be said */
+  char *failure;  /* of the latest failed call; NULL if none has failed */
+  guint failures; /* calls failed since the last answer */
+  /* times of the first failure since the last answer, the last answer, and the last warning; 0 if none */
+  gint64 failing_since_us, answered_us, warned_us;
+  gboolean is_warned;     /* the current outage was reported */
+  gboolean has_recovered; /* a reported outage is over; its recovery message is due */
 } Dependency;
 
 struct FkDependencyHealth {
@@ -80,12 +82,12 @@
          (!dependency->is_warned || now_us >= dependency->warned_us + health->window_us);
 }
 
-static char *print_recovery(const Dependency *dependency) {
+static char *format_recovery(const Dependency *dependency) {
   return g_strdup_printf("dependency recovered name=\"%s\" outage_s=%.1f", dependency->name,
                          (double)(dependency->answered_us - dependency->failing_since_us) / 1e6);
 }
 
-static char *print_outage(const Dependency *dependency, gint64 now_us) {
+static char *format_outage(const Dependency *dependency, gint64 now_us) {
   return g_strdup_printf(
       "dependency unreachable name=\"%s\" failure=\"%s\" unreachable_s=%.1f%s impact=\"%s\"",
       dependency->name, dependency->failure, (double)(now_us - dependency->failing_since_us) / 1e6,
@@ -98,13 +100,13 @@
     if (dependency->has_recovered) {
       dependency->has_recovered = FALSE;
       *is_warning = FALSE;
-      return print_recovery(dependency);
+      return format_recovery(dependency);
     }
     if (is_warning_due(health, dependency, now_us)) {
       dependency->is_warned = TRUE;
       dependency->warned_us = now_us;
       *is_warning = TRUE;
-      return print_outage(dependency, now_us);
+      return format_outage(dependency, now_us);
     }
   }
   return NULL;
--- a/src/admission/dependency_health.h
+++ b/src/admission/dependency_health.h
@@ -1,18 +1,23 @@
-/* Which of the services that we depend on can't be reached, as messages for the log: when it shows, once a
- * window while it lasts, and when it is over. No clock: times are microseconds of the monotonic one. */
+/* Tracks which services that the controller depends on cannot be reached. Produces log messages: a warning
+ * when an outage is detected, a warning once per window while it lasts, and a message when it is over. Uses
+ * no clock: the caller passes times in, as microseconds of the monotonic clock. */
 #pragma once
 #include <glib.h>
 
 typedef struct FkDependencyHealth FkDependencyHealth;
 
-/* `window_us`: between two messages about the same outage. */
+/* `window_us` is the time between two warnings about the same outage. */
 FkDependencyHealth *fk_dependency_health_new(gint64 window_us);
-/* NULL is fine. */
+/* `health` may be NULL. */
 void fk_dependency_health_free(FkDependencyHealth *health);
-/* Returns the dependency's index. `impact`: what doesn't work without it. Both strings are copied. */
+/* Adds a dependency and returns its index. `impact` says what does not work without it. Both strings are
+ * copied.
+ */
 guint fk_dependency_health_add(FkDependencyHealth *health, const char *name, const char *impact);
-/* A call has been answered (`failure` NULL) or has failed for that reason (copied). */
+/* Records the result of a call. `failure` is NULL if it was answered, else the reason of the failure, which
+ * is copied. */
 void fk_dependency_health_record(FkDependencyHealth *health, guint dependency, const char *failure,
                                  gint64 now_us);
-/* The next message, to be freed, or NULL. `is_warning`: of an outage, else of a recovery. */
+/* Returns the next message, which the caller frees; NULL if there is none. With a message, sets `is_warning`
+ * to TRUE for an outage and to FALSE for a recovery. */
 char *fk_dependency_health_next_message(FkDependencyHealth *health, gint64 now_us, gboolean *is_warning);
--- a/src/admission/limits.c
+++ b/src/admission/limits.c
@@ -4,18 +4,20 @@
 #define KIB 1024
 #define MIB (1024 * KIB)
 
-#define RESERVED_SOCKETS 8 /* listeners, the poll set, a log */
-/* What a connection without a request costs (measured, docs/operators/limits.md), and the part of the memory
- * that clients' connections may take. */
+#define RESERVED_SOCKETS 8 /* for the listeners, the epoll set, and the log */
+/* Memory of a connection without a request (docs/operators/limits.md), and the fraction of the memory that
+ * the connections of clients may use unless operators set their number. */
 #define CONNECTION_BYTES (10 * KIB)
-#define CLIENT_CONNECTIONS_RAM_PART 0.25
-#define BUFFERED_RAM_PART 0.125
-/* Workers' connections: so many where the sockets allow it, and more where the memory does. A fleet may have
- * a single controller to report to for a while, and a worker that is evicted has to connect again. */
-#define WORKER_CONNECTIONS_MAX_LEAST 4000
-#define WORKER_CONNECTIONS_RAM_PART 0.5
-#define REQUEST_BYTES (16 * KIB) /* a request in progress: its message, its body, what the core keeps */
-#define STORE_RESPONSE_RAM_PART 0.15
+#define CLIENT_CONNECTIONS_RAM_FRACTION 0.25
+#define BUFFERED_RAM_FRACTION 0.125
+/* Connections of workers: the number of sockets limits them, and beyond WORKER_CONNECTIONS_MAX_FLOOR the
+ * memory too. All workers of a fleet may report to a single controller for a while, and an evicted worker has
+ * to connect again. */
+#define WORKER_CONNECTIONS_MAX_FLOOR 4000
+#define WORKER_CONNECTIONS_RAM_FRACTION 0.5
+/* memory of a request in progress: its message object, its body, and its state in the core */
+#define REQUEST_BYTES (16 * KIB)
+#define STORE_RESPONSE_RAM_FRACTION 0.15
 
 #define DEFAULT_HEAD_S 10
 #define DEFAULT_BODY_S 10
@@ -23,8 +25,8 @@
 #define DEFAULT_SEND_S 10
 #define LINGER_S 1
 
-/* A part of `total`, within bounds. */
-static guint part_of(double total, double part, guint min, guint max) {
+/* Returns a fraction of `total`, clamped to `min` and `max`. */
+static guint clamped_fraction(double total, double part, guint min, guint max) {
   return (guint)CLAMP(total * part, min, max);
 }
 
@@ -33,13 +35,13 @@
 }
 
 static void set_outbound(FkAdmissionLimits *limits, const FkAdmissionResources *resources) {
-  limits->store_connections = part_of(resources->sockets, 0.1, 2, 32);
-  limits->cloud_connections = part_of(resources->sockets, 0.02, 1, 4);
+  limits->store_connections = clamped_fraction(resources->sockets, 0.1, 2, 32);
+  limits->cloud_connections = clamped_fraction(resources->sockets, 0.02, 1, 4);
   limits->peer_connections = MAX(1, 2 * resources->peers);
-  limits->worker_connections = part_of(resources->sockets, 0.2, 2, 400);
+  limits->worker_connections = clamped_fraction(resources->sockets, 0.2, 2, 400);
 }
 
-/* From the sockets that the outbound connections leave. */
+/* Divides the sockets that the outbound connections leave among the inbound ones. */
 static void set_inbound(FkAdmissionLimits *limits, const FkAdmissionResources *resources,
                         const FkAdmissionOptions *options) {
   guint *connections = limits->connections;
@@ -48,14 +50,14 @@
   double sockets = resources->sockets - RESERVED_SOCKETS - limits->store_connections -
                    limits->cloud_connections - limits->peer_connections - limits->worker_connections -
                    connections[FK_CONNECTION_CLASS_PEER];
-  connections[FK_CONNECTION_CLASS_HEALTH_CHECK] = part_of(sockets, 0.02, 2, 32);
-  guint workers_max =
-      (guint)MAX(WORKER_CONNECTIONS_MAX_LEAST, WORKER_CONNECTIONS_RAM_PART * ram_bytes / CONNECTION_BYTES);
-  connections[FK_CONNECTION_CLASS_WORKER] = part_of(sockets, 0.4, 2, workers_max);
-  limits->lingering = part_of(sockets, 0.05, 2, 128);
+  connections[FK_CONNECTION_CLASS_HEALTH_CHECK] = clamped_fraction(sockets, 0.02, 2, 32);
+  guint workers_max = (guint)MAX(WORKER_CONNECTIONS_MAX_FLOOR,
+                                 WORKER_CONNECTIONS_RAM_FRACTION * ram_bytes / CONNECTION_BYTES);
+  connections[FK_CONNECTION_CLASS_WORKER] = clamped_fraction(sockets, 0.4, 2, workers_max);
+  limits->lingering = clamped_fraction(sockets, 0.05, 2, 128);
   double clients = sockets - connections[FK_CONNECTION_CLASS_HEALTH_CHECK] -
                    connections[FK_CONNECTION_CLASS_WORKER] - limits->lingering;
-  double affordable = CLIENT_CONNECTIONS_RAM_PART * ram_bytes / CONNECTION_BYTES;
+  double affordable = CLIENT_CONNECTIONS_RAM_FRACTION * ram_bytes / CONNECTION_BYTES;
   connections[FK_CONNECTION_CLASS_CLIENT] = options->connections > 0
                                                 ? (guint)CLAMP(options->connections, 2, MAX(2, clients))
                                                 : (guint)MAX(2, MIN(clients, affordable));
@@ -67,14 +69,15 @@
                       const FkAdmissionOptions *options) {
   double ram_bytes = resources->ram_mb * MIB;
   limits->buffered_bytes =
-      (gsize)(options->memory_mb > 0 ? options->memory_mb * MIB : BUFFERED_RAM_PART * ram_bytes);
-  limits->requests = part_of((double)limits->buffered_bytes, 1.0 / REQUEST_BYTES, 16, 8192);
+      (gsize)(options->memory_mb > 0 ? options->memory_mb * MIB : BUFFERED_RAM_FRACTION * ram_bytes);
+  limits->requests = clamped_fraction((double)limits->buffered_bytes, 1.0 / REQUEST_BYTES, 16, 8192);
   limits->head_bytes = 16 * KIB;
-  limits->body_bytes = 64 * KIB; /* the protocol's */
-  /* a chunk of one byte takes six: a body within its limit may still be out of proportion on the wire */
+  limits->body_bytes = 64 * KIB; /* the limit of the protocol */
+  /* a chunk with one byte of data has six bytes: a body within its limit may be six times as long on the wire
+   */
   limits->wire_bytes = limits->head_bytes + 2 * limits->body_bytes;
   limits->response_bytes = 2 * MIB;
-  limits->store_response_bytes = (gsize)MAX(4.0 * MIB, STORE_RESPONSE_RAM_PART * ram_bytes);
+  limits->store_response_bytes = (gsize)MAX(4.0 * MIB, STORE_RESPONSE_RAM_FRACTION * ram_bytes);
 }
 
 static void set_timeouts(FkAdmissionLimits *limits, const FkAdmissionOptions *options) {
--- a/src/admission/limits.h
+++ b/src/admission/limits.h
@@ -1,19 +1,21 @@
-/* The limits of admission control: connections by class, the time that each stage of a request may take,
- * bytes that may be buffered. What the operators don't set is derived from the controller's resources, so
- * that no flood of requests takes what the store, the cloud, workers and peers need. Plain data. */
+/* The limits of admission control: connections by class, the time that each stage of a request may take, and
+ * buffered bytes. Limits of connections and memory that operators do not set are derived from the
+ * controller's resources; times have fixed defaults. The derived limits leave sockets for calls to the store,
+ * the cloud, workers and peers, so that no flood of requests can stop these. Plain data. */
 #pragma once
 #include <glib.h>
 
-/* Who is at the other end of a connection. All are clients until a request tells more. */
+/* The kind of remote end of a connection. Connections to the listener for clients start in the class of
+ * clients, until a request shows another. */
 typedef enum {
-  FK_CONNECTION_CLASS_CLIENT, /* users, and all that isn't known */
+  FK_CONNECTION_CLASS_CLIENT, /* users, and connections whose class is unknown */
   FK_CONNECTION_CLASS_WORKER,
   FK_CONNECTION_CLASS_HEALTH_CHECK,
   FK_CONNECTION_CLASS_PEER, /* other controllers */
   FK_CONNECTION_CLASSES
 } FkConnectionClass;
 
-/* What a request asks for, in the order in which requests are served under overload. */
+/* The kind of a request, highest priority under overload first. */
 typedef enum {
   FK_REQUEST_CLASS_HEALTH,
   FK_REQUEST_CLASS_PEER,
@@ -25,38 +27,39 @@
   FK_REQUEST_CLASSES
 } FkRequestClass;
 
-/* What a controller has. */
+/* The resources of a server process. */
 typedef struct {
   double sockets, ram_mb;
-  guint peers;
+  guint peers; /* number of configured peer controllers */
 } FkAdmissionResources;
 
-/* What operators may set; 0: derived. Times in seconds. */
+/* Limits that operators may set; 0 if not set. Times are in seconds. */
 typedef struct {
-  double connections; /* of FK_CONNECTION_CLASS_CLIENT */
+  double connections; /* connections of FK_CONNECTION_CLASS_CLIENT */
   double head_s, body_s, idle_s, send_s;
-  double memory_mb; /* buffered for requests in progress */
+  double memory_mb; /* buffered for requests and responses */
 } FkAdmissionOptions;
 
 typedef struct {
-  /* inbound connections at once */
+  /* concurrent inbound connections */
   guint connections[FK_CONNECTION_CLASSES];
-  guint lingering; /* rejected ones that are still read from for a moment */
-  guint backlog;   /* of each listening socket */
-  /* outbound connections at once */
+  guint lingering; /* rejected connections whose input is discarded until a timeout */
+  guint backlog;   /* listen backlog of each listening socket */
+  /* concurrent outbound connections */
   guint store_connections, cloud_connections, worker_connections, peer_connections;
-  /* all requests in progress together */
+  /* requests in progress, of all classes */
   guint requests;
-  gsize buffered_bytes; /* of requests and responses */
-  /* one request */
+  gsize buffered_bytes; /* of all requests and responses */
+  /* size of one request */
   gsize head_bytes;
   gsize body_bytes;
-  gsize wire_bytes; /* all of it, with chunk headers */
-  /* one response to a call of our own */
+  gsize wire_bytes; /* the whole request, with its chunk framing */
+  /* size of one response to an outbound call */
   gsize response_bytes, store_response_bytes;
-  /* how long a connection may stay in a stage */
+  /* time limits of the stages of a connection */
   gint64 first_byte_us, head_us, body_us, idle_us, send_us, linger_us;
 } FkAdmissionLimits;
 
+/* Returns the limits for a controller with these resources and options. */
 FkAdmissionLimits fk_admission_limits_derive(const FkAdmissionResources *resources,
                                              const FkAdmissionOptions *options);
--- a/src/admission/request_parser.c
+++ b/src/admission/request_parser.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-#define EXPECT "expect" /* the only field whose name matters here */
+#define EXPECT "expect" /* the only header field that this module interprets */
 #define HEAD_FIELDS_MAX 100
 #define PATH_BYTES_MAX 2048
 #define CHUNK_OVERHEAD_REASON "the chunks are out of all proportion to the body"
 
-/* The first failure counts. Returns what makes http-parser stop. */
+/* Records a failure, unless there was one before. Returns a value that makes http-parser stop. */
 static int fail(FkRequestParser *parser, guint status, const char *reason) {
   if (!parser->status) {
     parser->status = status;
@@ -52,7 +52,8 @@
 static int on_head(http_parser *http) {
   FkRequestParser *parser = parser_of(http);
   parser->stage = FK_PARSER_STAGE_BODY;
-  if (!(http->flags & F_CHUNKED) && http->content_length != G_MAXUINT64) /* the parser counts it down later */
+  if (!(http->flags & F_CHUNKED) &&
+      http->content_length != G_MAXUINT64) /* http-parser counts it down later */
     parser->content_length = http->content_length;
   if (http->upgrade)
     return fail(parser, 400, "this door speaks HTTP/1.1 only");
@@ -66,7 +67,7 @@
 
 static int on_end(http_parser *http) {
   parser_of(http)->stage = FK_PARSER_STAGE_COMPLETE;
-  http_parser_pause(http, 1); /* what follows is the next request's */
+  http_parser_pause(http, 1); /* later bytes belong to the next request */
   return 0;
 }
 
@@ -97,7 +98,7 @@
   gsize used = http_parser_execute(&parser->parser, &callbacks, data, len);
   parser->wire_bytes += used;
   enum http_errno error = HTTP_PARSER_ERRNO(&parser->parser);
-  if (error == HPE_HEADER_OVERFLOW) /* in a body: a chunk's size line, or what follows the last chunk */
+  if (error == HPE_HEADER_OVERFLOW) /* in a body: a chunk's size line or the trailers are too long */
     parser->stage == FK_PARSER_STAGE_BODY ? fail(parser, 413, CHUNK_OVERHEAD_REASON)
                                           : fail(parser, 431, "the head is over 16 KiB");
   else if (error != HPE_OK && error != HPE_PAUSED)
@@ -111,8 +112,9 @@
 gsize fk_request_parser_feed(FkRequestParser *parser, const FkAdmissionLimits *limits, const char *data,
                              gsize len) {
   gsize used = 0;
-  parser->parser.data = parser; /* its owner may have moved it */
-  /* a head is cut at its limit: otherwise whether it is too long would depend on how its bytes come */
+  parser->parser.data = parser; /* the owner may have moved the structure since the last call */
+  /* A head is fed only up to one byte over its limit. Otherwise, whether it is too long would depend on how
+   * its bytes are split. */
   while (used < len && parser->stage < FK_PARSER_STAGE_BODY) {
     gsize allowed = limits->head_bytes + 1 - parser->wire_bytes;
     used += execute(parser, limits, data + used, MIN(allowed, len - used));
