--- a/test/connection_load.c
+++ b/test/connection_load.c
@@ -1,10 +1,10 @@
-/* Many clients, slow and hostile ones, of the built service: a process of its own, over loopback sockets.
+/* Load test of the built service, which runs as a separate process, over loopback sockets: many concurrent
+ * clients, and slow and hostile ones.
  *
- *   crowd BINARY [--bench]     --bench: prints a table, for docs/operators/limits.md
+ *   connection_load BINARY     the measurements that it prints are for docs/operators/limits.md
  *
- * What must hold is said in ratios or in what TCP itself tells (no SYN had to be sent twice), never in
- * seconds that depend on the machine. Memory is the service's resident memory, held against the bound that
- * its limits give. */
+ * The checks use ratios or what TCP itself reports (no SYN was sent twice), never seconds that depend on the
+ * machine. The service's resident memory is compared with the bound that its limits give. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <gio/gio.h>
@@ -24,7 +24,7 @@
 
 #define SOCKETS 20000
 #define RAM_MB 400
-#define PATIENCE_S 60.0
+#define WAIT_MAX_S 60.0
 
 typedef struct {
   GSubprocess *process;
@@ -35,13 +35,13 @@
 
 typedef struct {
   int fd;
-  const char *text; /* what is sent once connected, `len` bytes */
+  const char *text; /* `len` bytes, sent when the client is connected */
   gsize len, sent, got;
-  char start[16]; /* of the answer */
+  char start[16]; /* start of the response */
   double begun_s, done_s;
-  gsize repeated; /* the last so many bytes are sent without end; 0: none are */
+  gsize repeated; /* this many last bytes of `text` are sent without end; 0 if none */
   gboolean never_reads;
-  gboolean over;
+  gboolean over; /* a response was received, or the connection has ended */
 } Client;
 
 static gboolean failed;
@@ -90,7 +90,7 @@
   if (!s.process)
     g_error("%s", error->message);
   s.pid = atoi(g_subprocess_get_identifier(s.process));
-  for (double end = now_s() + PATIENCE_S; now_s() < end; g_usleep(20000))
+  for (double end = now_s() + WAIT_MAX_S; now_s() < end; g_usleep(20000))
     if (send_one(&s, "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").got)
       return s;
   g_error("%s doesn't answer", binary);
@@ -163,13 +163,14 @@
       memcpy(c->start + c->got, buffer, MIN((gsize)n, sizeof c->start - 1 - c->got));
     c->got += (gsize)n;
     if (g_strstr_len(buffer, n, "\r\n\r\n"))
-      finish(c); /* the answers here are short: their body comes with their head */
+      finish(c); /* the responses here are short: the body arrives with the head */
   }
   if (!c->never_reads)
     finish(c);
 }
 
-/* Until `wanted` of them are over, or so long. */
+/* Runs the clients until `wanted` of them are over or `for_s` seconds have passed. Returns how many are over.
+ */
 static guint drive(Client *c, guint n, guint wanted, double for_s) {
   g_autofree struct pollfd *fds = g_new0(struct pollfd, n);
   guint over = 0;
@@ -198,7 +199,7 @@
 static Client send_one_from(const Service *s, const char *text, const char *from) {
   Client c = {.text = text, .len = strlen(text)};
   open_client(s, &c, from);
-  drive(&c, 1, 1, PATIENCE_S);
+  drive(&c, 1, 1, WAIT_MAX_S);
   close(c.fd);
   return c;
 }
@@ -210,10 +211,10 @@
     close(c[i].fd);
 }
 
-/* ------------------------------------------------------------------ many clients at once */
+/* ------------------------------------------------------------------ concurrent clients */
 
 #define UP "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-#define REPORT                                                                                               \
+#define HEARTBEAT                                                                                            \
   "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 138\r\n\r\n"                                           \
   "{\"knotter\":\"i-000001\",\"address\":\"10.0.0.1:9000\",\"build\":\"g8\",\"yard\":\"north\",\"loaners\":" \
   "false,"                                                                                                   \
@@ -248,7 +249,7 @@
     open_client(s, &c[i], "127.0.0.1");
   }
   guint answered = 0;
-  drive(c, n, n, PATIENCE_S);
+  drive(c, n, n, WAIT_MAX_S);
   double all = now_s() - begun;
   for (guint i = 0; i < n; i++) {
     answered += g_str_has_prefix(c[i].start, "HTTP/1.1 ");
@@ -260,22 +261,21 @@
   printf("%5u at once: p50 %.4f s, p99 %.4f s, worst %.4f s; %.6f s each, %.2f of one after the other\n", n,
          gsl_stats_quantile_from_sorted_data(took, 1, n, 0.5),
          gsl_stats_quantile_from_sorted_data(took, 1, n, 0.99), took[n - 1], all / n, all / n / alone_s);
-  check(answered == n, "all were answered");
+  check(answered == n, "all requests were answered");
   check(retransmitted == 0, "no connection attempt was repeated (TCP sent no SYN twice)");
-  check(all / n <= 5 * alone_s,
-        "together they took no longer than five times what they take one after the other");
+  check(all / n <= 5 * alone_s, "a concurrent request took at most five times as long as a sequential one");
   return all / n;
 }
 
-/* What the limits allow the service to grow by. */
+/* Returns by how many MiB the limits allow the service's resident memory to grow. */
 static double memory_bound_mb(void) {
   const FkAdmissionResources resources = {SOCKETS, RAM_MB, 0};
   const FkAdmissionOptions none = {0};
   FkAdmissionLimits l = fk_admission_limits_derive(&resources, &none);
-  guint most = l.lingering;
+  guint connections_max = l.lingering;
   for (guint i = 0; i < FK_CONNECTION_CLASSES; i++)
-    most += l.connections[i];
-  return ((double)l.buffered_bytes + 10240.0 * most) / 1048576 + 8; /* the allocator's own */
+    connections_max += l.connections[i];
+  return ((double)l.buffered_bytes + 10240.0 * connections_max) / 1048576 + 8; /* 8 MiB for the allocator */
 }
 
 typedef struct {
@@ -284,14 +284,15 @@
   gsize repeated;
   gboolean never_reads;
   double for_s;
-  const char *answer; /* all that are over got this; NULL: not looked at */
+  const char *answer; /* start of each response; NULL if not checked */
 } Attack;
 
-/* During the attack: health checks from the same address, heartbeats and users from other ones. */
+/* Runs an attack. Meanwhile, sends health checks from the same address, and heartbeats and polls from other
+ * addresses. */
 static void run_attack(const Service *s, const Attack *a, double before_mb) {
   g_autofree Client *c = g_new0(Client, a->n);
   guint answered = 0, asked = 0, wrong = 0;
-  double worst = 0, most_mb = 0;
+  double worst = 0, peak_mb = 0;
   for (guint i = 0; i < a->n; i++) {
     c[i].text = a->text;
     c[i].len = strlen(a->text);
@@ -304,7 +305,7 @@
   static const struct {
     const char *text, *from;
   } others[] = {{UP, "127.0.0.1"},
-                {REPORT, "127.0.0.2"},
+                {HEARTBEAT, "127.0.0.2"},
                 {"GET /submissions/run-000001 HTTP/1.1\r\n\r\n", "127.0.0.3"}};
   for (double end = now_s() + a->for_s; now_s() < end;) {
     drive(c, a->n, a->n + 1, 0.1);
@@ -314,7 +315,7 @@
       answered += g_str_has_prefix(o.start, "HTTP/1.1 ");
       worst = MAX(worst, o.done_s - o.begun_s);
     }
-    most_mb = MAX(most_mb, resident_mb(s));
+    peak_mb = MAX(peak_mb, resident_mb(s));
   }
   gsize sent = 0;
   guint over = 0;
@@ -325,10 +326,10 @@
   }
   close_all(c, a->n);
   printf("%s: %u connections, %.1f MB sent, %u over; resident %.1f MB -> %.1f MB; others: worst %.4f s\n",
-         a->name, a->n, (double)sent / 1e6, over, before_mb, most_mb, worst);
-  check(answered == asked, "health checks, reports and another address's polls were all answered");
-  check(most_mb - before_mb <= memory_bound_mb(), "resident memory grew by no more than the limits say");
-  check(wrong == 0, "whoever was answered was told why");
+         a->name, a->n, (double)sent / 1e6, over, before_mb, peak_mb, worst);
+  check(answered == asked, "all health checks, heartbeats and polls were answered");
+  check(peak_mb - before_mb <= memory_bound_mb(), "resident memory grew by no more than the limits allow");
+  check(wrong == 0, "each response had the expected status");
 }
 
 static char *repeat(const char *head, const char *piece, gsize len) {
@@ -340,23 +341,23 @@
 
 int main(int argc, char **argv) {
   struct rlimit r;
-  const char *plain = argc > 1 ? argv[1] : NULL;
-  if (!plain) {
-    fprintf(stderr, "crowd BINARY\n");
+  const char *binary_path = argc > 1 ? argv[1] : NULL;
+  if (!binary_path) {
+    fprintf(stderr, "usage: connection_load BINARY\n");
     return 2;
   }
   signal(SIGPIPE, SIG_IGN);
   getrlimit(RLIMIT_NOFILE, &r);
   r.rlim_cur = r.rlim_max;
   setrlimit(RLIMIT_NOFILE, &r);
-  Service s = start(plain);
-  double worst, alone = measure_sequential(&s, 200, &worst);
-  printf("one after the other: %.6f s each, worst %.4f s\n", alone, worst);
+  Service s = start(binary_path);
+  double worst, sequential_s = measure_sequential(&s, 200, &worst);
+  printf("one after the other: %.6f s each, worst %.4f s\n", sequential_s, worst);
   static const guint sizes[] = {20, 100, 1000, 4000};
   double each[G_N_ELEMENTS(sizes)] = {0};
   for (guint i = 0; i < G_N_ELEMENTS(sizes); i++)
-    each[i] = measure_concurrent(&s, sizes[i], alone);
-  check(each[3] <= 3 * each[2], "four times the crowd costs each no more than three times as much");
+    each[i] = measure_concurrent(&s, sizes[i], sequential_s);
+  check(each[3] <= 3 * each[2], "with four times as many clients, each took at most three times as long");
   g_autofree char *chunks = repeat("POST /submissions HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
                                    "8\r\nxxxxxxxx\r\n", 200000),
                   *fields = repeat("GET /up HTTP/1.1\r\n", "A: bbbbbbbbbbbbbbbbbb\r\n", 60000),
@@ -365,17 +366,17 @@
   const Attack attacks[] = {
       {"endless chunks", chunks, 50, 13 * 300, FALSE, 2, "HTTP/1.1 413"},
       {"endless head", fields, 50, 23 * 200, FALSE, 2, "HTTP/1.1 431"},
-      {"declared, and nothing sent", "POST /submissions HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n", 200,
-       0, FALSE, 1, "HTTP/1.1 413"},
-      {"half bodies", half, 2000, 0, FALSE, 2, "HTTP/1.1 503"},
-      {"half heads", "GET /up HTTP/1.1\r\nA: ", 4000, 0, FALSE, 2, "HTTP/1.1 408"},
-      {"requests without end, nothing read", answers, 50, 25 * 200, TRUE, 3, NULL},
-      {"silent connections, more than there is room for", "", 12000, 0, FALSE, 2, NULL},
+      {"declared body, not sent", "POST /submissions HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n", 200, 0,
+       FALSE, 1, "HTTP/1.1 413"},
+      {"incomplete bodies", half, 2000, 0, FALSE, 2, "HTTP/1.1 503"},
+      {"incomplete heads", "GET /up HTTP/1.1\r\nA: ", 4000, 0, FALSE, 2, "HTTP/1.1 408"},
+      {"endless requests, responses not read", answers, 50, 25 * 200, TRUE, 3, NULL},
+      {"more silent connections than the limit", "", 12000, 0, FALSE, 2, NULL},
   };
   for (guint i = 0; i < G_N_ELEMENTS(attacks); i++)
     run_attack(&s, &attacks[i], resident_mb(&s));
   Client c = send_one(&s, UP);
-  check(g_str_has_prefix(c.start, "HTTP/1.1 "), "the service is there afterwards");
+  check(g_str_has_prefix(c.start, "HTTP/1.1 "), "the service still answers afterwards");
   stop_service(&s);
   return failed ? 1 : 0;
 }
--- a/test/test_http_server.c
+++ b/test/test_http_server.c
@@ -1,5 +1,5 @@
-/* The server and the HTTP client on real loopback sockets, in one process: the test's clients are driven from
- * the same main loop, so that the order of events doesn't depend on threads. */
+/* Tests of the server and the HTTP client on real loopback sockets, in one process. The test's clients run in
+ * the same main loop, so that the order of events does not depend on threads. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -15,19 +15,19 @@
 #include "net/soup_listener.h"
 #include "wire/route.h"
 
-#define S 1000000
-#define PATIENCE (20 * S) /* longer than any of this takes: a test that waits so long has failed */
-#define BIG 60000
+#define US_PER_S 1000000
+#define WAIT_MAX_US (20 * US_PER_S) /* longer than any wait takes; a test that waits this long fails */
+#define BIG_RESPONSE_BYTES 60000
 
 /* ------------------------------------------------------------------ a small service */
 
 typedef struct {
   FkServer *server;
   SoupServer *soup;
-  GQueue held; /* SoupServerMessage: submissions that wait for their answer */
+  GQueue held; /* SoupServerMessage: submissions whose response is held back */
   guint served, aborted;
   guint16 port;
-  GString *order; /* what was served, a letter each, when a test wants it */
+  GString *order; /* one letter for each request served; NULL if a test does not need it */
 } Service;
 
 static void reply(SoupServerMessage *msg, guint status, const char *text) {
@@ -48,7 +48,7 @@
     soup_server_message_pause(msg);
     g_queue_push_tail(&s->held, g_object_ref(msg));
   } else if (g_str_equal(path, "/submissions/big")) {
-    g_autofree char *big = g_strnfill(BIG, 'x');
+    g_autofree char *big = g_strnfill(BIG_RESPONSE_BYTES, 'x');
     reply(msg, 200, big);
   } else if (g_str_equal(path, "/submissions/length")) {
     g_autofree char *n = g_strdup_printf("%d", (int)soup_server_message_get_request_body(msg)->length);
@@ -117,10 +117,11 @@
   return n;
 }
 
-/* When all clients have disconnected, nothing is counted or buffered any more. */
+/* Waits until the server has noticed that all clients have disconnected, checks that nothing is counted or
+ * buffered any more, and frees the service. */
 static void close_service(Service *s) {
   answer_held(s);
-  gint64 end = g_get_monotonic_time() + PATIENCE;
+  gint64 end = g_get_monotonic_time() + WAIT_MAX_US;
   const FkAdmission *g = fk_server_admission(s->server);
   while ((fk_admission_addresses(g) || connections(s)) && g_get_monotonic_time() < end)
     run_iteration();
@@ -150,9 +151,9 @@
 
 static int open_client(const Service *s) { return open_client_from(s, "127.0.0.1"); }
 
-/* FALSE: the other end has closed. */
+/* Sends bytes while the main loop runs. Returns FALSE if the server has closed the connection. */
 static gboolean send_bytes(int fd, const char *text, gsize len) {
-  gint64 end = g_get_monotonic_time() + PATIENCE;
+  gint64 end = g_get_monotonic_time() + WAIT_MAX_US;
   while (len) {
     gssize n = send(fd, text, len, MSG_NOSIGNAL);
     if (n < 0 && errno != EAGAIN && errno != ENOTCONN)
@@ -169,10 +170,11 @@
 
 static void send_text(int fd, const char *text) { g_assert_true(send_bytes(fd, text, strlen(text))); }
 
-/* Reads until `n` answers are complete, or the end; how many were complete goes into `n`. */
+/* Reads until `n` responses are complete or the connection ends, and returns what was read. Sets `n` to the
+ * number of complete responses; "100 Continue" does not count. */
 static char *receive(int fd, guint *n) {
   GString *all = g_string_new("");
-  gint64 end = g_get_monotonic_time() + PATIENCE;
+  gint64 end = g_get_monotonic_time() + WAIT_MAX_US;
   guint wanted = *n;
   gsize at = 0;
   for (*n = 0; *n < wanted;) {
@@ -219,9 +221,9 @@
 #define POLL "GET /submissions/a HTTP/1.1\r\nHost: x\r\n\r\n"
 #define CHUNKED "POST /submissions/length HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-/* ------------------------------------------------------------------ cases */
+/* ------------------------------------------------------------------ tests of the server */
 
-/* However a request comes, it is answered once, and the connection goes on. */
+/* A request is answered once, however its bytes are split, and the connection stays usable. */
 static void test_serves_requests(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -234,50 +236,50 @@
       {"POST /submissions/length HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n{}",
        "HTTP/1.1 "},
   };
-  int kept = open_client(s);
+  int persistent = open_client(s);
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    send_text(kept, cases[i].text);
-    expect(kept, cases[i].start);
-    int fd = open_client(s); /* a byte at a time */
+    send_text(persistent, cases[i].text);
+    expect(persistent, cases[i].start);
+    int fd = open_client(s); /* the same request, one byte at a time */
     for (const char *p = cases[i].text; *p; p++)
       g_assert_true(send_bytes(fd, p, 1));
     expect(fd, cases[i].start);
     close(fd);
   }
-  /* one that waits to be told to go on, with its body */
+  /* a client that waits for "100 Continue" before it sends the body */
   send_text(
-      kept,
+      persistent,
       "POST /submissions/length HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-  char told[64] = "";
-  while (recv(kept, told, sizeof told - 1, 0) <= 0)
+  char interim[64] = "";
+  while (recv(persistent, interim, sizeof interim - 1, 0) <= 0)
     run_iteration();
-  g_assert_cmpstr(told, ==, "HTTP/1.1 100 Continue\r\n\r\n");
-  send_text(kept, "{}");
-  expect(kept, "HTTP/1.1 ");
-  /* sent together: answered in order */
-  send_text(kept, CHUNKED "3\r\nabc\r\n0\r\n\r\n" POLL UP);
+  g_assert_cmpstr(interim, ==, "HTTP/1.1 100 Continue\r\n\r\n");
+  send_text(persistent, "{}");
+  expect(persistent, "HTTP/1.1 ");
+  /* pipelined requests are answered in order */
+  send_text(persistent, CHUNKED "3\r\nabc\r\n0\r\n\r\n" POLL UP);
   guint n = 3;
-  g_autofree char *three = receive(kept, &n);
+  g_autofree char *three = receive(persistent, &n);
   g_assert_cmpuint(n, ==, 3);
   g_assert_nonnull(strstr(three, "/submissions/a"));
   g_assert_true(strstr(three, "/up") > strstr(three, "/submissions/a"));
-  /* a client that has said all still gets its answer */
-  send_text(kept, SUBMIT);
-  shutdown(kept, SHUT_WR);
+  /* a client that has closed its sending side still gets its response */
+  send_text(persistent, SUBMIT);
+  shutdown(persistent, SHUT_WR);
   run_iteration();
   run_iteration();
   answer_held(s);
-  expect(kept, "HTTP/1.1 201");
-  close(kept);
+  expect(persistent, "HTTP/1.1 201");
+  close(persistent);
   close_service(s);
 }
 
-/* Bounds on what is sent: the refusal arrives, nothing is kept, and the connection ends. */
+/* Requests over a size limit, and malformed ones: the rejection arrives, and nothing stays buffered. */
 static void test_size_limits(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
   static const struct {
-    const char *head, *then; /* `then` again and again, as long as the other end takes it */
+    const char *head, *then; /* `then` is sent until the server closes the connection or 3 MiB are sent */
     const char *start;
   } cases[] = {
       {"POST /submissions HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n", NULL, "HTTP/1.1 413"},
@@ -290,7 +292,7 @@
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     int fd = open_client(s);
-    gsize most = 0, sent = 0;
+    gsize peak_bytes = 0, sent = 0;
     send_text(fd, cases[i].head);
     g_autofree char *piece = NULL;
     if (cases[i].then) {
@@ -298,15 +300,15 @@
       while (many->len < 4000)
         g_string_append(many, cases[i].then);
       piece = g_string_free(many, FALSE);
-      /* a megabyte, well over every bound, and then some that nobody reads */
+      /* 3 MiB: over every limit, also over the 1 MiB that a lingering connection may send */
       while (sent < 3 * 1048576 && send_bytes(fd, piece, strlen(piece))) {
         sent += strlen(piece);
-        most = MAX(most, fk_admission_buffered_bytes(fk_server_admission(s->server)));
+        peak_bytes = MAX(peak_bytes, fk_admission_buffered_bytes(fk_server_admission(s->server)));
       }
     }
-    g_assert_cmpuint(most, <=, l.wire_bytes + 16384);
+    g_assert_cmpuint(peak_bytes, <=, l.wire_bytes + 16384);
     g_assert_cmpuint(fk_admission_buffered_bytes(fk_server_admission(s->server)), ==, 0);
-    if (sent < 100000) /* else the connection may have been reset, long after the answer was sent */
+    if (sent < 100000) /* after more bytes, the connection may have been reset */
       expect(fd, cases[i].start);
     g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_MALFORMED), ==,
                      i + 1);
@@ -315,8 +317,8 @@
   close_service(s);
 }
 
-/* A client that sends all it has before it reads, as most do, can do so, and then reads the rejection: if the
- * connection were closed at once, it would be reset. */
+/* A client that sends its whole request before it reads, as most do, can still read the rejection. If the
+ * server closed the connection at once, the connection would be reset. */
 static void test_rejection_is_readable(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -335,13 +337,13 @@
   close_service(s);
 }
 
-/* Each step has its time. */
+/* Each stage of receiving a request has a time limit, and so has an idle connection. */
 static void test_slow_senders(void) {
   FkAdmissionLimits l = limits();
-  l.first_byte_us = l.head_us = l.body_us = l.idle_us = S / 5;
+  l.first_byte_us = l.head_us = l.body_us = l.idle_us = US_PER_S / 5;
   Service *s = open_service(&l);
   static const struct {
-    const char *text, *start; /* "": closed without a word */
+    const char *text, *start; /* `start` is "" if the connection is closed without a response */
   } cases[] = {{"", ""},
                {"GET /u", "HTTP/1.1 408"},
                {"GET /up HTTP/1.1\r\nA: ", "HTTP/1.1 408"},
@@ -365,47 +367,48 @@
   close(idle);
   g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_TIMEOUT), ==,
                    G_N_ELEMENTS(cases) + 1);
-  /* a header now and then doesn't buy more time */
-  int drip = open_client(s);
-  gint64 end = g_get_monotonic_time() + PATIENCE;
-  send_text(drip, "GET /up HTTP/1.1\r\n");
+  /* sending header fields one by one does not extend the time limit */
+  int slow = open_client(s);
+  gint64 end = g_get_monotonic_time() + WAIT_MAX_US;
+  send_text(slow, "GET /up HTTP/1.1\r\n");
   char c;
-  while (recv(drip, &c, 1, MSG_PEEK) < 0 && g_get_monotonic_time() < end) {
-    send_bytes(drip, "A: b\r\n", 6);
+  while (recv(slow, &c, 1, MSG_PEEK) < 0 && g_get_monotonic_time() < end) {
+    send_bytes(slow, "A: b\r\n", 6);
     g_usleep(20000);
   }
-  expect(drip, "HTTP/1.1 408");
-  close(drip);
+  expect(slow, "HTTP/1.1 408");
+  close(slow);
   close_service(s);
 }
 
-/* A client that sends requests without end and reads nothing is disconnected, and buffers stay in their
- * limit. */
+/* A client that sends requests without end and reads no response is disconnected, and the buffers stay within
+ * their limit. */
 static void test_slow_readers(void) {
   FkAdmissionLimits l = limits();
-  l.send_us = S / 2;
+  l.send_us = US_PER_S / 2;
   Service *s = open_service(&l);
   int fd = open_client(s), small = 4096;
   setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   const char *big = "GET /submissions/big HTTP/1.1\r\nHost: x\r\n\r\n";
-  gsize most = 0;
-  gint64 end = g_get_monotonic_time() + PATIENCE;
+  gsize peak_bytes = 0;
+  gint64 end = g_get_monotonic_time() + WAIT_MAX_US;
   while (!fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_TIMEOUT) &&
          g_get_monotonic_time() < end) {
     send(fd, big, strlen(big), MSG_NOSIGNAL);
     run_iteration();
-    most = MAX(most, fk_admission_buffered_bytes(fk_server_admission(s->server)));
+    peak_bytes = MAX(peak_bytes, fk_admission_buffered_bytes(fk_server_admission(s->server)));
   }
   g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_TIMEOUT), ==, 1);
-  g_assert_cmpuint(most, >, 0);
-  g_assert_cmpuint(most, <=, 65536 + BIG + 16384);
+  g_assert_cmpuint(peak_bytes, >, 0);
+  g_assert_cmpuint(peak_bytes, <=, 65536 + BIG_RESPONSE_BYTES + 16384);
   g_assert_cmpuint(connections(s), ==, 0);
   close(fd);
   close_service(s);
 }
 
-/* All sockets are used by silent connections of one address: a health check, a heartbeat and another
- * address's user connect at the first attempt, and the connections from before are still served. */
+/* Silent connections from one address use up the limit of client connections. A health check from that
+ * address, and a heartbeat and a poll from other addresses, connect at the first attempt. A connection of
+ * another address that was opened before is still served. */
 static void test_connection_limit(void) {
   FkAdmissionLimits l = limits();
   l.connections[FK_CONNECTION_CLASS_CLIENT] = 20;
@@ -419,19 +422,19 @@
                      20);
     if (i % 20 != 10)
       continue;
-    int up = open_client(s), report = open_client_from(s, "127.0.0.3"),
-        fresh = open_client_from(s, "127.0.0.4");
+    int up = open_client(s), heartbeat = open_client_from(s, "127.0.0.3"),
+        new_user = open_client_from(s, "127.0.0.4");
     send_text(up, UP);
     expect(up, "HTTP/1.1 200");
-    send_text(report, HELLO);
-    expect(report, "HTTP/1.1 200");
-    send_text(fresh, POLL);
-    expect(fresh, "HTTP/1.1 200");
+    send_text(heartbeat, HELLO);
+    expect(heartbeat, "HTTP/1.1 200");
+    send_text(new_user, POLL);
+    expect(new_user, "HTTP/1.1 200");
     send_text(user, POLL);
     expect(user, "HTTP/1.1 200");
     close(up);
-    close(report);
-    close(fresh);
+    close(heartbeat);
+    close(new_user);
   }
   g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_EVICTED), >, 150);
   for (guint i = 0; i < G_N_ELEMENTS(silent); i++)
@@ -440,39 +443,40 @@
   close_service(s);
 }
 
-/* Requests in progress up to their limit: submissions are rejected at once with a Retry-After, then polls;
- * heartbeats and health checks go on. A flood from one address leaves another its share. */
+/* Submissions from one address reach the limit of requests in progress. Further submissions are rejected at
+ * once with a Retry-After header. Health checks, heartbeats, and a poll from another address are still
+ * served. */
 static void test_request_limit(void) {
   FkAdmissionLimits l = limits();
   l.requests = 20;
   Service *s = open_service(&l);
-  int flood[30], in = 0;
-  guint refused = 0;
+  int flood[30], admitted = 0;
+  guint rejected = 0;
   for (guint i = 0; i < G_N_ELEMENTS(flood); i++) {
     flood[i] = open_client(s);
     send_text(flood[i], SUBMIT);
     for (guint k = 0; k < 5; k++)
       run_iteration();
   }
-  in = (int)fk_admission_requests(fk_server_admission(s->server));
-  g_assert_cmpint(in, ==, 13); /* 65% of 20 */
+  admitted = (int)fk_admission_requests(fk_server_admission(s->server));
+  g_assert_cmpint(admitted, ==, 13); /* 65% of 20 */
   for (guint i = 13; i < G_N_ELEMENTS(flood); i++) {
     guint n = 1;
     g_autofree char *text = receive(flood[i], &n);
     g_assert_nonnull(strstr(text, "503 "));
     g_assert_nonnull(strstr(text, "Retry-After: 2"));
-    refused++;
+    rejected++;
   }
-  int up = open_client(s), report = open_client(s), other = open_client_from(s, "127.0.0.2");
+  int up = open_client(s), heartbeat = open_client(s), other = open_client_from(s, "127.0.0.2");
   send_text(up, UP);
   expect(up, "HTTP/1.1 200");
-  send_text(report, HELLO);
-  expect(report, "HTTP/1.1 200");
+  send_text(heartbeat, HELLO);
+  expect(heartbeat, "HTTP/1.1 200");
   send_text(other, POLL);
   expect(other, "HTTP/1.1 200");
-  /* gone without waiting: the places stay taken until the service has its answer */
-  struct linger hard = {1, 0};
-  setsockopt(flood[0], SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+  /* a client resets its connection: its request stays in progress until the service responds */
+  struct linger reset_on_close = {1, 0};
+  setsockopt(flood[0], SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
   close(flood[0]);
   for (guint k = 0; k < 10; k++)
     run_iteration();
@@ -486,13 +490,13 @@
   for (guint i = 1; i < G_N_ELEMENTS(flood); i++)
     close(flood[i]);
   close(up);
-  close(report);
+  close(heartbeat);
   close(other);
   close_service(s);
 }
 
-/* Many requests that are complete at once: health check and heartbeat first, whenever they came; each class
- * has its part of each iteration, and within a class the order is kept. */
+/* Many requests are complete at once. The health check is served first, then the heartbeat, the poll and the
+ * submissions, whenever they arrived. Within a class, the order of arrival is kept. */
 static void test_order(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -505,7 +509,7 @@
   } others[] = {{90, POLL}, {101, HELLO}, {102, UP}};
   for (guint i = 0; i < G_N_ELEMENTS(fds); i++)
     fds[i] = open_client(s);
-  for (guint i = 0; i < G_N_ELEMENTS(fds); i++) { /* no turn in between */
+  for (guint i = 0; i < G_N_ELEMENTS(fds); i++) { /* without a main loop iteration in between */
     const char *text = SUBMIT;
     for (guint k = 0; k < G_N_ELEMENTS(others); k++)
       text = others[k].at == i ? others[k].text : text;
@@ -526,58 +530,60 @@
   close_service(s);
 }
 
-/* Incomplete bodies on many connections: buffers stay within their limit, and a heartbeat is still taken. */
+/* Incomplete bodies on many connections: buffers stay within their limit, and a heartbeat is still admitted.
+ */
 static void test_partial_bodies(void) {
   FkAdmissionLimits l = limits();
   l.buffered_bytes = 400000;
   Service *s = open_service(&l);
   g_autofree char *body = g_strnfill(60000, 'x');
   int fds[40];
-  gsize most = 0;
+  gsize peak_bytes = 0;
   for (guint i = 0; i < G_N_ELEMENTS(fds); i++) {
     fds[i] = open_client(s);
     send_text(fds[i], "POST /submissions HTTP/1.1\r\nContent-Length: 65000\r\n\r\n");
     send_bytes(fds[i], body, 60000);
-    most = MAX(most, fk_admission_buffered_bytes(fk_server_admission(s->server)));
+    peak_bytes = MAX(peak_bytes, fk_admission_buffered_bytes(fk_server_admission(s->server)));
   }
-  g_assert_cmpuint(most, <=, l.buffered_bytes);
-  g_assert_cmpuint(most, >, l.buffered_bytes / 2);
+  g_assert_cmpuint(peak_bytes, <=, l.buffered_bytes);
+  g_assert_cmpuint(peak_bytes, >, l.buffered_bytes / 2);
   g_assert_cmpuint(fk_admission_rejections(fk_server_admission(s->server), FK_REJECTION_MEMORY), >=, 30);
-  int report = open_client(s);
-  send_text(report, "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n");
-  g_assert_true(send_bytes(report, body, 60000));
-  expect(report, "HTTP/1.1 200");
-  close(report);
+  int heartbeat = open_client(s);
+  send_text(heartbeat, "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n");
+  g_assert_true(send_bytes(heartbeat, body, 60000));
+  expect(heartbeat, "HTTP/1.1 200");
+  close(heartbeat);
   for (guint i = 0; i < G_N_ELEMENTS(fds); i++)
     close(fds[i]);
   close_service(s);
 }
 
-/* No descriptor is free for a new connection: that is logged, takes no CPU time, and clients that wait are
- * served as soon as there is one. */
+/* No file descriptor is free for a new connection. The server logs this once and pauses accepting: retrying
+ * without end would only use CPU time. Pending clients are served once a descriptor is free. */
 static void test_no_descriptor(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
   int fds[5];
-  struct rlimit was, none;
+  struct rlimit previous, reduced;
   struct sockaddr_in to = {
       .sin_family = AF_INET, .sin_port = htons(s->port), .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-  for (guint i = 0; i < G_N_ELEMENTS(fds); i++) { /* the kernel takes them in; nobody has accepted */
+  for (guint i = 0; i < G_N_ELEMENTS(fds);
+       i++) { /* the kernel completes the connections; the server has not accepted them */
     fds[i] = socket(AF_INET, SOCK_STREAM, 0);
     g_assert_cmpint(connect(fds[i], (struct sockaddr *)&to, sizeof to), ==, 0);
     g_assert_cmpint(send(fds[i], UP, strlen(UP), MSG_NOSIGNAL), >, 0);
     fcntl(fds[i], F_SETFL, O_NONBLOCK);
   }
-  getrlimit(RLIMIT_NOFILE, &was);
-  none = was;
-  none.rlim_cur = (rlim_t)fds[4] + 1;
-  g_assert_cmpint(setrlimit(RLIMIT_NOFILE, &none), ==, 0);
+  getrlimit(RLIMIT_NOFILE, &previous);
+  reduced = previous;
+  reduced.rlim_cur = (rlim_t)fds[4] + 1;
+  g_assert_cmpint(setrlimit(RLIMIT_NOFILE, &reduced), ==, 0);
   g_test_expect_message(G_LOG_DOMAIN, G_LOG_LEVEL_WARNING, "*accept failed*");
   for (guint i = 0; i < 50; i++)
     run_iteration();
   g_test_assert_expected_messages();
   g_assert_cmpuint(s->served, ==, 0);
-  setrlimit(RLIMIT_NOFILE, &was);
+  setrlimit(RLIMIT_NOFILE, &previous);
   for (guint i = 0; i < G_N_ELEMENTS(fds); i++) {
     expect(fds[i], "HTTP/1.1 200");
     close(fds[i]);
@@ -585,11 +591,11 @@
   close_service(s);
 }
 
-/* Garbage, disconnects and resets at random: nothing leaks, and well-behaved clients are served meanwhile. */
+/* Random garbage, disconnects and resets: nothing leaks, and well-behaved clients are served meanwhile. */
 static void test_random_input(void) {
   FkAdmissionLimits l = limits();
   l.connections[FK_CONNECTION_CLASS_CLIENT] = 30;
-  l.first_byte_us = l.head_us = l.body_us = S / 20;
+  l.first_byte_us = l.head_us = l.body_us = US_PER_S / 20;
   Service *s = open_service(&l);
   g_autoptr(GRand) r = g_rand_new_with_seed(42);
   static const char *texts[] = {UP,     HELLO,
@@ -610,9 +616,9 @@
     send(fds[k], text + from, len - from, MSG_NOSIGNAL);
     run_iteration();
     if (g_rand_int_range(r, 0, 4) == 0) {
-      struct linger hard = {1, 0};
+      struct linger reset_on_close = {1, 0};
       if (g_rand_boolean(r))
-        setsockopt(fds[k], SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+        setsockopt(fds[k], SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
       close(fds[k]);
       fds[k] = 0;
     }
@@ -632,7 +638,7 @@
   close_service(s);
 }
 
-/* The server is freed while connections are in each stage. */
+/* The server is freed while connections are in each stage but FK_STAGE_SENDING. */
 static void test_free_with_open_streams(void) {
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
@@ -659,16 +665,16 @@
 /* ------------------------------------------------------------------ the HTTP client */
 
 typedef struct {
-  const char *head, *then; /* what a system that misbehaves answers; `then` is repeated */
+  const char *head, *then; /* the response is `head`, then `then` without end; NULL if nothing follows */
   int fd;
   guint source;
   gsize sent;
-} Outside;
+} FaultyServer;
 
 static gboolean send_more(gpointer data) {
-  Outside *o = data;
-  char drop[4096];
-  while (recv(o->fd, drop, sizeof drop, MSG_DONTWAIT) > 0)
+  FaultyServer *o = data;
+  char discarded[4096];
+  while (recv(o->fd, discarded, sizeof discarded, MSG_DONTWAIT) > 0)
     ;
   for (guint i = 0; i < 500; i++) {
     gssize n = send(o->fd, o->then, strlen(o->then), MSG_NOSIGNAL | MSG_DONTWAIT);
@@ -682,7 +688,7 @@
 }
 
 static gboolean on_incoming(GSocketService *service, GSocketConnection *c, GObject *from, gpointer data) {
-  Outside *o = data;
+  FaultyServer *o = data;
   o->fd = dup(g_socket_get_fd(g_socket_connection_get_socket(c)));
   send(o->fd, o->head, strlen(o->head), MSG_NOSIGNAL);
   if (o->then)
@@ -696,14 +702,14 @@
   gboolean done;
   guint status;
   gsize len;
-} Called;
+} CallResult;
 
 static void on_response(gpointer data, guint status, const char *body, gsize len) {
-  *(Called *)data = (Called){TRUE, status, len};
+  *(CallResult *)data = (CallResult){TRUE, status, len};
 }
 
-/* A response is bounded in length and in the time of each of its steps: a call that may wait 30 s for a
- * response doesn't wait so long for the rest of one. */
+/* The length of a response and the time of each of its steps are limited. A call with a deadline of 30 s does
+ * not wait that long for the rest of a response. */
 static void test_http_client(void) {
   static const struct {
     const char *head, *then;
@@ -715,31 +721,31 @@
       {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", NULL, 30, 0, 2, 200, 0},
       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", NULL, 30, 0, 2, 200,
        5},
-      /* over the bound: declared, or without end */
+      /* over the size limit: declared, or sent without end */
       {"HTTP/1.1 200 OK\r\nContent-Length: 100001\r\n\r\n", NULL, 30, 0, 2, 0, 0},
       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "80\r\n" X64 X64 "\r\n", 30, 0, 10, 0, 0},
       {"HTTP/1.1 200 OK\r\n\r\n", "hellohellohellohellohellohello", 30, 0, 10, 0, 0},
       {"HTTP/1.1 200 OK\r\n", "A: bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb\r\n", 1, 0, 3, 0, 0},
-      /* too slow: the head, the body */
+      /* too slow: the head, or the body */
       {"HTTP/1.1 200 OK\r\n", NULL, 1, 0.9, 3, 0, 0},
       {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell", NULL, 30, 2.9, 6, 0, 0},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
-    Outside o = {cases[i].head, cases[i].then, -1, 0, 0};
+    FaultyServer o = {cases[i].head, cases[i].then, -1, 0, 0};
     g_autoptr(GSocketService) service = g_socket_service_new();
     guint16 port = g_socket_listener_add_any_inet_port(G_SOCKET_LISTENER(service), NULL, NULL);
     g_signal_connect(service, "incoming", G_CALLBACK(on_incoming), &o);
     g_autofree char *addr = g_strdup_printf("127.0.0.1:%u", port);
     FkHttpClient *h = fk_http_client_new(4, 4, 10, 100000);
-    Called c = {0};
+    CallResult c = {0};
     gint64 begun = g_get_monotonic_time();
-    /* (headers without end run into the deadline instead) */
+    /* case 6, a head without end, fails at the deadline instead */
     if (cases[i].status == 0 && i != 6 && (cases[i].then || strstr(cases[i].head, "100001")))
       g_test_expect_message(G_LOG_DOMAIN, G_LOG_LEVEL_WARNING, "*response too long*bytes_max=100000*");
     fk_http_client_call(h, "GET", addr, "/x", NULL, cases[i].deadline_s, on_response, &c);
     while (!c.done)
       run_iteration();
-    double s = (double)(g_get_monotonic_time() - begun) / S;
+    double s = (double)(g_get_monotonic_time() - begun) / US_PER_S;
     g_test_message("case %u: %" G_GSIZE_FORMAT " bytes sent, %.2f s", i, o.sent, s);
     g_test_assert_expected_messages();
     if (c.status != cases[i].status || c.len != cases[i].len || s < cases[i].least_s || s > cases[i].most_s)
