--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -9,7 +9,8 @@
     [FK_REQUEST_CLASS_HEALTH] = 1,    [FK_REQUEST_CLASS_PEER] = 1,    [FK_REQUEST_CLASS_HEARTBEAT] = 1,
     [FK_REQUEST_CLASS_CANCEL] = 0.85, [FK_REQUEST_CLASS_POLL] = 0.75, [FK_REQUEST_CLASS_SUBMIT] = 0.65,
     [FK_REQUEST_CLASS_OTHER] = 0.5};
-#define HEAD_CAPACITY_FRACTION 0.9 /* for a head, whose class is not known yet: it may be a heartbeat */
+/* The same fraction for a head, whose class is not known yet: it may be a heartbeat. */
+#define HEAD_CAPACITY_FRACTION 0.9
 
 #define REQUEST_RETRY_AFTER_S 2
 #define HEARTBEAT_RETRY_AFTER_S 1
@@ -19,29 +20,29 @@
 
 struct FkAddressUsage {
   char *address;
-  guint connections; /* of any class and stage; the structure is freed with the last one */
+  guint connections; /* connections of any class and stage; the structure is freed with the last one */
   guint clients;     /* connections of FK_CONNECTION_CLASS_CLIENT, without the lingering ones */
   guint requests;    /* requests of users in progress, see is_user_request() */
-  gsize buffered;    /* bytes */
-  /* Client connections that may be evicted, the longest in its stage first. `unanswered` has those that never
-   * had a whole response, `answered` the others. */
+  gsize buffered;    /* bytes buffered for the connections of this address */
+  /* Client connections that may be evicted, ordered by the time in their stage, longest first. `unanswered`
+   * has those that never had a whole response, `answered` the others. */
   GQueue unanswered, answered;
   GList count_link; /* this structure's link in FkAdmission.by_client_count */
 };
 
 struct FkAdmission {
   FkAdmissionLimits limits;
-  GHashTable *addresses; /* maps an address to its FkAddressUsage */
-  GPtrArray
-      *by_client_count; /* GQueue of FkAddressUsage, indexed by `clients`; the last of several is not empty */
-  GQueue stages[FK_STAGES]; /* FkConnectionSlot, the longest in its stage first; empty for FK_STAGE_IDLE */
+  GHashTable *addresses;      /* maps an address to its FkAddressUsage */
+  GPtrArray *by_client_count; /* GQueue of FkAddressUsage, indexed by `clients`; if there are several, the
+                                 last is not empty */
+  GQueue stages[FK_STAGES];   /* FkConnectionSlot, the longest in its stage first; empty for FK_STAGE_IDLE */
   GQueue idle[FK_CONNECTION_CLASSES];       /* FkConnectionSlot in FK_STAGE_IDLE, the longest idle first */
-  guint connections[FK_CONNECTION_CLASSES]; /* without the lingering ones */
-  guint requests;                           /* in progress */
+  guint connections[FK_CONNECTION_CLASSES]; /* open connections of each class, except lingering ones */
+  guint requests;                           /* requests in progress */
   guint requesting_addresses;               /* addresses with requests of users in progress */
-  gsize buffered;                           /* bytes */
+  gsize buffered;                           /* bytes buffered for all connections */
   guint buffering_addresses;                /* addresses with buffered bytes */
-  guint64 rejections[FK_REJECTION_REASONS], accepted; /* since the start */
+  guint64 rejections[FK_REJECTION_REASONS], accepted; /* counters since the start */
 };
 
 static void address_usage_free(gpointer data) {
@@ -253,7 +254,8 @@
 }
 
 /* Returns whether a connection may change to a class. A full class evicts its own idle connections (see
- * choose_over_limit()); without idle connections, it admits no more. The client class admits any. */
+ * choose_over_limit()); without idle connections, it admits no more. The client class admits any connection.
+ */
 static gboolean may_change_to(FkAdmission *admission, FkConnectionClass connection_class) {
   return connection_class == FK_CONNECTION_CLASS_CLIENT ||
          admission->connections[connection_class] < admission->limits.connections[connection_class] ||
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -26,7 +26,7 @@
 typedef struct {
   FkAddressUsage *address; /* NULL if untracked */
   FkConnectionClass connection_class;
-  FkRequestClass request_class; /* of the latest request */
+  FkRequestClass request_class; /* class of the latest request */
   FkConnectionStage stage;
   gboolean answered; /* a whole response was sent */
   gint64 since_us;   /* when the current stage began */
--- a/src/admission/dependency_health.c
+++ b/src/admission/dependency_health.c
@@ -6,9 +6,10 @@
 
 typedef struct {
   char *name, *impact;
-  char *failure;  /* of the latest failed call; NULL if none has failed */
+  char *failure;  /* reason of the latest failed call; NULL if none has failed */
   guint failures; /* calls failed since the last answer */
-  /* times of the first failure since the last answer, the last answer, and the last warning; 0 if none */
+  /* `failing_since_us`: start of the latest run of failures, kept after the recovery. `answered_us` and
+   * `warned_us`: times of the last answer and of the last warning. Each is 0 if there was none. */
   gint64 failing_since_us, answered_us, warned_us;
   gboolean is_warned;     /* the current outage was reported */
   gboolean has_recovered; /* a reported outage is over; its recovery message is due */
--- a/src/admission/limits.c
+++ b/src/admission/limits.c
@@ -4,15 +4,17 @@
 #define KIB 1024
 #define MIB (1024 * KIB)
 
-#define RESERVED_SOCKETS 8 /* for the listeners, the epoll set, and the log */
-/* Memory of a connection without a request (docs/operators/limits.md), and the fraction of the memory that
- * the connections of clients may use unless operators set their number. */
+#define RESERVED_SOCKETS 8 /* reserved for the listeners, the epoll set, and the log */
+/* Memory of a connection without a request (docs/operators/limits.md). */
 #define CONNECTION_BYTES (10 * KIB)
+/* Fraction of the memory for client connections, unless operators set their number. */
 #define CLIENT_CONNECTIONS_RAM_FRACTION 0.25
+/* Fraction of the memory for buffered requests and responses, unless operators set it. */
 #define BUFFERED_RAM_FRACTION 0.125
-/* Connections of workers: the number of sockets limits them, and beyond WORKER_CONNECTIONS_MAX_FLOOR the
- * memory too. All workers of a fleet may report to a single controller for a while, and an evicted worker has
- * to connect again. */
+
+/* Limit of worker connections. Up to WORKER_CONNECTIONS_MAX_FLOOR, only the number of sockets limits it.
+ * Above the floor, the memory does too. The floor is high because all workers of a fleet may report to a
+ * single controller for a while, and an evicted worker has to reconnect. */
 #define WORKER_CONNECTIONS_MAX_FLOOR 4000
 #define WORKER_CONNECTIONS_RAM_FRACTION 0.5
 /* memory of a request in progress: its message object, its body, and its state in the core */
@@ -73,8 +75,8 @@
   limits->requests = clamped_fraction((double)limits->buffered_bytes, 1.0 / REQUEST_BYTES, 16, 8192);
   limits->head_bytes = 16 * KIB;
   limits->body_bytes = 64 * KIB; /* the limit of the protocol */
-  /* a chunk with one byte of data has six bytes: a body within its limit may be six times as long on the wire
-   */
+  /* A chunk with one byte of data takes six bytes on the wire, so chunked encoding can make a body six times
+   * as long. */
   limits->wire_bytes = limits->head_bytes + 2 * limits->body_bytes;
   limits->response_bytes = 2 * MIB;
   limits->store_response_bytes = (gsize)MAX(4.0 * MIB, STORE_RESPONSE_RAM_FRACTION * ram_bytes);
--- a/src/admission/limits.h
+++ b/src/admission/limits.h
@@ -49,7 +49,7 @@
   guint store_connections, cloud_connections, worker_connections, peer_connections;
   /* requests in progress, of all classes */
   guint requests;
-  gsize buffered_bytes; /* of all requests and responses */
+  gsize buffered_bytes; /* bytes buffered for all requests and responses */
   /* size of one request */
   gsize head_bytes;
   gsize body_bytes;
--- a/src/admission/request_parser.h
+++ b/src/admission/request_parser.h
@@ -7,7 +7,7 @@
 
 #include "admission/limits.h"
 
-#define FK_REQUEST_PATH_BYTES 96 /* of a path that are stored: enough to find a request's class */
+#define FK_REQUEST_PATH_BYTES 96 /* stored part of a path: enough to find a request's class */
 
 typedef enum {
   FK_PARSER_STAGE_START, /* no byte was parsed */
@@ -21,15 +21,15 @@
   http_parser parser;
   FkParserStage stage;
   gsize wire_bytes, body_bytes;     /* parsed so far */
-  guint64 content_length;           /* as declared; 0 if not declared */
-  gsize path_len;                   /* of the whole path */
+  guint64 content_length;           /* declared length of the body; 0 if not declared */
+  gsize path_len;                   /* length of the whole path */
   char path[FK_REQUEST_PATH_BYTES]; /* zero-terminated, and truncated if longer */
   gsize field_count;                /* header fields so far */
   char field_name[8];        /* start of the current field's name, in lower case, not zero-terminated */
   guint field_name_len;      /* length of the whole name */
-  gboolean in_value;         /* in the value of the current field */
+  gboolean in_value;         /* the parser is in the value of the current field */
   gboolean expects_continue; /* there is an Expect field; its value is taken for "100-continue" */
-  guint status;              /* of the response to a failed request; else 0 */
+  guint status;              /* HTTP status for a failed request; else 0 */
   const char *reason;        /* why the request failed, a static string; else NULL */
 } FkRequestParser;
 
--- a/src/grpc/frames.h
+++ b/src/grpc/frames.h
@@ -10,7 +10,7 @@
 
 typedef struct {
   GByteArray *bytes;       /* received part of the current message, with its prefix */
-  gsize message_bytes_max; /* of one message, without its prefix */
+  gsize message_bytes_max; /* maximum length of a message, without its prefix */
 } FkGrpcFrameParser;
 
 void fk_grpc_frame_parser_init(FkGrpcFrameParser *parser, gsize message_bytes_max);
@@ -21,7 +21,7 @@
  * compression), else OK. The caller must end the gRPC call on any status but OK. */
 FkGrpcStatus fk_grpc_frame_parser_feed(FkGrpcFrameParser *parser, const guint8 *data, gsize len, gsize *used,
                                        const guint8 **message, gsize *message_len);
-/* Returns whether no incomplete message is buffered. */
+/* Returns TRUE if the parser is between two messages: no part of an incomplete message is buffered. */
 gboolean fk_grpc_frame_parser_is_empty(const FkGrpcFrameParser *parser);
 /* Writes the prefix of an uncompressed message of `len` bytes to `out`. */
 void fk_grpc_frame_prefix(guint8 out[FK_GRPC_FRAME_PREFIX_BYTES], gsize len);
--- a/src/grpc/h2.c
+++ b/src/grpc/h2.c
@@ -12,7 +12,7 @@
 #define KEY_BYTES_MAX 1024
 #define STATUS_MESSAGE_BYTES_MAX 1024 /* before percent-encoding */
 #define SENT_HEADER_BYTES_MAX 65536
-#define HEADER_OVERHEAD_BYTES 32 /* of each header field, as HPACK counts (RFC 7541, 4.1) */
+#define HEADER_OVERHEAD_BYTES 32 /* added for each header field, as in HPACK (RFC 7541, 4.1) */
 #define STATUS_CODE_CHARS 4      /* at most two digits and the terminating zero */
 
 #define CONTENT_TYPE "application/grpc"
@@ -38,7 +38,7 @@
   FkGrpcStatus status;
   char *status_message; /* percent-encoded, or NULL */
   char *status_details; /* base64, or NULL */
-  gpointer data;        /* set by the owner with fk_rpc_set_data() */
+  gpointer data;        /* the owner's pointer, see fk_rpc_set_data() */
 };
 
 struct FkH2Session {
@@ -105,8 +105,8 @@
   return n;
 }
 
-/* Callback of nghttp2 for more of a response's body. Adds the trailers when an ended call has nothing more
- * queued. Defers the body if nothing is queued and the call has not ended. */
+/* nghttp2 data source callback: supplies the next part of a response's body. Appends the trailers once the
+ * call has ended and its queue is empty. Defers the body if the queue is empty but the call has not ended. */
 static ssize_t read_response(nghttp2_session *nghttp2, gint32 id, guint8 *to, size_t len, guint32 *flags,
                              nghttp2_data_source *source, void *data) {
   FkRpc *rpc = source->ptr;
--- a/src/grpc/h2.h
+++ b/src/grpc/h2.h
@@ -11,10 +11,10 @@
 
 typedef struct {
   guint streams;        /* concurrent calls of a connection */
-  gsize message_bytes;  /* of one message from a client */
-  gsize buffered_bytes; /* of the incomplete messages of all calls of a connection */
-  gsize queued_bytes;   /* of a call's queued responses, from which fk_rpc_send() returns FALSE */
-  gsize header_bytes;   /* of the header fields of one request */
+  gsize message_bytes;  /* maximum length of a message from a client */
+  gsize buffered_bytes; /* maximum of incomplete messages, all calls of a connection together */
+  gsize queued_bytes;   /* fk_rpc_send() returns FALSE once a call has this many queued */
+  gsize header_bytes;   /* maximum size of the header fields of a request */
 } FkH2Limits;
 
 /* Callbacks to the owner of a session. `data` is the pointer given to fk_h2_session_new(). */
--- a/src/net/connection.c
+++ b/src/net/connection.c
@@ -36,7 +36,7 @@
   /* output */
   GByteArray *unsent;      /* output of the handler; NULL if all of it is sent */
   gsize sent;              /* bytes of `unsent` that are sent already */
-  gboolean writable;       /* FALSE from a send that would block until epoll reports EPOLLOUT */
+  gboolean writable;       /* FALSE after a send would have blocked, until epoll reports EPOLLOUT */
   gboolean output_pending; /* the owner was notified, and has not flushed the output yet */
 
   /* the current request */
@@ -64,7 +64,8 @@
   c->writable = TRUE;
   c->raw = handler->raw;
   fk_request_parser_init(&c->parser);
-  /* An HTTP/1 response is one write. Other protocols send small frames that the peer waits for. */
+  /* Disables Nagle's algorithm for raw connections: their protocols send small frames that the peer waits
+   * for. An HTTP/1 response is one write. */
   int enable = 1;
   if (c->raw)
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
@@ -284,7 +285,7 @@
 static void read_available(FkConnection *c) {
   if (c->raw) {
     if (c->readable && c->slot.stage == FK_STAGE_CONNECTED)
-      request_complete(c); /* a raw connection counts as one request while it lasts */
+      request_complete(c); /* a raw connection counts as one request for its whole duration */
     return;
   }
   guint8 data[READ_BYTES];
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -14,8 +14,8 @@
 /* The server that a connection belongs to. */
 typedef struct {
   FkAdmission *admission;
-  /* Called when a request has been received whole. It waits for fk_connection_release(). A raw connection
-   * calls this once, when its first input arrives. */
+  /* Called when a request has been received whole. The request waits until the owner calls
+   * fk_connection_release(). For a raw connection, called once, when its first input arrives. */
   void (*request_complete)(gpointer server, FkConnection *connection, FkRequestClass request_class);
   /* Called when the handler has written output. The owner must call fk_connection_flush() before the main
    * loop waits. The callback is not repeated before that. */
@@ -49,7 +49,7 @@
  * caller must then give the handler a stream. Returns FALSE for a later request, and if the connection was
  * closed while the request was queued. */
 gboolean fk_connection_release(FkConnection *connection);
-/* Sends the output that the handler has written until the socket would block. */
+/* Sends the handler's output until the socket would block. */
 void fk_connection_flush(FkConnection *connection);
 /* Sends a rejection to a connection that admission control has put into FK_STAGE_LINGERING. Closes the socket
  * if that fails. */
--- a/src/net/h2_connection.c
+++ b/src/net/h2_connection.c
@@ -1,9 +1,11 @@
 #include "net/h2_connection.h"
 
 #define READ_BYTES 32768
-#define READS_PER_ITERATION 8 /* of one connection per main loop iteration, so that others are served */
-#define FIRST_CALL_TIMEOUT_US 10000000 /* for the first call: a client that makes none is no build tool */
-#define WRITE_TIMEOUT_US 60000000      /* a client that accepts no output for this long is disconnected */
+/* maximum reads from one connection per main loop iteration, so that others are served */
+#define READS_PER_ITERATION 8
+/* A client that makes no call within this time is disconnected, because it is not a build tool. */
+#define FIRST_CALL_TIMEOUT_US 10000000
+#define WRITE_TIMEOUT_US 60000000 /* a client that accepts no output for this long is disconnected */
 
 struct FkH2Connection {
   GIOStream *stream;
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -16,14 +16,14 @@
   guint connections_max, connections_per_host_max, idle_s;
   gsize response_bytes_max;
   gboolean many_hosts;
-  guint calls;       /* begun in `session`; counted for many hosts only */
+  guint calls;       /* calls begun in `session`; counted for many hosts only */
   guint in_progress; /* calls, at most connections_max */
   GQueue waiting;    /* Call, not begun yet */
 };
 
 typedef struct {
   FkHttpClient *client;
-  SoupSession *session; /* in which the call began; the client may have replaced it since */
+  SoupSession *session; /* session in which the call began; the client may have replaced it since */
   SoupMessage *message;
   GCancellable *cancellable;
   guint timer;
@@ -106,7 +106,8 @@
 static void finish_call(Call *call, guint status, const GError *error) {
   FkHttpClient *client = call->client;
   if (error)
-    g_debug("%s: %s", g_uri_get_path(soup_message_get_uri(call->message)), error->message);
+    g_debug("call failed path=%s error=\"%s\"", g_uri_get_path(soup_message_get_uri(call->message)),
+            error->message);
   g_clear_handle_id(&call->timer, g_source_remove);
   client->in_progress--;
   const char *body = status && call->body ? (const char *)call->body->data : "";
@@ -207,7 +208,7 @@
   g_autofree char *url = g_strdup_printf("http://%s%s", addr, path);
   SoupMessage *message = soup_message_new(method, url);
   if (!message) {
-    g_warning("call failed reason=\"invalid address\" address=%s", addr);
+    g_warning("call failed reason=\"invalid address, expected IP:PORT\" address=\"%s\"", addr);
     callback(data, 0, "", 0);
     return;
   }
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -12,7 +12,7 @@
 
 #define EPOLL_EVENTS_MAX 256
 #define POLL_TIMEOUT_MAX_MS 60000
-#define ACCEPT_PAUSE_US 100000 /* until accepting is tried again after a failure */
+#define ACCEPT_PAUSE_US 100000 /* pause after a failed accept */
 #define ACCEPT_WARNING_INTERVAL_US 10000000
 
 /* The maximum number of complete requests of each class that are released to their handlers in one iteration
@@ -43,9 +43,9 @@
   /* The connections that have not ended: a set of FkConnection, each with a reference. */
   GHashTable *connections;
   GQueue complete[FK_REQUEST_CLASSES]; /* FkConnection with a request to be released */
-  GQueue unserved;                     /* FkConnection whose first request is released, to get a stream */
-  GPtrArray *flush_list;               /* FkConnection with output to send before the main loop waits */
-  gboolean accept_paused;              /* after a failed accept */
+  GQueue unserved;        /* FkConnection whose first request was released, waiting for serve() */
+  GPtrArray *flush_list;  /* FkConnection with output to send before the main loop waits */
+  gboolean accept_paused; /* TRUE for a time after a failed accept */
   gint64 accept_paused_us, accept_warned_us; /* time of the latest pause and warning; 0 if none */
 };
 
--- a/test/connection_load.c
+++ b/test/connection_load.c
@@ -41,7 +41,7 @@
   double begun_s, done_s;
   gsize repeated; /* this many last bytes of `text` are sent without end; 0 if none */
   gboolean never_reads;
-  gboolean over; /* a response was received, or the connection has ended */
+  gboolean finished; /* a response was received, or the connection has ended */
 } Client;
 
 static gboolean failed;
@@ -132,9 +132,9 @@
 }
 
 static void finish(Client *c) {
-  if (!c->over)
+  if (!c->finished)
     c->done_s = now_s();
-  c->over = TRUE;
+  c->finished = TRUE;
 }
 
 static void write_some(Client *c) {
@@ -169,20 +169,20 @@
     finish(c);
 }
 
-/* Runs the clients until `wanted` of them are over or `for_s` seconds have passed. Returns how many are over.
- */
+/* Runs the clients until `wanted` of them have finished or `for_s` seconds have passed. Returns how many have
+ * finished. */
 static guint drive(Client *c, guint n, guint wanted, double for_s) {
   g_autofree struct pollfd *fds = g_new0(struct pollfd, n);
-  guint over = 0;
+  guint finished = 0;
   for (double end = now_s() + for_s; now_s() < end;) {
-    over = 0;
+    finished = 0;
     for (guint i = 0; i < n; i++) {
       gboolean more = c[i].sent < c[i].len || c[i].repeated;
-      fds[i] = (struct pollfd){.fd = c[i].over ? -1 : c[i].fd,
+      fds[i] = (struct pollfd){.fd = c[i].finished ? -1 : c[i].fd,
                                .events = (short)((c[i].never_reads ? 0 : POLLIN) | (more ? POLLOUT : 0))};
-      over += c[i].over;
+      finished += c[i].finished;
     }
-    if (over >= wanted || poll(fds, n, 50) < 0)
+    if (finished >= wanted || poll(fds, n, 50) < 0)
       break;
     for (guint i = 0; i < n; i++) {
       if (fds[i].revents & (POLLOUT | POLLERR | POLLHUP))
@@ -193,7 +193,7 @@
         finish(&c[i]);
     }
   }
-  return over;
+  return finished;
 }
 
 static Client send_one_from(const Service *s, const char *text, const char *from) {
@@ -254,7 +254,7 @@
   for (guint i = 0; i < n; i++) {
     answered += g_str_has_prefix(c[i].start, "HTTP/1.1 ");
     retransmitted += syn_retransmitted(&c[i]);
-    took[i] = (c[i].over ? c[i].done_s : now_s()) - c[i].begun_s;
+    took[i] = (c[i].finished ? c[i].done_s : now_s()) - c[i].begun_s;
   }
   close_all(c, n);
   gsl_sort(took, 1, n);
@@ -318,15 +318,15 @@
     peak_mb = MAX(peak_mb, resident_mb(s));
   }
   gsize sent = 0;
-  guint over = 0;
+  guint finished = 0;
   for (guint i = 0; i < a->n; i++) {
     sent += c[i].sent;
-    over += c[i].over;
-    wrong += a->answer && c[i].over && c[i].got && !g_str_has_prefix(c[i].start, a->answer);
+    finished += c[i].finished;
+    wrong += a->answer && c[i].finished && c[i].got && !g_str_has_prefix(c[i].start, a->answer);
   }
   close_all(c, a->n);
-  printf("%s: %u connections, %.1f MB sent, %u over; resident %.1f MB -> %.1f MB; others: worst %.4f s\n",
-         a->name, a->n, (double)sent / 1e6, over, before_mb, peak_mb, worst);
+  printf("%s: %u connections, %.1f MB sent, %u finished; resident %.1f MB -> %.1f MB; others: worst %.4f s\n",
+         a->name, a->n, (double)sent / 1e6, finished, before_mb, peak_mb, worst);
   check(answered == asked, "all health checks, heartbeats and polls were answered");
   check(peak_mb - before_mb <= memory_bound_mb(), "resident memory grew by no more than the limits allow");
   check(wrong == 0, "each response had the expected status");
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -52,17 +52,24 @@
 }
 
 /* Up to 4,000 connections of workers, only the sockets limit their number; beyond 4,000 the memory does too.
- * 4,500 fit if there are enough sockets and memory. The connections of workers and clients and the buffers
+ * A controller with enough of both accepts 4,500. The connections of workers and clients and the buffers
  * together use at most nine tenths of the memory. */
 static void test_worker_connections(void) {
   static const struct {
     double sockets, ram_mb;
     guint workers;
   } cases[] = {
-      {3132, 98, 1068},   {8000, 98, 3016},    {10100, 98, 3856}, /* two fifths of the sockets */
-      {12500, 98, 4816},                     /* over 4,000, also two fifths of the sockets */
-      {20000, 75, 4000},  {20000, 98, 5017}, /* limited by the memory */
-      {20000, 264, 7816}, {50000, 264, 13516},
+      /* two fifths of the sockets left after the outbound, peer and reserved ones */
+      {3132, 98, 1068},
+      {8000, 98, 3016},
+      {10100, 98, 3856},
+      /* over 4,000, still limited by the sockets */
+      {12500, 98, 4816},
+      {20000, 264, 7816},
+      /* limited by the memory */
+      {20000, 75, 4000},
+      {20000, 98, 5017},
+      {50000, 264, 13516},
   };
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     FkAdmissionResources resources = {cases[i].sockets, cases[i].ram_mb, 2};
@@ -167,7 +174,8 @@
   FkRejection rejection;
   open_connection(admission, &other, "user", 0);
   g_assert_true(send_request(admission, &other, FK_REQUEST_CLASS_POLL, 0, &rejection));
-  fk_admission_response_written(admission, &other, TRUE, 0); /* idle for longer than any other connection */
+  /* `other` is the oldest connection, but it has been answered */
+  fk_admission_response_written(admission, &other, TRUE, 0);
   for (guint i = 0; i < 40; i++) {
     open_connection(admission, &many[i], "crowd", 1 + i);
     FkConnectionSlot *out = fk_admission_next_eviction(admission, 1 + i, &rejection);
@@ -199,7 +207,8 @@
     open_connection(admission, &s[i], "lb", i);
   g_assert_true(send_request(admission, &s[0], FK_REQUEST_CLASS_POLL, 9, &rejection));
   fk_admission_response_written(admission, &s[0], TRUE, 9);
-  /* six heartbeats: four connections are counted as workers'; the others stay clients' and are served too */
+  /* six heartbeats: four connections move to the worker class, which is then full; the other two stay in the
+   * client class and are served too */
   for (guint i = 8; i < 14; i++) {
     open_connection(admission, &s[i], "worker", 10 + i);
     while (fk_admission_next_eviction(admission, 10 + i, &rejection))
@@ -279,7 +288,7 @@
   /* the capacity for submissions is used up, but a poll from another address is admitted */
   open_connection(admission, &other[0], "modest", 0);
   g_assert_true(send_request(admission, &other[0], FK_REQUEST_CLASS_POLL, 0, &rejection));
-  /* after 30 of its requests have ended, it gets no more than its equal share: two addresses use some */
+  /* after 30 of its requests have ended, it gets no more than an equal share, since two addresses share */
   for (guint i = 0; i < 30; i++)
     fk_admission_response_written(admission, &s[i], TRUE, 1);
   guint again = 0;
--- a/test/test_http_server.c
+++ b/test/test_http_server.c
@@ -19,7 +19,7 @@
 #define WAIT_MAX_US (20 * US_PER_S) /* longer than any wait takes; a test that waits this long fails */
 #define BIG_RESPONSE_BYTES 60000
 
-/* ------------------------------------------------------------------ a small service */
+/* ------------------------------------------------------------------ the service under test */
 
 typedef struct {
   FkServer *server;
@@ -708,8 +708,8 @@
   *(CallResult *)data = (CallResult){TRUE, status, len};
 }
 
-/* The length of a response and the time of each of its steps are limited. A call with a deadline of 30 s does
- * not wait that long for the rest of a response. */
+/* The length of a response is limited, and so is the time for its head and for its body. A call with a
+ * deadline of 30 s does not wait that long for the rest of a response. */
 static void test_http_client(void) {
   static const struct {
     const char *head, *then;
@@ -739,7 +739,7 @@
     FkHttpClient *h = fk_http_client_new(4, 4, 10, 100000);
     CallResult c = {0};
     gint64 begun = g_get_monotonic_time();
-    /* case 6, a head without end, fails at the deadline instead */
+    /* the endless head, case 6 ("A: bbb..."), fails at the deadline and is not logged */
     if (cases[i].status == 0 && i != 6 && (cases[i].then || strstr(cases[i].head, "100001")))
       g_test_expect_message(G_LOG_DOMAIN, G_LOG_LEVEL_WARNING, "*response too long*bytes_max=100000*");
     fk_http_client_call(h, "GET", addr, "/x", NULL, cases[i].deadline_s, on_response, &c);
