--- a/src/core/api/cancellations.c
+++ b/src/core/api/cancellations.c
@@ -19,11 +19,11 @@
 
 void fk_cancellations_commit(FkController *c, FkPendingRequest *request, FkSpec *spec, FkRev rev) {
   FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_USER);
-  FkRecord *record = fk_record_new(FK_KEY_JOB);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_JOB);
   record->spec = fk_spec_ref(spec);
   record->cancelled = TRUE;
-  fk_transaction_guard(transaction, fk_key_path(FK_KEY_JOB, request->job_id), rev);
-  fk_transaction_put(transaction, fk_key_path(FK_KEY_JOB, request->job_id), record, (FkRev){0});
+  fk_transaction_guard(transaction, fk_store_key_path(FK_STORE_KEY_JOB, request->job_id), rev);
+  fk_transaction_put(transaction, fk_store_key_path(FK_STORE_KEY_JOB, request->job_id), record, (FkRev){0});
   fk_transaction_send(c, transaction, cancellation_committed, request, NULL);
 }
 
--- a/src/core/api/job_reads.c
+++ b/src/core/api/job_reads.c
@@ -28,7 +28,7 @@
 static void terminal_record_received(FkController *c, gpointer data, FkOutcome outcome, FkStoreEvent *event) {
   FkPendingRequest *request = data;
   const FkRecord *record = event ? event->record : NULL;
-  if (outcome == FK_OUTCOME_OK && record && record->kind == FK_KEY_TERMINAL_JOB) {
+  if (outcome == FK_OUTCOME_OK && record && record->kind == FK_STORE_KEY_TERMINAL_JOB) {
     fk_view_add_terminal_job(c->view, request->job_id, record->phase, record->tasks, record->ended_at_ms);
     fk_pending_request_reply_terminal(c, request, record->phase, record->tasks);
   } else if (outcome == FK_OUTCOME_GONE && request->kind != FK_REQUEST_SUBMIT) {
@@ -42,12 +42,12 @@
   FkPendingRequest *request = data;
   if (outcome == FK_OUTCOME_GONE) {
     /* a job goes from live to terminal, never back: so the terminal record is read after the live one */
-    char *path = fk_key_path(FK_KEY_TERMINAL_JOB, request->job_id);
+    char *path = fk_store_key_path(FK_STORE_KEY_TERMINAL_JOB, request->job_id);
     fk_read_send(c, path, terminal_record_received, request, NULL);
     return;
   }
   const FkRecord *record = event ? event->record : NULL;
-  if (outcome != FK_OUTCOME_OK || !record || record->kind != FK_KEY_JOB) {
+  if (outcome != FK_OUTCOME_OK || !record || record->kind != FK_STORE_KEY_JOB) {
     fk_pending_request_reply_unavailable(c, request);
     return;
   }
@@ -71,7 +71,7 @@
 }
 
 void fk_job_reads_read_record(FkController *c, FkPendingRequest *request) {
-  fk_read_send(c, fk_key_path(FK_KEY_JOB, request->job_id), job_record_received, request, NULL);
+  fk_read_send(c, fk_store_key_path(FK_STORE_KEY_JOB, request->job_id), job_record_received, request, NULL);
 }
 
 static gboolean is_store_unreachable(FkController *c) {
@@ -108,7 +108,7 @@
   for (guint i = 0; outcome == FK_OUTCOME_CONFLICT && failed && i < failed->len; i++) {
     guint32 chunk;
     char *id = NULL;
-    if (fk_key_parse(failed->pdata[i], &id, &chunk) != FK_KEY_OTHER)
+    if (fk_store_key_parse(failed->pdata[i], &id, &chunk) != FK_STORE_KEY_OTHER)
       g_hash_table_add(changed, id);
   }
   return changed;
@@ -135,7 +135,7 @@
 static void read_checks_done(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch,
                              GPtrArray *failed) {
   GPtrArray *batch = data;
-  c->requests.verifying = FALSE;
+  c->requests.read_check_in_flight = FALSE;
   g_autoptr(GHashTable) changed = changed_job_ids(outcome, failed);
   gboolean compared =
       outcome == FK_OUTCOME_OK || (outcome == FK_OUTCOME_CONFLICT && g_hash_table_size(changed));
@@ -151,35 +151,36 @@
 static void batch_free(gpointer batch) { g_ptr_array_unref(batch); }
 
 void fk_requests_send_read_checks(FkController *c) {
-  if (c->requests.verifying || g_queue_is_empty(c->requests.to_verify) ||
-      !fk_time_reached(c->now, c->requests.verify_after))
+  if (c->requests.read_check_in_flight || g_queue_is_empty(c->requests.awaiting_read_check) ||
+      !fk_time_reached(c->now, c->requests.next_read_check_at))
     return;
-  c->requests.verify_after =
+  c->requests.next_read_check_at =
       fk_time_add(c->now, fk_controller_live_count(c) / (READ_CHECK_REQUEST_SHARE * c->settings->store_rps));
   FkOutput *check = fk_transaction_new(c, FK_PRIORITY_USER);
   GPtrArray *batch = g_ptr_array_new();
   guint guards_max = MIN(c->settings->transaction_ops_max * READ_CHECK_GUARDS_FACTOR, READ_CHECK_GUARDS_MAX);
-  while (check->guards->len + 2 <= guards_max && !g_queue_is_empty(c->requests.to_verify)) {
-    FkPendingRequest *request = g_queue_pop_head(c->requests.to_verify);
+  while (check->guards->len + 2 <= guards_max && !g_queue_is_empty(c->requests.awaiting_read_check)) {
+    FkPendingRequest *request = g_queue_pop_head(c->requests.awaiting_read_check);
     const FkJob *job = fk_view_find_job(c->view, request->job_id);
-    fk_transaction_guard(check, fk_key_path(FK_KEY_JOB, request->job_id), job ? job->rev : (FkRev){0});
+    fk_transaction_guard(check, fk_store_key_path(FK_STORE_KEY_JOB, request->job_id),
+                         job ? job->rev : (FkRev){0});
     request->shown_by_view = job != NULL;
     if (!job)
-      fk_transaction_guard(check, fk_key_path(FK_KEY_TERMINAL_JOB, request->job_id), (FkRev){0});
+      fk_transaction_guard(check, fk_store_key_path(FK_STORE_KEY_TERMINAL_JOB, request->job_id), (FkRev){0});
     g_ptr_array_add(batch, request);
   }
-  c->requests.verifying = TRUE;
+  c->requests.read_check_in_flight = TRUE;
   fk_transaction_send(c, check, read_checks_done, batch, batch_free);
 }
 
 void fk_job_reads_queue_check(FkController *c, FkPendingRequest *request) {
   if (fk_job_reads_handle_without_view(c, request))
     return;
-  if (c->requests.to_verify->length >= FK_REQUESTS_QUEUED_MAX) {
+  if (c->requests.awaiting_read_check->length >= FK_REQUESTS_QUEUED_MAX) {
     fk_pending_request_reply_unavailable(c, request);
     return;
   }
-  g_queue_push_tail(c->requests.to_verify, request);
+  g_queue_push_tail(c->requests.awaiting_read_check, request);
   fk_requests_send_read_checks(c);
 }
 
--- a/src/core/api/requests.h
+++ b/src/core/api/requests.h
@@ -5,10 +5,10 @@
 
 /* Users' requests that aren't answered yet. */
 typedef struct {
-  GHashTable *pending; /* FkPendingRequest: all of them */
-  GQueue *to_verify;   /* FkPendingRequest: waiting for a read check */
-  gboolean verifying;
-  FkTime verify_after;
+  GHashTable *pending;         /* FkPendingRequest: all of them */
+  GQueue *awaiting_read_check; /* FkPendingRequest: waiting for a read check */
+  gboolean read_check_in_flight;
+  FkTime next_read_check_at;
   guint store_reads; /* reads from the store under way while there is no view */
   FkCancellationBarrier *cancellation_barrier;
   GQueue *awaiting_cancellation; /* FkPendingRequest: of a cancelled job, not past the barrier yet */
--- a/src/core/api/submissions.c
+++ b/src/core/api/submissions.c
@@ -77,21 +77,22 @@
 /* ------------------------------------------------------------------ dependencies */
 
 static void guard_absence(FkOutput *transaction, const char *job_id) {
-  fk_transaction_guard(transaction, fk_key_path(FK_KEY_JOB, job_id), (FkRev){0});
-  fk_transaction_guard(transaction, fk_key_path(FK_KEY_TERMINAL_JOB, job_id), (FkRev){0});
+  fk_transaction_guard(transaction, fk_store_key_path(FK_STORE_KEY_JOB, job_id), (FkRev){0});
+  fk_transaction_guard(transaction, fk_store_key_path(FK_STORE_KEY_TERMINAL_JOB, job_id), (FkRev){0});
 }
 
 static void dependency_record_received(FkController *c, gpointer data, FkOutcome outcome,
                                        FkStoreEvent *event) {
   FkPendingRequest *request = data;
-  if (outcome != FK_OUTCOME_OK || !event || !event->record || event->record->kind != FK_KEY_TERMINAL_JOB) {
+  if (outcome != FK_OUTCOME_OK || !event || !event->record ||
+      event->record->kind != FK_STORE_KEY_TERMINAL_JOB) {
     fk_pending_request_reply_unavailable(c, request);
     return;
   }
   const FkRecord *record = event->record;
   g_autofree char *id = NULL;
   guint32 chunk;
-  fk_key_parse(event->path, &id, &chunk);
+  fk_store_key_parse(event->path, &id, &chunk);
   fk_view_add_terminal_job(c->view, id, record->phase, record->tasks, record->ended_at_ms);
   fk_submissions_accept(c, request);
 }
@@ -112,13 +113,13 @@
   for (guint i = 0; outcome == FK_OUTCOME_CONFLICT && failed && i < failed->len; i++) {
     g_autofree char *id = NULL;
     guint32 chunk;
-    FkKeyKind kind = fk_key_parse(failed->pdata[i], &id, &chunk);
+    FkStoreKeyKind kind = fk_store_key_parse(failed->pdata[i], &id, &chunk);
     if (g_strcmp0(id, request->job_id) == 0) {
       fk_job_reads_read_record(c, request);
       return;
     }
     found++;
-    if (kind == FK_KEY_TERMINAL_JOB)
+    if (kind == FK_STORE_KEY_TERMINAL_JOB)
       terminal_path = failed->pdata[i];
   }
   if (!found)
@@ -212,8 +213,8 @@
   spec->chunk_tasks = fk_chunk_max_tasks(c->settings->value_kb, c->settings->node);
   FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_USER);
   guard_absence(transaction, spec->id);
-  FkRecord *record = fk_record_new(FK_KEY_JOB);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_JOB);
   record->spec = fk_spec_ref(spec);
-  fk_transaction_put(transaction, fk_key_path(FK_KEY_JOB, spec->id), record, (FkRev){0});
+  fk_transaction_put(transaction, fk_store_key_path(FK_STORE_KEY_JOB, spec->id), record, (FkRev){0});
   fk_transaction_send(c, transaction, submission_committed, request, NULL);
 }
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -10,7 +10,7 @@
   FkCostAccounting *cost_accounting;
   GHashTable *instance_types; /* name -> FkInstanceType */
   gboolean types_pending;     /* the cloud is being asked for them */
-  FkTime next_types_query;
+  FkTime next_types_query_at;
 } FkAutoscaling;
 
 FkAutoscaler *fk_autoscaler_new(FkTime now);
--- a/src/core/autoscaler/machine_listing.c
+++ b/src/core/autoscaler/machine_listing.c
@@ -23,7 +23,7 @@
 /* A machine with a record that has stopped by itself is as good as silent. */
 static void check_joined_machine(FkController *c, FkMachine *machine, const FkCloudMachine *listed) {
   if (listed->state == FK_CLOUD_MACHINE_FAILED && !machine->drain_reason &&
-      fk_time_between(machine->record_seen, c->now) > RECORD_STABLE_S)
+      fk_time_between(machine->record_seen_at, c->now) > RECORD_STABLE_S)
     fk_machine_registry_set_drain_reason(c, machine, "silent", -1);
 }
 
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -86,7 +86,7 @@
     const FkInstanceType *type = g_hash_table_lookup(c->autoscaling.instance_types, instance->type);
     double age = type ? fk_autoscaler_boot_age(c, instance, type) : 0;
     if (!type || instance->failed || g_hash_table_contains(a->terminating, instance->id) ||
-        fk_boot_time_probability(&a->boot_times, age, 1) < PLANNED_BOOT_PROBABILITY)
+        fk_boot_time_join_probability(&a->boot_times, age, 1) < PLANNED_BOOT_PROBABILITY)
       continue;
     double ready_s = fk_boot_time_remaining(&a->boot_times, age) / fk_boot_time_remaining(&a->boot_times, 0) *
                      type->boot_s;
--- a/src/core/autoscaler/termination.c
+++ b/src/core/autoscaler/termination.c
@@ -116,7 +116,7 @@
   const FkBootTimeModel *boot_times = &c->autoscaling.autoscaler->boot_times;
   double age = fk_autoscaler_boot_age(c, instance, type);
   return age > BOOT_AGE_MAX ||
-         fk_boot_time_probability(boot_times, age, BOOT_PROBABILITY_WITHIN) < BOOT_PROBABILITY_TERMINATE;
+         fk_boot_time_join_probability(boot_times, age, BOOT_PROBABILITY_WITHIN) < BOOT_PROBABILITY_TERMINATE;
 }
 
 /* Adds the ids of instances that failed to boot to `ids`, and forgets those that have joined or are gone.
--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -21,7 +21,9 @@
 
 FkCpuProfile *fk_controller_cpu_profile(FkController *c) { return &c->cpu_profile; }
 
-void fk_controller_set_write_capacity(FkController *c, double writes) { c->launches.write_room = writes; }
+void fk_controller_set_write_capacity(FkController *c, double writes) {
+  c->launches.launch_writes_available = writes;
+}
 
 double fk_controller_request_share(FkController *c) { return 1.0 / fk_controller_live_count(c); }
 
@@ -49,7 +51,7 @@
   c->calls.pending_transactions = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, fk_call_free);
   c->calls.pending_reads = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, fk_call_free);
   c->requests.pending = g_hash_table_new_full(g_direct_hash, g_direct_equal, fk_pending_request_free, NULL);
-  c->requests.to_verify = g_queue_new();
+  c->requests.awaiting_read_check = g_queue_new();
   c->requests.cancellation_barrier = fk_cancellation_barrier_new();
   c->requests.awaiting_cancellation = g_queue_new();
   c->requests.awaiting_view = g_queue_new();
@@ -57,7 +59,7 @@
   c->store_session.peer_confirmed_at = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   c->workers.held_heartbeats = g_queue_new();
   c->launches.fence_needed = TRUE;
-  c->launches.hindrances = g_hash_table_new(g_direct_hash, g_direct_equal);
+  c->launches.no_launch_reasons = g_hash_table_new(g_direct_hash, g_direct_equal);
   c->completions.pending_by_machine = g_hash_table_new(g_direct_hash, g_direct_equal);
   c->completions.pending = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, fk_completion_free);
   c->workers.redirects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, redirect_free);
@@ -72,7 +74,7 @@
   c->launches.reservations = g_array_new(FALSE, FALSE, sizeof(FkReservation));
   c->window.end = fk_time_add(now, settings->tuning.window_s);
   c->store_session.store_answered_at = now;
-  c->launches.write_room = settings->transaction_ops_max;
+  c->launches.launch_writes_available = settings->transaction_ops_max;
   return c;
 }
 
@@ -85,7 +87,7 @@
   g_queue_free(c->outputs);
   g_hash_table_unref(c->calls.pending_transactions);
   g_hash_table_unref(c->calls.pending_reads);
-  g_queue_free(c->requests.to_verify);
+  g_queue_free(c->requests.awaiting_read_check);
   g_queue_free(c->requests.awaiting_cancellation);
   g_queue_free(c->requests.awaiting_view);
   g_hash_table_unref(c->requests.terminal_states_requested);
@@ -101,7 +103,7 @@
   g_hash_table_unref(c->workers.redirects);
   g_hash_table_unref(c->completions.pending);
   g_hash_table_unref(c->completions.pending_by_machine);
-  g_hash_table_unref(c->launches.hindrances);
+  g_hash_table_unref(c->launches.no_launch_reasons);
   g_hash_table_unref(c->workers.commands);
   g_array_unref(c->workers.zones);
   g_array_unref(c->launches.reservations);
@@ -135,11 +137,11 @@
   c->now = now;
   c->autoscaling.types_pending = FALSE;
   if (outcome != FK_OUTCOME_OK) {
-    c->autoscaling.next_types_query =
+    c->autoscaling.next_types_query_at =
         fk_time_add(now, g_rand_double_range(c->rand, TYPES_RETRY_MIN_S, TYPES_RETRY_MAX_S));
     return;
   }
-  c->autoscaling.next_types_query = fk_time_add(now, TYPES_INTERVAL_S);
+  c->autoscaling.next_types_query_at = fk_time_add(now, TYPES_INTERVAL_S);
   for (guint i = 0; i < types->len; i++) {
     FkInstanceType *type = types->pdata[i],
                    *known = g_hash_table_lookup(c->autoscaling.instance_types, type->name);
@@ -163,7 +165,7 @@
   c->view->wall_offset_us = wall_us - now.us;
   fk_store_session_tick(c);
   fk_calls_retry_overdue(c);
-  if (!c->autoscaling.types_pending && fk_time_reached(now, c->autoscaling.next_types_query)) {
+  if (!c->autoscaling.types_pending && fk_time_reached(now, c->autoscaling.next_types_query_at)) {
     fk_output_new(c, FK_OUTPUT_LIST_INSTANCE_TYPES);
     c->autoscaling.types_pending = TRUE;
   }
@@ -175,7 +177,7 @@
   fk_requests_reply_cancelled(c);
   fk_read_freshness_tick(c, fk_requests_awaited_rev(c));
   c->view->now = now;
-  fk_view_update_service_rate(c->view);
+  fk_view_update_service_arrival_rate(c->view);
   fk_view_review_failing_jobs(c->view);
   fk_cpu_profile_run(c, FK_CPU_SHARDS, fk_shard_ownership_tick);
   fk_cpu_profile_run(c, FK_CPU_USER_REQUESTS, fk_starvation_tick);
--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -36,7 +36,7 @@
   FkStoreSession store_session;
   FkPendingRequests requests;
   FkWorkerPool workers;
-  FkShardOwnership shards;
+  FkShardWrites shards;
   FkCompletions completions;
   FkLaunches launches;
   FkWindow window;
--- a/src/core/controller_status.c
+++ b/src/core/controller_status.c
@@ -38,7 +38,7 @@
 #define SERVICES_WAITING_MIN 4
 
 gboolean fk_services_have_priority(FkController *c) {
-  return c->launches.services_waiting >= SERVICES_WAITING_MIN;
+  return c->launches.queued_service_tasks >= SERVICES_WAITING_MIN;
 }
 
 /* The leader launches the services of all controllers: its weight is two, and as much as all the others
--- a/src/core/leader/job_finalization.c
+++ b/src/core/leader/job_finalization.c
@@ -80,12 +80,12 @@
          g_hash_table_iter_next(&it, &path, &rev)) {
     g_autofree char *job_id = NULL;
     guint32 chunk;
-    fk_key_parse(path, &job_id, &chunk);
+    fk_store_key_parse(path, &job_id, &chunk);
     fk_transaction_guard(transaction, g_strdup(path), *(FkRev *)rev);
     /* Only the store can say that there is no such job: in a list that was read page by page, a job that was
      * accepted meanwhile is missing although its first chunk isn't. To delete that chunk would start the
      * job's tasks a second time. */
-    fk_transaction_guard(transaction, fk_key_path(FK_KEY_JOB, job_id), (FkRev){0});
+    fk_transaction_guard(transaction, fk_store_key_path(FK_STORE_KEY_JOB, job_id), (FkRev){0});
     fk_transaction_delete(transaction, g_strdup(path));
   }
   return transaction;
@@ -99,10 +99,11 @@
     send_transaction(c, transaction);
     return;
   }
-  if (!fk_time_reached(c->now, c->leader.next_sweep) || c->launches.write_room < FREE_WRITES_MIN)
+  if (!fk_time_reached(c->now, c->leader.next_sweep) || c->launches.launch_writes_available < FREE_WRITES_MIN)
     return;
   c->leader.next_sweep = fk_time_add(c->now, FINALIZE_INTERVAL_S);
-  transaction = finalize_jobs(c, (guint)MIN(c->settings->transaction_ops_max, c->launches.write_room));
+  transaction =
+      finalize_jobs(c, (guint)MIN(c->settings->transaction_ops_max, c->launches.launch_writes_available));
   if (!transaction)
     transaction = delete_orphan_chunks(c);
   if (!transaction)
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -36,11 +36,11 @@
   if (!can_campaign(c))
     return;
   FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_LEASE);
-  FkRecord *record = fk_record_new(FK_KEY_LEADER);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_LEADER);
   record->node = g_strdup(c->settings->node);
   record->incarnation = g_strdup(c->incarnation);
-  fk_transaction_guard(transaction, fk_key_path(FK_KEY_LEADER, ""), c->view->leader_rev);
-  fk_transaction_put(transaction, fk_key_path(FK_KEY_LEADER, ""), record, c->store_session.lease);
+  fk_transaction_guard(transaction, fk_store_key_path(FK_STORE_KEY_LEADER, ""), c->view->leader_rev);
+  fk_transaction_put(transaction, fk_store_key_path(FK_STORE_KEY_LEADER, ""), record, c->store_session.lease);
   c->leader.write_pending = TRUE;
   fk_transaction_send(c, transaction, on_leader_key_written, NULL, NULL);
 }
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -29,7 +29,7 @@
   FkTime next_sweep;
   gboolean preempting;    /* a transaction that asks tasks to leave is under way ... */
   FkRev preempt_wait_rev; /* ... or the view must reach it */
-  FkTime preempt_after, preempt_checked_at, quota_reclaimed_at;
+  FkTime next_preemption_at, preempt_checked_at, quota_reclaimed_at;
   gboolean finalizing;     /* a transaction that moves jobs to their terminal state is under way ... */
   FkRev finalize_wait_rev; /* ... or the view must reach it */
 } FkLeadership;
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -87,7 +87,8 @@
 /* A gang that lost a member can't go on: all its tasks start again together. */
 static gboolean gang_is_broken(FkController *c, const FkJob *job) {
   return job->spec->shape == FK_SHAPE_GANG && !job->cancelled && job->allocated &&
-         fk_job_waiting_tasks(job) && fk_time_reached(c->now, fk_time_add(job->gang_until, GANG_GRACE_S));
+         fk_job_waiting_tasks(job) &&
+         fk_time_reached(c->now, fk_time_add(job->gang_launch_until, GANG_GRACE_S));
 }
 
 static void scan_jobs(FkController *c, FkStopTransaction *stops) {
@@ -115,7 +116,7 @@
   c->leader.preempt_checked_at =
       fk_time_add(c->now, SCAN_INTERVAL_S + SCAN_INTERVAL_PER_MACHINE_S * machine_count);
   if (c->leader.preempting || c->view->applied.n < c->leader.preempt_wait_rev.n ||
-      !fk_time_reached(c->now, c->leader.preempt_after))
+      !fk_time_reached(c->now, c->leader.next_preemption_at))
     return;
   FkStopTransaction stops = {0};
   scan_jobs(c, &stops);
--- a/src/core/leader/window.c
+++ b/src/core/leader/window.c
@@ -130,8 +130,8 @@
   double mean_run_s = view->finished_count ? view->finished_run_s / view->finished_count : 0;
   g_info("throughput tasks_done=%u mean_run_s=%.1f services_per_s=%.2f idle_retention_factor=%.1f "
          "idle_retention_factor_spot=%.1f",
-         view->finished_count, mean_run_s, view->service_rate, fk_autoscaler_retention_factor(c, FALSE),
-         fk_autoscaler_retention_factor(c, TRUE));
+         view->finished_count, mean_run_s, view->service_arrival_rate,
+         fk_autoscaler_retention_factor(c, FALSE), fk_autoscaler_retention_factor(c, TRUE));
   view->finished_run_s = 0;
   view->finished_count = 0;
 }
@@ -190,11 +190,11 @@
   g_autoptr(GString) reasons = g_string_new(NULL);
   GHashTableIter it;
   gpointer reason, cycles;
-  g_hash_table_iter_init(&it, c->launches.hindrances);
+  g_hash_table_iter_init(&it, c->launches.no_launch_reasons);
   while (g_hash_table_iter_next(&it, &reason, &cycles))
     g_string_append_printf(reasons, "; %s: %u", (char *)reason, GPOINTER_TO_UINT(cycles));
   g_info("cycles without a launch%s", reasons->str);
-  g_hash_table_remove_all(c->launches.hindrances);
+  g_hash_table_remove_all(c->launches.no_launch_reasons);
   g_info("launches launched=%u conflicts=%u failures=%u", c->launches.launched, c->launches.conflicts,
          c->launches.failures);
   c->launches.launched = c->launches.conflicts = c->launches.failures = 0;
@@ -208,8 +208,8 @@
          transactions[FK_PRIORITY_LEASE], writes[FK_PRIORITY_LEASE], transactions[FK_PRIORITY_USER],
          writes[FK_PRIORITY_USER], transactions[FK_PRIORITY_SHARD], writes[FK_PRIORITY_SHARD],
          transactions[FK_PRIORITY_LAUNCH], writes[FK_PRIORITY_LAUNCH], transactions[FK_PRIORITY_RESULT],
-         writes[FK_PRIORITY_RESULT], c->calls.resent, 1e3 * c->calls.usual_delay_s);
-  c->calls.resent = 0;
+         writes[FK_PRIORITY_RESULT], c->calls.retried_count, 1e3 * c->calls.latency_ewma_s);
+  c->calls.retried_count = 0;
   memset(c->calls.transactions, 0, sizeof c->calls.transactions);
   memset(c->calls.transaction_writes, 0, sizeof c->calls.transaction_writes);
 }
@@ -226,10 +226,10 @@
   if (!c->store_session.lease.n || (!c->window.waits.count && !(written && written->count)))
     return;
   FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_RESULT);
-  FkRecord *record = fk_record_new(FK_KEY_WAIT_TIMES);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_WAIT_TIMES);
   record->wait_times = c->window.waits;
   record->wait_times.window = c->window.index;
-  fk_transaction_put(transaction, fk_key_path(FK_KEY_WAIT_TIMES, c->settings->node), record,
+  fk_transaction_put(transaction, fk_store_key_path(FK_STORE_KEY_WAIT_TIMES, c->settings->node), record,
                      c->store_session.lease);
   fk_transaction_send(c, transaction, on_waits_written, NULL, NULL);
 }
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -138,8 +138,8 @@
   GPtrArray *names;
   FkRev rev;
   double seconds, delay_s;
-  guint budget_refusals; /* the daemon's: how often the budget has refused it */
-  guint extra_refs;      /* references beside the first */
+  guint rate_limit_retries; /* the daemon's: how often the budget has refused it */
+  guint extra_refs;         /* references beside the first */
 } FkOutput;
 
 FkOutput *fk_output_ref(FkOutput *output);
--- a/src/core/scheduling/capacity_index.c
+++ b/src/core/scheduling/capacity_index.c
@@ -54,9 +54,9 @@
 }
 
 void fk_capacity_index_refresh(FkController *c) {
-  for (guint i = 0; i < c->view->capacity_removed->len; i++)
-    remove_machine(c->leader.capacity_index, c->view->capacity_removed->pdata[i]);
-  g_ptr_array_set_size(c->view->capacity_removed, 0);
+  for (guint i = 0; i < c->view->removed_machines->len; i++)
+    remove_machine(c->leader.capacity_index, c->view->removed_machines->pdata[i]);
+  g_ptr_array_set_size(c->view->removed_machines, 0);
   g_autoptr(GHashTable) changed = c->view->capacity_changed;
   c->view->capacity_changed = g_hash_table_new(g_str_hash, g_str_equal);
   GHashTableIter it;
--- a/src/core/scheduling/launch_batch.c
+++ b/src/core/scheduling/launch_batch.c
@@ -20,10 +20,11 @@
  * then. So it opens no more chunks than there are writes left; further tasks of open chunks cost nothing. */
 static gboolean has_writes_left(FkController *c, const FkLaunchBatch *batch, guint more) {
   return (batch->txn ? batch->txn->writes->len : 0) + more <=
-         MIN(c->settings->transaction_ops_max, MAX(FK_LAUNCH_WRITES_ALLOWANCE, c->launches.write_room));
+         MIN(c->settings->transaction_ops_max,
+             MAX(FK_LAUNCH_WRITES_ALLOWANCE, c->launches.launch_writes_available));
 }
 
-gboolean fk_launch_batch_is_out_of_chunks(FkController *c, const FkLaunchBatch *batch) {
+gboolean fk_launch_batch_is_out_of_writes(FkController *c, const FkLaunchBatch *batch) {
   return batch->txn && !has_writes_left(c, batch, WRITES_PER_ALLOCATION);
 }
 
@@ -35,7 +36,7 @@
 
 /* The job's chunk as the transaction will write it; opened if it isn't yet. */
 static FkChunk *open_chunk(FkController *c, FkLaunchBatch *batch, const FkJob *job, guint32 index) {
-  char *path = fk_key_chunk_path(job->spec->id, index);
+  char *path = fk_store_key_chunk_path(job->spec->id, index);
   FkChunk *copy = g_hash_table_lookup(batch->chunks, path);
   if (copy) {
     g_free(path);
@@ -43,17 +44,17 @@
   }
   if (!batch->txn) {
     batch->txn = fk_transaction_new(c, FK_PRIORITY_LAUNCH);
-    fk_transaction_guard(batch->txn, fk_key_path(FK_KEY_LAUNCH_FENCE, c->settings->node),
+    fk_transaction_guard(batch->txn, fk_store_key_path(FK_STORE_KEY_LAUNCH_FENCE, c->settings->node),
                          fk_view_launch_fence_rev(c->view, c->settings->node));
   }
   const FkChunk *chunk = job->chunks[index];
   copy = chunk ? fk_chunk_copy(chunk)
                : fk_chunk_new(index * job->spec->chunk_tasks, fk_spec_chunk_tasks(job->spec, index));
-  FkRecord *record = fk_record_new(FK_KEY_CHUNK);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_CHUNK);
   record->chunk = copy;
   fk_transaction_guard(batch->txn, g_strdup(path), copy->rev);
   fk_transaction_put(batch->txn, g_strdup(path), record, (FkRev){0});
-  fk_transaction_guard(batch->txn, fk_key_path(FK_KEY_JOB, job->spec->id), job->rev);
+  fk_transaction_guard(batch->txn, fk_store_key_path(FK_STORE_KEY_JOB, job->spec->id), job->rev);
   g_hash_table_insert(batch->chunks, path, copy);
   batch->bytes +=
       CHUNK_BYTES + copy->task_count / CHUNK_TASKS_PER_BYTE + copy->allocations->len * ALLOCATION_BYTES;
@@ -65,12 +66,13 @@
  * quota has nothing to protect, and its launches wait for nobody else's. */
 static void guard_team_quota(FkController *c, FkLaunchBatch *batch, const char *name) {
   const FkTeam *team = fk_settings_find_team(c->settings, name);
-  if (!fk_team_has_limit(team) || g_hash_table_contains(batch->teams, name))
+  if (!fk_team_has_quota(team) || g_hash_table_contains(batch->teams, name))
     return;
   const FkTeamUsage *usage = fk_view_ensure_team(c->view, name);
-  fk_transaction_guard(batch->txn, fk_key_path(FK_KEY_TEAM, name), usage->rev);
+  fk_transaction_guard(batch->txn, fk_store_key_path(FK_STORE_KEY_TEAM, name), usage->rev);
   if (!usage->partition)
-    fk_transaction_put(batch->txn, fk_key_path(FK_KEY_TEAM, name), fk_record_new(FK_KEY_TEAM), (FkRev){0});
+    fk_transaction_put(batch->txn, fk_store_key_path(FK_STORE_KEY_TEAM, name),
+                       fk_record_new(FK_STORE_KEY_TEAM), (FkRev){0});
   g_hash_table_add(batch->teams, (gpointer)g_intern_string(name));
   batch->bytes += TEAM_BYTES;
 }
@@ -102,7 +104,7 @@
 
 /* Whether the batch allocates, or stops, tasks of the job already. */
 static gboolean contains_job(const FkLaunchBatch *batch, const FkJob *job) {
-  g_autofree char *path = fk_key_path(FK_KEY_JOB, job->spec->id);
+  g_autofree char *path = fk_store_key_path(FK_STORE_KEY_JOB, job->spec->id);
   for (guint i = 0; batch->txn && i < batch->txn->guards->len; i++)
     if (g_str_equal(g_array_index(batch->txn->guards, FkGuard, i).path, path))
       return TRUE;
@@ -115,9 +117,9 @@
     return FALSE;
   if (job->failing && spec->shape != FK_SHAPE_GANG) {
     /* one task at a time is enough to tell whether the job still fails everywhere */
-    if (job->allocated || job->cycle_tried_at.us == c->now.us)
+    if (job->allocated || job->last_trial_at.us == c->now.us)
       return FALSE;
-    job->cycle_tried_at = c->now;
+    job->last_trial_at = c->now;
   }
   /* Zone constraints are checked against the view, so they hold with one task a transaction only. */
   gboolean zone_bound = (spec->one_zone || spec->spread) && spec->shape != FK_SHAPE_GANG;
@@ -127,13 +129,13 @@
 /* The first of the job's chunks with a waiting task that may still be written; FALSE: there is none. */
 static gboolean find_chunk(FkController *c, const FkLaunchBatch *batch, FkJob *job, const FkMachine *machine,
                            guint32 *index, gboolean *is_open) {
-  for (guint32 i = job->unstarted_hint; i < job->chunk_count; i++) {
-    g_autofree char *path = fk_key_chunk_path(job->spec->id, i);
+  for (guint32 i = job->first_waiting_chunk_hint; i < job->chunk_count; i++) {
+    g_autofree char *path = fk_store_key_chunk_path(job->spec->id, i);
     const FkChunk *copy = g_hash_table_lookup(batch->chunks, path);
     const FkChunk *chunk = copy ? copy : job->chunks[i];
     if (chunk && chunk->done_count + chunk->allocations->len >= chunk->task_count) {
-      if (i == job->unstarted_hint && !copy)
-        job->unstarted_hint++;
+      if (i == job->first_waiting_chunk_hint && !copy)
+        job->first_waiting_chunk_hint++;
       continue;
     }
     /* a chunk written under larger limits may be too large for one more allocation */
@@ -161,12 +163,13 @@
   gboolean is_open;
   if (!job_may_start_task(c, batch, job) || !find_chunk(c, batch, job, machine, &index, &is_open))
     return FALSE;
-  if (fk_launch_batch_is_full(c, batch) || (!is_open && fk_launch_batch_is_out_of_chunks(c, batch)))
+  if (fk_launch_batch_is_full(c, batch) || (!is_open && fk_launch_batch_is_out_of_writes(c, batch)))
     return FALSE;
   FkChunk *chunk = open_chunk(c, batch, job, index);
   guard_team_quota(c, batch, job->spec->team);
   allocate_first_waiting(c, chunk, job, machine);
-  fk_transaction_guard(batch->txn, fk_key_path(FK_KEY_SHARD, machine->shard->id), machine->shard->rev);
+  fk_transaction_guard(batch->txn, fk_store_key_path(FK_STORE_KEY_SHARD, machine->shard->id),
+                       machine->shard->rev);
   batch->bytes += SHARD_GUARD_BYTES;
   batch->allocated++;
   fk_reservation_add(c, machine, job->spec);
--- a/src/core/scheduling/launch_batch.h
+++ b/src/core/scheduling/launch_batch.h
@@ -8,19 +8,20 @@
 #define FK_LAUNCH_WRITES_ALLOWANCE 4 /* ... and how many it may use: a small overdraft is soon made up */
 
 typedef struct {
-  FkOutput *txn;        /* the transaction; NULL while it is empty */
-  GHashTable *chunks;   /* path -> FkChunk as it will be written, owned by the transaction */
-  GHashTable *teams;    /* set of interned names: teams whose quota the transaction guards */
-  guint bytes;          /* estimated size */
-  FkWaitTimes waits;    /* of the short tasks that it starts */
-  guint allocated;      /* tasks */
-  gboolean urgent_only; /* it bypasses the pause between launches: only urgent jobs may share its writes */
+  FkOutput *txn;      /* the transaction; NULL while it is empty */
+  GHashTable *chunks; /* path -> FkChunk as it will be written, owned by the transaction */
+  GHashTable *teams;  /* set of interned names: teams whose quota the transaction guards */
+  guint bytes;        /* estimated size */
+  FkWaitTimes waits;  /* of the short tasks that it starts */
+  guint allocated;    /* tasks */
+  gboolean
+      high_priority_only; /* it bypasses the pause between launches: only urgent jobs may share its writes */
 } FkLaunchBatch;
 
 /* No further task can be added. */
 gboolean fk_launch_batch_is_full(FkController *c, const FkLaunchBatch *batch);
 /* Only tasks of chunks that the batch writes already can be added. */
-gboolean fk_launch_batch_is_out_of_chunks(FkController *c, const FkLaunchBatch *batch);
+gboolean fk_launch_batch_is_out_of_writes(FkController *c, const FkLaunchBatch *batch);
 /* Allocates the job's first waiting task to the machine. FALSE: it can't be added. */
 gboolean fk_launch_batch_allocate(FkController *c, FkLaunchBatch *batch, FkJob *job, FkMachine *machine);
 /* Allocates the first waiting task to the machine and asks the victims (FkAllocationRef) to stop, in the same
--- a/src/core/scheduling/launches.h
+++ b/src/core/scheduling/launches.h
@@ -11,18 +11,18 @@
 } FkReservation;
 
 typedef struct {
-  GHashTable *hindrances;              /* why nothing was launched -> cycles, in this window */
+  GHashTable *no_launch_reasons;       /* why nothing was launched -> cycles, in this window */
   guint launched, conflicts, failures; /* in this window */
-  guint services_waiting;              /* tasks, at the last cycle */
+  guint queued_service_tasks;          /* tasks, at the last cycle */
   gboolean fence_needed; /* a launch may yet be carried out: a write of our fence makes that impossible */
   gboolean fencing;      /* that write is under way ... */
   FkRev fence_wait_rev;  /* ... or the view must reach it */
   gboolean launching;    /* a launch is under way ... */
   FkRev wait_rev;        /* ... or the view must reach it */
   FkTime launch_after;
-  FkTime urgent_after;         /* urgent work may be launched before `launch_after`, from here on */
-  GArray *reservations;        /* FkReservation */
-  double write_room;           /* writes that would go out at once, by the daemon's rate limiter */
-  gboolean quota_partitioning; /* a team's quota is being partitioned ... */
-  FkRev quota_wait_rev;        /* ... or the view must reach that */
+  FkTime bypass_after;            /* urgent work may be launched before `launch_after`, from here on */
+  GArray *reservations;           /* FkReservation */
+  double launch_writes_available; /* writes that would go out at once, by the daemon's rate limiter */
+  gboolean quota_partitioning;    /* a team's quota is being partitioned ... */
+  FkRev quota_wait_rev;           /* ... or the view must reach that */
 } FkLaunches;
--- a/src/core/scheduling/long_path.c
+++ b/src/core/scheduling/long_path.c
@@ -114,11 +114,11 @@
       continue;
     }
     count_in_zone(zones, machine->record->zone);
-    fk_reservation_apply(machine, job->spec, 1);
+    fk_machine_adjust_reserved(machine, job->spec, 1);
     g_ptr_array_add(plan, machine);
   }
   for (guint i = 0; i < plan->len; i++)
-    fk_reservation_apply(plan->pdata[i], job->spec, -1);
+    fk_machine_adjust_reserved(plan->pdata[i], job->spec, -1);
   return plan->len == waiting ? g_steal_pointer(&plan) : NULL;
 }
 
@@ -134,7 +134,7 @@
 
 /* All tasks of a launch get the same attempt number, above those of all earlier ones. */
 static void begin_gang_launch(FkController *c, FkJob *job) {
-  job->gang_until = fk_time_add(c->now, GANG_LAUNCH_S);
+  job->gang_launch_until = fk_time_add(c->now, GANG_LAUNCH_S);
   job->gang_attempt.n = 1;
   job->gang_allocated = 0;
   for (guint32 i = 0; i < job->chunk_count; i++)
@@ -146,7 +146,8 @@
 static void place_gang(FkController *c, FkLaunchBatch *batch, FkJob *job, GPtrArray *machines) {
   /* A launch in several transactions goes on only while everything that it has allocated still is: a task
    * that has left since must not get the same attempt number again. */
-  if (job->allocated && (fk_time_reached(c->now, job->gang_until) || job->allocated != job->gang_allocated))
+  if (job->allocated &&
+      (fk_time_reached(c->now, job->gang_launch_until) || job->allocated != job->gang_allocated))
     return;
   if (!fk_team_quota_allows_tasks(c, job->spec, fk_job_waiting_tasks(job)))
     return;
@@ -212,7 +213,7 @@
     if (!best && !job->has_failed)
       g_ptr_array_add(cycle->unplaceable, job->spec);
   }
-  return best && !fk_scheduling_queue_must_back_off(c, job, best) &&
+  return best && !fk_scheduling_queue_must_yield(c, job, best) &&
          (job->urgent || fk_service_reserve_permits(c, best, job->spec, &cycle->spare_slots)) &&
          fk_launch_batch_allocate(c, batch, job, best);
 }
@@ -240,7 +241,7 @@
   /* Each job needs a chunk of its own: once the writes are used up, going through all machines for each of
    * hundreds of waiting jobs would be for nothing. */
   for (guint i = 0; i < jobs->len; i++) {
-    if (fk_launch_batch_is_full(c, batch) || fk_launch_batch_is_out_of_chunks(c, batch))
+    if (fk_launch_batch_is_full(c, batch) || fk_launch_batch_is_out_of_writes(c, batch))
       break;
     place_job(c, batch, &cycle, jobs->pdata[i]);
   }
@@ -259,7 +260,7 @@
                                spec->cpus};
   FkTeamUsage *usage = fk_view_ensure_team(c->view, spec->team);
   if (machine)
-    fk_reservation_apply(machine, spec, 1);
+    fk_machine_adjust_reserved(machine, spec, 1);
   if (usage->partition && spec->shape != FK_SHAPE_GANG) {
     /* the leader's share of the quota pays for it, not this controller's */
     reservation.quota_cpus = 0;
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -34,9 +34,10 @@
     return FALSE;
   if (job->spec->priority > blocked->spec->priority)
     return team->used > OVER_SHARE_FACTOR * team->share && !fk_starvation_affects_class(c, job);
-  return blocked->fair_share_standing == FK_STANDING_PROTECTED &&
+  return blocked->fair_share_standing == FK_STANDING_WITHIN_GUARANTEE &&
          blocked->effective_priority == blocked->spec->priority &&
-         team->used > MAX(team->share, team->guarantee) && fk_fair_share_standing(team) == FK_STANDING_OVER;
+         team->used > MAX(team->share, team->guarantee) &&
+         fk_fair_share_standing(team) == FK_STANDING_ABOVE_SHARE;
 }
 
 /* Adds the job's chunks that have tasks to stop; `stopping_cpus` gains what its other tasks will free. */
--- a/src/core/scheduling/quota_partition.c
+++ b/src/core/scheduling/quota_partition.c
@@ -23,7 +23,7 @@
 }
 
 static void send_record(FkController *c, const char *team, FkOutput *txn, FkRecord *record /* taken */) {
-  fk_transaction_put(txn, fk_key_path(FK_KEY_TEAM, team), record, (FkRev){0});
+  fk_transaction_put(txn, fk_store_key_path(FK_STORE_KEY_TEAM, team), record, (FkRev){0});
   c->launches.quota_partitioning = TRUE;
   fk_transaction_send(c, txn, on_record_committed, NULL, NULL);
 }
@@ -32,7 +32,7 @@
  * was before. */
 static void write_pause(FkController *c, const char *team) {
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
-  FkRecord *record = fk_record_new(FK_KEY_TEAM);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_TEAM);
   record->partition = partition_new();
   record->last_exhausted_by = g_strdup(c->settings->node);
   send_record(c, team, txn, record);
@@ -42,10 +42,10 @@
 static void write_partition(FkController *c, const char *team, const FkTeamUsage *usage,
                             GHashTable *partition /* taken */) {
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
-  FkRecord *record = fk_record_new(FK_KEY_TEAM);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_TEAM);
   record->partition = partition;
   record->last_exhausted_by = g_strdup(usage->last_exhausted_by);
-  fk_transaction_guard(txn, fk_key_path(FK_KEY_TEAM, team), usage->rev);
+  fk_transaction_guard(txn, fk_store_key_path(FK_STORE_KEY_TEAM, team), usage->rev);
   send_record(c, team, txn, record);
 }
 
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -1,6 +1,6 @@
 #include "core/scheduling/reservation.h"
 
-void fk_reservation_apply(FkMachine *machine, const FkSpec *spec, int sign) {
+void fk_machine_adjust_reserved(FkMachine *machine, const FkSpec *spec, int sign) {
   machine->reserved_cpus += sign * spec->cpus;
   machine->reserved_gpus += sign * spec->gpus;
   machine->reserved_mem_gb += sign * spec->mem_gb;
@@ -10,7 +10,7 @@
   FkReservation reservation = {machine->id, g_intern_string(spec->team), spec->cpus, spec->gpus, spec->mem_gb,
                                spec->cpus};
   g_array_append_val(c->launches.reservations, reservation);
-  fk_reservation_apply(machine, spec, 1);
+  fk_machine_adjust_reserved(machine, spec, 1);
   FkTeamUsage *usage = fk_view_ensure_team(c->view, spec->team);
   usage->reserved_cpus += spec->cpus;
   usage->reserved_gpus += spec->gpus;
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -4,7 +4,7 @@
 #include "core/controller_internal.h"
 
 /* Adds (`sign` 1) or removes (-1) one task's amounts to or from the machine's reserved capacity. */
-void fk_reservation_apply(FkMachine *machine, const FkSpec *spec, int sign);
+void fk_machine_adjust_reserved(FkMachine *machine, const FkSpec *spec, int sign);
 
 /* Reserves capacity and quota for a launch in flight, until fk_reservation_clear_all(). */
 void fk_reservation_add(FkController *c, FkMachine *machine, const FkSpec *spec);
--- a/src/core/scheduling/scheduling_cycle.c
+++ b/src/core/scheduling/scheduling_cycle.c
@@ -40,9 +40,9 @@
  * commit any more, and those that did are in the view, so that they count against the team's quota. */
 static void write_fence(FkController *c) {
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
-  char *path = fk_key_path(FK_KEY_LAUNCH_FENCE, c->settings->node);
+  char *path = fk_store_key_path(FK_STORE_KEY_LAUNCH_FENCE, c->settings->node);
   fk_transaction_guard(txn, g_strdup(path), fk_view_launch_fence_rev(c->view, c->settings->node));
-  FkRecord *record = fk_record_new(FK_KEY_LAUNCH_FENCE);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_LAUNCH_FENCE);
   record->supports_dependencies = TRUE;
   fk_transaction_put(txn, path, record, (FkRev){0});
   c->launches.fencing = TRUE;
@@ -71,17 +71,17 @@
   if (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT)
     c->launches.wait_rev = epoch; /* the next decision needs a view that shows this */
   else
-    c->launches.launch_after = c->launches.urgent_after = fk_time_add(c->now, retry_delay_s(c));
+    c->launches.launch_after = c->launches.bypass_after = fk_time_add(c->now, retry_delay_s(c));
   if (outcome == FK_OUTCOME_OK)
     fk_wait_times_add(&c->window.waits, &launch->waits);
 }
 
 /* The next cycle's pause: the launch's writes at the pace of this controller's part of the write budget. */
-static void pause_after_launch(FkController *c, guint writes, gboolean urgent_only) {
+static void pause_after_launch(FkController *c, guint writes, gboolean high_priority_only) {
   /* the leader places all services, so it may write as much as all others together */
   guint parts = c->leader.is_leader ? 2 : 1 + g_hash_table_size(c->view->nodes);
   double pace_s = fk_write_pace_s(c, writes, LAUNCH_WRITE_SHARE * fk_controller_live_count(c) * 2 / parts);
-  double left_s = urgent_only ? MAX(0, fk_time_between(c->now, c->launches.launch_after)) : 0;
+  double left_s = high_priority_only ? MAX(0, fk_time_between(c->now, c->launches.launch_after)) : 0;
   c->launches.launch_after = fk_time_add(c->now, MIN(LAUNCH_PAUSE_MAX_S, left_s + pace_s));
 }
 
@@ -89,7 +89,7 @@
   Launch *launch = g_new0(Launch, 1);
   launch->waits = batch->waits;
   c->launches.launching = TRUE;
-  pause_after_launch(c, batch->txn->writes->len - 1, batch->urgent_only);
+  pause_after_launch(c, batch->txn->writes->len - 1, batch->high_priority_only);
   fk_transaction_send(c, batch->txn, on_launch_committed, launch, g_free);
 }
 
@@ -100,28 +100,28 @@
  * writes they would else wait for up to 3 s. */
 static gboolean can_bypass_pause(FkController *c) {
   return fk_time_between(c->now, c->launches.launch_after) > URGENT_PAUSE_MIN_S &&
-         fk_time_reached(c->now, c->launches.urgent_after) && fk_scheduling_queue_has_urgent(c);
+         fk_time_reached(c->now, c->launches.bypass_after) && fk_scheduling_queue_has_high_priority(c);
 }
 
 /* Why no cycle can run now, or NULL. */
-static const char *blocking_reason(FkController *c, gboolean urgent_only) {
+static const char *blocking_reason(FkController *c, gboolean high_priority_only) {
   if (!fk_controller_is_ready(c) || !g_hash_table_size(c->autoscaling.instance_types))
     return "not_ready";
   if (c->launches.launching || c->launches.fencing)
     return "launch_in_flight";
   if (c->view->applied.n < c->launches.wait_rev.n)
     return "view_behind";
-  if (!fk_time_reached(c->now, c->launches.launch_after) && !urgent_only)
+  if (!fk_time_reached(c->now, c->launches.launch_after) && !high_priority_only)
     return "pause";
-  if (!c->launches.fence_needed && c->launches.write_room < FK_LAUNCH_WRITES_MIN)
+  if (!c->launches.fence_needed && c->launches.launch_writes_available < FK_LAUNCH_WRITES_MIN)
     return "write_budget";
   return NULL;
 }
 
 /* Counts why nothing was launched, for the log of the window. */
 static void count_hindrance(FkController *c, const char *reason) {
-  guint count = GPOINTER_TO_UINT(g_hash_table_lookup(c->launches.hindrances, reason));
-  g_hash_table_insert(c->launches.hindrances, (gpointer)reason, GUINT_TO_POINTER(count + 1));
+  guint count = GPOINTER_TO_UINT(g_hash_table_lookup(c->launches.no_launch_reasons, reason));
+  g_hash_table_insert(c->launches.no_launch_reasons, (gpointer)reason, GUINT_TO_POINTER(count + 1));
 }
 
 /* Keeps the jobs above the normal priority, which come first. */
@@ -145,10 +145,10 @@
   return cpus == G_MAXDOUBLE ? g_ptr_array_new() : fk_capacity_index_find_open(c, FALSE, cpus, mem_gb);
 }
 
-static void pause_after_cycle(FkController *c, gboolean urgent_only) {
+static void pause_after_cycle(FkController *c, gboolean high_priority_only) {
   double pause_s = CYCLE_PAUSE_PER_MACHINE_S * g_hash_table_size(c->view->machines);
-  c->launches.urgent_after = fk_time_add(c->now, URGENT_INTERVAL_S);
-  if (!urgent_only)
+  c->launches.bypass_after = fk_time_add(c->now, URGENT_INTERVAL_S);
+  if (!high_priority_only)
     c->launches.launch_after = fk_time_add(c->now, MIN(CYCLE_PAUSE_MAX_S, pause_s));
 }
 
@@ -163,8 +163,8 @@
 }
 
 void fk_scheduling_cycle_run(FkController *c) {
-  gboolean urgent_only = can_bypass_pause(c);
-  const char *reason = blocking_reason(c, urgent_only);
+  gboolean high_priority_only = can_bypass_pause(c);
+  const char *reason = blocking_reason(c, high_priority_only);
   if (reason) {
     count_hindrance(c, reason);
     return;
@@ -176,14 +176,14 @@
   fk_reservation_clear_all(c);
   fk_capacity_index_refresh(c);
   g_autoptr(GPtrArray) jobs = fk_scheduling_queue_select_jobs(c);
-  if (urgent_only)
+  if (high_priority_only)
     keep_urgent_jobs(jobs);
   if (!jobs->len)
     return;
-  pause_after_cycle(c, urgent_only);
+  pause_after_cycle(c, high_priority_only);
   g_autoptr(GHashTable) chunks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   g_autoptr(GHashTable) teams = g_hash_table_new(g_str_hash, g_str_equal);
-  FkLaunchBatch batch = {.chunks = chunks, .teams = teams, .urgent_only = urgent_only};
+  FkLaunchBatch batch = {.chunks = chunks, .teams = teams, .high_priority_only = high_priority_only};
   place_jobs(c, &batch, jobs);
   if (batch.txn)
     send_launch(c, &batch);
--- a/src/core/scheduling/scheduling_queue.c
+++ b/src/core/scheduling/scheduling_queue.c
@@ -26,7 +26,7 @@
   guint64 cycle;                  /* number of the latest cycle */
   guint team_count;               /* of the settings */
   double *team_demand_cpus;       /* what a team's waiting tasks ask for, in the settings' order of teams */
-  guint waiting_services;         /* tasks of services that wait */
+  guint waiting_service_tasks;    /* tasks of services that wait */
   guint64 refreshed_count;        /* jobs refreshed in all cycles */
   FkFairShareDemand *team_shares; /* in the settings' order of teams */
   double cluster_cpus, cluster_gpus; /* of the machines that are up */
@@ -68,7 +68,7 @@
   fk_wait_queue_first(queue->waiting, G_MAXUINT, G_MAXUINT, accept_all, NULL, jobs);
   fk_wait_queue_clear(queue->waiting);
   memset(queue->team_demand_cpus, 0, queue->team_count * sizeof *queue->team_demand_cpus);
-  queue->waiting_services = 0;
+  queue->waiting_service_tasks = 0;
   clear_blocked(queue);
 }
 
@@ -76,7 +76,7 @@
 
 /* Seconds from now until a waiting task must start for the job's tightest objective or deadline that can
  * still be met; G_MAXDOUBLE: none can. */
-static double latest_start_s(FkController *c, const FkJob *job) {
+static double seconds_to_latest_start(FkController *c, const FkJob *job) {
   const FkSpec *spec = job->spec;
   double needed_s =
       fk_view_expected_run_s(c->view, spec) + fk_time_between((FkTime){job->startable_us}, c->now);
@@ -112,7 +112,7 @@
       !(aged || fk_starvation_raises_priority(c, job, c->leader.scheduling_queue->cluster_cpus)))
     return;
   job->effective_priority = FK_JOB_PRIORITY_NORMAL;
-  job->fair_share_standing = FK_STANDING_PROTECTED;
+  job->fair_share_standing = FK_STANDING_WITHIN_GUARANTEE;
 }
 
 static gboolean has_objective(FkController *c, const FkSpec *spec) {
@@ -191,7 +191,7 @@
   }
 }
 
-gboolean fk_scheduling_queue_must_back_off(FkController *c, const FkJob *job, const FkMachine *machine) {
+gboolean fk_scheduling_queue_must_yield(FkController *c, const FkJob *job, const FkMachine *machine) {
   const GPtrArray *blocked = c->leader.scheduling_queue->blocked;
   if (fk_backfill_reservation_blocks(c, job, machine))
     return TRUE;
@@ -233,9 +233,9 @@
                                          queue->cluster_gpus);
   guint services = spec->shape == FK_SHAPE_SERVICE ? fk_job_waiting_tasks(job) : 0;
   queue->team_demand_cpus[fk_settings_team_index(c->settings, spec->team)] += demand - job->demand_cpus;
-  queue->waiting_services += services - job->waiting_services;
+  queue->waiting_service_tasks += services - job->waiting_service_tasks;
   job->demand_cpus = demand;
-  job->waiting_services = services;
+  job->waiting_service_tasks = services;
 }
 
 /* Sorts the job in by its present key, or takes it out when no task of it waits. */
@@ -246,13 +246,17 @@
       fk_job_unref(job);
     return;
   }
-  job->latest_start_s = latest_start_s(c, job);
+  job->seconds_to_latest_start = seconds_to_latest_start(c, job);
   update_priority(c, job);
   job->waiting_cpu_s =
       fk_job_waiting_tasks(job) * fk_view_expected_run_s(c->view, job->spec) * job->spec->cpus;
-  const FkWaitKey key = {job->effective_priority,           job->fair_share_standing, job->urgent,
-                         job->latest_start_s < G_MAXDOUBLE, job->waiting_cpu_s,       job->startable_us};
-  if (!fk_wait_queue_place(queue->waiting, job))
+  const FkWaitKey key = {job->effective_priority,
+                         job->fair_share_standing,
+                         job->urgent,
+                         job->seconds_to_latest_start < G_MAXDOUBLE,
+                         job->waiting_cpu_s,
+                         job->startable_us};
+  if (!fk_wait_queue_position(queue->waiting, job))
     fk_job_ref(job);
   fk_wait_queue_put(queue->waiting, job, &key);
 }
@@ -303,7 +307,7 @@
     FkJob *job = refreshed->pdata[i];
     if (job->last_cycle == queue->cycle || !can_start(job, c))
       continue;
-    job->queue_position = MAX(first + 1, fk_wait_queue_place(queue->waiting, job));
+    job->queue_position = MAX(first + 1, fk_wait_queue_position(queue->waiting, job));
     job->last_cycle = queue->cycle;
     g_ptr_array_add(jobs, job);
   }
@@ -318,7 +322,7 @@
          fk_team_quota_is_available(c, job->spec);
 }
 
-gboolean fk_scheduling_queue_has_urgent(FkController *c) {
+gboolean fk_scheduling_queue_has_high_priority(FkController *c) {
   g_autoptr(GPtrArray) first = g_ptr_array_new();
   fk_wait_queue_first(c->leader.scheduling_queue->waiting, 1, 1, accept_all, NULL, first);
   if (first->len && is_urgent(c, first->pdata[0]))
@@ -344,7 +348,7 @@
   for (guint i = 0; i < refreshed->len; i++)
     refresh_job(c, queue, refreshed->pdata[i]);
   GPtrArray *jobs = select_jobs(c, queue, refreshed);
-  c->launches.services_waiting = queue->waiting_services;
+  c->launches.queued_service_tasks = queue->waiting_service_tasks;
   update_blocked_jobs(c, queue, jobs);
   fk_backfill_reservation_refresh(c, jobs);
   return jobs;
--- a/src/core/scheduling/scheduling_queue.h
+++ b/src/core/scheduling/scheduling_queue.h
@@ -13,13 +13,13 @@
  * Updates everything that the other functions tell. */
 GPtrArray *fk_scheduling_queue_select_jobs(FkController *c);
 /* Whether a job of a priority above the normal one waits that this controller may place. */
-gboolean fk_scheduling_queue_has_urgent(FkController *c);
+gboolean fk_scheduling_queue_has_high_priority(FkController *c);
 /* How many times a job's place was updated so far: what the cycles have cost. */
 guint64 fk_scheduling_queue_refreshed_count(const FkSchedulingQueue *queue);
 /* Whether the job must leave the machine's free capacity to a blocked job that comes before it. Otherwise
  * small tasks of a low priority fill every gap as it opens, and larger ones never start: beside 7,000 tasks
  * of two CPUs, arrays of four-CPU tasks waited for 400 s. */
-gboolean fk_scheduling_queue_must_back_off(FkController *c, const FkJob *job, const FkMachine *machine);
+gboolean fk_scheduling_queue_must_yield(FkController *c, const FkJob *job, const FkMachine *machine);
 /* Whether no expensive machines are provisioned for the job: it is of a team without a guarantee, no
  * objective covers its class, and half of its class is served. It may still run on those that are there. */
 gboolean fk_scheduling_queue_is_low_cost_only(FkController *c, const FkJob *job);
--- a/src/core/scheduling/service_reserve.c
+++ b/src/core/scheduling/service_reserve.c
@@ -29,7 +29,7 @@
   double free_slots = 0;
   for (guint i = 0; i < machines->len; i++)
     free_slots += service_slots(c, machines->pdata[i], service);
-  double expected = share * c->view->service_rate * RESERVE_ARRIVALS_S;
+  double expected = share * c->view->service_arrival_rate * RESERVE_ARRIVALS_S;
   return free_slots - floor(MIN(expected, RESERVE_SHARE_MAX * machine_count));
 }
 
@@ -41,9 +41,9 @@
   double before = service_slots(c, machine, service);
   if (before <= 0)
     return TRUE;
-  fk_reservation_apply(machine, spec, 1);
+  fk_machine_adjust_reserved(machine, spec, 1);
   double lost = before - service_slots(c, machine, service);
-  fk_reservation_apply(machine, spec, -1);
+  fk_machine_adjust_reserved(machine, spec, -1);
   if (lost > 0 && *spare_slots < lost)
     return FALSE;
   *spare_slots -= lost;
--- a/src/core/scheduling/short_path.c
+++ b/src/core/scheduling/short_path.c
@@ -310,11 +310,11 @@
   guint count = sort_probes(c, machine, waiting);
   for (guint i = 0; i < count && !fk_launch_batch_is_full(c, batch); i++) {
     FkJob *job = waiting[i];
-    if (batch->urgent_only && job->effective_priority >= FK_JOB_PRIORITY_NORMAL)
+    if (batch->high_priority_only && job->effective_priority >= FK_JOB_PRIORITY_NORMAL)
       continue;
     if (prefer_spot && !machine->record->spot && job->spec->spot && !every_controller_had_a_chance(c, job))
       continue;
-    if (fk_scheduling_queue_must_back_off(c, job, machine))
+    if (fk_scheduling_queue_must_yield(c, job, machine))
       continue;
     gboolean placed;
     do
--- a/src/core/scheduling/stop_transaction.c
+++ b/src/core/scheduling/stop_transaction.c
@@ -5,7 +5,7 @@
 
 static void on_committed(FkController *c, gpointer data, FkOutcome outcome, FkRev epoch, GPtrArray *failed) {
   c->leader.preempting = FALSE;
-  c->leader.preempt_after = fk_time_add(c->now, SEND_INTERVAL_S);
+  c->leader.next_preemption_at = fk_time_add(c->now, SEND_INTERVAL_S);
   if (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT)
     c->leader.preempt_wait_rev = epoch;
 }
@@ -16,14 +16,14 @@
     stops->txn = fk_transaction_new(c, FK_PRIORITY_LAUNCH);
     stops->chunks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   }
-  g_autofree char *path = fk_key_chunk_path(job->spec->id, index);
+  g_autofree char *path = fk_store_key_chunk_path(job->spec->id, index);
   FkChunk *copy = g_hash_table_lookup(stops->chunks, path);
   if (copy)
     return copy;
   if (stops->txn->writes->len >= MIN(CHUNKS_MAX, c->settings->transaction_ops_max))
     return NULL;
   copy = fk_chunk_copy(job->chunks[index]);
-  FkRecord *record = fk_record_new(FK_KEY_CHUNK);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_CHUNK);
   record->chunk = copy;
   fk_transaction_guard(stops->txn, g_strdup(path), copy->rev);
   fk_transaction_put(stops->txn, g_strdup(path), record, (FkRev){0});
--- a/src/core/settings.c
+++ b/src/core/settings.c
@@ -61,7 +61,7 @@
   g_free(settings);
 }
 
-gboolean fk_team_has_limit(const FkTeam *team) {
+gboolean fk_team_has_quota(const FkTeam *team) {
   return fk_quota_is_limited(team->max_cpus) || fk_quota_is_limited(team->max_gpus);
 }
 
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -48,9 +48,9 @@
   double heartbeat_interval_s, worker_lease_s, cancellation_deadline_s;
   double store_rps, store_write_rps; /* at present */
   double next_store_rps,
-      next_store_write_rps;          /* from some moment on, without notice; never above the present ones */
-  double value_kb, current_value_kb; /* the lower of present and next; the present one */
-  guint transaction_ops_max;         /* the lower of present and next */
+      next_store_write_rps; /* from some moment on, without notice; never above the present ones */
+  double value_kb, current_value_limit_kb; /* the lower of present and next; the present one */
+  guint transaction_ops_max;               /* the lower of present and next */
   double cloud_rps, cloud_list_lag_s;
   double cpus, ram_mb, sockets;
   double clock_offset_ms;
@@ -62,7 +62,7 @@
 void fk_settings_free(FkSettings *settings);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkSettings, fk_settings_free)
 /* Whether the team has a quota: without one no launch of it needs the team's record. */
-gboolean fk_team_has_limit(const FkTeam *team);
+gboolean fk_team_has_quota(const FkTeam *team);
 /* Borrowed; NULL: there is no such team. */
 FkTeam *fk_settings_find_team(const FkSettings *settings, const char *name);
 /* Its position among the teams; their number if it is none of them. */
--- a/src/core/shards/completions.c
+++ b/src/core/shards/completions.c
@@ -256,7 +256,7 @@
     batch->size += RELEASED_ATTEMPT_BYTES;
   }
   if (completion->shard_id)
-    fk_transaction_guard(batch->transaction, fk_key_path(FK_KEY_SHARD, completion->shard_id),
+    fk_transaction_guard(batch->transaction, fk_store_key_path(FK_STORE_KEY_SHARD, completion->shard_id),
                          completion->shard_rev);
   batch_count(batch, job, done);
 }
@@ -264,11 +264,12 @@
 static void batch_put_page(FkController *c, Batch *batch) {
   g_autofree char *name = page_name(c, c->completions.page);
   const FkCompletionPage *old = g_hash_table_lookup(c->view->completion_pages, name);
-  FkRecord *record = fk_record_new(FK_KEY_COMPLETIONS);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_COMPLETIONS);
   record->completions = g_steal_pointer(&batch->page);
-  fk_transaction_guard(batch->transaction, fk_key_path(FK_KEY_COMPLETIONS, name),
+  fk_transaction_guard(batch->transaction, fk_store_key_path(FK_STORE_KEY_COMPLETIONS, name),
                        old ? old->rev : (FkRev){0});
-  fk_transaction_put(batch->transaction, fk_key_path(FK_KEY_COMPLETIONS, name), record, (FkRev){0});
+  fk_transaction_put(batch->transaction, fk_store_key_path(FK_STORE_KEY_COMPLETIONS, name), record,
+                     (FkRev){0});
 }
 
 /* How many more writes the transaction may have to finalize this job. A large transaction finds no room in a
@@ -277,7 +278,7 @@
 static guint writes_left(FkController *c, const FkOutput *transaction, const FkJob *job) {
   guint max = c->settings->transaction_ops_max;
   if (!fk_dependency_graph_has_dependents(c->view->dependencies, job->spec->id))
-    max = (guint)CLAMP(c->launches.write_room, 1, max);
+    max = (guint)CLAMP(c->launches.launch_writes_available, 1, max);
   return max > transaction->writes->len ? max - transaction->writes->len : 0;
 }
 
--- a/src/core/shards/machine_pages.c
+++ b/src/core/shards/machine_pages.c
@@ -21,13 +21,14 @@
  * allow. FK_SHARD_PAGES_MAX: there is no room. */
 static guint page_for(FkController *c, const FkMachinePages *pages, const FkMachine *machine, guint size) {
   gboolean several = fk_job_dependencies_are_supported(c);
-  guint limit = FK_MACHINE_PAGE_MAX_BYTES(several ? c->settings->value_kb : c->settings->current_value_kb);
-  if (machine->record && pages->bytes[machine->page_part] + size <= limit)
-    return machine->page_part;
+  guint limit =
+      FK_MACHINE_PAGE_MAX_BYTES(several ? c->settings->value_kb : c->settings->current_value_limit_kb);
+  if (machine->record && pages->bytes[machine->record_page_index] + size <= limit)
+    return machine->record_page_index;
   for (guint i = 0; i < (several ? FK_SHARD_PAGES_MAX : 1); i++)
     if (pages->bytes[i] + size <= limit)
       return i;
-  return machine->record && !several ? machine->page_part : FK_SHARD_PAGES_MAX;
+  return machine->record && !several ? machine->record_page_index : FK_SHARD_PAGES_MAX;
 }
 
 static void add_record(FkMachinePages *pages, guint page, FkMachineRecord *record /* taken */, guint size) {
@@ -43,8 +44,8 @@
   if (machine->pending_drain_reason == machine->drain_reason)
     machine->pending_drain_reason = NULL;
   if (!machine->drain_reason)
-    machine->pending_clear = FALSE;
-  return machine->pending_drain_reason || machine->pending_clear;
+    machine->pending_drain_clear = FALSE;
+  return machine->pending_drain_reason || machine->pending_drain_clear;
 }
 
 /* Returns whether the machine changes a page. */
@@ -53,7 +54,7 @@
   const FkMachineRecord *present = machine->record ? machine->record : machine->pending_record;
   guint size = fk_machine_record_bytes(present);
   if (machine->pending_removal && machine->record && !machine->allocations->len) {
-    pages->changed[machine->page_part] = TRUE;
+    pages->changed[machine->record_page_index] = TRUE;
     return TRUE;
   }
   guint page = page_for(c, pages, machine, size);
@@ -65,14 +66,14 @@
   gboolean drain_changes = drain_reason_changes(machine);
   FkMachineRecord *record = fk_machine_record_copy(present);
   record->drain_reason = drain_changes ? machine->pending_drain_reason : machine->drain_reason;
-  record->notice_s = drain_changes ? machine->pending_notice_s : machine->notice_s;
+  record->notice_s = drain_changes ? machine->pending_termination_notice_s : machine->notice_s;
   add_record(pages, page, record, size);
-  gboolean moves = page != machine->page_part;
+  gboolean moves = page != machine->record_page_index;
   if (machine->record && !drain_changes && !moves)
     return FALSE;
   pages->changed[page] = TRUE;
   if (machine->record && moves)
-    pages->changed[machine->page_part] = TRUE;
+    pages->changed[machine->record_page_index] = TRUE;
   return TRUE;
 }
 
@@ -107,15 +108,15 @@
   if (written && written + changed_count(pages) > writes_max)
     return FALSE;
   if (fk_shard_is_owned(c, shard))
-    fk_transaction_guard(transaction, fk_key_path(FK_KEY_SHARD, shard->id), shard->rev);
+    fk_transaction_guard(transaction, fk_store_key_path(FK_STORE_KEY_SHARD, shard->id), shard->rev);
   for (guint i = 0; i < FK_SHARD_PAGES_MAX; i++) {
     if (!pages->changed[i])
       continue;
-    FkRecord *record = fk_record_new(FK_KEY_MACHINE_PAGE);
+    FkRecord *record = fk_record_new(FK_STORE_KEY_MACHINE_PAGE);
     record->machines = pages->machines[i] ? g_steal_pointer(&pages->machines[i])
                                           : g_ptr_array_new_with_free_func(fk_machine_record_free);
-    fk_transaction_guard(transaction, fk_key_machine_page_path(shard->id, i), shard->page_revs[i]);
-    fk_transaction_put(transaction, fk_key_machine_page_path(shard->id, i), record, (FkRev){0});
+    fk_transaction_guard(transaction, fk_store_key_machine_page_path(shard->id, i), shard->page_revs[i]);
+    fk_transaction_put(transaction, fk_store_key_machine_page_path(shard->id, i), record, (FkRev){0});
   }
   return TRUE;
 }
--- a/src/core/shards/machine_registry.c
+++ b/src/core/shards/machine_registry.c
@@ -25,7 +25,7 @@
 double fk_write_pace_s(FkController *c, guint writes, double share) {
   double pace_s = writes * (double)fk_controller_live_count(c) / (share * c->settings->store_write_rps);
   double plenty = PLENTY_SECONDS * fk_store_write_share(c) * c->settings->store_write_rps;
-  return c->launches.write_room > plenty ? MIN(pace_s, PACE_WITH_PLENTY_S) : pace_s;
+  return c->launches.launch_writes_available > plenty ? MIN(pace_s, PACE_WITH_PLENTY_S) : pace_s;
 }
 
 /* ---- requested changes ---- */
@@ -55,14 +55,14 @@
   if (!machine->record || !machine->shard)
     return;
   const char *wanted = reason ? g_intern_string(reason) : NULL;
-  gboolean pending = machine->pending_drain_reason || machine->pending_clear;
+  gboolean pending = machine->pending_drain_reason || machine->pending_drain_clear;
   if (wanted == machine->drain_reason && !pending)
     return;
-  if (wanted == machine->pending_drain_reason && machine->pending_clear == !wanted)
+  if (wanted == machine->pending_drain_reason && machine->pending_drain_clear == !wanted)
     return;
   machine->pending_drain_reason = wanted;
-  machine->pending_clear = !wanted;
-  machine->pending_notice_s = notice_s;
+  machine->pending_drain_clear = !wanted;
+  machine->pending_termination_notice_s = notice_s;
   mark_page_dirty(c, machine->shard);
 }
 
@@ -70,8 +70,8 @@
   if (!machine->record || !machine->shard)
     return;
   machine->pending_removal = TRUE;
-  if (!machine->shard->removal_due.us)
-    machine->shard->removal_due = fk_time_add(c->now, REMOVAL_DELAY_S);
+  if (!machine->shard->removal_write_due.us)
+    machine->shard->removal_write_due = fk_time_add(c->now, REMOVAL_DELAY_S);
 }
 
 /* ---- which shard's pages are written first ---- */
@@ -92,7 +92,7 @@
     return machine->pending_record ? GAIN_USABLE : 0;
   if (machine->pending_removal && !machine->allocations->len)
     return GAIN_REMOVED;
-  if (machine->pending_clear)
+  if (machine->pending_drain_clear)
     return machine->drain_reason ? GAIN_USABLE : 0;
   const char *reason = machine->pending_drain_reason;
   if (!reason || reason == machine->drain_reason)
@@ -117,7 +117,7 @@
   /* Pages larger than the limits to come are divided by the owner as soon as all controllers can read that.
    */
   gboolean divide = shard->oversized && fk_shard_is_owned(c, shard) && fk_job_dependencies_are_supported(c);
-  gboolean removal = shard->removal_due.us && fk_time_reached(c->now, shard->removal_due);
+  gboolean removal = shard->removal_write_due.us && fk_time_reached(c->now, shard->removal_write_due);
   return shard->page_dirty || divide || removal;
 }
 
@@ -156,8 +156,8 @@
 static FkOutput *write_due_pages(FkController *c) {
   FkOutput *transaction = NULL;
   guint bytes = 0;
-  guint writes_max =
-      (guint)CLAMP(c->launches.write_room, WRITES_MIN, MIN(c->settings->transaction_ops_max, WRITES_MAX));
+  guint writes_max = (guint)CLAMP(c->launches.launch_writes_available, WRITES_MIN,
+                                  MIN(c->settings->transaction_ops_max, WRITES_MAX));
   g_autoptr(GArray) due = due_pages(c);
   for (guint i = 0; i < due->len && bytes < TRANSACTION_BYTES_MAX; i++) {
     if (transaction && transaction->writes->len >= writes_max)
@@ -166,7 +166,7 @@
     g_auto(FkMachinePages) pages = {0};
     if (!fk_machine_pages_build(c, shard, &pages)) {
       shard->page_dirty = shard->oversized = FALSE;
-      shard->removal_due.us = 0;
+      shard->removal_write_due.us = 0;
       continue;
     }
     if (!transaction)
--- a/src/core/shards/shard_ownership.c
+++ b/src/core/shards/shard_ownership.c
@@ -158,11 +158,11 @@
 
 /* Names this controller, in its present incarnation, as the shard's owner. */
 static void write_ownership(FkController *c, FkOutput *transaction, FkShard *shard) {
-  FkRecord *record = fk_record_new(FK_KEY_SHARD);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_SHARD);
   record->node = g_strdup(c->settings->node);
   record->incarnation = g_strdup(c->incarnation);
-  fk_transaction_guard(transaction, fk_key_path(FK_KEY_SHARD, shard->id), shard->rev);
-  fk_transaction_put(transaction, fk_key_path(FK_KEY_SHARD, shard->id), record, (FkRev){0});
+  fk_transaction_guard(transaction, fk_store_key_path(FK_STORE_KEY_SHARD, shard->id), shard->rev);
+  fk_transaction_put(transaction, fk_store_key_path(FK_STORE_KEY_SHARD, shard->id), record, (FkRev){0});
   shard->acquire_wanted = FALSE;
   shard->acquire_after = fk_time_add(c->now, ACQUIRE_PAUSE_S);
 }
--- a/src/core/shards/shards.h
+++ b/src/core/shards/shards.h
@@ -19,7 +19,7 @@
   gboolean page_writing; /* the same for the registry's pages */
   FkRev page_wait_rev;
   FkTime page_write_after;
-} FkShardOwnership;
+} FkShardWrites;
 
 /* The end of one allocation, proven and not in the store yet. */
 typedef struct FkCompletion FkCompletion;
--- a/src/core/state/job_dependencies.c
+++ b/src/core/state/job_dependencies.c
@@ -22,7 +22,7 @@
 
 static void terminal_record_received(FkController *c, gpointer data, FkOutcome outcome, FkStoreEvent *event) {
   g_hash_table_remove(c->requests.terminal_states_requested, data);
-  if (outcome == FK_OUTCOME_OK && event && event->record && event->record->kind == FK_KEY_TERMINAL_JOB)
+  if (outcome == FK_OUTCOME_OK && event && event->record && event->record->kind == FK_STORE_KEY_TERMINAL_JOB)
     fk_view_add_terminal_job(c->view, data, event->record->phase, event->record->tasks,
                              event->record->ended_at_ms);
 }
@@ -33,7 +33,8 @@
       g_hash_table_contains(c->requests.terminal_states_requested, id))
     return;
   g_hash_table_add(c->requests.terminal_states_requested, g_strdup(id));
-  fk_read_send(c, fk_key_path(FK_KEY_TERMINAL_JOB, id), terminal_record_received, g_strdup(id), g_free);
+  fk_read_send(c, fk_store_key_path(FK_STORE_KEY_TERMINAL_JOB, id), terminal_record_received, g_strdup(id),
+               g_free);
 }
 
 /* The view is complete: a dependency that is not live is terminal. Each is read once. */
--- a/src/core/state/live_job.h
+++ b/src/core/state/live_job.h
@@ -16,14 +16,14 @@
   FkChunk **base_chunks; /* the records; NULL: no task of the chunk was ever started */
   FkChunk **chunks;      /* ... with the completions that count already */
   guint32 done, allocated;
-  guint32 unstarted_hint;    /* no chunk before this one has a waiting task */
-  FkTime first_seen_at;      /* when this controller first saw it */
-  FkTime attempt_lost_at;    /* when an attempt ended last without a result */
-  FkTime retry_at;           /* backoff after failures */
-  gboolean has_failed;       /* an attempt has failed */
-  gboolean failing;          /* it seems to fail on every machine: one task at a time */
-  FkTime cycle_tried_at;     /* ... and the scheduling cycle that tried it last */
-  guint64 wait_times_window; /* the window in which so many of its waits were counted: */
+  guint32 first_waiting_chunk_hint; /* no chunk before this one has a waiting task */
+  FkTime first_seen_at;             /* when this controller first saw it */
+  FkTime attempt_lost_at;           /* when an attempt ended last without a result */
+  FkTime retry_at;                  /* backoff after failures */
+  gboolean has_failed;              /* an attempt has failed */
+  gboolean failing;                 /* it seems to fail on every machine: one task at a time */
+  FkTime last_trial_at;             /* ... and the scheduling cycle that tried it last */
+  guint64 wait_times_window;        /* the window in which so many of its waits were counted: */
   guint wait_times_counted;
   FkAttempt gang_attempt;           /* of the launch under way */
   guint32 gang_allocated;           /* tasks that the launch has allocated so far */
@@ -33,17 +33,17 @@
   FkStanding fair_share_standing;   /* its team's, among those with demand */
   guint queue_position;             /* in the queue, from 1; 0: never yet */
   gboolean urgent;                  /* goes first within its priority and its team's standing */
-  gboolean quota_available; /* its team's quota had room for one more task, at its last scheduling cycle */
-  double demand_cpus;       /* as counted for its team in the scheduling queue */
-  guint waiting_services;   /* tasks of a service that wait, as counted there */
-  guint64 last_cycle;       /* its last scheduling cycle */
-  gboolean size_recorded;   /* its size is in the service level's statistics */
+  gboolean quota_available;    /* its team's quota had room for one more task, at its last scheduling cycle */
+  double demand_cpus;          /* as counted for its team in the scheduling queue */
+  guint waiting_service_tasks; /* tasks of a service that wait, as counted there */
+  guint64 last_cycle;          /* its last scheduling cycle */
+  gboolean size_recorded;      /* its size is in the service level's statistics */
   FkTime probed_at;
-  double latest_start_s; /* how far off its latest useful start is; sorts the queue */
-  FkTime gang_until;     /* a gang's launch may go on in further transactions until then */
-  gint64 submitted_us;   /* on the steady clock, by the time of day */
-  gint64 startable_us;   /* since when it could start: its submission, or the end of its last dependency */
-  gint64 deadline_us;    /* on the steady clock, its dependents' included; G_MAXINT64: none */
+  double seconds_to_latest_start; /* how far off its latest useful start is; sorts the queue */
+  FkTime gang_launch_until;       /* a gang's launch may go on in further transactions until then */
+  gint64 submitted_us;            /* on the steady clock, by the time of day */
+  gint64 startable_us; /* since when it could start: its submission, or the end of its last dependency */
+  gint64 deadline_us;  /* on the steady clock, its dependents' included; G_MAXINT64: none */
   FkJobPriority inherited_priority; /* the highest of its own and its direct and indirect dependents' */
   gboolean blocked;                 /* a dependency is not done: it takes no part in scheduling */
   gboolean ancestor_cancelled;      /* cancelled with a dependency; its own record may not say so */
--- a/src/core/state/records.c
+++ b/src/core/state/records.c
@@ -12,7 +12,7 @@
   to->count += more->count;
 }
 
-FkRecord *fk_record_new(FkKeyKind kind) {
+FkRecord *fk_record_new(FkStoreKeyKind kind) {
   FkRecord *record = g_new0(FkRecord, 1);
   record->kind = kind;
   return record;
@@ -63,32 +63,32 @@
   if (!record)
     return;
   switch (record->kind) {
-  case FK_KEY_JOB:
+  case FK_STORE_KEY_JOB:
     fk_spec_unref(record->spec);
     break;
-  case FK_KEY_CHUNK:
+  case FK_STORE_KEY_CHUNK:
     fk_chunk_free(record->chunk);
     break;
-  case FK_KEY_MACHINE_PAGE:
+  case FK_STORE_KEY_MACHINE_PAGE:
     g_clear_pointer(&record->machines, g_ptr_array_unref);
     break;
-  case FK_KEY_COMPLETIONS:
+  case FK_STORE_KEY_COMPLETIONS:
     g_clear_pointer(&record->completions, g_ptr_array_unref);
     break;
-  case FK_KEY_SHARD:
-  case FK_KEY_NODE:
-  case FK_KEY_LEADER:
+  case FK_STORE_KEY_SHARD:
+  case FK_STORE_KEY_NODE:
+  case FK_STORE_KEY_LEADER:
     g_free(record->node);
     g_free(record->incarnation);
     break;
-  case FK_KEY_TEAM:
+  case FK_STORE_KEY_TEAM:
     g_free(record->last_exhausted_by);
     g_clear_pointer(&record->partition, g_hash_table_unref);
     break;
-  case FK_KEY_TERMINAL_JOB:
-  case FK_KEY_WAIT_TIMES:
-  case FK_KEY_LAUNCH_FENCE:
-  case FK_KEY_OTHER:
+  case FK_STORE_KEY_TERMINAL_JOB:
+  case FK_STORE_KEY_WAIT_TIMES:
+  case FK_STORE_KEY_LAUNCH_FENCE:
+  case FK_STORE_KEY_OTHER:
     break;
   }
   g_free(record);
--- a/src/core/state/records.h
+++ b/src/core/state/records.h
@@ -56,7 +56,7 @@
 /* What is under one key: a tagged union, which owns its members. Only those of its `kind` may be read or
  * written. */
 typedef struct {
-  FkKeyKind kind;
+  FkStoreKeyKind kind;
   union {
     struct { /* JOB */
       FkSpec *spec;
@@ -82,7 +82,7 @@
   };
 } FkRecord;
 
-FkRecord *fk_record_new(FkKeyKind kind);
+FkRecord *fk_record_new(FkStoreKeyKind kind);
 void fk_record_free(FkRecord *record); /* NULL is fine */
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(FkRecord, fk_record_free)
 
--- a/src/core/state/run_estimates.c
+++ b/src/core/state/run_estimates.c
@@ -26,15 +26,15 @@
   *correction += CORRECTION_EWMA_WEIGHT * (ratio - *correction);
 }
 
-void fk_view_update_service_rate(FkView *v) {
-  double elapsed_s = fk_time_between(v->service_rate_at, v->now);
+void fk_view_update_service_arrival_rate(FkView *v) {
+  double elapsed_s = fk_time_between(v->service_arrival_rate_updated_at, v->now);
   if (elapsed_s < SERVICE_RATE_INTERVAL_S)
     return;
-  double rate =
-      MIN(v->services_since_rate / elapsed_s, SERVICE_RATE_GROWTH_MAX * v->service_rate + SERVICE_RATE_FLOOR);
-  v->service_rate += (rate - v->service_rate) * MIN(1, elapsed_s / SERVICE_RATE_WINDOW_S);
-  v->services_since_rate = 0;
-  v->service_rate_at = v->now;
+  double rate = MIN(v->service_arrivals / elapsed_s,
+                    SERVICE_RATE_GROWTH_MAX * v->service_arrival_rate + SERVICE_RATE_FLOOR);
+  v->service_arrival_rate += (rate - v->service_arrival_rate) * MIN(1, elapsed_s / SERVICE_RATE_WINDOW_S);
+  v->service_arrivals = 0;
+  v->service_arrival_rate_updated_at = v->now;
 }
 
 double fk_view_expected_run_s(FkView *v, const FkSpec *spec) {
--- a/src/core/state/view.c
+++ b/src/core/state/view.c
@@ -114,7 +114,7 @@
   v->dependencies = fk_dependency_graph_new(dependency_changed, v);
   v->changed_machines = g_hash_table_new(g_str_hash, g_str_equal);
   v->capacity_changed = g_hash_table_new(g_str_hash, g_str_equal);
-  v->capacity_removed = g_ptr_array_new();
+  v->removed_machines = g_ptr_array_new();
   v->live_jobs = g_ptr_array_new();
   v->changed_jobs = g_hash_table_new_full(fk_job_hash, g_direct_equal, fk_job_unref, NULL);
   return v;
@@ -138,7 +138,7 @@
   fk_service_level_clear(v->service_level);
   g_hash_table_remove_all(v->changed_machines);
   g_hash_table_remove_all(v->capacity_changed);
-  g_ptr_array_set_size(v->capacity_removed, 0);
+  g_ptr_array_set_size(v->removed_machines, 0);
   g_clear_pointer(&v->leader, g_free);
   g_clear_pointer(&v->leader_incarnation, g_free);
   v->leader_rev.n = 0;
@@ -168,7 +168,7 @@
   fk_service_level_free(v->service_level);
   g_hash_table_unref(v->changed_machines);
   g_hash_table_unref(v->capacity_changed);
-  g_ptr_array_unref(v->capacity_removed);
+  g_ptr_array_unref(v->removed_machines);
   g_hash_table_unref(v->changed_jobs);
   g_ptr_array_unref(v->live_jobs);
   fk_spec_unref(v->latest_service);
@@ -197,7 +197,7 @@
   fk_fault_attribution_remove_machine(v->fault_attribution, machine->id);
   g_hash_table_remove(v->changed_machines, machine->id);
   g_hash_table_remove(v->capacity_changed, machine->id);
-  g_ptr_array_add(v->capacity_removed, machine);
+  g_ptr_array_add(v->removed_machines, machine);
   g_hash_table_remove(v->machines, machine->id);
 }
 
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -51,7 +51,7 @@
   guint announcements_due; /* workers to be shown a new token at once */
   gboolean page_dirty;     /* a page is to be written ... */
   FkTime page_dirty_since;
-  FkTime removal_due; /* ... by then at the latest, since a machine is to be removed; 0: none is */
+  FkTime removal_write_due; /* ... by then at the latest, since a machine is to be removed; 0: none is */
 } FkShard;
 
 /* A machine, with what the view, its shard's owner and the scheduler know of it. */
@@ -60,21 +60,21 @@
   FkMachineRecord *record; /* NULL: not registered */
   FkShard *shard;          /* NULL: its zone isn't known */
   FkRev page_rev;          /* the latest of its shard's pages that described it ... */
-  guint page_part;         /* ... and which that is */
+  guint record_page_index; /* ... and which that is */
   /* What this controller asks the registry to write of it. */
   FkMachineRecord *pending_record;  /* owned; NULL: it needn't be added */
   const char *pending_drain_reason; /* interned; NULL: it stays as it is */
-  double pending_notice_s;
-  gboolean pending_clear;      /* it needn't go any more */
-  gboolean pending_removal;    /* it is gone */
-  struct FkInstanceType *type; /* cached */
-  GArray *allocations;         /* FkAllocationRef */
+  double pending_termination_notice_s;
+  gboolean pending_drain_clear; /* it needn't go any more */
+  gboolean pending_removal;     /* it is gone */
+  struct FkInstanceType *type;  /* cached */
+  GArray *allocations;          /* FkAllocationRef */
   double allocated_cpus, allocated_gpus, allocated_mem_gb;
   double reserved_cpus, reserved_gpus, reserved_mem_gb; /* by launches under way */
   double allocated_long_cpus;                           /* of those allocated, to the long path's tasks */
   const char *drain_reason;                             /* interned: why it should go, or NULL ... */
   FkTime drain_reason_since;                            /* ... and since when this controller knows */
-  FkTime record_seen;                                   /* when this controller first saw its record */
+  FkTime record_seen_at;                                /* when this controller first saw its record */
   double notice_s; /* seconds from then until its termination; < 0: none was given */
   FkTime idle_since;
   gboolean blacklisted;             /* in the short partition: closed to newly arrived long jobs */
@@ -132,9 +132,9 @@
   GQueue *terminal_order;
   GHashTable *estimate_corrections; /* class -> double*: how long tasks really take, by their estimate */
   FkSpec *latest_service;           /* the latest service seen, or NULL */
-  double service_rate;              /* services that arrive a second, smoothed */
-  guint services_since_rate;        /* since the rate was updated last */
-  FkTime service_rate_at;
+  double service_arrival_rate;      /* services that arrive a second, smoothed */
+  guint service_arrivals;           /* since the rate was updated last */
+  FkTime service_arrival_rate_updated_at;
   double finished_run_s; /* of arrays' tasks done in this window: from allocation to end, summed */
   guint finished_count;
   double lost_cpu_s; /* of arrays' tasks that ended without a result in this window */
@@ -145,7 +145,7 @@
   char *leader, *leader_incarnation;
   FkRev leader_rev;
   GHashTable *changed_machines; /* ids: allocations, record or owner changed since the last cycle */
-  GPtrArray *capacity_removed;  /* addresses of freed machines, for the capacity index: not to be followed */
+  GPtrArray *removed_machines;  /* addresses of freed machines, for the capacity index: not to be followed */
   GHashTable *capacity_changed; /* ids, as above, for the capacity index */
   GPtrArray *live_jobs;         /* FkJob: those of `jobs`, in no order */
   GHashTable *changed_jobs; /* FkJob, with a reference: waiting tasks may have changed since the last cycle */
@@ -191,7 +191,7 @@
 /* Seconds that a task is expected to run: the user's estimate, corrected by what tasks of its class took. */
 double fk_view_expected_run_s(FkView *view, const FkSpec *spec);
 /* Updates the rate at which services arrive; at most once a second, calls between do nothing. */
-void fk_view_update_service_rate(FkView *view);
+void fk_view_update_service_arrival_rate(FkView *view);
 
 /* failing_jobs.c */
 
--- a/src/core/state/view_apply.c
+++ b/src/core/state/view_apply.c
@@ -28,7 +28,7 @@
   }
   if (fresh) {
     machine->record = fk_machine_record_copy(record);
-    machine->record_seen = machine->idle_since = v->now;
+    machine->record_seen_at = machine->idle_since = v->now;
   }
   if (fresh || changed)
     fk_view_mark_machine_changed(v, machine);
@@ -39,7 +39,7 @@
 static void forget_missing_machines(FkView *v, FkShard *shard, guint64 part, FkRev rev) {
   for (guint i = 0; i < shard->machines->len; i++) {
     FkMachine *machine = shard->machines->pdata[i];
-    if (machine->page_part != part || machine->page_rev.n == rev.n || !machine->record)
+    if (machine->record_page_index != part || machine->page_rev.n == rev.n || !machine->record)
       continue;
     g_clear_pointer(&machine->record, fk_machine_record_free);
     machine->drain_reason = NULL;
@@ -64,7 +64,7 @@
     FkMachine *machine = fk_view_ensure_machine(v, machine_record->id);
     fk_view_join_shard(machine, shard);
     machine->page_rev = rev;
-    machine->page_part = (guint)part;
+    machine->record_page_index = (guint)part;
     bytes += fk_machine_record_bytes(machine_record);
     set_machine_record(v, machine, machine_record);
   }
@@ -139,43 +139,43 @@
   g_autoptr(FkRecord) record = taken;
   g_autofree char *id = NULL;
   guint32 chunk = 0;
-  FkKeyKind kind = fk_key_parse(path, &id, &chunk);
+  FkStoreKeyKind kind = fk_store_key_parse(path, &id, &chunk);
   if (record && record->kind != kind)
     return;
   switch (kind) {
-  case FK_KEY_OTHER:
+  case FK_STORE_KEY_OTHER:
     break;
-  case FK_KEY_JOB:
+  case FK_STORE_KEY_JOB:
     fk_view_set_job(v, id, record, rev);
     break;
-  case FK_KEY_CHUNK:
+  case FK_STORE_KEY_CHUNK:
     set_chunk(v, path, id, chunk, record, rev);
     break;
-  case FK_KEY_SHARD:
+  case FK_STORE_KEY_SHARD:
     set_shard(v, id, record, rev);
     break;
-  case FK_KEY_MACHINE_PAGE:
+  case FK_STORE_KEY_MACHINE_PAGE:
     set_machine_page(v, id, record, rev);
     break;
-  case FK_KEY_COMPLETIONS:
+  case FK_STORE_KEY_COMPLETIONS:
     fk_view_set_completions(v, id, record, rev);
     break;
-  case FK_KEY_LAUNCH_FENCE:
+  case FK_STORE_KEY_LAUNCH_FENCE:
     set_launch_fence(v, id, record, rev);
     break;
-  case FK_KEY_NODE:
+  case FK_STORE_KEY_NODE:
     set_node(v, id, record, rev);
     break;
-  case FK_KEY_TEAM:
+  case FK_STORE_KEY_TEAM:
     set_team(v, id, record, rev);
     break;
-  case FK_KEY_LEADER:
+  case FK_STORE_KEY_LEADER:
     set_leader(v, record, rev);
     break;
-  case FK_KEY_WAIT_TIMES:
+  case FK_STORE_KEY_WAIT_TIMES:
     set_wait_times(v, id, record);
     break;
-  case FK_KEY_TERMINAL_JOB:
+  case FK_STORE_KEY_TERMINAL_JOB:
     if (record)
       fk_view_add_terminal_job(v, id, record->phase, record->tasks, record->ended_at_ms);
     break;
--- a/src/core/state/view_chunks.c
+++ b/src/core/state/view_chunks.c
@@ -121,8 +121,8 @@
   FkChunk *old = job->chunks[index];
   if (chunk)
     carry_first_seen(v, job, old, chunk);
-  if (index < job->unstarted_hint)
-    job->unstarted_hint = index;
+  if (index < job->first_waiting_chunk_hint)
+    job->first_waiting_chunk_hint = index;
   job->chunks[index] = chunk;
   if (!old || !chunk) {
     if (old)
--- a/src/core/state/view_completions.c
+++ b/src/core/state/view_completions.c
@@ -57,8 +57,8 @@
       end_allocation(v, job, chunk, allocation,
                      released->task_failed ? FK_COMPLETION_FAILED : FK_COMPLETION_RELEASED);
   }
-  if (index < job->unstarted_hint)
-    job->unstarted_hint = (guint32)index;
+  if (index < job->first_waiting_chunk_hint)
+    job->first_waiting_chunk_hint = (guint32)index;
 }
 
 static gboolean is_same_completion_record(const FkCompletionRecord *first, const FkCompletionRecord *second) {
--- a/src/core/state/view_jobs.c
+++ b/src/core/state/view_jobs.c
@@ -25,7 +25,7 @@
           fk_view_learn_run_time(v, job->spec, fk_time_between(allocation->first_seen_at, v->now));
       }
       fk_view_remove_chunk(v, job, job->chunks[i]);
-      char *path = fk_key_chunk_path(id, i);
+      char *path = fk_store_key_chunk_path(id, i);
       g_hash_table_replace(v->orphan_chunks, path, g_memdup2(&job->base_chunks[i]->rev, sizeof(FkRev)));
     }
   if (!job->cancelled)
@@ -83,7 +83,7 @@
 static void count_service(FkView *v, FkSpec *spec) {
   fk_spec_unref(v->latest_service);
   v->latest_service = fk_spec_ref(spec);
-  v->services_since_rate += MIN(spec->tasks, SERVICE_TASKS_COUNTED_MAX);
+  v->service_arrivals += MIN(spec->tasks, SERVICE_TASKS_COUNTED_MAX);
 }
 
 /* The job is cancelled now: its tasks are to be stopped. */
--- a/src/core/store_session/calls.c
+++ b/src/core/store_session/calls.c
@@ -44,7 +44,7 @@
 }
 
 static double retry_after_s(const FkController *c, const Call *call) {
-  double latency_s = c->calls.usual_delay_s > 0 ? c->calls.usual_delay_s : DEFAULT_LATENCY_S;
+  double latency_s = c->calls.latency_ewma_s > 0 ? c->calls.latency_ewma_s : DEFAULT_LATENCY_S;
   double min_s = c->calls.lost_share > LOSSY_RETRY_SHARE ? RETRY_MIN_S : RETRY_LOSSLESS_MIN_S;
   return CLAMP(RETRY_LATENCY_FACTOR * latency_s, min_s, RETRY_MAX_S) * (1 << (call->sends - 1));
 }
@@ -52,7 +52,7 @@
 void fk_calls_retry_overdue(FkController *c) {
   GHashTableIter it;
   gpointer value;
-  double write_room = c->launches.write_room;
+  double launch_writes_available = c->launches.launch_writes_available;
   g_hash_table_iter_init(&it, c->calls.pending_transactions);
   while (g_hash_table_iter_next(&it, NULL, &value)) {
     Call *call = value;
@@ -60,9 +60,9 @@
         fk_time_between(call->sent, c->now) < retry_after_s(c, call))
       continue;
     guint writes = call->out->writes->len;
-    if (call->out->priority > FK_PRIORITY_USER && writes > write_room)
+    if (call->out->priority > FK_PRIORITY_USER && writes > launch_writes_available)
       continue; /* over the budget it would only keep others waiting */
-    write_room -= writes;
+    launch_writes_available -= writes;
     call->sent.us = 0;
     call->sends++;
     call->open++;
@@ -134,7 +134,7 @@
   return value;
 }
 
-void fk_store_session_note_outcome(FkController *c, FkOutcome outcome) {
+void fk_store_session_record_outcome(FkController *c, FkOutcome outcome) {
   if (outcome == FK_OUTCOME_REFUSED || outcome == FK_OUTCOME_UNKNOWN)
     return;
   if (fk_time_between(c->store_session.store_answered_at, c->now) > OUTAGE_S)
@@ -145,7 +145,7 @@
 void fk_controller_commit_received(FkController *c, FkTime now, guint64 id, FkOutcome outcome, FkRev epoch,
                                    GPtrArray *failed) {
   c->now = now;
-  fk_store_session_note_outcome(c, outcome);
+  fk_store_session_record_outcome(c, outcome);
   if (outcome == FK_OUTCOME_OK && epoch.n > c->store_session.latest_rev_seen.n)
     c->store_session.latest_rev_seen = epoch;
   Call *call = g_hash_table_lookup(c->calls.pending_transactions, &id);
@@ -154,10 +154,10 @@
   if ((outcome == FK_OUTCOME_REFUSED || outcome == FK_OUTCOME_INVALID) && --call->open)
     return; /* another of its sends may yet be carried out */
   if ((outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT) && call->sent.us) {
-    c->calls.usual_delay_s +=
-        LATENCY_EWMA_WEIGHT * (fk_time_between(call->sent, now) - c->calls.usual_delay_s);
+    c->calls.latency_ewma_s +=
+        LATENCY_EWMA_WEIGHT * (fk_time_between(call->sent, now) - c->calls.latency_ewma_s);
     c->calls.lost_share += LATENCY_EWMA_WEIGHT * ((call->sends > 1) - c->calls.lost_share);
-    c->calls.resent += call->sends > 1;
+    c->calls.retried_count += call->sends > 1;
   }
   call = take_call(c->calls.pending_transactions, id);
   call->committed(c, call->data, outcome, epoch, failed);
@@ -167,7 +167,7 @@
 void fk_controller_get_received(FkController *c, FkTime now, guint64 id, FkOutcome outcome,
                                 FkStoreEvent *event) {
   c->now = now;
-  fk_store_session_note_outcome(c, outcome);
+  fk_store_session_record_outcome(c, outcome);
   Call *call = take_call(c->calls.pending_reads, id);
   if (call) {
     call->got(c, call->data, outcome, event);
@@ -177,7 +177,7 @@
 }
 
 FkRecord *fk_job_record_new(const FkJob *job, gboolean cancelled) {
-  FkRecord *record = fk_record_new(FK_KEY_JOB);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_JOB);
   record->spec = fk_spec_ref(job->spec);
   record->cancelled = cancelled;
   return record;
@@ -186,18 +186,19 @@
 gboolean fk_transaction_finalize_job(FkController *c, FkOutput *transaction, FkJob *job, guint writes_left) {
   if (writes_left < 2)
     return FALSE;
-  FkRecord *record = fk_record_new(FK_KEY_TERMINAL_JOB);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_TERMINAL_JOB);
   record->phase = job->cancelled ? FK_PHASE_CANCELLED : FK_PHASE_DONE;
   record->tasks = job->cancelled ? job->done : job->spec->tasks;
   if (fk_dependency_graph_has_dependents(c->view->dependencies, job->spec->id))
     record->ended_at_ms = (c->now.us + c->view->wall_offset_us) / 1000; /* the dependents' waits begin here */
-  fk_transaction_guard(transaction, fk_key_path(FK_KEY_JOB, job->spec->id), job->rev);
-  fk_transaction_put(transaction, fk_key_path(FK_KEY_TERMINAL_JOB, job->spec->id), record, (FkRev){0});
-  fk_transaction_delete(transaction, fk_key_path(FK_KEY_JOB, job->spec->id));
+  fk_transaction_guard(transaction, fk_store_key_path(FK_STORE_KEY_JOB, job->spec->id), job->rev);
+  fk_transaction_put(transaction, fk_store_key_path(FK_STORE_KEY_TERMINAL_JOB, job->spec->id), record,
+                     (FkRev){0});
+  fk_transaction_delete(transaction, fk_store_key_path(FK_STORE_KEY_JOB, job->spec->id));
   writes_left -= 2;
   for (guint32 i = 0; i < job->chunk_count && writes_left; i++)
     if (job->chunks[i]) {
-      fk_transaction_delete(transaction, fk_key_chunk_path(job->spec->id, i));
+      fk_transaction_delete(transaction, fk_store_key_chunk_path(job->spec->id, i));
       writes_left--;
     }
   return TRUE;
--- a/src/core/store_session/calls.h
+++ b/src/core/store_session/calls.h
@@ -4,10 +4,10 @@
 
 /* Calls to the store that are under way, and how quickly it has answered lately. */
 typedef struct {
-  guint64 last_id;      /* of all calls, to workers and the cloud as well */
-  double usual_delay_s; /* how late the store usually answers a transaction; 0: none was answered yet */
-  double lost_share;    /* share of the transactions that had to be sent again, lately */
-  guint resent;         /* answered after more than one send, in this window */
+  guint64 last_id;       /* of all calls, to workers and the cloud as well */
+  double latency_ewma_s; /* how late the store usually answers a transaction; 0: none was answered yet */
+  double lost_share;     /* share of the transactions that had to be sent again, lately */
+  guint retried_count;   /* answered after more than one send, in this window */
   GHashTable *pending_transactions;                 /* call id -> the call, with its callback */
   GHashTable *pending_reads;                        /* the same */
   guint transactions[FK_PRIORITY_RESULT + 1];       /* in this window, by purpose */
--- a/src/core/store_session/session.c
+++ b/src/core/store_session/session.c
@@ -41,7 +41,7 @@
   g_hash_table_remove_all(c->store_session.peer_confirmed_at);
   g_hash_table_remove_all(c->requests.terminal_states_requested);
   g_clear_pointer(&c->store_session.list_after, g_free);
-  c->store_session.list_epoch.n = 0;
+  c->store_session.list_rev.n = 0;
   c->store_session.catch_up_rev.n = 0;
   c->store_session.sync = FK_SYNC_LISTING;
   c->launches.launching = c->leader.finalizing = c->leader.preempting = FALSE;
@@ -75,7 +75,7 @@
                                  gboolean more, FkRev epoch) {
   c->now = now;
   c->store_session.listing = FALSE;
-  fk_store_session_note_outcome(c, outcome);
+  fk_store_session_record_outcome(c, outcome);
   if (c->store_session.sync != FK_SYNC_LISTING)
     return;
   if (outcome != FK_OUTCOME_OK) {
@@ -86,8 +86,8 @@
     return;
   }
   c->store_session.failures = 0;
-  if (!c->store_session.list_epoch.n)
-    c->store_session.list_epoch = epoch;
+  if (!c->store_session.list_rev.n)
+    c->store_session.list_rev = epoch;
   if (epoch.n > c->store_session.catch_up_rev.n)
     c->store_session.catch_up_rev = epoch;
   apply_events(c, events);
@@ -97,7 +97,7 @@
     send_list(c);
     return;
   }
-  c->view->applied = c->store_session.list_epoch;
+  c->view->applied = c->store_session.list_rev;
   c->store_session.sync = FK_SYNC_CATCHING_UP;
   send_watch(c, 0);
 }
@@ -113,7 +113,7 @@
 void fk_store_session_watch_received(FkController *c, FkOutcome outcome, GPtrArray *events, FkRev epoch,
                                      FkTime sent) {
   c->store_session.watching = FALSE;
-  fk_store_session_note_outcome(c, outcome);
+  fk_store_session_record_outcome(c, outcome);
   if (c->store_session.sync != FK_SYNC_READY && c->store_session.sync != FK_SYNC_CATCHING_UP)
     return;
   if (outcome == FK_OUTCOME_GONE) {
@@ -150,7 +150,7 @@
 void fk_controller_lease_grant_received(FkController *c, FkTime now, FkOutcome outcome, FkRev lease,
                                         FkTime sent) {
   c->now = now;
-  fk_store_session_note_outcome(c, outcome);
+  fk_store_session_record_outcome(c, outcome);
   c->store_session.lease_pending = FALSE;
   if (outcome == FK_OUTCOME_OK) {
     c->store_session.lease = lease;
@@ -163,7 +163,7 @@
 
 void fk_controller_lease_keepalive_received(FkController *c, FkTime now, FkOutcome outcome, FkTime sent) {
   c->now = now;
-  fk_store_session_note_outcome(c, outcome);
+  fk_store_session_record_outcome(c, outcome);
   c->store_session.lease_pending = FALSE;
   c->store_session.next_keepalive =
       fk_time_add(now, outcome == FK_OUTCOME_OK ? KEEPALIVE_INTERVAL_S : lease_retry_s(c));
@@ -202,12 +202,12 @@
   if (node && g_str_equal(node->incarnation, c->incarnation))
     return;
   FkOutput *transaction = fk_transaction_new(c, FK_PRIORITY_LEASE);
-  FkRecord *record = fk_record_new(FK_KEY_NODE);
+  FkRecord *record = fk_record_new(FK_STORE_KEY_NODE);
   record->incarnation = g_strdup(c->incarnation);
   /* A retry by an earlier incarnation, whose lease may last for seconds yet, must not undo this. */
-  fk_transaction_guard(transaction, fk_key_path(FK_KEY_NODE, c->settings->node),
+  fk_transaction_guard(transaction, fk_store_key_path(FK_STORE_KEY_NODE, c->settings->node),
                        node ? node->rev : (FkRev){0});
-  fk_transaction_put(transaction, fk_key_path(FK_KEY_NODE, c->settings->node), record,
+  fk_transaction_put(transaction, fk_store_key_path(FK_STORE_KEY_NODE, c->settings->node), record,
                      c->store_session.lease);
   c->store_session.node_pending = TRUE;
   fk_transaction_send(c, transaction, node_key_committed, NULL, NULL);
--- a/src/core/store_session/session.h
+++ b/src/core/store_session/session.h
@@ -6,7 +6,7 @@
 typedef struct {
   enum { FK_SYNC_IDLE, FK_SYNC_LISTING, FK_SYNC_CATCHING_UP, FK_SYNC_READY } sync;
   char *list_after;
-  FkRev list_epoch, catch_up_rev;
+  FkRev list_rev, catch_up_rev;
   gboolean listing, watching;
   FkTime retry_at;
   FkTime confirmed_at;           /* the view was current at this moment, for certain */
@@ -35,4 +35,4 @@
 void fk_store_session_watch_received(FkController *c, FkOutcome outcome, GPtrArray *events, FkRev epoch,
                                      FkTime sent);
 /* A call has ended: whether the store has answered at all. */
-void fk_store_session_note_outcome(FkController *c, FkOutcome outcome);
+void fk_store_session_record_outcome(FkController *c, FkOutcome outcome);
--- a/src/daemon/cloud_client.c
+++ b/src/daemon/cloud_client.c
@@ -36,7 +36,7 @@
 
 static void on_provision_result(FkPendingCall *call, guint status, const char *body, gsize len) {
   FkOutcome outcome = fk_outcome_from_status(status);
-  g_autoptr(GPtrArray) names = outcome == FK_OUTCOME_OK ? fk_cloud_parse_names(body, len) : NULL;
+  g_autoptr(GPtrArray) names = outcome == FK_OUTCOME_OK ? fk_cloud_parse_machine_ids(body, len) : NULL;
   if (outcome == FK_OUTCOME_OK && !names)
     outcome = FK_OUTCOME_UNKNOWN;
   /* the provider has no such machines now, which isn't a failure of its interface */
--- a/src/daemon/store_client.c
+++ b/src/daemon/store_client.c
@@ -32,7 +32,7 @@
   if (!json && (outcome == FK_OUTCOME_OK || outcome == FK_OUTCOME_CONFLICT))
     outcome = FK_OUTCOME_UNKNOWN;
   fk_controller_commit_received(call->daemon->core, fk_daemon_now(), call->output->call, outcome,
-                                fk_store_parse_epoch(json), failed);
+                                fk_store_parse_revision(json), failed);
 }
 
 static void on_get_result(FkPendingCall *call, FkOutcome outcome, const char *body, gsize len) {
@@ -114,7 +114,7 @@
 /* Only transactions and reads wait for the rate limiter, and may go through it again. */
 static gboolean may_retry(FkOutput *output) {
   return (output->kind == FK_OUTPUT_COMMIT || output->kind == FK_OUTPUT_GET) &&
-         output->budget_refusals++ < RETRIES_MAX;
+         output->rate_limit_retries++ < RETRIES_MAX;
 }
 
 static void on_result(FkPendingCall *call, guint status, const char *body, gsize len) {
--- a/src/dependency_graph/dependency_graph.c
+++ b/src/dependency_graph/dependency_graph.c
@@ -186,7 +186,7 @@
 
 /* ------------------------------------------------------------------ queries */
 
-guint fk_dependency_graph_open_count(const FkDependencyGraph *graph, const char *id) {
+guint fk_dependency_graph_unfinished_count(const FkDependencyGraph *graph, const char *id) {
   const Node *node = find_node(graph, id);
   return node && node->live ? node->open : 0;
 }
--- a/src/dependency_graph/dependency_graph.h
+++ b/src/dependency_graph/dependency_graph.h
@@ -34,7 +34,7 @@
 void fk_dependency_graph_remove(FkDependencyGraph *graph, const char *id);
 
 /* How many of the job's dependencies aren't known to be done. */
-guint fk_dependency_graph_open_count(const FkDependencyGraph *graph, const char *id);
+guint fk_dependency_graph_unfinished_count(const FkDependencyGraph *graph, const char *id);
 /* When the last of its dependencies ended, wall clock in ms; 0: not known of any. */
 gint64 fk_dependency_graph_ready_ms(const FkDependencyGraph *graph, const char *id);
 /* A live job names it as a dependency. */
--- a/src/fair_share/fair_share.c
+++ b/src/fair_share/fair_share.c
@@ -52,9 +52,9 @@
 
 FkStanding fk_fair_share_standing(const FkFairShareDemand *demand) {
   if (demand->guarantee > 0 && demand->used + demand->wanted <= demand->guarantee + AMOUNT_EPSILON)
-    return FK_STANDING_PROTECTED;
+    return FK_STANDING_WITHIN_GUARANTEE;
   if (demand->used < (1 - SHARE_TOLERANCE) * demand->share - AMOUNT_EPSILON)
-    return FK_STANDING_SHORT;
-  return demand->used > (1 + SHARE_TOLERANCE) * demand->share + AMOUNT_EPSILON ? FK_STANDING_OVER
-                                                                               : FK_STANDING_FAIR;
+    return FK_STANDING_BELOW_SHARE;
+  return demand->used > (1 + SHARE_TOLERANCE) * demand->share + AMOUNT_EPSILON ? FK_STANDING_ABOVE_SHARE
+                                                                               : FK_STANDING_NEAR_SHARE;
 }
--- a/src/fair_share/fair_share.h
+++ b/src/fair_share/fair_share.h
@@ -24,10 +24,10 @@
 
 /* How a team's use compares with its share. Lower goes first. */
 typedef enum {
-  FK_STANDING_PROTECTED, /* everything it demands fits its guarantee: it doesn't wait for others */
-  FK_STANDING_SHORT,     /* well below its share */
-  FK_STANDING_FAIR,      /* near it */
-  FK_STANDING_OVER       /* well above it */
+  FK_STANDING_WITHIN_GUARANTEE, /* everything it demands fits its guarantee: it doesn't wait for others */
+  FK_STANDING_BELOW_SHARE,      /* well below its share */
+  FK_STANDING_NEAR_SHARE,       /* near it */
+  FK_STANDING_ABOVE_SHARE       /* well above it */
 } FkStanding;
 /* Needs the share to be filled in. */
 FkStanding fk_fair_share_standing(const FkFairShareDemand *demand);
--- a/src/instance_models/boot_time.c
+++ b/src/instance_models/boot_time.c
@@ -59,7 +59,7 @@
   return model->at_risk[bin] > WEIGHT_EPSILON ? MIN(1, model->joined[bin] / model->at_risk[bin]) : 0;
 }
 
-double fk_boot_time_probability(const FkBootTimeModel *model, double age, double within) {
+double fk_boot_time_join_probability(const FkBootTimeModel *model, double age, double within) {
   double survival = 1; /* not joined yet */
   guint last = bin_index(age + within);
   for (guint i = bin_index(age); i <= last; i++)
--- a/src/instance_models/boot_time.h
+++ b/src/instance_models/boot_time.h
@@ -24,7 +24,7 @@
 void fk_boot_time_observe_given_up(FkBootTimeModel *model, double age);
 
 /* The probability that an instance of this age joins within so many boot times more. */
-double fk_boot_time_probability(const FkBootTimeModel *model, double age, double within);
+double fk_boot_time_join_probability(const FkBootTimeModel *model, double age, double within);
 
 /* The expected remaining time of an instance of this age, in boot times, if it joins at all. */
 double fk_boot_time_remaining(const FkBootTimeModel *model, double age);
--- a/src/scheduling_queue/wait_queue.c
+++ b/src/scheduling_queue/wait_queue.c
@@ -79,7 +79,7 @@
   return TRUE;
 }
 
-guint fk_wait_queue_place(const FkWaitQueue *queue, gpointer item) {
+guint fk_wait_queue_position(const FkWaitQueue *queue, gpointer item) {
   GSequenceIter *position = g_hash_table_lookup(queue->index, item);
   return position ? (guint)g_sequence_iter_get_position(position) + 1 : 0;
 }
--- a/src/scheduling_queue/wait_queue.h
+++ b/src/scheduling_queue/wait_queue.h
@@ -26,7 +26,7 @@
 /* FALSE: it wasn't in the queue. */
 gboolean fk_wait_queue_remove(FkWaitQueue *queue, gpointer item);
 /* Its position, from 1; 0: it isn't in the queue. */
-guint fk_wait_queue_place(const FkWaitQueue *queue, gpointer item);
+guint fk_wait_queue_position(const FkWaitQueue *queue, gpointer item);
 /* Appends the first `count_max` wanted items to `items`, in their order; examines `examined_max` at most. */
 void fk_wait_queue_first(const FkWaitQueue *queue, guint count_max, guint examined_max,
                          gboolean (*wanted)(gpointer item, gpointer data), gpointer data, GPtrArray *items);
--- a/src/simulation/check_transaction.c
+++ b/src/simulation/check_transaction.c
@@ -9,8 +9,8 @@
   return NULL;
 }
 
-static gboolean guards_kind(const FkOutput *t, FkKeyKind kind) {
-  g_autofree char *prefix = fk_key_path(kind, "");
+static gboolean guards_kind(const FkOutput *t, FkStoreKeyKind kind) {
+  g_autofree char *prefix = fk_store_key_path(kind, "");
   for (guint i = 0; i < t->guards->len; i++)
     if (g_str_has_prefix(g_array_index(t->guards, FkGuard, i).path, prefix))
       return TRUE;
@@ -19,13 +19,13 @@
 
 /* The job's record is as it was, and there is one. */
 static gboolean guards_existing_job(const FkOutput *t, const char *job) {
-  g_autofree char *path = fk_key_path(FK_KEY_JOB, job);
+  g_autofree char *path = fk_store_key_path(FK_STORE_KEY_JOB, job);
   const FkGuard *g = guard_on(t, path);
   return g && g->rev.n;
 }
 
-static gboolean guards_absence(const FkOutput *t, FkKeyKind kind, const char *id) {
-  g_autofree char *path = fk_key_path(kind, id);
+static gboolean guards_absence(const FkOutput *t, FkStoreKeyKind kind, const char *id) {
+  g_autofree char *path = fk_store_key_path(kind, id);
   const FkGuard *g = guard_on(t, path);
   return g && !g->rev.n;
 }
@@ -42,31 +42,31 @@
   g_autofree char *id = NULL;
   guint32 chunk;
   const FkGuard *own = guard_on(t, w->path);
-  FkKeyKind kind = fk_key_parse(w->path, &id, &chunk);
+  FkStoreKeyKind kind = fk_store_key_parse(w->path, &id, &chunk);
   switch (kind) {
-  case FK_KEY_JOB:
+  case FK_STORE_KEY_JOB:
     if (!own)
       return "its own revision";
     /* absent now isn't absent as then: a job that has ended stays so */
-    return own->rev.n || guards_absence(t, FK_KEY_TERMINAL_JOB, id) ? NULL : "that it hasn't ended";
-  case FK_KEY_TERMINAL_JOB:
+    return own->rev.n || guards_absence(t, FK_STORE_KEY_TERMINAL_JOB, id) ? NULL : "that it hasn't ended";
+  case FK_STORE_KEY_TERMINAL_JOB:
     return guards_existing_job(t, id) ? NULL : "the job's record";
-  case FK_KEY_CHUNK:
+  case FK_STORE_KEY_CHUNK:
     if (!w->record) /* with its job, or as nobody's */
-      return guards_existing_job(t, id) || guards_absence(t, FK_KEY_JOB, id)
+      return guards_existing_job(t, id) || guards_absence(t, FK_STORE_KEY_JOB, id)
                  ? NULL
                  : "the job's record, or its absence";
     if (!own)
       return "its own revision";
-    if (!guards_kind(t, FK_KEY_LAUNCH_FENCE)) /* a stop: it takes nothing */
+    if (!guards_kind(t, FK_STORE_KEY_LAUNCH_FENCE)) /* a stop: it takes nothing */
       return own->rev.n ? NULL : "that it is there";
-    return !guards_existing_job(t, id)     ? "the job's record"
-           : !guards_kind(t, FK_KEY_SHARD) ? "a claim"
-                                           : NULL;
-  case FK_KEY_TEAM:
+    return !guards_existing_job(t, id)           ? "the job's record"
+           : !guards_kind(t, FK_STORE_KEY_SHARD) ? "a claim"
+                                                 : NULL;
+  case FK_STORE_KEY_TEAM:
     /* a pause gives nobody anything, whatever was there */
     return own || assigns_no_shares(version, w) ? NULL : "its own revision";
-  case FK_KEY_WAIT_TIMES:
+  case FK_STORE_KEY_WAIT_TIMES:
     return NULL; /* a statistic, on a hold */
   default:
     return own ? NULL : "its own revision";
--- a/src/simulation/planned_faults.c
+++ b/src/simulation/planned_faults.c
@@ -6,7 +6,7 @@
 #include "wire/store.h"
 
 static int current_leader(Sim *sim) {
-  g_autofree char *path = fk_key_path(FK_KEY_LEADER, "");
+  g_autofree char *path = fk_store_key_path(FK_STORE_KEY_LEADER, "");
   const FkStoreItem *it = fk_store_model_get(sim->store, path);
   if (!it)
     return -1;
--- a/src/simulation/platform_settings.c
+++ b/src/simulation/platform_settings.c
@@ -65,7 +65,7 @@
   cJSON *state = cJSON_AddObjectToObject(deployment, "state");
   cJSON_AddNumberToObject(state, "rps", settings->store_rps);
   cJSON_AddNumberToObject(state, "write_rps", settings->store_write_rps);
-  cJSON_AddNumberToObject(state, "value_kb", settings->current_value_kb);
+  cJSON_AddNumberToObject(state, "value_kb", settings->current_value_limit_kb);
   cJSON_AddNumberToObject(state, "txn_ops", initial_ops ? initial_ops : settings->transaction_ops_max);
   cJSON *next = cJSON_AddObjectToObject(state, "next");
   cJSON_AddNumberToObject(next, "write_rps", settings->next_store_write_rps);
--- a/src/simulation/recovery.c
+++ b/src/simulation/recovery.c
@@ -32,7 +32,7 @@
   s->cancellation_deadline_s = 70;
   s->store_write_rps = writes;
   s->store_rps = 3 * writes;
-  s->value_kb = s->current_value_kb = 32;
+  s->value_kb = s->current_value_limit_kb = 32;
   s->next_store_rps = s->store_rps;
   s->next_store_write_rps = s->store_write_rps;
   s->transaction_ops_max = 24;
--- a/src/simulation/scale/cloud_stand_in.c
+++ b/src/simulation/scale/cloud_stand_in.c
@@ -62,7 +62,7 @@
     ids = start_instances(cloud->workers, request, count);
     g_hash_table_insert(cloud->instances_by_request, g_strdup(request->name), ids);
   }
-  fk_stand_in_respond(message, 200, fk_cloud_print_names(ids));
+  fk_stand_in_respond(message, 200, fk_cloud_print_machine_ids(ids));
 }
 
 /* ------------------------------------------------------------------ terminating machines */
@@ -82,7 +82,7 @@
 static void on_terminate_request(FkCloudStandIn *cloud, SoupServerMessage *message, const char *body,
                                  gsize len) {
   FkSimulatedWorkers *workers = cloud->workers;
-  g_autoptr(GPtrArray) ids = fk_cloud_parse_names(body, len);
+  g_autoptr(GPtrArray) ids = fk_cloud_parse_machine_ids(body, len);
   if (!ids) {
     respond_text(message, 400, "{}");
     return;
--- a/src/simulation/scale/store_stand_in.c
+++ b/src/simulation/scale/store_stand_in.c
@@ -118,7 +118,7 @@
 static void on_get(StoreStandIn *stand_in, SoupServerMessage *message, const char *path) {
   const FkStoreItem *item = fk_store_model_get(stand_in->store, path);
   if (!item) {
-    respond(stand_in, message, 404, fk_store_print_epoch(fk_store_model_revision(stand_in->store)));
+    respond(stand_in, message, 404, fk_store_print_revision(fk_store_model_revision(stand_in->store)));
     return;
   }
   g_autoptr(cJSON) json = fk_store_item_to_json(item->path, item->value, item->revision, item->lease);
@@ -168,7 +168,7 @@
   fk_metrics_log_add(stand_in->metrics, "writes", transaction->changes->len);
   fk_metrics_log_add(stand_in->metrics, "guards", transaction->conditions->len);
   if (outcome == FK_STORE_OK) {
-    respond(stand_in, message, 200, fk_store_print_epoch(revision));
+    respond(stand_in, message, 200, fk_store_print_revision(revision));
   } else if (outcome == FK_STORE_CONFLICT) {
     fk_metrics_log_add(stand_in->metrics, "conflicts", 1);
     respond(stand_in, message, 409, fk_store_print_conflict(failed, revision));
--- a/src/simulation/store.c
+++ b/src/simulation/store.c
@@ -21,7 +21,7 @@
 gsize sim_store_value_bytes_max(const Sim *sim) {
   gboolean fallen =
       sim->plan.limits_reduced_at_s > 0 && sim->now >= (gint64)(sim->plan.limits_reduced_at_s * 1e6);
-  return (gsize)(1024 * (fallen ? sim->settings->value_kb : sim->settings->current_value_kb));
+  return (gsize)(1024 * (fallen ? sim->settings->value_kb : sim->settings->current_value_limit_kb));
 }
 
 guint sim_store_txn_ops_max(const Sim *sim) {
@@ -70,7 +70,7 @@
 static gboolean writes_leader_key(const FkOutput *o) {
   for (guint i = 0; i < o->writes->len; i++) {
     const FkRecord *r = g_array_index(o->writes, FkWrite, i).record;
-    if (r && r->kind == FK_KEY_LEADER)
+    if (r && r->kind == FK_STORE_KEY_LEADER)
       return TRUE;
   }
   return FALSE;
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -58,7 +58,7 @@
   return machines;
 }
 
-GPtrArray *fk_cloud_parse_names(const char *body, gsize len) {
+GPtrArray *fk_cloud_parse_machine_ids(const char *body, gsize len) {
   g_autoptr(cJSON) json = fk_json_parse(body, len);
   const cJSON *list = fk_json_get(json, "knotters"), *item;
   if (!cJSON_IsArray(list))
@@ -84,7 +84,7 @@
   return fk_json_print(json);
 }
 
-char *fk_cloud_print_terminate(const FkOutput *output) { return fk_cloud_print_names(output->names); }
+char *fk_cloud_print_terminate(const FkOutput *output) { return fk_cloud_print_machine_ids(output->names); }
 
 /* ------------------------------------------------------------------ the cloud's side */
 
@@ -132,7 +132,7 @@
   return fk_json_print(json);
 }
 
-char *fk_cloud_print_names(const GPtrArray *names) {
+char *fk_cloud_print_machine_ids(const GPtrArray *names) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
   cJSON *list = cJSON_AddArrayToObject(json, "knotters");
   for (guint i = 0; i < names->len; i++)
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -15,7 +15,7 @@
 /* FkCloudMachine. `more`: the list goes on. */
 GPtrArray *fk_cloud_parse_machines(const char *body, gsize len, gboolean *more);
 /* char*: the machines that are provisioned. */
-GPtrArray *fk_cloud_parse_names(const char *body, gsize len);
+GPtrArray *fk_cloud_parse_machine_ids(const char *body, gsize len);
 /* An error response that means: there are no such machines now. */
 gboolean fk_cloud_is_no_capacity(const char *body, gsize len);
 
@@ -34,6 +34,6 @@
 
 /* Responses, to be freed. */
 char *fk_cloud_print_types(const GPtrArray *types /* FkInstanceType */);
-char *fk_cloud_print_names(const GPtrArray *names /* char* */);
+char *fk_cloud_print_machine_ids(const GPtrArray *names /* char* */);
 char *fk_cloud_print_machines(const GPtrArray *machines /* FkCloudMachine */, gboolean more);
 char *fk_cloud_print_no_capacity(void);
--- a/src/wire/settings.c
+++ b/src/wire/settings.c
@@ -89,7 +89,7 @@
   double ops = settings->transaction_ops_max, value_kb = settings->value_kb;
   settings->next_store_rps = settings->store_rps;
   settings->next_store_write_rps = settings->store_write_rps;
-  settings->current_value_kb = settings->value_kb;
+  settings->current_value_limit_kb = settings->value_kb;
   if (!next)
     return TRUE;
   if (!cJSON_IsObject(next))
--- a/src/wire/store.c
+++ b/src/wire/store.c
@@ -23,7 +23,7 @@
   return fk_json_print(json);
 }
 
-FkRev fk_store_parse_epoch(const cJSON *json) {
+FkRev fk_store_parse_revision(const cJSON *json) {
   FkRev epoch = {0};
   fk_json_u64(json, "epoch", &epoch.n);
   return epoch;
@@ -65,7 +65,7 @@
     return NULL;
   *more = FALSE;
   fk_json_bool(json, "truncated", more);
-  *epoch = fk_store_parse_epoch(json);
+  *epoch = fk_store_parse_revision(json);
   GPtrArray *events = g_ptr_array_new_with_free_func((GDestroyNotify)fk_store_event_free);
   cJSON_ArrayForEach(item, list) {
     FkStoreEvent *event = fk_store_parse_item(item);
@@ -80,7 +80,7 @@
   const cJSON *list = fk_json_get(json, "events"), *item;
   if (!cJSON_IsArray(list))
     return NULL;
-  *epoch = fk_store_parse_epoch(json);
+  *epoch = fk_store_parse_revision(json);
   GPtrArray *events = g_ptr_array_new_with_free_func((GDestroyNotify)fk_store_event_free);
   cJSON_ArrayForEach(item, list) {
     const char *put_path = fk_json_str(item, "put"), *deleted_path = fk_json_str(item, "delete");
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -12,7 +12,7 @@
 
 /* ---- responses; `json` may be NULL ---- */
 /* The revision that the response tells of; 0: none. */
-FkRev fk_store_parse_epoch(const cJSON *json);
+FkRev fk_store_parse_revision(const cJSON *json);
 /* The paths whose guards failed, char*, owned. */
 GPtrArray *fk_store_parse_failed(const cJSON *json);
 /* FALSE: there is no lease in it. */
--- a/src/wire/store_records.c
+++ b/src/wire/store_records.c
@@ -347,27 +347,27 @@
 
 cJSON *fk_store_record_to_json(const FkRecord *record) {
   switch (record->kind) {
-  case FK_KEY_JOB:
+  case FK_STORE_KEY_JOB:
     return job_to_json(record);
-  case FK_KEY_CHUNK:
+  case FK_STORE_KEY_CHUNK:
     return chunk_to_json(record->chunk);
-  case FK_KEY_MACHINE_PAGE:
+  case FK_STORE_KEY_MACHINE_PAGE:
     return page_to_json(record->machines);
-  case FK_KEY_COMPLETIONS:
+  case FK_STORE_KEY_COMPLETIONS:
     return completions_to_json(record->completions);
-  case FK_KEY_SHARD:
-  case FK_KEY_NODE:
-  case FK_KEY_LEADER:
+  case FK_STORE_KEY_SHARD:
+  case FK_STORE_KEY_NODE:
+  case FK_STORE_KEY_LEADER:
     return owner_to_json(record);
-  case FK_KEY_TEAM:
+  case FK_STORE_KEY_TEAM:
     return team_to_json(record);
-  case FK_KEY_TERMINAL_JOB:
+  case FK_STORE_KEY_TERMINAL_JOB:
     return terminal_job_to_json(record);
-  case FK_KEY_WAIT_TIMES:
+  case FK_STORE_KEY_WAIT_TIMES:
     return wait_times_to_json(&record->wait_times);
-  case FK_KEY_LAUNCH_FENCE:
+  case FK_STORE_KEY_LAUNCH_FENCE:
     return launch_fence_to_json(record);
-  case FK_KEY_OTHER:
+  case FK_STORE_KEY_OTHER:
     break;
   }
   return cJSON_CreateObject();
@@ -377,35 +377,35 @@
   g_autofree char *id = NULL;
   guint32 chunk;
   guint64 number;
-  g_autoptr(FkRecord) record = fk_record_new(fk_key_parse(path, &id, &chunk));
+  g_autoptr(FkRecord) record = fk_record_new(fk_store_key_parse(path, &id, &chunk));
   if (!cJSON_IsObject(json))
     return NULL;
   switch (record->kind) {
-  case FK_KEY_JOB:
+  case FK_STORE_KEY_JOB:
     fk_json_bool(json, "cancelled", &record->cancelled);
     if (!(record->spec = spec_from_json(id, json)))
       return NULL;
     break;
-  case FK_KEY_CHUNK:
+  case FK_STORE_KEY_CHUNK:
     if (!(record->chunk = chunk_from_json(json)))
       return NULL;
     break;
-  case FK_KEY_MACHINE_PAGE:
+  case FK_STORE_KEY_MACHINE_PAGE:
     if (!(record->machines = page_from_json(json)))
       return NULL;
     break;
-  case FK_KEY_COMPLETIONS:
+  case FK_STORE_KEY_COMPLETIONS:
     if (!(record->completions = completions_from_json(json)))
       return NULL;
     break;
-  case FK_KEY_TERMINAL_JOB:
+  case FK_STORE_KEY_TERMINAL_JOB:
     if (!fk_json_u64(json, "phase", &number) || (number != FK_PHASE_DONE && number != FK_PHASE_CANCELLED))
       return NULL;
     record->phase = (FkPhase)number;
     record->tasks = fk_json_u64(json, "tasks", &number) ? (guint32)number : 0;
     record->ended_at_ms = (gint64)fk_json_num_or(json, "at", 0);
     break;
-  case FK_KEY_WAIT_TIMES:
+  case FK_STORE_KEY_WAIT_TIMES:
     fk_json_u64(json, "window", &record->wait_times.window);
     record->wait_times.capped_sum_s = fk_json_num_or(json, "sum", 0);
     fk_json_u64(json, "count", &record->wait_times.capped_count);
@@ -413,19 +413,19 @@
     if (!fk_json_u64(json, "all_count", &record->wait_times.count))
       record->wait_times.count = record->wait_times.capped_count;
     break;
-  case FK_KEY_NODE:
-  case FK_KEY_LEADER:
-  case FK_KEY_SHARD:
+  case FK_STORE_KEY_NODE:
+  case FK_STORE_KEY_LEADER:
+  case FK_STORE_KEY_SHARD:
     record->node = g_strdup(fk_json_str(json, "node"));
     record->incarnation = g_strdup(fk_json_str(json, "life"));
-    if (!record->incarnation || (record->kind != FK_KEY_NODE && !record->node))
+    if (!record->incarnation || (record->kind != FK_STORE_KEY_NODE && !record->node))
       return NULL;
     break;
-  case FK_KEY_TEAM:
+  case FK_STORE_KEY_TEAM:
     record->last_exhausted_by = g_strdup(fk_json_str(json, "node"));
     record->partition = partition_from_json(fk_json_get(json, "split"));
     break;
-  case FK_KEY_LAUNCH_FENCE:
+  case FK_STORE_KEY_LAUNCH_FENCE:
     fk_json_bool(json, "chains", &record->supports_dependencies);
     break;
   default:
--- a/src/wire/store_service.c
+++ b/src/wire/store_service.c
@@ -93,7 +93,7 @@
   return fk_json_print(json);
 }
 
-char *fk_store_print_epoch(guint64 epoch) {
+char *fk_store_print_revision(guint64 epoch) {
   g_autoptr(cJSON) json = cJSON_CreateObject();
   fk_json_add_u64(json, "epoch", epoch);
   return fk_json_print(json);
--- a/src/wire/store_service.h
+++ b/src/wire/store_service.h
@@ -30,7 +30,7 @@
 /* Responses, to be freed. */
 char *fk_store_print_items(cJSON *items /* taken */, gboolean more, guint64 epoch);
 char *fk_store_print_events(cJSON *events /* taken */, guint64 epoch);
-char *fk_store_print_epoch(guint64 epoch);
+char *fk_store_print_revision(guint64 epoch);
 /* `failed`: char*, the paths of the conditions that don't hold. */
 char *fk_store_print_conflict(const GPtrArray *failed, guint64 epoch);
 char *fk_store_print_lease(guint64 lease);
--- a/test/fuzz/cloud.c
+++ b/test/fuzz/cloud.c
@@ -8,7 +8,7 @@
   gboolean more = FALSE;
   g_autoptr(GPtrArray) types = fk_cloud_parse_types(text, size);
   g_autoptr(GPtrArray) machines = fk_cloud_parse_machines(text, size, &more);
-  g_autoptr(GPtrArray) names = fk_cloud_parse_names(text, size);
+  g_autoptr(GPtrArray) names = fk_cloud_parse_machine_ids(text, size);
   for (guint i = 0; types && i < types->len; i++) {
     const FkInstanceType *t = types->pdata[i];
     FK_HOLDS(t->name && t->zones);
--- a/test/fuzz/store.c
+++ b/test/fuzz/store.c
@@ -41,7 +41,7 @@
   GPtrArray *failed = fk_store_parse_failed(j);
   if (failed)
     g_ptr_array_unref(failed);
-  fk_store_parse_epoch(j);
+  fk_store_parse_revision(j);
   FkStoreEvent *item = fk_store_parse_item(j);
   if (item) {
     check(item);
--- a/test/test_core.c
+++ b/test/test_core.c
@@ -631,9 +631,9 @@
     g_autoptr(GPtrArray) jobs = fk_scheduling_queue_select_jobs(r->c);
     const FkMachine *m = fk_view_find_machine(v, "i-1");
     g_assert_cmpuint(jobs->len, ==, 2);
-    g_assert_cmpint(fk_scheduling_queue_must_back_off(r->c, fk_view_find_job(v, "run-low"), m), ==,
+    g_assert_cmpint(fk_scheduling_queue_must_yield(r->c, fk_view_find_job(v, "run-low"), m), ==,
                     cases[i].yields);
-    g_assert_false(fk_scheduling_queue_must_back_off(r->c, fk_view_find_job(v, "run-first"), m));
+    g_assert_false(fk_scheduling_queue_must_yield(r->c, fk_view_find_job(v, "run-first"), m));
     rig_free(r);
   }
 }
@@ -669,7 +669,7 @@
                              (char *)ids->pdata[k % 50]);
     g_string_append(chunk, "]}");
     g_test_message("%s", cases[i].what);
-    r->s->value_kb = r->s->current_value_kb = 32; /* a record of a hundred bookings fits */
+    r->s->value_kb = r->s->current_value_limit_kb = 32; /* a record of a hundred bookings fits */
     watched(r, (const char *const[]){page, members, "fk/l/j/run-many", spec->str, "fk/l/t/run-many/00000",
                                      chunk->str, "fk/l/j/run-first", SPEC, NULL});
     fk_view_find_job(fk_controller_view(r->c), "run-1")->cancelled = TRUE; /* not in the way */
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -310,17 +310,17 @@
   FkBootTimeModel b;
   fk_boot_time_init(&b);
   /* before anything is seen: a new one is as good as sure, one that is long overdue isn't */
-  g_assert_cmpfloat(fk_boot_time_probability(&b, 0, 1.5), >, 0.8);
-  g_assert_cmpfloat(fk_boot_time_probability(&b, 2.75, 1), >,
+  g_assert_cmpfloat(fk_boot_time_join_probability(&b, 0, 1.5), >, 0.8);
+  g_assert_cmpfloat(fk_boot_time_join_probability(&b, 2.75, 1), >,
                     0.3); /* one three times as late is worth waiting for */
-  g_assert_cmpfloat(fk_boot_time_probability(&b, 3.8, 2), <, 0.1);
+  g_assert_cmpfloat(fk_boot_time_join_probability(&b, 3.8, 2), <, 0.1);
   g_assert_cmpfloat_with_epsilon(fk_boot_time_remaining(&b, 0), 1.25, 0.35);
   g_assert_cmpfloat(fk_boot_time_remaining(&b, 1.2), <, fk_boot_time_remaining(&b, 0));
   /* machines come three times as late: one of twice the age is still awaited, and for how long is known */
   FkBootTimeModel late = b;
   for (guint i = 0; i < 200; i++)
     fk_boot_time_observe_joined(&late, 3);
-  g_assert_cmpfloat(fk_boot_time_probability(&late, 2, 1), >, fk_boot_time_probability(&b, 2, 1));
+  g_assert_cmpfloat(fk_boot_time_join_probability(&late, 2, 1), >, fk_boot_time_join_probability(&b, 2, 1));
   g_assert_cmpfloat(fk_boot_time_remaining(&late, 1), >, 1.5);
   /* many never come: one that is late is hardly reckoned with */
   FkBootTimeModel never = b;
@@ -328,8 +328,8 @@
     fk_boot_time_observe_given_up(&never, 3);
     fk_boot_time_observe_joined(&never, 0.8);
   }
-  g_assert_cmpfloat(fk_boot_time_probability(&never, 1.6, 1), <, 0.25);
-  g_assert_cmpfloat(fk_boot_time_probability(&never, 0, 1), >, 0.4);
+  g_assert_cmpfloat(fk_boot_time_join_probability(&never, 1.6, 1), <, 0.25);
+  g_assert_cmpfloat(fk_boot_time_join_probability(&never, 0, 1), >, 0.4);
   /* chances are chances, at any age, after any history */
   GRand *rand = g_rand_new_with_seed(3);
   for (guint i = 0; i < 2000; i++) {
@@ -338,10 +338,11 @@
       fk_boot_time_observe_joined(&b, g_rand_double_range(rand, 0, 8));
     else
       fk_boot_time_observe_given_up(&b, g_rand_double_range(rand, 0, 8));
-    double chance = fk_boot_time_probability(&b, age, g_rand_double_range(rand, 0, 5));
+    double chance = fk_boot_time_join_probability(&b, age, g_rand_double_range(rand, 0, 5));
     g_assert_true(chance >= 0 && chance <= 1 + 1e-9);
     g_assert_cmpfloat(fk_boot_time_remaining(&b, age), >, 0);
-    g_assert_cmpfloat(fk_boot_time_probability(&b, age, 5), >=, fk_boot_time_probability(&b, age, 1) - 1e-9);
+    g_assert_cmpfloat(fk_boot_time_join_probability(&b, age, 5), >=,
+                      fk_boot_time_join_probability(&b, age, 1) - 1e-9);
   }
   g_rand_free(rand);
 }
--- a/test/test_dependency_graph.c
+++ b/test/test_dependency_graph.c
@@ -93,7 +93,7 @@
   g_assert_true(fk_dependency_graph_is_known(g, "nobody"));
   step(g, "a live");
   g_assert_true(fk_dependency_graph_is_known(g, "c"));
-  g_assert_cmpuint(fk_dependency_graph_open_count(g, "c"), ==, 1);
+  g_assert_cmpuint(fk_dependency_graph_unfinished_count(g, "c"), ==, 1);
   step(g, "a done 70");
   step(g, "b gone");
   g_assert_false(fk_dependency_graph_is_known(g, "c"));
--- a/test/test_forms.c
+++ b/test/test_forms.c
@@ -74,9 +74,9 @@
 static char *outcome(const char *argument, const char *text) {
   g_autoptr(cJSON) j = fk_json_parse(text, strlen(text));
   g_autoptr(GPtrArray) failed = fk_store_parse_failed(j);
-  FkRev epoch = fk_store_parse_epoch(j);
+  FkRev epoch = fk_store_parse_revision(j);
   return g_str_equal(argument, "conflict") ? fk_store_print_conflict(failed, epoch.n)
-                                           : fk_store_print_epoch(epoch.n);
+                                           : fk_store_print_revision(epoch.n);
 }
 
 /* What the store answers to a new lease. */
@@ -174,11 +174,11 @@
 
 /* Names of machines: rented ones, or with the argument "return" those that are returned. */
 static char *names(const char *argument, const char *text) {
-  g_autoptr(GPtrArray) list = fk_cloud_parse_names(text, strlen(text));
+  g_autoptr(GPtrArray) list = fk_cloud_parse_machine_ids(text, strlen(text));
   const FkOutput o = {.names = list};
   return !list                             ? NULL
          : g_str_equal(argument, "return") ? fk_cloud_print_terminate(&o)
-                                           : fk_cloud_print_names(list);
+                                           : fk_cloud_print_machine_ids(list);
 }
 
 /* The cloud has no such machine now. */
@@ -214,7 +214,7 @@
   }
   g_string_append_printf(l, " %g %g %g; %g %g %g %g; %g %g %u; %g %g; %g %g %g; %g", s->heartbeat_interval_s,
                          s->worker_lease_s, s->cancellation_deadline_s, s->store_rps, s->store_write_rps,
-                         s->next_store_rps, s->next_store_write_rps, s->value_kb, s->current_value_kb,
+                         s->next_store_rps, s->next_store_write_rps, s->value_kb, s->current_value_limit_kb,
                          s->transaction_ops_max, s->cloud_rps, s->cloud_list_lag_s, s->cpus, s->ram_mb,
                          s->sockets, s->clock_offset_ms);
   return g_string_free(l, FALSE);
--- a/test/test_job_dependencies.c
+++ b/test/test_job_dependencies.c
@@ -264,7 +264,7 @@
   for (int known = 0; known < 2; known++) {
     Rig *r = rig_new(TRUE);
     r->s->value_kb = 2;
-    r->s->current_value_kb = 32;
+    r->s->current_value_limit_kb = 32;
     r->s->transaction_ops_max = 8;
     g_autofree char *page = group_key("m"), *group = fk_shard_id_for_machine("north", "i-1");
     g_autoptr(GString) members =
@@ -378,7 +378,7 @@
   static const guint value_kb[] = {8, 64};
   for (guint i = 0; i < G_N_ELEMENTS(value_kb); i++) {
     Rig *r = rig_new(TRUE);
-    r->s->value_kb = r->s->current_value_kb = value_kb[i];
+    r->s->value_kb = r->s->current_value_limit_kb = value_kb[i];
     r->s->store_write_rps = 6000;
     g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
     for (guint k = 0; k < 3; k++) {
@@ -420,7 +420,7 @@
   static const guint tasks[] = {1, 4000, 4095, 4096, 4500};
   for (guint i = 0; i < G_N_ELEMENTS(tasks); i++) {
     Rig *r = rig_new(TRUE);
-    r->s->value_kb = r->s->current_value_kb = 8;
+    r->s->value_kb = r->s->current_value_limit_kb = 8;
     r->s->transaction_ops_max = 64;
     g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(lines, g_strdup("fk/l/j/run-2"));
@@ -433,7 +433,7 @@
                                     tasks[i]));
     FkHeartbeat *ended = says(r, "i-1", "north", 1, 1);
     for (guint first = 0; first < tasks[i]; first += 128) {
-      g_autoptr(FkRecord) chunk = fk_record_new(FK_KEY_CHUNK);
+      g_autoptr(FkRecord) chunk = fk_record_new(FK_STORE_KEY_CHUNK);
       chunk->chunk = fk_chunk_new(first, MIN(128, tasks[i] - first));
       for (guint k = first; k < first + chunk->chunk->task_count; k++) {
         fk_chunk_allocate(chunk->chunk, k, "i-1", "c-0");
@@ -443,7 +443,7 @@
         g_ptr_array_add(ended->tasks, t);
       }
       g_autoptr(cJSON) value = fk_store_record_to_json(chunk);
-      g_ptr_array_add(lines, fk_key_chunk_path("run-2", first / 128));
+      g_ptr_array_add(lines, fk_store_key_chunk_path("run-2", first / 128));
       g_ptr_array_add(lines, fk_json_print(value));
     }
     g_ptr_array_add(lines, NULL);
--- a/test/test_scheduling_cycle.c
+++ b/test/test_scheduling_cycle.c
@@ -62,7 +62,7 @@
 static void fill_machines(GPtrArray *lines, guint n) {
   for (guint first = 0; first < n * BOX_TASKS; first += FILLER_TASKS) {
     guint tasks = MIN(FILLER_TASKS, n * BOX_TASKS - first);
-    FkRecord *r = fk_record_new(FK_KEY_CHUNK);
+    FkRecord *r = fk_record_new(FK_STORE_KEY_CHUNK);
     r->chunk = fk_chunk_new(0, tasks);
     for (guint i = 0; i < tasks; i++) {
       g_autofree char *machine = g_strdup_printf("i-%06u", (first + i) / BOX_TASKS);
@@ -98,7 +98,7 @@
   c->launches.launching = c->launches.fencing = c->launches.fence_needed = FALSE;
   c->launches.launch_after = r->now;
   c->launches.wait_rev.n = 0;
-  c->launches.write_room = r->s->transaction_ops_max;
+  c->launches.launch_writes_available = r->s->transaction_ops_max;
   fk_scheduling_cycle_run(c);
   pump(r);
   g_ptr_array_set_size(r->outs, 0);
@@ -236,7 +236,7 @@
   report(r, 1, 1, 11, NULL, FK_EXIT_NONE);
   c->launches.fence_needed = c->launches.fencing = c->launches.launching = FALSE;
   c->launches.wait_rev.n = 0;
-  c->launches.write_room = FK_LAUNCH_WRITES_MIN; /* few: nothing is unhurried */
+  c->launches.launch_writes_available = FK_LAUNCH_WRITES_MIN; /* few: nothing is unhurried */
   c->launches.launch_after = fk_time_add(r->now, 2);
   g_ptr_array_set_size(r->outs, 0);
   tick(r, 0.5);
@@ -295,10 +295,10 @@
   }
   FkWaitKey ahead = {.priority = -1};
   fk_wait_queue_put(q, GUINT_TO_POINTER(50), &ahead);
-  g_assert_cmpuint(fk_wait_queue_place(q, GUINT_TO_POINTER(50)), ==, 1);
+  g_assert_cmpuint(fk_wait_queue_position(q, GUINT_TO_POINTER(50)), ==, 1);
   g_assert_true(fk_wait_queue_remove(q, GUINT_TO_POINTER(50)));
   g_assert_false(fk_wait_queue_remove(q, GUINT_TO_POINTER(50)));
-  g_assert_cmpuint(fk_wait_queue_place(q, GUINT_TO_POINTER(50)), ==, 0);
+  g_assert_cmpuint(fk_wait_queue_position(q, GUINT_TO_POINTER(50)), ==, 0);
   g_ptr_array_set_size(first, 0);
   fk_wait_queue_first(q, 100, 7, is_even, NULL, first);
   g_assert_cmpuint(first->len, <=, 7);
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -142,7 +142,7 @@
   for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     g_autofree char *body = g_strdup_printf("{" GOOD ",\"awaits\":%s}", cases[i].awaits);
     const char *why;
-    FkRecord *r = fk_record_new(FK_KEY_JOB);
+    FkRecord *r = fk_record_new(FK_STORE_KEY_JOB);
     r->spec = fk_user_parse_submission(body, strlen(body), &why);
     r->spec->chunk_tasks = 8;
     g_autofree char *needs = r->spec->dependencies ? g_strjoinv(" ", r->spec->dependencies) : NULL;
@@ -198,7 +198,7 @@
     if (!s)
       continue;
     g_assert_cmpfloat(s->value_kb, ==, cases[i].value_kb);
-    g_assert_cmpfloat(s->current_value_kb, ==, 2);
+    g_assert_cmpfloat(s->current_value_limit_kb, ==, 2);
     g_assert_cmpfloat(s->next_store_write_rps, ==, cases[i].write_rps);
     g_assert_cmpuint(s->transaction_ops_max, ==, cases[i].ops);
   }
@@ -206,7 +206,7 @@
 
 static void test_chunk_record(void) {
   for (guint32 count = 1; count <= 128; count += 13) {
-    FkRecord *r = fk_record_new(FK_KEY_CHUNK);
+    FkRecord *r = fk_record_new(FK_STORE_KEY_CHUNK);
     r->chunk = fk_chunk_new(64, count);
     for (guint32 i = 0; i < count; i++) {
       fk_chunk_allocate(r->chunk, 64 + i, "i-000000000231", "knotter-0");
@@ -231,7 +231,7 @@
   static const double limits[] = {1, 2, 8, 32};
   for (guint i = 0; i < G_N_ELEMENTS(limits); i++) {
     guint32 n = fk_chunk_max_tasks(limits[i], "knotter-10");
-    FkRecord *r = fk_record_new(FK_KEY_CHUNK);
+    FkRecord *r = fk_record_new(FK_STORE_KEY_CHUNK);
     r->chunk = fk_chunk_new(99872, n + 60);
     r->chunk->next_attempt = 9000000;
     guint32 booked = 0;
