--- a/src/core/autoscaler/termination.c
+++ b/src/core/autoscaler/termination.c
@@ -74,9 +74,9 @@
          g_str_equal(machine->drain_reason, FK_DRAIN_REASON_DRAIN);
 }
 
-/* Returns whether the machine, which has a drain reason, may be terminated now. A machine drained as idle, by
- * request or by consolidation must be empty, and DRAIN_STABLE_S must have passed since the drain. A machine
- * with a termination notice isn't terminated here, because the cloud itself terminates it. A machine whose
+/* Returns whether the machine, which has a drain reason, may be terminated now. A machine drained as idle or
+ * for consolidation must be empty, and DRAIN_STABLE_S must have passed since the drain. A machine with a
+ * termination notice isn't terminated here, because the cloud itself terminates it. A machine whose
  * termination is in flight isn't terminated again. */
 static gboolean can_terminate(FkController *c, const FkMachine *machine) {
   if (g_hash_table_contains(c->autoscaling.autoscaler->terminating, machine->id) ||
--- a/src/core/controller_internal.h
+++ b/src/core/controller_internal.h
@@ -23,7 +23,7 @@
 #define FK_SERVICE_FLOOR_SHARE 0.05
 /* Relative drift between two clocks, each of which may be off by 0.05%, plus a margin. */
 #define FK_CLOCK_DRIFT 0.0012
-/* Time after the end of a lease before it counts as expired. */
+/* Time from the end of a lease until the lease counts as expired. */
 #define FK_LEASE_MARGIN_S 2.0
 
 /* The controller's state machine, composed of the states of its components. */
--- a/src/core/leader/leader_preemption.c
+++ b/src/core/leader/leader_preemption.c
@@ -56,8 +56,8 @@
   reserve_capacity(c, machine, job->spec);
 }
 
-/* Returns whether the machine's tasks must be stopped: the machine is drained by request or by consolidation,
- * or the cloud is about to reclaim it. */
+/* Returns whether the machine's tasks must be stopped: the machine is drained for consolidation, or the cloud
+ * is about to reclaim it. */
 static gboolean needs_evacuation(const FkMachine *machine) {
   return machine->record && (g_strcmp0(machine->drain_reason, FK_DRAIN_REASON_DRAIN) == 0 ||
                              g_strcmp0(machine->drain_reason, "notice") == 0);
--- a/src/core/leader/window.c
+++ b/src/core/leader/window.c
@@ -1,6 +1,6 @@
 /* The periodic window of statistics. At the end of each window, every controller writes the wait times of its
  * short tasks to the store and logs its statistics. The leader adds up the wait times of all controllers and
- * sizes the short partition (Elastic Sizing). */
+ * sizes the short partition, the machines that newly arrived long jobs may not use (Elastic Sizing). */
 #include "core/leader/leader_internal.h"
 #include "core/scheduling/starvation.h"
 
--- a/src/core/scheduling/launch_batch.c
+++ b/src/core/scheduling/launch_batch.c
@@ -82,18 +82,19 @@
   batch->bytes += TEAM_BYTES;
 }
 
-/* Returns the start of the wait that Elastic Sizing counts for the job's next task. The time for which a task
- * ran before its machine was lost isn't counted, nor are outages of the store, during which no task can
- * start. If they were counted, a mass failure would raise the mean wait to minutes, and machines would be
- * blacklisted for long jobs, which doesn't help. */
+/* Returns the start of the wait that Elastic Sizing (elastic_sizing.h) counts for the job's next task. The
+ * time for which a task ran before its machine was lost isn't counted, nor are outages of the store, during
+ * which no task can start. If they were counted, a mass failure would raise the mean wait to minutes, and
+ * machines would be blacklisted for long jobs, which doesn't help. */
 static FkTime waiting_since(FkController *c, const FkJob *job) {
   FkTime since = {MAX(job->startable_us, job->attempt_lost_at.us)};
   return since.us > c->store_session.store_recovered_at.us ? since : c->store_session.store_recovered_at;
 }
 
-/* Maximum number of waits of one job that count towards the capped mean of a window. Without this limit, one
- * large array of one team would dominate the mean, and all machines would be blacklisted for long jobs. Jobs
- * with few short tasks, for which Elastic Sizing exists, are counted in full. */
+/* Maximum number of waits of one job that count towards the capped sum of a window (FkWaitTimes), from which
+ * the mean wait is computed. Without this limit, one large array of one team would dominate the mean, and all
+ * machines would be blacklisted for long jobs. Jobs with few short tasks, for which Elastic Sizing exists,
+ * are counted in full. */
 #define WAITS_PER_JOB_MAX 20
 
 static void record_wait(FkController *c, FkWaitTimes *waits, FkJob *job) {
--- a/src/core/shards/shard_ownership.c
+++ b/src/core/shards/shard_ownership.c
@@ -10,12 +10,12 @@
  * shards from live controllers. A shard that a live controller takes earlier than that counts as taken over
  * only temporarily. */
 #define HANDBACK_AFTER_S 10.0
-/* For this many lease durations after the loss of a shard, returns of its workers (workers/redirects.c) are
- * no reason to acquire the shard again. The time is less than one lease, so that the workers' tasks survive
- * if the new owner fails right away. */
+/* For this many worker leases after the loss of a shard, workers that come back after a redirect to the new
+ * owner (workers/redirects.c) don't cause this controller to acquire the shard again. The time is less than
+ * one worker lease, so that the workers' tasks survive if the new owner fails right away. */
 #define IGNORE_RETURNS_LEASES 0.33
-/* A shard that this controller lost to a live controller, other than temporarily (HANDBACK_AFTER_S), isn't
- * taken back for this many seconds. */
+/* A shard that a live controller took over isn't taken back for this many seconds, unless it was taken over
+ * only temporarily (see HANDBACK_AFTER_S). */
 #define NO_HANDBACK_S 60.0
 /* For this many seconds after its start, a controller acquires a shard without a live owner only if workers
  * need the shard, or if an earlier incarnation of the controller owned it. */
@@ -111,12 +111,12 @@
   return shard->owner && !g_str_equal(shard->owner, c->settings->node) && fk_node_is_alive(c, shard->owner);
 }
 
-/* Detects the loss of a shard, and sets how soon the shard may be taken back and how long returns of its
- * workers are ignored. If a live controller takes a shard while this controller is healthy, the shard's
- * workers can't reach this controller, so the shard isn't taken back for a while. A shard lost soon after a
- * start, or soon after the store was unreachable, was taken over only temporarily and may be taken back soon:
- * its present owner may be in another zone, and the shard's tasks would be lost if a partition separated the
- * zones. */
+/* Detects the loss of a shard, and sets how soon the shard may be taken back, and for how long workers that
+ * come back after a redirect don't cause this controller to acquire the shard. If a live controller takes a
+ * shard while this controller is healthy, the shard's workers can't reach this controller, so the shard isn't
+ * taken back for a while. A shard lost soon after a start, or soon after the store was unreachable, was taken
+ * over only temporarily and may be taken back soon: its present owner may be in another zone, and the shard's
+ * tasks would be lost if a partition separated the zones. */
 static void detect_loss(FkController *c, FkShard *shard, gboolean owned) {
   if (shard->was_owned && !owned) {
     if (owned_by_live_peer(c, shard) && fk_time_between(healthy_since(c), c->now) > HANDBACK_AFTER_S)
--- a/src/core/state/live_job.h
+++ b/src/core/state/live_job.h
@@ -43,7 +43,7 @@
   double seconds_to_latest_start; /* seconds until the latest start for a deadline or objective; G_MAXDOUBLE
                                      if none */
   FkTime gang_launch_until;       /* time until which a gang launch may continue in further transactions */
-  gint64 submitted_us;            /* time of submission, converted from the wall clock */
+  gint64 submitted_us; /* time of submission on the monotonic clock, converted from the wall clock */
   gint64 startable_us; /* when the job became startable: its submission, or the end of its last dependency */
   /* Latest end with which the job, and its direct and indirect dependents, can meet their deadlines;
    * G_MAXINT64 if there is no deadline. */
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -51,8 +51,9 @@
   /* Time until which this controller does not take the shard back from a live owner. Set when this controller
    * loses the shard while healthy: the workers probably could not reach this controller. */
   FkTime no_handback_until;
-  /* Time until which returns of workers are no reason to acquire the shard. Set when this controller loses
-   * the shard: the new owner acquired it just now, so workers were able to reach the owner. */
+  /* Time until which workers that come back after a redirect don't cause this controller to acquire the
+   * shard. Set when this controller loses the shard: the new owner acquired it just now, so workers were able
+   * to reach the owner. */
   FkTime ignore_returns_until;
   GHashTable *returned_machines; /* id -> FkReturnedWorker* */
   /* The highest fencing token that the shard's workers have reported while this controller's view was stale.
--- a/src/core/store_session/read_freshness.h
+++ b/src/core/store_session/read_freshness.h
@@ -15,6 +15,6 @@
  * the store's last reply to the replying controller. */
 void fk_read_freshness_peer_received(FkController *c, const char *peer, const char *incarnation, FkRev seen,
                                      double store_age_s, FkTime sent);
-/* Returns the latest time for which the view is known to include every decision that any controller had made.
- */
+/* Returns the latest time for which the view is known to include every decision that any controller had made
+ * by then. */
 FkTime fk_read_freshness_confirmed_at(FkController *c);
--- a/src/core/store_session/session.h
+++ b/src/core/store_session/session.h
@@ -13,7 +13,8 @@
   FkTime retry_at;            /* earliest time to send a failed list request again */
   FkTime confirmed_at;        /* latest time at which the store's replies prove that the view was current */
   FkRev latest_rev_seen;      /* highest revision shown by the replies to transactions and watches */
-  /* controller -> FkTime*: when the latest query whose reply confirmed the view was sent */
+  /* controller -> FkTime*: when this controller sent that controller the latest query whose reply confirmed
+   * the view */
   GHashTable *peer_confirmed_at;
   FkTime next_peer_query;        /* earliest time of the next queries to the other controllers */
   FkTime peer_answered_at;       /* when another controller last replied to this controller */
--- a/src/core/workers/worker_state.c
+++ b/src/core/workers/worker_state.c
@@ -138,8 +138,8 @@
 }
 
 /* Discards the record of starts sent before the restart. The network may still deliver duplicates of those
- * starts until the worker has received the next token. Until then, an echo of the present token proves
- * nothing. */
+ * starts until the worker has received the next token. An echo of the present token isn't
+ * counted after the restart, since the heartbeat that carries it may be from before the restart. */
 void fk_worker_state_restart(FkController *c, FkMachine *machine, FkHeartbeat *heartbeat /* taken */) {
   FkWorkerState *worker = machine->worker;
   g_message("worker restarted machine=%s", machine->id);
--- a/src/dependency_graph/dependency_graph.h
+++ b/src/dependency_graph/dependency_graph.h
@@ -17,9 +17,9 @@
 
 typedef struct FkDependencyGraph FkDependencyGraph;
 
-/* Called when a live job with dependencies becomes ready, or (`cancelled`) is cancelled because one of its
- * ancestors is cancelled. Each change is reported at most once per added job. The callback must not change
- * the graph. */
+/* Called when a live job with dependencies becomes ready (`cancelled` is FALSE), or is cancelled because one
+ * of its ancestors is cancelled (`cancelled` is TRUE). Each change is reported at most once per added job.
+ * The callback must not change the graph. */
 typedef void (*FkDependencyChangedFunc)(gpointer data, const char *id, gboolean cancelled);
 
 FkDependencyGraph *fk_dependency_graph_new(FkDependencyChangedFunc changed, gpointer data);
--- a/src/fault_attribution/fault_attribution.c
+++ b/src/fault_attribution/fault_attribution.c
@@ -131,7 +131,7 @@
   add_failure(history_ensure(attribution->machines, machine), job, now);
 }
 
-/* Removes the machine's history. A job without a failure history needs none. */
+/* Removes the machine's history. Doesn't create a history for a job that has none. */
 void fk_fault_attribution_task_succeeded(FkFaultAttribution *attribution, const char *job,
                                          const char *machine) {
   FailureHistory *history = g_hash_table_lookup(attribution->jobs, job);
--- a/src/instance_models/idle_retention.h
+++ b/src/instance_models/idle_retention.h
@@ -11,8 +11,8 @@
 typedef struct {
   double terminated_cpus;    /* CPUs of terminated machines, with exponential decay */
   double reprovisioned_cpus; /* the part of `terminated_cpus` that was soon provisioned again */
-  GArray *recent;            /* recent terminations that aren't fully matched yet, oldest first; owned */
-  FkTime decayed_at;         /* time of the last decay */
+  GArray *recent; /* recent terminations whose CPUs haven't all been provisioned again, oldest first; owned */
+  FkTime decayed_at; /* time of the last decay */
 } FkIdleRetention;
 
 void fk_idle_retention_init(FkIdleRetention *retention, FkTime now);
--- a/test/test_core.c
+++ b/test/test_core.c
@@ -21,7 +21,8 @@
   Rig *r = rig_new(TRUE);
   report(r, 1, 1, 11, NULL, FK_EXIT_NONE);
   tick(r, 1);
-  /* the first write changes the fence, so that launches of an earlier incarnation can't be applied */
+  /* the first write changes the launch fence, a record that guards every launch, so that launches of an
+   * earlier incarnation of the controller can't be applied */
   FkOutput *t = find(r, FK_OUTPUT_COMMIT, "fk/l/f/");
   g_assert_nonnull(t);
   g_assert_null(find(r, FK_OUTPUT_COMMIT, "fk/l/t/"));
@@ -169,7 +170,7 @@
     g_ptr_array_set_size(r->outs, 0);
     g_autofree char *shard_id = fk_shard_id_for_machine("north", "i-1");
     fk_view_ensure_shard(fk_controller_view(r->c), shard_id)->no_handback_until =
-        fk_time_add(r->now, 100); /* prevents a handback */
+        fk_time_add(r->now, 100); /* until then, the shard isn't taken back from its live owner */
     for (guint round = 0; round < 3; round++) {
       for (guint k = 0; k < cases[i].returned; k++)
         report_of(r, ids->pdata[k], "north");
@@ -179,7 +180,7 @@
       }
       tick(r, 0.3);
       if (cases[i].interval_s < 9 && round)
-        break; /* a single return of each worker decides these cases */
+        break; /* these cases are decided when each worker has returned once */
     }
     g_test_message("case %u", i);
     g_assert_cmpint(find(r, FK_OUTPUT_COMMIT, owner_key) != NULL, ==, cases[i].acquired);
@@ -223,8 +224,8 @@
    * - 0: all but one.
    * - 1: none.
    * - 2: all for the first 10 s, none afterwards.
-   * - 3: as 2, but later all machines respond again, the one with the service a little after the others.
-   * - 4: as 3, but the one with the service never responds again.
+   * - 3: as 2, but later all machines respond again, the machine with the service a little after the others.
+   * - 4: as 3, but the machine with the service never responds again.
    *
    * In scenarios 2 to 4, the first machine runs a service, and is therefore probed (by a message that the
    * controller sends to it) before the next heartbeats of the other machines are due. */
@@ -315,8 +316,8 @@
   }
 }
 
-/* A cancellation is committed and acted on at once, and acknowledged once no owner that hasn't seen the
- * cancellation can renew leases of the job's workers beyond the deadline: see
+/* A cancellation is committed and acted on at once. It is acknowledged as soon as no shard owner that hasn't
+ * seen the cancellation can still renew leases of the job's workers beyond the deadline: see
  * core/api/cancellation_barrier.c. Machine i-1 is owned by c-1 unless `owned` is set, and run-1 has an
  * allocation there if `allocated` is set. */
 static void test_cancellation_barrier(void) {
@@ -612,7 +613,7 @@
     /* 10 tokens, and 4 writes per request: two are sent, the third overdraws the tokens, the fourth waits */
     fk_rate_limiter_submit(limiter, 2, 4, &sent);
   g_assert_cmpuint(sent, ==, 3);
-  /* no writes are available to a level with a waiting request */
+  /* no writes are available to a priority level with a waiting request */
   g_assert_cmpfloat(fk_rate_limiter_available_writes(limiter, 2), ==, 0);
   for (guint i = 0; i < 5; i++)
     fk_rate_limiter_submit(limiter, 0, 1, &sent);
--- a/test/test_decisions.c
+++ b/test/test_decisions.c
@@ -78,7 +78,8 @@
     /* job a fails only on two machines on which other jobs fail too: the job isn't considered failing, and
        the machines aren't considered faulty yet */
     {"xb1 xb1 xc1 xd2 xd2 xe2 xa1 xa2", "", ""},
-    /* a success clears the machine, and clears the job permanently */
+    /* after a success, the machine's earlier failures no longer count, and the job never counts as failing
+       everywhere */
     {"xa1 xb1 +c1 xd1", "", ""},
     {"xa1 xa2 +a3 xa4 xa5 xa6", "", ""},
     /* a failing job on a faulty machine: both are found */
--- a/test/test_dependency_graph.c
+++ b/test/test_dependency_graph.c
@@ -115,8 +115,8 @@
   g_string_free(changes.log, TRUE);
 }
 
-/* Every job runs for 10 us. Only d has a deadline, at 100 us, and rank 0; the others have rank 3. The
- * priority and deadline of x are unknown. */
+/* Every job runs for 10 us. Job d has a deadline, at 100 us, and rank 0, the highest priority. The others
+ * have rank 3 and no deadline. The priority and deadline of x are unknown. */
 static gboolean own_priority(gpointer data, const char *id, int *rank, gint64 *due_us, gint64 *run_us) {
   *rank = g_str_equal(id, "d") ? 0 : 3;
   *due_us = g_str_equal(id, "d") ? 100 : G_MAXINT64;
--- a/test/test_failure_modes.c
+++ b/test/test_failure_modes.c
@@ -194,7 +194,8 @@
 
 /* A worker restarts quickly, and its incarnation and sequence numbers start over. Only a probe distinguishes
  * its heartbeats from old duplicates. The worker's tasks are started on it again immediately. An echo of the
- * present token proves nothing until the shard is acquired again. */
+ * present token isn't counted until the shard is acquired again, since the heartbeat that carries it may be
+ * from before the restart. */
 static void test_worker_restart(void) {
   Rig *r = rig_new(TRUE);
   receive_heartbeat(r, heartbeat_of_i_1(r, 1, 40));
--- a/test/test_forms.c
+++ b/test/test_forms.c
@@ -24,7 +24,7 @@
   return printed ? fk_json_print(printed) : NULL;
 }
 
-/* A transaction, as the store parses it and a controller prints it. */
+/* Parses a transaction as the store does, and prints it as a controller does. */
 static char *transaction(const char *argument, const char *text) {
   g_autoptr(FkStoreTransaction) t = fk_store_parse_transaction(text, strlen(text));
   if (!t)
--- a/test/test_job_dependencies.c
+++ b/test/test_job_dependencies.c
@@ -1,5 +1,5 @@
 /* Job dependencies in the core of one controller, with inputs simulated by the tests. Guards against replies
- * from a view that lacks what another controller may have told a user, against accepting invalid
+ * that contradict another controller's replies because the view is old, against accepting invalid
  * dependencies, and against starting a job before the terminal records of its dependencies are committed.
  * Each case fails if the check that it tests is removed (docs/job-dependencies.md). */
 #include <string.h>
@@ -268,8 +268,8 @@
 
 /* An earlier version wrote a page of machines under a larger size limit. The page stays whole while a
  * controller does not support several pages per shard. Once all controllers do, one transaction divides the
- * page: each new page is within the future limit, no machine is lost, and later writes contain no page of
- * more than 23 machines. */
+ * page: each new page is within the future size limit, no machine is lost, and later writes contain no page
+ * of more than 23 machines. */
 static void test_registry_page_divided(void) {
   for (int all_support_pages = 0; all_support_pages < 2; all_support_pages++) {
     Rig *r = rig_new(TRUE);
--- a/test/test_scheduling_cycle.c
+++ b/test/test_scheduling_cycle.c
@@ -93,7 +93,8 @@
   }
 }
 
-/* Runs one scheduling cycle that nothing blocks. Returns how many tasks it allocates. */
+/* Runs one scheduling cycle, after clearing what could block the cycle: a launch or fence write in flight,
+ * the pause between launches, and a lack of writes. Returns how many tasks the cycle allocates. */
 static guint run_cycle(Rig *r) {
   FkController *c = r->c;
   c->now = r->now = fk_time_add(r->now, CYCLE_INTERVAL_S);
--- a/test/test_units.c
+++ b/test/test_units.c
@@ -1,9 +1,10 @@
 #include "core/scheduling/elastic_sizing.h"
 #include "core/state/job.h"
 
-/* Expected values follow from the Linear model: wait_ratio = mean / bound, at most 1; floor = machines x the
- * short tasks' share, in which the latest window has the weight 0.3, rounded down;
- * blacklisted = wait_ratio x span x machines, rounded to the nearest integer. */
+/* The expected values follow from the Linear model of Elastic Sizing (core/scheduling/elastic_sizing.c):
+ * wait_ratio = mean / bound, at most 1; floor = machines x the short tasks' share, in which the latest window
+ * has the weight 0.3, rounded down; blacklisted = wait_ratio x span x machines, rounded to the nearest
+ * integer. */
 static void test_elastic_sizing(void) {
   static const struct {
     double sum;
