--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -1,7 +1,7 @@
 #include "admission/admission.h"
 
-/* While less than this fraction of a capacity is in use, an address may use any part of it. Above, each
- * address is limited to an equal share. */
+/* While less than this fraction of a capacity is in use, an address may use any part of it. Above this
+ * fraction, each address is limited to an equal share. */
 #define UNCONTENDED_FRACTION 0.5
 /* The fraction of the capacity up to which requests of each class are admitted. From FK_REQUEST_CLASS_CANCEL
  * on, each class has less than the class before it. Health checks are always admitted. */
@@ -9,7 +9,8 @@
     [FK_REQUEST_CLASS_HEALTH] = 1,    [FK_REQUEST_CLASS_PEER] = 1,    [FK_REQUEST_CLASS_HEARTBEAT] = 1,
     [FK_REQUEST_CLASS_CANCEL] = 0.85, [FK_REQUEST_CLASS_POLL] = 0.75, [FK_REQUEST_CLASS_SUBMIT] = 0.65,
     [FK_REQUEST_CLASS_OTHER] = 0.5};
-/* The same fraction for a head, whose class is not known yet: it may be a heartbeat. */
+/* The fraction of the buffer capacity for a request whose head is incomplete. Its class is not known yet: it
+ * may be a heartbeat. */
 #define HEAD_CAPACITY_FRACTION 0.9
 
 #define REQUEST_RETRY_AFTER_S 2
@@ -33,8 +34,8 @@
 struct FkAdmission {
   FkAdmissionLimits limits;
   GHashTable *addresses;      /* maps an address to its FkAddressUsage */
-  GPtrArray *by_client_count; /* GQueue of FkAddressUsage, indexed by `clients`; if there are several, the
-                                 last is not empty */
+  GPtrArray *by_client_count; /* GQueue of FkAddressUsage, indexed by `clients`; if there are several queues,
+                                 the last is not empty */
   GQueue stages[FK_STAGES];   /* FkConnectionSlot, the longest in its stage first; empty for FK_STAGE_IDLE */
   GQueue idle[FK_CONNECTION_CLASSES];       /* FkConnectionSlot in FK_STAGE_IDLE, the longest idle first */
   guint connections[FK_CONNECTION_CLASSES]; /* open connections of each class, except lingering ones */
@@ -157,7 +158,8 @@
 }
 
 /* Moves a slot to another stage; only opening and closing a connection set the stage elsewhere. Lingering
- * connections have a limit of their own: counted with the others, they would cause evictions of these. */
+ * connections have a limit of their own: if they counted towards the limits of their class, they would cause
+ * evictions of other connections. */
 static void set_stage(FkAdmission *admission, FkConnectionSlot *slot, FkConnectionStage to, gint64 now_us) {
   unlink_slot(admission, slot);
   if (to == FK_STAGE_LINGERING && slot->stage != FK_STAGE_LINGERING)
@@ -254,8 +256,8 @@
 }
 
 /* Returns whether a connection may change to a class. A full class evicts its own idle connections (see
- * choose_over_limit()); without idle connections, it admits no more. The client class admits any connection.
- */
+ * choose_over_limit()); a full class without idle connections admits no more. The client class admits any
+ * connection. */
 static gboolean may_change_to(FkAdmission *admission, FkConnectionClass connection_class) {
   return connection_class == FK_CONNECTION_CLASS_CLIENT ||
          admission->connections[connection_class] < admission->limits.connections[connection_class] ||
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -2,12 +2,12 @@
  * timeout or a limit. Without it, a flood of requests from a few addresses would starve heartbeats, health
  * checks and other users. The module uses no sockets and no clock: the caller passes times in, as
  * microseconds of the monotonic clock. The time of an operation does not grow with the number of connections.
- * One exception: an eviction searches past the addresses that have no evictable connection. */
+ * One exception: an eviction skips, one by one, the addresses that have no evictable connection. */
 #pragma once
 #include "admission/limits.h"
 
 typedef struct FkAdmission FkAdmission;
-/* The connections of one remote address. */
+/* The resource usage of one remote address: counts, and its evictable connections. */
 typedef struct FkAddressUsage FkAddressUsage;
 
 typedef enum {
@@ -18,7 +18,7 @@
   FK_STAGE_HANDLING,  /* the request is complete: queued for its handler, or in the handler */
   FK_STAGE_SENDING,   /* the handler has written the response; a part of it is not sent yet */
   FK_STAGE_IDLE,      /* between two requests */
-  FK_STAGE_LINGERING, /* rejected: input is discarded for a time, so that the response can be read */
+  FK_STAGE_LINGERING, /* rejected: input is discarded for a time, so that the client can read the response */
   FK_STAGES
 } FkConnectionStage;
 
@@ -58,8 +58,8 @@
 
 /* ---- events of a connection ---- */
 
-/* Records that a connection was accepted from `address`, which is without the port and is copied. The slot
- * must be zero. */
+/* Records that a connection was accepted from `address`, a remote address without the port, which is copied.
+ * The slot must be zero. */
 void fk_admission_connection_opened(FkAdmission *admission, FkConnectionSlot *slot, const char *address,
                                     FkConnectionClass connection_class, gint64 now_us);
 /* Records that a connection is closed, and clears the slot. Does nothing for an untracked slot. */
@@ -72,9 +72,9 @@
  * response to send, and the connection lingers. */
 gboolean fk_admission_admit_request(FkAdmission *admission, FkConnectionSlot *slot,
                                     FkRequestClass request_class, gint64 now_us, FkRejection *rejection);
-/* Records that a request is complete and goes to its handler. The connection takes the class that fits the
- * request only now, and only if that class has room: otherwise an incomplete heartbeat would occupy a
- * worker's place. */
+/* Records that a request is complete and goes to its handler. Only now does the connection change to the
+ * class that fits the request, and only if that class has room. If it changed earlier, an incomplete
+ * heartbeat would occupy a worker's place. */
 void fk_admission_request_complete(FkAdmission *admission, FkConnectionSlot *slot, gint64 now_us);
 /* Records that the handler has written the response. `all` is TRUE if the whole response was sent. */
 void fk_admission_response_written(FkAdmission *admission, FkConnectionSlot *slot, gboolean all,
--- a/src/admission/dependency_health.c
+++ b/src/admission/dependency_health.c
@@ -1,7 +1,7 @@
 #include "admission/dependency_health.h"
 
-/* Consecutive failures until an outage is reported, because single calls may be lost. The outage of a
- * dependency that never answered is reported at the first failure. */
+/* Consecutive failures until an outage is reported. One is not enough, because single calls may be lost. The
+ * outage of a dependency that never answered is reported at the first failure. */
 #define FAILURES_BEFORE_WARNING 3
 
 typedef struct {
--- a/src/admission/dependency_health.h
+++ b/src/admission/dependency_health.h
@@ -14,8 +14,8 @@
  * copied.
  */
 guint fk_dependency_health_add(FkDependencyHealth *health, const char *name, const char *impact);
-/* Records the result of a call. `failure` is NULL if it was answered, else the reason of the failure, which
- * is copied. */
+/* Records the result of a call. `failure` is NULL if the call was answered, else the reason of the failure,
+ * which is copied. */
 void fk_dependency_health_record(FkDependencyHealth *health, guint dependency, const char *failure,
                                  gint64 now_us);
 /* Returns the next message, which the caller frees; NULL if there is none. With a message, sets `is_warning`
--- a/src/admission/limits.c
+++ b/src/admission/limits.c
@@ -17,7 +17,7 @@
  * single controller for a while, and an evicted worker has to reconnect. */
 #define WORKER_CONNECTIONS_MAX_FLOOR 4000
 #define WORKER_CONNECTIONS_RAM_FRACTION 0.5
-/* memory of a request in progress: its message object, its body, and its state in the core */
+/* memory of a request in progress: its message object, its body, and its state in the handler */
 #define REQUEST_BYTES (16 * KIB)
 #define STORE_RESPONSE_RAM_FRACTION 0.15
 
@@ -43,7 +43,7 @@
   limits->worker_connections = clamped_fraction(resources->sockets, 0.2, 2, 400);
 }
 
-/* Divides the sockets that the outbound connections leave among the inbound ones. */
+/* Divides the sockets that are not reserved or outbound among the classes of inbound connections. */
 static void set_inbound(FkAdmissionLimits *limits, const FkAdmissionResources *resources,
                         const FkAdmissionOptions *options) {
   guint *connections = limits->connections;
@@ -74,9 +74,9 @@
       (gsize)(options->memory_mb > 0 ? options->memory_mb * MIB : BUFFERED_RAM_FRACTION * ram_bytes);
   limits->requests = clamped_fraction((double)limits->buffered_bytes, 1.0 / REQUEST_BYTES, 16, 8192);
   limits->head_bytes = 16 * KIB;
-  limits->body_bytes = 64 * KIB; /* the limit of the protocol */
-  /* A chunk with one byte of data takes six bytes on the wire, so chunked encoding can make a body six times
-   * as long. */
+  limits->body_bytes = 64 * KIB; /* the protocol's limit for the body of a request */
+  /* The head and the body as received. A chunk with one byte of data takes six bytes on the wire, so chunked
+   * encoding can make a body six times as long. A request that exceeds this sum is rejected. */
   limits->wire_bytes = limits->head_bytes + 2 * limits->body_bytes;
   limits->response_bytes = 2 * MIB;
   limits->store_response_bytes = (gsize)MAX(4.0 * MIB, STORE_RESPONSE_RAM_FRACTION * ram_bytes);
--- a/src/admission/limits.h
+++ b/src/admission/limits.h
@@ -1,12 +1,12 @@
 /* The limits of admission control: connections by class, the time that each stage of a request may take, and
  * buffered bytes. Limits of connections and memory that operators do not set are derived from the
  * controller's resources; times have fixed defaults. The derived limits leave sockets for calls to the store,
- * the cloud, workers and peers, so that no flood of requests can stop these. Plain data. */
+ * the cloud, workers and peers, so that no flood of requests can stop these. */
 #pragma once
 #include <glib.h>
 
 /* The kind of remote end of a connection. Connections to the listener for clients start in the class of
- * clients, until a request shows another. */
+ * clients, until a request shows another class. */
 typedef enum {
   FK_CONNECTION_CLASS_CLIENT, /* users, and connections whose class is unknown */
   FK_CONNECTION_CLASS_WORKER,
--- a/src/admission/request_parser.c
+++ b/src/admission/request_parser.c
@@ -52,8 +52,8 @@
 static int on_head(http_parser *http) {
   FkRequestParser *parser = parser_of(http);
   parser->stage = FK_PARSER_STAGE_BODY;
-  if (!(http->flags & F_CHUNKED) &&
-      http->content_length != G_MAXUINT64) /* http-parser counts it down later */
+  /* saved, because http-parser decrements its own count while it reads the body */
+  if (!(http->flags & F_CHUNKED) && http->content_length != G_MAXUINT64)
     parser->content_length = http->content_length;
   if (http->upgrade)
     return fail(parser, 400, "this door speaks HTTP/1.1 only");
--- a/src/admission/request_parser.h
+++ b/src/admission/request_parser.h
@@ -28,7 +28,7 @@
   char field_name[8];        /* start of the current field's name, in lower case, not zero-terminated */
   guint field_name_len;      /* length of the whole name */
   gboolean in_value;         /* the parser is in the value of the current field */
-  gboolean expects_continue; /* there is an Expect field; its value is taken for "100-continue" */
+  gboolean expects_continue; /* the request has an Expect field; any value is treated as "100-continue" */
   guint status;              /* HTTP status for a failed request; else 0 */
   const char *reason;        /* why the request failed, a static string; else NULL */
 } FkRequestParser;
--- a/src/grpc/h2.c
+++ b/src/grpc/h2.c
@@ -13,7 +13,8 @@
 #define STATUS_MESSAGE_BYTES_MAX 1024 /* before percent-encoding */
 #define SENT_HEADER_BYTES_MAX 65536
 #define HEADER_OVERHEAD_BYTES 32 /* added for each header field, as in HPACK (RFC 7541, 4.1) */
-#define STATUS_CODE_CHARS 4      /* at most two digits and the terminating zero */
+/* room for three digits and the terminating zero; gRPC codes have at most two digits */
+#define STATUS_CODE_CHARS 4
 
 #define CONTENT_TYPE "application/grpc"
 #define BEARER "Bearer "
@@ -27,7 +28,7 @@
   gboolean is_post, is_grpc;
   gboolean begun;        /* call_begun() was called */
   gboolean half_closed;  /* the client has closed its side of the call */
-  gboolean ended;        /* the status is set */
+  gboolean ended;        /* fk_rpc_end() was called, an HTTP error was sent, or the stream is closed */
   gboolean headers_sent; /* the response was submitted to nghttp2 */
   gboolean finished;     /* finish_call() has run */
   FkGrpcFrameParser frames;
@@ -216,7 +217,7 @@
   return len >= strlen(prefix) && g_ascii_strncasecmp((const char *)bytes, prefix, strlen(prefix)) == 0;
 }
 
-/* Stores what is used of one header field of a request. */
+/* Stores a request's header field if this module uses it; ignores any other field. */
 static void store_header_field(FkRpc *rpc, const guint8 *name, size_t name_len, const guint8 *value,
                                size_t value_len) {
   if (equals(name, name_len, ":path") && value_len <= PATH_BYTES_MAX && !rpc->path)
--- a/src/grpc/h2.h
+++ b/src/grpc/h2.h
@@ -13,7 +13,7 @@
   guint streams;        /* concurrent calls of a connection */
   gsize message_bytes;  /* maximum length of a message from a client */
   gsize buffered_bytes; /* maximum of incomplete messages, all calls of a connection together */
-  gsize queued_bytes;   /* fk_rpc_send() returns FALSE once a call has this many queued */
+  gsize queued_bytes;   /* fk_rpc_send() returns FALSE once a call has queued this many bytes */
   gsize header_bytes;   /* maximum size of the header fields of a request */
 } FkH2Limits;
 
@@ -25,7 +25,7 @@
   void (*message_received)(gpointer data, FkRpc *rpc, const guint8 *bytes, gsize len);
   /* The client has closed its side of the call after its last complete message. */
   void (*half_closed)(gpointer data, FkRpc *rpc);
-  /* Less than half of `queued_bytes` is queued, after fk_rpc_send() returned FALSE. Not called after
+  /* After fk_rpc_send() returned FALSE, the queue has shrunk below half of `queued_bytes`. Not called after
    * fk_rpc_end(). */
   void (*writable)(gpointer data, FkRpc *rpc);
   /* The call is over: its stream is closed, or the session is being freed. This is the last callback of a
@@ -57,8 +57,8 @@
 
 /* Returns the path, "/package.Service/Method", which the call owns. */
 const char *fk_rpc_path(const FkRpc *rpc);
-/* Returns KEY of "authorization: Bearer KEY", which the call owns; NULL if the request has none, or too long
- * a one. */
+/* Returns the key from the header field "authorization: Bearer KEY"; the call owns the string. NULL if the
+ * request has no such field, or if the field's value is longer than 1024 bytes. */
 const char *fk_rpc_bearer(const FkRpc *rpc);
 /* Returns the pointer that the owner has set with fk_rpc_set_data(); NULL if it has set none. */
 gpointer fk_rpc_data(const FkRpc *rpc);
--- a/src/net/connection.c
+++ b/src/net/connection.c
@@ -10,7 +10,7 @@
 #include "admission/request_parser.h"
 
 #define READ_BYTES 16384
-#define UNSENT_BYTES_MAX 65536      /* the handler's writes block while this much cannot be sent */
+#define UNSENT_BYTES_MAX 65536      /* the handler's writes block while this many bytes are unsent */
 #define DISCARDED_BYTES_MAX 1048576 /* a lingering connection that sends more is closed */
 #define CONTINUE_RESPONSE "HTTP/1.1 100 Continue\r\n\r\n"
 
@@ -37,7 +37,7 @@
   GByteArray *unsent;      /* output of the handler; NULL if all of it is sent */
   gsize sent;              /* bytes of `unsent` that are sent already */
   gboolean writable;       /* FALSE after a send would have blocked, until epoll reports EPOLLOUT */
-  gboolean output_pending; /* the owner was notified, and has not flushed the output yet */
+  gboolean output_pending; /* the owner was told of the output and has not flushed it yet */
 
   /* the current request */
   gboolean continue_sent;
@@ -45,7 +45,7 @@
   gboolean released;   /* the handler may read the request */
 
   gboolean raw;           /* copied from the handler, which the connection may outlive */
-  gboolean broken;        /* the handler's writes fail; its reads end after its current request */
+  gboolean broken;        /* the handler's writes fail; it reads end of file after the current request */
   gboolean has_stream;    /* the first request was released: the handler gets a stream */
   gboolean stream_closed; /* the handler has closed its stream */
 };
@@ -205,8 +205,8 @@
     fk_connection_close_socket(c);
 }
 
-/* Asks admission control about the request whose head is complete. Returns FALSE if the request was rejected.
- */
+/* Asks admission control whether the request, whose head is complete, is admitted. Returns FALSE if the
+ * request was rejected. */
 static gboolean admit_request(FkConnection *c) {
   FkRejection rejection;
   FkRequestClass request_class = c->handler->classify(fk_request_parser_method(&c->parser), c->parser.path);
@@ -285,7 +285,7 @@
 static void read_available(FkConnection *c) {
   if (c->raw) {
     if (c->readable && c->slot.stage == FK_STAGE_CONNECTED)
-      request_complete(c); /* a raw connection counts as one request for its whole duration */
+      request_complete(c); /* from its first input on, a raw connection counts as one request */
     return;
   }
   guint8 data[READ_BYTES];
@@ -436,8 +436,8 @@
     c->consumed += n;
     return (gssize)n;
   }
-  /* A handler that expects more input than the request has disagrees with the parser about the request's
-   * end. It gets end of file. */
+  /* End of file: the connection is broken, or the handler has read the whole request and reads on before it
+   * responds. In the latter case, it disagrees with the parser about where the request ends. */
   if (c->broken || (c->released && !c->responding))
     return 0;
   return FK_CONNECTION_WOULD_BLOCK;
--- a/src/net/h2_connection.c
+++ b/src/net/h2_connection.c
@@ -1,9 +1,9 @@
 #include "net/h2_connection.h"
 
 #define READ_BYTES 32768
-/* maximum reads from one connection per main loop iteration, so that others are served */
+/* maximum reads from one connection per main loop iteration, so that other connections are served too */
 #define READS_PER_ITERATION 8
-/* A client that makes no call within this time is disconnected, because it is not a build tool. */
+/* A client that makes no call within this time is disconnected. A build tool makes its first call at once. */
 #define FIRST_CALL_TIMEOUT_US 10000000
 #define WRITE_TIMEOUT_US 60000000 /* a client that accepts no output for this long is disconnected */
 
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -5,8 +5,8 @@
  * hosts is therefore replaced after this number of calls, which drops its host records. */
 #define CALLS_PER_SESSION 32
 
-/* A call with a long deadline (a watch) may wait long for its response. Connecting, and reading the body
- * after the response's head, still have these short time limits. */
+/* A watch has a long deadline and may wait that long for the head of the response. Connecting, and reading
+ * the body, have these shorter limits. */
 #define CONNECT_TIMEOUT_S 3.0
 #define BODY_READ_TIMEOUT_S 3.0
 #define READ_BYTES 8192
@@ -16,7 +16,7 @@
   guint connections_max, connections_per_host_max, idle_s;
   gsize response_bytes_max;
   gboolean many_hosts;
-  guint calls;       /* calls begun in `session`; counted for many hosts only */
+  guint calls;       /* calls begun in `session`; counted only by a client for many hosts */
   guint in_progress; /* calls, at most connections_max */
   GQueue waiting;    /* Call, not begun yet */
 };
@@ -94,7 +94,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Limits the next step of a call to `seconds`, or to the time left until its deadline if that is shorter. */
+/* Limits the next phase of a call (connecting, waiting for the head, reading the body) to `seconds`, or to
+ * the time left until its deadline if that is shorter. */
 static void restart_timer(Call *call, double seconds) {
   double left = call->deadline_s - (double)(g_get_monotonic_time() - call->begun_us) / 1e6;
   g_clear_handle_id(&call->timer, g_source_remove);
--- a/src/net/listener_handler.h
+++ b/src/net/listener_handler.h
@@ -9,7 +9,8 @@
    * first input arrives, and its bytes pass through unchanged. `classify` and `rejection_body` are unused. */
   gboolean raw;
   FkConnectionClass connection_class; /* initial class of a connection; a request may change it */
-  /* Returns the class of a request from its method and path. A long path is truncated. */
+  /* Returns the class of a request from its method and path. A path of FK_REQUEST_PATH_BYTES or more is
+   * truncated to one byte less. */
   FkRequestClass (*classify)(const char *method, const char *path);
   /* Returns the JSON body of a rejection, which the caller frees. */
   char *(*rejection_body)(const char *reason);
--- a/src/net/soup_listener.c
+++ b/src/net/soup_listener.c
@@ -8,8 +8,8 @@
 }
 
 /* Makes a SoupServer treat itself as listening without accepting connections. A SoupServer without a listener
- * closes each connection after one response, even if the client asked to keep it open. It therefore gets the
- * real listening socket, but in a main context that is never run. */
+ * closes each connection after one response, even if the client asked to keep it open. This SoupServer
+ * therefore gets the real listening socket, but in a main context that is never run. */
 static gboolean listen_without_accepting(SoupServer *soup_server, GSocket *socket, GError **error) {
   g_autoptr(GMainContext) never_run = g_main_context_new();
   g_main_context_push_thread_default(never_run);
--- a/test/connection_load.c
+++ b/test/connection_load.c
@@ -39,7 +39,7 @@
   gsize len, sent, got;
   char start[16]; /* start of the response */
   double begun_s, done_s;
-  gsize repeated; /* this many last bytes of `text` are sent without end; 0 if none */
+  gsize repeated; /* how many bytes at the end of `text` are sent again and again; 0 if none */
   gboolean never_reads;
   gboolean finished; /* a response was received, or the connection has ended */
 } Client;
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -63,10 +63,10 @@
       {3132, 98, 1068},
       {8000, 98, 3016},
       {10100, 98, 3856},
-      /* over 4,000, still limited by the sockets */
+      /* more than 4,000 worker connections; the sockets are still the limit */
       {12500, 98, 4816},
       {20000, 264, 7816},
-      /* limited by the memory */
+      /* the memory is the limit */
       {20000, 75, 4000},
       {20000, 98, 5017},
       {50000, 264, 13516},
@@ -146,7 +146,7 @@
     if (cases[i].stage >= FK_STAGE_SENDING)
       fk_admission_response_written(admission, &s, cases[i].stage == FK_STAGE_IDLE, t += US_PER_S);
     g_assert_cmpint(s.stage, ==, cases[i].stage);
-    if (!cases[i].limit_us) { /* handling: no timeout here, the core has its own deadlines */
+    if (!cases[i].limit_us) { /* no timeout while handling: the handler has its own deadlines */
       g_assert_cmpint(fk_admission_next_deadline_us(admission), ==, G_MAXINT64);
       g_assert_null(fk_admission_next_eviction(admission, t + 1000 * US_PER_S, &rejection));
     } else {
@@ -196,8 +196,8 @@
   close_all(admission, many, 40);
 }
 
-/* Client connections up to their limit do not keep a heartbeat or a health check out. A connection that had a
- * response is evicted after those that never sent a request. */
+/* When client connections have reached their limit, a heartbeat and a health check still get in. A connection
+ * that had a response is evicted after those that never sent a request. */
 static void test_shares(void) {
   FkAdmissionLimits l = small_limits();
   FkAdmission *admission = fk_admission_new(&l);
@@ -270,7 +270,7 @@
 }
 
 /* An address alone may use all the capacity for submissions. Once addresses share the capacity, an address
- * gets only its equal share while more than half is in use, so that another finds some. */
+ * gets only its equal share while more than half is in use, so that another address finds free capacity. */
 static void test_fair_share(void) {
   FkAdmissionLimits l = small_limits();
   l.connections[FK_CONNECTION_CLASS_CLIENT] = 200;
@@ -288,7 +288,7 @@
   /* the capacity for submissions is used up, but a poll from another address is admitted */
   open_connection(admission, &other[0], "modest", 0);
   g_assert_true(send_request(admission, &other[0], FK_REQUEST_CLASS_POLL, 0, &rejection));
-  /* after 30 of its requests have ended, it gets no more than an equal share, since two addresses share */
+  /* 30 requests of the first address end; two addresses share now, so it gets no more than half */
   for (guint i = 0; i < 30; i++)
     fk_admission_response_written(admission, &s[i], TRUE, 1);
   guint again = 0;
@@ -325,7 +325,7 @@
   g_assert_true(fk_admission_admit_request(admission, &b, FK_REQUEST_CLASS_HEARTBEAT, 0, &rejection));
   fk_admission_begin_stage(admission, &b, FK_STAGE_BODY, 0);
   g_assert_true(fk_admission_set_buffered(admission, &b, 5000, &rejection));
-  /* 9,000 in total: over the 6,500 of submissions */
+  /* 9,000 bytes in total: more than the 6,500 that submissions may use */
   g_assert_false(fk_admission_set_buffered(admission, &a, 4000, &rejection));
   g_assert_cmpuint(rejection.status, ==, 503);
   fk_admission_reject(admission, &a, FK_REJECTION_MEMORY, 0);
@@ -343,8 +343,8 @@
 }
 
 /* Random connections from a few addresses. Counts always equal the sums over the connections. After all
- * evictions, connections of workers and health checks are within their limits. Those of clients are within
- * theirs, or no more than there are requests in progress. An evicted client is of an address with the most
+ * evictions, connections of workers and health checks are within their limits. Client connections are within
+ * their limit, or no more than the requests in progress. An evicted client is of an address with the most
  * client connections, among those with an evictable one. A health check is never rejected. */
 static void test_random_connections(void) {
   enum { N = 60, STEPS = 40000 };
@@ -518,7 +518,8 @@
       g_error("case %u: stage %d, status %u", i, whole.stage, whole.status);
     if (cases[i].left != G_MAXSIZE)
       g_assert_cmpuint(len - whole.used, ==, cases[i].left);
-    /* the result does not depend on how the bytes are split, and at most one piece over the limits is read */
+    /* Splitting the bytes does not change the result. The parser consumes at most one piece beyond
+     * `wire_bytes` and `body_bytes`. */
     static const gsize pieces[] = {1, 2, 3, 7, 100, 8192};
     for (guint k = 0; k < G_N_ELEMENTS(pieces); k++) {
       ParseResult cut = read_in_pieces(&l, cases[i].text, len, pieces[k]);
--- a/test/test_http_server.c
+++ b/test/test_http_server.c
@@ -279,7 +279,7 @@
   FkAdmissionLimits l = limits();
   Service *s = open_service(&l);
   static const struct {
-    const char *head, *then; /* `then` is sent until the server closes the connection or 3 MiB are sent */
+    const char *head, *then; /* `then` is repeated until the server closes the connection or 3 MiB are sent */
     const char *start;
   } cases[] = {
       {"POST /submissions HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n", NULL, "HTTP/1.1 413"},
@@ -300,7 +300,7 @@
       while (many->len < 4000)
         g_string_append(many, cases[i].then);
       piece = g_string_free(many, FALSE);
-      /* 3 MiB: over every limit, also over the 1 MiB that a lingering connection may send */
+      /* 3 MiB: more than every limit, including the 1 MiB that a lingering connection may send */
       while (sent < 3 * 1048576 && send_bytes(fd, piece, strlen(piece))) {
         sent += strlen(piece);
         peak_bytes = MAX(peak_bytes, fk_admission_buffered_bytes(fk_server_admission(s->server)));
@@ -665,7 +665,8 @@
 /* ------------------------------------------------------------------ the HTTP client */
 
 typedef struct {
-  const char *head, *then; /* the response is `head`, then `then` without end; NULL if nothing follows */
+  const char *head, *then; /* the server sends `head` once, and repeats `then` without end; `then` is NULL if
+                              nothing follows `head` */
   int fd;
   guint source;
   gsize sent;
@@ -739,7 +740,8 @@
     FkHttpClient *h = fk_http_client_new(4, 4, 10, 100000);
     CallResult c = {0};
     gint64 begun = g_get_monotonic_time();
-    /* the endless head, case 6 ("A: bbb..."), fails at the deadline and is not logged */
+    /* case 6 sends a head without end ("A: bbb..."): it fails at the deadline, so "response too long" is not
+     * logged */
     if (cases[i].status == 0 && i != 6 && (cases[i].then || strstr(cases[i].head, "100001")))
       g_test_expect_message(G_LOG_DOMAIN, G_LOG_LEVEL_WARNING, "*response too long*bytes_max=100000*");
     fk_http_client_call(h, "GET", addr, "/x", NULL, cases[i].deadline_s, on_response, &c);
