--- a/src/admission/limits.c
+++ b/src/admission/limits.c
@@ -12,9 +12,10 @@
 /* Fraction of the memory for buffered requests and responses, unless operators set it. */
 #define BUFFERED_RAM_FRACTION 0.125
 
-/* Limit of worker connections. Up to WORKER_CONNECTIONS_MAX_FLOOR, only the number of sockets limits it.
- * Above the floor, the memory does too. The floor is high because all workers of a fleet may report to a
- * single controller for a while, and an evicted worker has to reconnect. */
+/* Maximum number of worker connections that the memory allows: as many as fit into
+ * WORKER_CONNECTIONS_RAM_FRACTION of it, but at least WORKER_CONNECTIONS_MAX_FLOOR. The number of sockets may
+ * set a lower limit. The floor is high because all workers of a fleet may report to a single controller for
+ * a while, and an evicted worker has to reconnect. */
 #define WORKER_CONNECTIONS_MAX_FLOOR 4000
 #define WORKER_CONNECTIONS_RAM_FRACTION 0.5
 /* memory of a request in progress: its message object, its body, and its state in the handler */
--- a/src/blob_store/blob_store_internal.h
+++ b/src/blob_store/blob_store_internal.h
@@ -16,7 +16,7 @@
 /* Each of the next three functions returns a path, which the caller frees. */
 char *fk_blob_store_blob_dir_path(const FkBlobStore *store, const char *team, const FkDigest *digest);
 char *fk_blob_store_blob_path(const FkBlobStore *store, const char *team, const FkDigest *digest);
-char *fk_blob_store_upload_path(FkBlobStore *store); /* a different path in each call */
+char *fk_blob_store_upload_path(FkBlobStore *store); /* returns a different path for each call */
 
 /* Reserves capacity. Evicts entries until both limits of the index are met or all entries are pinned.
  * Returns FALSE, and evicts nothing, if fk_blob_index_reserve() returns FALSE. */
--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -1,5 +1,5 @@
-/* The autoscaler's state, and its periodic work: to list, terminate and provision machines, to drain idle
- * machines, and to consolidate. */
+/* The autoscaler's state, and its periodic work: listing, terminating and provisioning machines, draining
+ * idle machines, and consolidating tasks onto cheaper machines. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/scheduling/placement.h"
 
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -39,7 +39,7 @@
 /* A user's submission, poll and cancellation. Each is answered by one FK_OUTPUT_USER_REPLY with the same
  * request id. */
 void fk_controller_submission_received(FkController *c, FkTime now, FkRequestId request_id,
-                                       FkSpec *spec /* taken */);
+                                       FkSpec *spec /* ownership passes to the callee */);
 void fk_controller_poll_received(FkController *c, FkTime now, FkRequestId request_id, const char *job_id);
 void fk_controller_cancellation_received(FkController *c, FkTime now, FkRequestId request_id,
                                          const char *job_id);
@@ -51,19 +51,21 @@
 /* A worker's heartbeat. Answered, possibly after a delay, by one FK_OUTPUT_HEARTBEAT_REPLY with the same
  * request id, unless the request is closed first. */
 void fk_controller_heartbeat_received(FkController *c, FkTime now, FkRequestId request_id,
-                                      FkHeartbeat *heartbeat /* taken */);
-/* A worker's reply to FK_OUTPUT_COMMANDS. `heartbeat`: taken; NULL if the reply contains none. */
+                                      FkHeartbeat *heartbeat /* ownership passes to the callee */);
+/* A worker's reply to FK_OUTPUT_COMMANDS. `heartbeat`: ownership passes to the callee; NULL if the reply
+ * contains none. */
 void fk_controller_command_reply_received(FkController *c, FkTime now, guint64 call, FkOutcome outcome,
                                           FkHeartbeat *heartbeat);
 
 /* ---- inputs: the store ---- */
 
-/* One page of a list, or its failure. `events`: FkStoreEvent, whose records are taken; `more`: further pages
- * follow; `store_rev`: the store's revision at the reply. */
+/* One page of the reply to a list request, or the request's failure. `events`: FkStoreEvent; the callee takes
+ * ownership of their records. `more`: further pages follow. `store_rev`: the store's revision at the time of
+ * the reply. */
 void fk_controller_list_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
                                  gboolean more, FkRev store_rev);
-/* The reply to a watch, or its failure. `events`: FkStoreEvent, whose records are taken; `sent`: when the
- * watch was sent. */
+/* The reply to a watch request, or the request's failure. `events`: FkStoreEvent; the callee takes ownership
+ * of their records. `sent`: when the request was sent. */
 void fk_controller_watch_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *events,
                                   FkRev store_rev, FkTime sent);
 void fk_controller_lease_grant_received(FkController *c, FkTime now, FkOutcome outcome, FkRev lease,
@@ -75,7 +77,8 @@
  * (char*) of the guards that did not hold, or NULL. */
 void fk_controller_commit_received(FkController *c, FkTime now, guint64 call, FkOutcome outcome,
                                    FkRev store_rev, GPtrArray *failed);
-/* The reply to a read, or its failure. `event`: taken; NULL if nothing was read. */
+/* The reply to a read, or the read's failure. `event`: ownership passes to the callee; NULL if nothing was
+ * read. */
 void fk_controller_get_received(FkController *c, FkTime now, guint64 call, FkOutcome outcome,
                                 FkStoreEvent *event);
 
@@ -94,8 +97,8 @@
 
 /* ---- inputs: the cloud ---- */
 
-/* The cloud's instance types. `types`: FkInstanceType; elements that the controller takes are replaced by
- * NULL. */
+/* The cloud's instance types. `types`: FkInstanceType; if `outcome` is FK_OUTCOME_OK, the
+ * controller takes ownership of the elements and replaces them by NULL. */
 void fk_controller_instance_types_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *types);
 /* One page of the cloud's list of machines. `machines`: FkCloudMachine; `more`: further pages follow. */
 void fk_controller_machines_received(FkController *c, FkTime now, FkOutcome outcome, GPtrArray *machines,
--- a/src/core/scheduling/backfill_reservation.c
+++ b/src/core/scheduling/backfill_reservation.c
@@ -8,7 +8,9 @@
  * become empty */
 #define AGED_SHARE 0.55
 #define REFRESH_INTERVAL_S 2.0
-#define RESERVING_JOBS_MAX 3 /* maximum number of jobs with reservations: the first ones in queue order */
+/* maximum number of jobs with reservations: the first urgent ones in queue order whose team's quota
+ * allows a start */
+#define RESERVING_JOBS_MAX 3
 #define MACHINES_PER_JOB_MAX 32
 #define RUN_TIME_MARGIN 1.5 /* most tasks end within this multiple of the expected run time */
 /* a stopping task is expected to end within this time; any other task is expected to run on for at least this
--- a/src/core/scheduling/elastic_sizing.c
+++ b/src/core/scheduling/elastic_sizing.c
@@ -8,7 +8,7 @@
                                double span, guint machines, double short_allocated_time,
                                double long_allocated_time) {
   sizing->mean_wait_s = count ? sum_s / (double)count : 0;
-  /* the Linear model of the Dice paper; a mean wait above the bound counts as the bound */
+  /* the Linear model of the Dice paper; a mean wait above `max_wait_s` counts as `max_wait_s` */
   sizing->wait_ratio = CLAMP(sizing->mean_wait_s / max_wait_s, 0.0, 1.0);
   sizing->blacklisted = (guint)lround(sizing->wait_ratio * span * machines);
   if (short_allocated_time + long_allocated_time > 0) {
--- a/src/core/scheduling/quota_partition.c
+++ b/src/core/scheduling/quota_partition.c
@@ -31,7 +31,7 @@
 }
 
 static void send_record(FkController *c, const char *team, FkOutput *txn,
-                        FkRecord *record /* takes ownership */) {
+                        FkRecord *record /* ownership passes to the callee */) {
   fk_transaction_put(txn, fk_store_key_path(FK_STORE_KEY_TEAM, team), record, (FkRev){0});
   c->launches.quota_partitioning = TRUE;
   fk_transaction_send(c, txn, on_record_result, NULL, NULL);
@@ -50,7 +50,7 @@
 /* Ends the pause that the view shows. The new record holds the partition or, if `partition` is NULL,
  * serializes the launches. */
 static void write_partition(FkController *c, const char *team, const FkTeamUsage *usage,
-                            GHashTable *partition /* takes ownership */) {
+                            GHashTable *partition /* ownership passes to the callee */) {
   FkOutput *txn = fk_transaction_new(c, FK_PRIORITY_SHARD);
   FkRecord *record = fk_record_new(FK_STORE_KEY_TEAM);
   record->partition = partition;
--- a/src/core/scheduling/short_path.c
+++ b/src/core/scheduling/short_path.c
@@ -35,7 +35,7 @@
 /* Returns whether this controller may take tasks of the job now. The job's owner, the controller that
  * accepted the job, always may. The other controllers may only if the owner isn't alive or they have known
  * the job for longer than tuning.steal_after_s. They take turns, so that they don't all write the same chunk.
- * A job without an owner may be taken by every controller. */
+ * Every controller may always take tasks of a job without an owner. */
 static gboolean is_own_job(FkController *c, const FkJob *job) {
   const char *owner = job->spec->owner, *node = c->settings->node;
   const GPtrArray *peers = c->settings->peers;
--- a/src/core/shards/completions.c
+++ b/src/core/shards/completions.c
@@ -195,7 +195,7 @@
   return NULL;
 }
 
-/* ---- one write ---- */
+/* ---- a page of completions and the transaction that writes it ---- */
 
 /* A page and the transaction that writes it. */
 typedef struct {
@@ -322,7 +322,7 @@
   }
 }
 
-/* ---- the tick ---- */
+/* ---- periodic writes ---- */
 
 /* Returns the completion's job, or NULL if the completion needn't or can't be written any more: the machine
  * or the job is gone, a guarded completion's shard has a new revision, or the view no longer shows the
--- a/src/core/shards/machine_pages.c
+++ b/src/core/shards/machine_pages.c
@@ -33,7 +33,8 @@
   return machine->record && !several ? machine->record_page_index : FK_SHARD_PAGES_MAX;
 }
 
-static void add_record(FkMachinePages *pages, guint page, FkMachineRecord *record /* taken */, guint size) {
+static void add_record(FkMachinePages *pages, guint page,
+                       FkMachineRecord *record /* ownership passes to the callee */, guint size) {
   if (!pages->machines[page])
     pages->machines[page] = g_ptr_array_new_with_free_func(fk_machine_record_free);
   g_ptr_array_add(pages->machines[page], record);
--- a/src/core/state/view.h
+++ b/src/core/state/view.h
@@ -181,7 +181,8 @@
 /* Removes all records of live keys, before they are listed again. Keeps terminal jobs, which never change,
  * and the learned estimates. */
 void fk_view_clear(FkView *view);
-/* Applies the change of one key at revision `rev`. Takes `record`, which is NULL if the key was deleted. */
+/* Applies the change of one key at revision `rev`. Takes ownership of `record`, which is NULL if the key was
+ * deleted. */
 void fk_view_apply(FkView *view, const char *path, FkRecord *record, FkRev rev);
 
 /* Return the entry, owned by the view; NULL if the view has no such entry. */
--- a/src/core/state/view_internal.h
+++ b/src/core/state/view_internal.h
@@ -15,7 +15,8 @@
  * was deleted. A revision that is not later than the record's revision in the view is ignored. */
 
 void fk_view_set_job(FkView *v, const char *id, FkRecord *record, FkRev rev);
-void fk_view_set_chunk(FkView *v, FkJob *job, guint32 index, FkChunk *chunk /* taken */, FkRev rev);
+void fk_view_set_chunk(FkView *v, FkJob *job, guint32 index,
+                       FkChunk *chunk /* ownership passes to the callee */, FkRev rev);
 void fk_view_set_completions(FkView *v, const char *id, FkRecord *record, FkRev rev);
 
 /* view_chunks.c */
@@ -23,7 +24,7 @@
 /* Returns a copy of the stored chunk with the completions from the view's pages applied; owned by the caller.
  * The stored chunk must exist. */
 FkChunk *fk_view_effective_chunk(FkView *v, const FkJob *job, guint32 index);
-/* Replaces the effective chunk. Takes `chunk`, which is NULL if the chunk was deleted. */
+/* Replaces the effective chunk. Takes ownership of `chunk`, which is NULL if the chunk was deleted. */
 void fk_view_set_effective_chunk(FkView *v, FkJob *job, guint32 index, FkChunk *chunk);
 /* Removes all allocations of the chunk, and subtracts its done tasks from the job's. Does not free the chunk.
  */
--- a/src/core/store_session/calls.h
+++ b/src/core/store_session/calls.h
@@ -30,22 +30,22 @@
 /* Returns an empty transaction, owned by the caller until it is sent. */
 FkOutput *fk_transaction_new(FkController *c, FkTransactionPriority priority);
 /* Adds a guard: the transaction commits only if the key at `path` is still at `rev`, or does not exist if
- * `rev` is 0. Does nothing if the transaction already has a guard on the path. Takes `path`. */
+ * `rev` is 0. Does nothing if the transaction already has a guard on the path. Takes ownership of `path`. */
 void fk_transaction_guard(FkOutput *transaction, char *path, FkRev rev);
-/* Adds a write of `record` at `path`. The key is attached to `lease`, unless `lease` is 0. Takes `path` and
- * `record`. */
+/* Adds a write of `record` at `path`. The key is attached to `lease`, unless `lease` is 0. Takes ownership of
+ * `path` and `record`. */
 void fk_transaction_put(FkOutput *transaction, char *path, FkRecord *record, FkRev lease);
-/* Adds a deletion of the key. Takes `path`. */
+/* Adds a deletion of the key. Takes ownership of `path`. */
 void fk_transaction_delete(FkOutput *transaction, char *path);
 /* Adds the writes that move a job to its terminal state. The job must be complete, or cancelled without
  * allocations. Adds at most `writes_left` writes; the remaining chunks are later deleted as orphans.
  * Returns FALSE, and adds nothing, if `writes_left` is too low. */
 gboolean fk_transaction_finalize_job(FkController *c, FkOutput *transaction, FkJob *job, guint writes_left);
-/* Sends the transaction, which is taken. Calls `done` once with the outcome, unless the controller is freed
- * first. Frees `data` with `free_data`, unless `free_data` is NULL. */
+/* Sends the transaction and takes ownership of it. Calls `done` once with the outcome, unless the controller
+ * is freed first. Frees `data` with `free_data`, unless `free_data` is NULL. */
 void fk_transaction_send(FkController *c, FkOutput *transaction, FkTransactionCallback done, gpointer data,
                          GDestroyNotify free_data);
-/* Reads one key. Takes `path`; the other arguments are as for fk_transaction_send(). */
+/* Reads one key. Takes ownership of `path`; the other arguments are as for fk_transaction_send(). */
 void fk_read_send(FkController *c, char *path, FkReadCallback done, gpointer data, GDestroyNotify free_data);
 
 /* Returns a new record of a live job, owned by the caller. */
--- a/src/core/workers/commands.c
+++ b/src/core/workers/commands.c
@@ -131,7 +131,8 @@
   return FALSE;
 }
 
-static void call_worker(FkController *c, FkMachine *machine, GPtrArray *commands /* taken */) {
+static void call_worker(FkController *c, FkMachine *machine,
+                        GPtrArray *commands /* ownership passes to the callee */) {
   FkWorkerState *worker = machine->worker;
   const FkHeartbeat *heartbeat = worker->heartbeat;
   FkOutput *output = fk_output_new(c, FK_OUTPUT_COMMANDS);
@@ -197,7 +198,8 @@
   g_hash_table_remove_all(worker->starts_in_flight);
 }
 
-static void process_reply(FkController *c, FkMachine *machine, FkHeartbeat *heartbeat /* taken */) {
+static void process_reply(FkController *c, FkMachine *machine,
+                          FkHeartbeat *heartbeat /* ownership passes to the callee */) {
   FkFailureDetector *detector = &machine->worker->failure_detector;
   FkHeartbeatSequence sequence = fk_heartbeat_sequence(heartbeat);
   switch (fk_failure_detector_probe_answered(detector, sequence, c->settings->worker_lease_s, c->now)) {
--- a/src/core/workers/heartbeats.c
+++ b/src/core/workers/heartbeats.c
@@ -56,7 +56,8 @@
   g_queue_push_tail(c->workers.held_heartbeats, g_memdup2(message, sizeof *message));
 }
 
-static void handle_for_other_shard(FkController *c, FkShard *shard, FkHeldHeartbeat message /* taken */,
+static void handle_for_other_shard(FkController *c, FkShard *shard,
+                                   FkHeldHeartbeat message /* ownership passes to the callee */,
                                    gboolean was_held) {
   g_autoptr(FkHeartbeat) heartbeat = message.heartbeat;
   const char *responsible = responsible_controller(c, shard);
@@ -150,7 +151,8 @@
   fk_reconciliation_run(c, machine);
 }
 
-static void handle_for_owned_shard(FkController *c, FkShard *shard, FkHeldHeartbeat message /* taken */) {
+static void handle_for_owned_shard(FkController *c, FkShard *shard,
+                                   FkHeldHeartbeat message /* ownership passes to the callee */) {
   g_autoptr(FkHeartbeat) heartbeat = message.heartbeat;
   c->view->now = c->now;
   FkMachine *machine = fk_view_ensure_machine(c->view, heartbeat->machine);
@@ -171,10 +173,11 @@
   handle_from_worker(c, message.request, machine, g_steal_pointer(&heartbeat));
 }
 
-/* ---- all heartbeats ---- */
+/* ---- dispatch of heartbeats, by whether this controller owns the shard ---- */
 
 /* Replies to the heartbeat or holds it. `was_held`: the heartbeat was held by an earlier call. */
-static void handle_heartbeat(FkController *c, FkHeldHeartbeat message /* taken */, gboolean was_held) {
+static void handle_heartbeat(FkController *c, FkHeldHeartbeat message /* ownership passes to the callee */,
+                             gboolean was_held) {
   FkHeartbeat *heartbeat = message.heartbeat;
   if (!fk_worker_view_is_current(c)) {
     fk_heartbeat_reply_new(c, message.request, STATUS_UNAVAILABLE);
--- a/src/core/workers/worker_state.c
+++ b/src/core/workers/worker_state.c
@@ -3,7 +3,8 @@
 #include "core/workers/workers_internal.h"
 
 #define STALE_VIEW_S 2.5 /* a view confirmed longer ago than this may lack a later owner of a shard */
-/* Number of workers of a newly acquired shard that are called immediately. */
+/* Maximum number of workers of a newly acquired shard that are sent the new fencing token immediately,
+ * without waiting for their heartbeats. */
 #define ANNOUNCEMENTS_PER_SHARD 2
 
 gboolean fk_worker_view_is_current(FkController *c) {
@@ -116,7 +117,8 @@
   return heartbeat->fencing_token.n == token.n && !fk_rev_equal(machine->worker->restart_token, token);
 }
 
-void fk_worker_state_set_heartbeat(FkController *c, FkMachine *machine, FkHeartbeat *heartbeat /* taken */) {
+void fk_worker_state_set_heartbeat(FkController *c, FkMachine *machine,
+                                   FkHeartbeat *heartbeat /* ownership passes to the callee */) {
   FkWorkerState *worker = machine->worker;
   FkFailureDetector *detector = &worker->failure_detector;
   /* A worker ignores commands that were sent to an earlier incarnation. */
@@ -140,7 +142,8 @@
 /* Discards the record of starts sent before the restart. The network may still deliver duplicates of those
  * starts until the worker has received the next token. An echo of the present token isn't
  * counted after the restart, since the heartbeat that carries it may be from before the restart. */
-void fk_worker_state_restart(FkController *c, FkMachine *machine, FkHeartbeat *heartbeat /* taken */) {
+void fk_worker_state_restart(FkController *c, FkMachine *machine,
+                             FkHeartbeat *heartbeat /* ownership passes to the callee */) {
   FkWorkerState *worker = machine->worker;
   g_message("worker restarted machine=%s", machine->id);
   discard_earlier_starts(worker);
--- a/src/core/workers/workers.c
+++ b/src/core/workers/workers.c
@@ -45,7 +45,7 @@
   fk_heartbeats_retry_held(c);
 }
 
-/* ---- the check of one worker ---- */
+/* ---- liveness check of one worker ---- */
 
 /* Returns the time at which the worker has certainly ended all of its tasks if its lease isn't renewed
  * before. */
@@ -126,7 +126,7 @@
     fk_view_remove_machine(c->view, gone->pdata[i]);
 }
 
-/* ---- the tick ---- */
+/* ---- periodic checks of the workers ---- */
 
 /* Calls at most `announcements_due` registered workers of the shard to deliver its new fencing token without
  * waiting for their heartbeats. Workers that have echoed the token are skipped. */
--- a/src/core/workers/workers_internal.h
+++ b/src/core/workers/workers_internal.h
@@ -16,9 +16,11 @@
 void fk_worker_state_clear(FkMachine *machine);
 /* Stores `heartbeat`, which must be newer than the stored one. Requests that the machine be registered if it
  * isn't registered yet and the worker has echoed the present fencing token. */
-void fk_worker_state_set_heartbeat(FkController *c, FkMachine *machine, FkHeartbeat *heartbeat /* taken */);
+void fk_worker_state_set_heartbeat(FkController *c, FkMachine *machine,
+                                   FkHeartbeat *heartbeat /* ownership passes to the callee */);
 /* Stores the first heartbeat after the worker has restarted and its sequence numbers have started over. */
-void fk_worker_state_restart(FkController *c, FkMachine *machine, FkHeartbeat *heartbeat /* taken */);
+void fk_worker_state_restart(FkController *c, FkMachine *machine,
+                             FkHeartbeat *heartbeat /* ownership passes to the callee */);
 /* Handles a fencing token that a worker of the shard has echoed. With a stale view, a token above the shard's
  * revision is recorded as proof of a later owner. With a fresh view, an earlier record is discarded. */
 void fk_worker_record_token(FkController *c, FkShard *shard, FkFencingToken token);
--- a/src/core/workers/zone_reachability.c
+++ b/src/core/workers/zone_reachability.c
@@ -24,7 +24,7 @@
  * contacts, an absence of contacts proves nothing. */
 #define EXPECTED_JUST_NOW_MIN 8.0
 
-/* ---- counting ---- */
+/* ---- counts of workers with recent contact, by zone ---- */
 
 FkZoneReachability *fk_zone_reachability_find(FkController *c, const char *zone) {
   GArray *zones = c->workers.zones;
@@ -109,7 +109,7 @@
     record_outage(c, &g_array_index(zones, FkZoneReachability, i));
 }
 
-/* ---- checks of one worker ---- */
+/* ---- when a worker is probed, and whether it counts as silent or partitioned ---- */
 
 static gboolean runs_service(const FkMachine *machine) {
   for (guint i = 0; i < machine->allocations->len; i++)
--- a/src/fair_share/quota.h
+++ b/src/fair_share/quota.h
@@ -11,7 +11,7 @@
 gboolean fk_quota_is_limited(double quota);
 
 /* Returns whether `used` plus `tasks` tasks of `per_task` each stay within the quota. Doubles are exact
- * enough: 100,000 tasks of the largest possible setting (1e9) stay below 2^53. */
+ * enough: 100,000 tasks of the largest amount per task (1e9) stay below 2^53. */
 gboolean fk_quota_allows(double quota, double used, double per_task, double tasks);
 
 /* Returns what is left of the quota after `used`; never negative. */
--- a/src/grpc/h2.c
+++ b/src/grpc/h2.c
@@ -33,8 +33,8 @@
   gboolean finished;     /* finish_call() has run */
   FkGrpcFrameParser frames;
   gsize buffered;          /* bytes of the incomplete message */
-  GByteArray *unsent;      /* framed messages that nghttp2 has not taken completely */
-  gsize sent;              /* bytes of `unsent` that nghttp2 has taken */
+  GByteArray *unsent;      /* framed messages that nghttp2 has not read completely */
+  gsize sent;              /* bytes of `unsent` that nghttp2 has read */
   gboolean wants_writable; /* fk_rpc_send() returned FALSE, and writable() was not called since */
   FkGrpcStatus status;
   char *status_message; /* percent-encoded, or NULL */
--- a/src/grpc/h2.h
+++ b/src/grpc/h2.h
@@ -25,8 +25,8 @@
   void (*message_received)(gpointer data, FkRpc *rpc, const guint8 *bytes, gsize len);
   /* The client has closed its side of the call after its last complete message. */
   void (*half_closed)(gpointer data, FkRpc *rpc);
-  /* After fk_rpc_send() returned FALSE, the queue has shrunk below half of `queued_bytes`. Not called after
-   * fk_rpc_end(). */
+  /* Called after the latest fk_rpc_send() returned FALSE, as soon as fewer than half of `queued_bytes` are
+   * still queued for the call. Not called after fk_rpc_end(). */
   void (*writable)(gpointer data, FkRpc *rpc);
   /* The call is over: its stream is closed, or the session is being freed. This is the last callback of a
    * call. `rpc` is freed when it returns. */
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -140,7 +140,7 @@
 
 /* ------------------------------------------------------------------ accepting */
 
-/* Returns the IP address as text, which the caller frees; "" if it is not an IP address. */
+/* Returns the IP address in `native` as text, which the caller frees; "" for another address family. */
 static char *address_text(const struct sockaddr_storage *native, socklen_t len) {
   g_autoptr(GSocketAddress) address = g_socket_address_new_from_native((gpointer)native, len);
   if (!G_IS_INET_SOCKET_ADDRESS(address))
--- a/src/net/stream.c
+++ b/src/net/stream.c
@@ -1,6 +1,6 @@
 #include "net/stream.h"
 
-/* A source that is ready when the connection can be read, or written if `output` is set. */
+/* A source that is ready when the connection can be read or, if `output` is set, can be written. */
 typedef struct {
   GSource source;
   FkConnection *connection;
--- a/src/remote_execution/byte_stream_read.c
+++ b/src/remote_execution/byte_stream_read.c
@@ -4,7 +4,7 @@
 
 #include <zstd.h>
 
-#define READ_BYTES 65536 /* maximum number of bytes read from the blob before they are compressed */
+#define READ_BYTES 65536 /* maximum number of bytes read from the blob at a time for compression */
 #define MESSAGE_DATA_BYTES (512 * 1024)
 
 struct FkDownload {
@@ -32,7 +32,9 @@
 }
 
 /* Compresses the bytes of one read into `out`, which has at least ZSTD_compressBound(READ_BYTES) bytes left.
- * With `is_last`, ends the compressed frame. Returns FALSE if zstd fails. */
+ * zstd may also write bytes that it buffered in earlier calls. With `is_last`, ends the compressed frame and
+ * sets `compression_done`; if `out` becomes full first, another call must continue. Returns FALSE if zstd
+ * fails. */
 static gboolean compress(FkDownload *download, ZSTD_inBuffer *in, ZSTD_outBuffer *out, gboolean is_last) {
   ZSTD_EndDirective directive = is_last ? ZSTD_e_end : ZSTD_e_continue;
   gsize remaining;
--- a/src/remote_execution/byte_stream_write.c
+++ b/src/remote_execution/byte_stream_write.c
@@ -1,7 +1,7 @@
 /* ByteStream.Write and QueryWriteStatus: uploads of blobs in several messages. The data is compressed if
- * the resource name has `compressed-blobs/zstd`. After a lost connection, the client can resume an
- * uncompressed upload with at least one byte in another call, unless the upload was aborted in the
- * meantime. Any other upload starts over. */
+ * the resource name has `compressed-blobs/zstd`. If a call ends before an uncompressed upload is finished,
+ * and at least one byte was received, the client can resume the upload in another call, unless the upload was
+ * aborted in the meantime. Any other unfinished upload starts over. */
 #include "remote_execution/cache_call.h"
 
 #include <string.h>
--- a/src/remote_execution/settings.h
+++ b/src/remote_execution/settings.h
@@ -13,7 +13,9 @@
   double connections; /* maximum number of concurrent connections */
   double calls;       /* maximum number of concurrent calls of a connection */
   double idle_s;      /* time without a call after which a connection gets GOAWAY and is closed, in seconds */
-  double upload_s;    /* time after which an unfinished upload that no call has open is aborted, in seconds */
+  /* idle time, in seconds, after which an unfinished upload is aborted; an upload is idle while no call has
+   * it open */
+  double upload_s;
 } FkRemoteExecutionSettings;
 
 /* Parses the text of a settings file; free the result with fk_remote_execution_settings_free(). Returns NULL
--- a/src/remote_execution/uploads.h
+++ b/src/remote_execution/uploads.h
@@ -10,7 +10,8 @@
   FkUpload *blob_upload; /* NULL once the upload is finished */
   char *key, *team;      /* `key` identifies the upload in FkUploads */
   gboolean in_use;       /* whether a call has the upload open */
-  gint64 idle_since_us;  /* monotonic time at which the latest call released the upload; 0 if none has */
+  /* monotonic time at which a call last released the upload; 0 if no call has released it yet */
+  gint64 idle_since_us;
 } FkResumableUpload;
 
 typedef enum {
--- a/src/wire/store_service.h
+++ b/src/wire/store_service.h
@@ -36,8 +36,9 @@
 
 /* Print response bodies, which the caller frees. `revision` is the store's revision; `more` says whether
  * another page of the list follows. */
-char *fk_store_print_items(cJSON *items /* taken */, gboolean more, guint64 revision);
-char *fk_store_print_events(cJSON *events /* taken */, guint64 revision);
+char *fk_store_print_items(cJSON *items /* ownership passes to the callee */, gboolean more,
+                           guint64 revision);
+char *fk_store_print_events(cJSON *events /* ownership passes to the callee */, guint64 revision);
 char *fk_store_print_revision(guint64 revision);
 /* Prints the response to a transaction that wasn't committed; the caller frees the body. `failed` holds the
  * paths (char*) of the conditions that failed. */
--- a/test/connection_load.c
+++ b/test/connection_load.c
@@ -284,7 +284,7 @@
   gsize repeated;
   gboolean never_reads;
   double for_s;
-  const char *answer; /* start of each response; NULL if not checked */
+  const char *answer; /* expected start of each response; NULL if not checked */
 } Attack;
 
 /* Runs an attack. Meanwhile, sends health checks from the same address, and heartbeats and polls from other
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -174,7 +174,8 @@
   FkRejection rejection;
   open_connection(admission, &other, "user", 0);
   g_assert_true(send_request(admission, &other, FK_REQUEST_CLASS_POLL, 0, &rejection));
-  /* `other` is the oldest connection, but it has been answered */
+  /* `other` is the oldest connection, and idle, so it may be evicted; it stays because its address has only
+   * one connection */
   fk_admission_response_written(admission, &other, TRUE, 0);
   for (guint i = 0; i < 40; i++) {
     open_connection(admission, &many[i], "crowd", 1 + i);
--- a/test/test_http_server.c
+++ b/test/test_http_server.c
@@ -300,7 +300,8 @@
       while (many->len < 4000)
         g_string_append(many, cases[i].then);
       piece = g_string_free(many, FALSE);
-      /* 3 MiB: more than every limit, including the 1 MiB that a lingering connection may send */
+      /* 3 MiB: more than every limit on a request, and more than the 1 MiB that a lingering connection may
+       * send */
       while (sent < 3 * 1048576 && send_bytes(fd, piece, strlen(piece))) {
         sent += strlen(piece);
         peak_bytes = MAX(peak_bytes, fk_admission_buffered_bytes(fk_server_admission(s->server)));
